--- a/control/pkg/core/announce.go
+++ b/control/pkg/core/announce.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	announceEvery = 400 * time.Millisecond
-	// announceTime ends one try to tell the leader. A VM that lost its disk knows
-	// the seeds only, and some of these may be gone: with a longer try it was taken
-	// in again a second later.
-	announceTime = 250 * time.Millisecond
+	announceInterval = 400 * time.Millisecond
+	// announceTimeout bounds one announcement to the leader. A VM that lost its disk knows
+	// only the seeds, some of which may be gone. A longer timeout delayed its return to the
+	// group by a second.
+	announceTimeout = 250 * time.Millisecond
 )
 
-// announce tells the leader, again and again, that this VM is there and with
-// which data folder. So a VM that lost its disk, or is new, becomes a member.
+// announce periodically sends the identity of this VM's data folder to the leader, so that
+// a new VM, or one that lost its disk, becomes a member.
 func (c *Core) announce(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -30,58 +30,59 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.asked:
+		case <-c.announceNow:
 		case <-timer.C:
 		}
-		again := c.announceOnce(ctx)
+		delay := c.announceOnce(ctx)
 		c.announcedAt.Store(int64(c.config.Clock.Now()))
-		timer.Reset(again)
+		timer.Reset(delay)
 	}
 }
 
-// look asks who leads, if this VM rests and may not know it any more: someone wants to know.
-func (c *Core) look() {
-	if int64(c.config.Clock.Now())-c.announcedAt.Load() < announceEvery.Milliseconds() {
+// triggerAnnounce makes an idle VM announce itself at once, because its knowledge of the
+// leader may be outdated. It does nothing if the last announcement is recent.
+func (c *Core) triggerAnnounce() {
+	if int64(c.config.Clock.Now())-c.announcedAt.Load() < announceInterval.Milliseconds() {
 		return
 	}
 	select {
-	case c.asked <- struct{}{}:
+	case c.announceNow <- struct{}{}:
 	default:
 	}
 }
 
-// announceOnce returns when to announce again.
+// announceOnce announces this VM once and returns the delay until the next announcement.
 func (c *Core) announceOnce(ctx context.Context) time.Duration {
 	if _, _, self := c.group.Leader(); self {
-		c.fleet.announce(c.config.Clock.Now(), c.config.Name, c.config.Address, c.identity)
-		return announceEvery
+		c.fleet.recordAnnouncement(c.config.Clock.Now(), c.config.Name, c.config.Address, c.identity)
+		return announceInterval
 	}
-	ctx, cancel := context.WithTimeout(ctx, 4*announceTime)
+	ctx, cancel := context.WithTimeout(ctx, 4*announceTimeout)
 	defer cancel()
-	answer, err := control.Call(ctx, c.config.Core, Group, "announce", c.tellLeader)
+	response, err := control.Call(ctx, c.config.Core, Group, "announce", c.sendAnnounce)
 	if err != nil {
 		level.Debug(c.config.Logger).Log(logs.KeyEvent, "announce-failed", logs.KeyError, err)
-		// The VMs that we know may all be gone, and the settings name others by now.
-		c.config.Core.SetAddresses(c.acquaintances.withSeeds(c.config.Seeds()))
-		return announceEvery
+		// All known VMs may be gone, and the settings may name other seeds by now.
+		c.config.Core.SetAddresses(c.knownMembers.withSeeds(c.config.Seeds()))
+		return announceInterval
 	}
-	c.config.Core.SetAddresses(answer.GetCoreAddresses())
-	c.acquaintances.keep(answer.GetCoreAddresses())
-	if rest := time.Duration(answer.GetAgainMs()) * time.Millisecond; rest > 0 {
-		// Those that rest come one after the other.
-		return rest*3/4 + rand.N(rest/4)
+	c.config.Core.SetAddresses(response.GetCoreAddresses())
+	c.knownMembers.save(response.GetCoreAddresses())
+	if idle := time.Duration(response.GetAgainMs()) * time.Millisecond; idle > 0 {
+		// The jitter spreads the announcements of idle VMs.
+		return idle*3/4 + rand.N(idle/4)
 	}
-	return announceEvery
+	return announceInterval
 }
 
-func (c *Core) tellLeader(ctx context.Context, leader *control.Replica) (*toucanhingev1.AnnounceResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, announceTime)
+func (c *Core) sendAnnounce(ctx context.Context, leader *control.Replica) (*toucanhingev1.AnnounceResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	answer, err := leader.Core.Announce(ctx, connect.NewRequest(&toucanhingev1.AnnounceRequest{
+	response, err := leader.Core.Announce(ctx, connect.NewRequest(&toucanhingev1.AnnounceRequest{
 		Name: c.config.Name, Address: c.config.Address, Identity: c.identity,
 	}))
 	if err != nil {
 		return nil, err
 	}
-	return answer.Msg, nil
+	return response.Msg, nil
 }
--- a/control/pkg/core/announce_test.go
+++ b/control/pkg/core/announce_test.go
@@ -9,11 +9,11 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// announcers plays VMs of a core that announce themselves for a while, some of which are gone
-// from a moment on, and returns the calls a second and how many VMs that are no members were
-// awake at the end.
-func announcers(vms, members int, gone func(vm int) bool) (rate float64, awake int) {
-	const span, goneAt clock.Millis = 20_000, 10_000
+// simulateAnnouncements lets VMs of a core announce themselves for 20 seconds. VMs for which
+// gone returns true stop after 10 seconds. It returns the calls per second, and the number of
+// VMs at the end that are neither members nor idle.
+func simulateAnnouncements(vms, members int, gone func(vm int) bool) (rate float64, active int) {
+	const duration, goneAt clock.Millis = 20_000, 10_000
 	f := newFleet()
 	var cores []string
 	next := make([]clock.Millis, vms)
@@ -23,39 +23,39 @@
 		}
 		next[n] = clock.Millis(n % 400)
 	}
-	f.setCores(cores)
+	f.setCoreAddresses(cores)
 	calls := 0
-	for now := clock.Millis(0); now < span; now++ {
+	for now := clock.Millis(0); now < duration; now++ {
 		for n := range vms {
 			if next[n] != now || now >= goneAt && gone(n) {
 				continue
 			}
 			calls++
-			next[n] = now + clock.Millis(announceEvery.Milliseconds())
-			if f.announce(now, fmt.Sprint(n), fmt.Sprint(n), "disk") {
-				next[n] = now + restTime
+			next[n] = now + clock.Millis(announceInterval.Milliseconds())
+			if f.recordAnnouncement(now, fmt.Sprint(n), fmt.Sprint(n), "disk") {
+				next[n] = now + idleInterval
 			}
 		}
 	}
-	return float64(calls) / float64(span) * 1_000, f.reserve(span, "")
+	return float64(calls) / float64(duration) * 1_000, f.reserveSize(duration, "")
 }
 
-// Each VM with a disk announced itself to the leader 2.5 times a second, also those that do
-// nothing: with 85 of them a fifth of all calls that it answered.
-func TestVMsThatDoNothingRest(t *testing.T) {
+// Guards against load on the leader from idle VMs. If each VM with a disk announces itself
+// 2.5 times a second, 85 of them cause a fifth of all calls that the leader answers.
+func TestIdleVMsAnnounceLessOften(t *testing.T) {
 	none := func(int) bool { return false }
 	for _, c := range []struct {
-		vms  int
-		most float64
+		vms     int
+		maxRate float64
 	}{{6, 15}, {12, 30}, {25, 55}, {85, 90}, {170, 130}} {
-		rate, awake := announcers(c.vms, 6, none)
-		require.LessOrEqual(t, rate, c.most, "%d VMs", c.vms)
-		require.GreaterOrEqual(t, awake, min(c.vms-6, mostReserve), "%d VMs", c.vms)
+		rate, active := simulateAnnouncements(c.vms, 6, none)
+		require.LessOrEqual(t, rate, c.maxRate, "%d VMs", c.vms)
+		require.GreaterOrEqual(t, active, min(c.vms-6, maxReserve), "%d VMs", c.vms)
 	}
 }
 
-// All VMs that stood by are gone. Others take their place, and the leader knows of them.
-func TestOthersStandByInTheirPlace(t *testing.T) {
-	_, awake := announcers(85, 6, func(vm int) bool { return vm >= 6 && vm < 30 })
-	require.GreaterOrEqual(t, awake, mostReserve)
+// All reserve VMs disappear. Idle VMs have to replace them as the leader's reserve.
+func TestIdleVMsReplaceLostReserve(t *testing.T) {
+	_, active := simulateAnnouncements(85, 6, func(vm int) bool { return vm >= 6 && vm < 30 })
+	require.GreaterOrEqual(t, active, maxReserve)
 }
--- a/control/pkg/core/fleet_test.go
+++ b/control/pkg/core/cluster_test.go
@@ -27,21 +27,21 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
-// patience is how long a test waits for what should take some hundred
-// milliseconds.
-const patience = 15 * time.Second
+// waitTimeout bounds the wait for events that normally take some hundred milliseconds.
+const waitTimeout = 15 * time.Second
 
-var errNoRunners = errors.New("no runner takes work here")
+var errNoRunners = errors.New("no runner accepts calls in this test")
 
-// vm is a VM of a core on loopback that can lose its process and its disk.
+// vm is a control VM on loopback whose process and disk can be lost.
 type vm struct {
-	t        *testing.T
-	name     string
-	address  string
-	folder   string
-	founders []string
-	known    []string
-	// seeds are the addresses in its settings now; nil means known.
+	t               *testing.T
+	name            string
+	address         string
+	folder          string
+	foundingMembers []string
+	// known are the core addresses with which the VM starts.
+	known []string
+	// seeds are the addresses in its current settings; nil means known.
 	seeds atomic.Pointer[[]string]
 
 	core   *Core
@@ -49,45 +49,45 @@
 	cancel context.CancelFunc
 }
 
-// site is a few VMs, the first three of which form the core.
-type site struct {
+// cluster is a group of control VMs, the first three of which form the core.
+type cluster struct {
 	t   *testing.T
 	vms []*vm
 }
 
-func newSite(t *testing.T, count int) *site {
+func newCluster(t *testing.T, count int) *cluster {
 	t.Helper()
-	s := &site{t: t}
+	cl := &cluster{t: t}
 	var addresses []string
 	for i := range count {
 		addresses = append(addresses, loopback.Address(t, i))
-		s.vms = append(s.vms, &vm{
+		cl.vms = append(cl.vms, &vm{
 			t: t, name: fmt.Sprintf("vm-%d", i), address: addresses[i], folder: filepath.Join(t.TempDir(), "data"),
 		})
 	}
-	for i, v := range s.vms {
+	for i, v := range cl.vms {
 		v.known = addresses[:3]
 		if i < 3 {
-			v.founders = addresses[:3]
+			v.foundingMembers = addresses[:3]
 		}
 	}
 	t.Cleanup(func() {
-		for _, v := range s.vms {
+		for _, v := range cl.vms {
 			v.kill()
 		}
 	})
-	return s
+	return cl
 }
 
 func (v *vm) start() {
 	v.t.Helper()
-	x, err := digest.Listen(digest.Config{
+	exchange, err := digest.Listen(digest.Config{
 		Address: v.address, Source: v.name, Clock: clock.System(), Logger: log.NewNopLogger(), Version: func() uint64 { return 0 },
 	})
 	require.NoError(v.t, err)
 	v.core, err = Open(Config{
-		Name: v.name, Address: v.address, DataCentre: "here", Folder: v.folder, Founders: v.founders, Losses: 1,
-		Clock: clock.System(), Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry(), Exchange: x,
+		Name: v.name, Address: v.address, DataCentre: "here", Folder: v.folder, FoundingMembers: v.foundingMembers, Losses: 1,
+		Clock: clock.System(), Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry(), Exchange: exchange,
 		Quota: quota.NewCounter(quota.Config{}), Boot: clock.Boot(),
 		Runners: runner.Client{Open: func(context.Context, runner.Call) (*runner.Answer, error) { return nil, errNoRunners }},
 		Directory: func(context.Context) ([]*toucanhingev1.Runner, error) {
@@ -104,34 +104,34 @@
 	})
 	require.NoError(v.t, err)
 	mux := http.NewServeMux()
-	mux.Handle(toucanhingev1connect.NewReplicaServiceHandler(v.core.Replicas()))
+	mux.Handle(toucanhingev1connect.NewReplicaServiceHandler(v.core.ReplicaServer()))
 	mux.Handle(toucanhingev1connect.NewCoreServiceHandler(v.core))
 	v.server, err = web.Listen(v.address, mux)
 	require.NoError(v.t, err)
 	go func() { _ = v.server.Serve() }()
 	ctx, cancel := context.WithCancel(context.Background())
 	v.cancel = cancel
-	go x.Run(ctx)
+	go exchange.Run(ctx)
 	v.core.Start()
-	// A restart is no first start.
-	v.founders = nil
+	// Only the first start forms the group.
+	v.foundingMembers = nil
 }
 
 func client(addresses []string) *control.Client {
 	return control.New(control.Config{Addresses: addresses, Fresh: web.NewClient, AttemptTimeout: time.Second})
 }
 
-// kill ends the VM's process without a word to the others.
+// kill stops the VM without a leadership transfer, like the end of its process.
 func (v *vm) kill() {
 	if v.core == nil {
 		return
 	}
 	v.core.cancel()
 	v.cancel()
-	over, done := context.WithCancel(context.Background())
-	done()
-	_ = v.server.Shutdown(over)
-	v.core.duties.Wait()
+	expired, cancel := context.WithCancel(context.Background())
+	cancel()
+	_ = v.server.Shutdown(expired)
+	v.core.tasks.Wait()
 	_ = v.core.group.Close()
 	v.core.machine.Close()
 	v.core = nil
@@ -139,35 +139,35 @@
 
 func (v *vm) loseDisk() { require.NoError(v.t, os.RemoveAll(v.folder)) }
 
-func (s *site) startAll() {
-	for _, v := range s.vms {
+func (cl *cluster) startAll() {
+	for _, v := range cl.vms {
 		v.start()
 	}
 }
 
-// leader waits until one VM leads and has confirmed it.
-func (s *site) leader() *vm {
-	s.t.Helper()
+// leader waits for a VM that leads and can confirm it with a majority.
+func (cl *cluster) leader() *vm {
+	cl.t.Helper()
 	var found *vm
-	require.Eventually(s.t, func() bool {
-		for _, v := range s.vms {
+	require.Eventually(cl.t, func() bool {
+		for _, v := range cl.vms {
 			if v.core == nil {
 				continue
 			}
-			if _, _, self := v.core.group.Leader(); self && v.core.confirm(context.Background()) == nil {
+			if _, _, self := v.core.group.Leader(); self && v.core.confirmRead(context.Background()) == nil {
 				found = v
 				return true
 			}
 		}
 		return false
-	}, patience, 10*time.Millisecond, "no VM leads: %v", s)
+	}, waitTimeout, 10*time.Millisecond, "no VM leads: %v", cl)
 	return found
 }
 
-// String tells how every VM sees the group, for failures.
-func (s *site) String() string {
+// String returns each VM's view of the group, for failure messages.
+func (cl *cluster) String() string {
 	text := ""
-	for _, v := range s.vms {
+	for _, v := range cl.vms {
 		text += "\n" + v.name + " " + v.address + " "
 		if v.core == nil {
 			text += "down"
@@ -178,20 +178,20 @@
 	return text
 }
 
-// follower is a VM that runs and doesn't lead.
-func (s *site) follower() *vm {
-	s.t.Helper()
-	leader := s.leader()
-	for _, v := range s.vms {
+// follower returns a running VM that doesn't lead.
+func (cl *cluster) follower() *vm {
+	cl.t.Helper()
+	leader := cl.leader()
+	for _, v := range cl.vms {
 		if v != leader && v.core != nil {
 			return v
 		}
 	}
-	s.t.Fatal("no follower runs")
+	cl.t.Fatal("no follower is running")
 	return nil
 }
 
-func tableOf(version uint64) *toucanhingev1.RoutingTable {
+func testTable(version uint64) *toucanhingev1.RoutingTable {
 	return &toucanhingev1.RoutingTable{
 		Version: version, Document: fmt.Appendf(nil, "v%d", version), Services: []*toucanhingev1.RoutedService{{Name: "llm"}},
 		Routes: []*toucanhingev1.Route{{
@@ -201,34 +201,34 @@
 	}
 }
 
-// replace sends a table to the leader until it is acknowledged, as operators do.
-func (s *site) replace(version uint64) {
-	s.t.Helper()
-	require.Eventually(s.t, func() bool {
+// replaceTable sends a table to the leader until it is acknowledged.
+func (cl *cluster) replaceTable(version uint64) {
+	cl.t.Helper()
+	require.Eventually(cl.t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_, err := s.leader().core.ReplaceTable(ctx, tableOf(version))
+		_, err := cl.leader().core.ReplaceTable(ctx, testTable(version))
 		return err == nil
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 }
 
-func (s *site) requireTable(version uint64) {
-	s.t.Helper()
-	table, err := s.leader().core.ReadTable(context.Background())
-	require.NoError(s.t, err)
-	require.Equal(s.t, version, table.GetVersion())
+func (cl *cluster) requireTable(version uint64) {
+	cl.t.Helper()
+	table, err := cl.leader().core.ReadTable(context.Background())
+	require.NoError(cl.t, err)
+	require.Equal(cl.t, version, table.GetVersion())
 }
 
-// voters waits until exactly these VMs vote, with the disks that they have now.
-func (s *site) voters(want ...*vm) {
-	s.t.Helper()
+// waitForVoters waits until exactly these VMs vote, with their current data folders.
+func (cl *cluster) waitForVoters(want ...*vm) {
+	cl.t.Helper()
 	identities := map[string]bool{}
 	for _, v := range want {
 		identities[v.core.identity] = true
 	}
-	require.Eventually(s.t, func() bool {
+	require.Eventually(cl.t, func() bool {
 		count := 0
-		for _, r := range s.leader().core.group.Status().GetReplicas() {
+		for _, r := range cl.leader().core.group.Status().GetReplicas() {
 			if !r.GetVoter() {
 				continue
 			}
@@ -238,20 +238,20 @@
 			count++
 		}
 		return count == len(want)
-	}, patience, 20*time.Millisecond, "the voters aren't those wanted: %v", s)
+	}, waitTimeout, 20*time.Millisecond, "unexpected voters: %v", cl)
 }
 
-// standby waits until a VM is a member that holds everything and doesn't vote.
-func (s *site) standby(v *vm) {
-	s.t.Helper()
-	require.Eventually(s.t, func() bool {
-		for _, m := range s.leader().core.members() {
+// waitForStandby waits until a VM is a member without a vote that has the whole log.
+func (cl *cluster) waitForStandby(v *vm) {
+	cl.t.Helper()
+	require.Eventually(cl.t, func() bool {
+		for _, m := range cl.leader().core.members() {
 			if m.Name == v.address && !m.Voter && m.Behind == 0 {
 				return true
 			}
 		}
 		return false
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 }
 
 func submit(ctx context.Context, c *control.Client, job string) (toucanhingev1.SubmitOutcome, error) {
@@ -267,16 +267,15 @@
 	return answer.Msg.GetOutcome(), nil
 }
 
-// A runner crashes and starts again under its id. The list shows another birth, and nothing
-// else that differs.
-func TestARunnerThatStartedAgainIsNoticed(t *testing.T) {
+// A runner crashes and restarts under the same ID. Only its start time differs in the list.
+func TestRunnerRestartIsDetected(t *testing.T) {
 	f := newFleet()
-	born := func(at int64) []*toucanhingev1.Runner {
+	startedAt := func(at int64) []*toucanhingev1.Runner {
 		return []*toucanhingev1.Runner{{Id: "a", BornMs: at}, {Id: "b", BornMs: 5}}
 	}
-	require.Empty(t, f.restarted(born(1)), "both are new")
-	require.True(t, f.setRunners(born(1)))
-	require.Empty(t, f.restarted(born(1)))
-	require.Equal(t, []string{"a"}, f.restarted(born(2)))
-	require.True(t, f.setRunners(born(2)))
+	require.Empty(t, f.restartedRunners(startedAt(1)), "both runners are new")
+	require.True(t, f.setRunners(startedAt(1)))
+	require.Empty(t, f.restartedRunners(startedAt(1)))
+	require.Equal(t, []string{"a"}, f.restartedRunners(startedAt(2)))
+	require.True(t, f.setRunners(startedAt(2)))
 }
--- a/control/pkg/core/core.go
+++ b/control/pkg/core/core.go
@@ -1,5 +1,6 @@
-// Package core is a VM of the core: a replica of the routing table and the batch
-// jobs, and, while it leads, what gateways and operators ask of them.
+// Package core implements a control VM, a member of the core. It holds a replica of the
+// routing table and the batch jobs and, as the leader, serves the requests of gateways and
+// operators.
 package core
 
 import (
@@ -32,121 +33,121 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Group is the number of the core's consensus group.
+// Group is the ID of the core's consensus group.
 const Group = 0
 
 const (
-	// checkpointBytes bounds what the log keeps in memory and a restart replays.
-	// A VM of the core has some 150 MB for everything.
+	// checkpointBytes bounds the part of the log that is kept in memory and replayed after a
+	// restart. A control VM has about 150 MB of memory in total.
 	checkpointBytes = 1 << 20
-	keepBytes       = 256 << 10
+	retainBytes     = 256 << 10
 	logFileBytes    = 4 << 20
-	// ringSize is enough for some hundred steps on their way; with 4,096 places
-	// the rings of a VM with two peers held 2.5 MB.
+	// ringSize is sufficient for some hundred steps in flight. With 4,096 entries the rings
+	// of a VM with two peers took 2.5 MB.
 	ringSize = 512
-	// heartbeat and election decide how soon a lost leader is replaced: callers'
-	// jobs and the operator wait for it. VMs of the core are a millisecond apart,
-	// and even one that runs eight times slower answers within 50 ms, so three
-	// missing heartbeats tell.
-	heartbeat clock.Millis = 75
-	election  clock.Millis = 300
+	// heartbeatInterval and electionTimeout determine how soon a lost leader is replaced,
+	// which jobs and operators wait for. Control VMs are a millisecond apart, and even one
+	// that runs eight times slower replies within 50 ms, so three missed heartbeats indicate
+	// a lost leader.
+	heartbeatInterval clock.Millis = 75
+	electionTimeout   clock.Millis = 300
 )
 
-// Config sets up a VM of the core.
+// Config configures a control VM.
 type Config struct {
-	// Name is the VM's; Address is where other daemons reach it, IP:port, and its
-	// member name in the group.
+	// Name is the name of the VM. Address is the IP:port at which other daemons reach it,
+	// and its member name in the group.
 	Name       string
 	Address    string
 	DataCentre string
 	Folder     string
-	// Founders are the addresses of the VMs that form the group when the system
+	// FoundingMembers are the addresses of the VMs that form the group when the system
 	// starts for the first time; empty at every other start.
-	Founders []string
-	// Losses is how many VMs may be lost at the same time.
+	FoundingMembers []string
+	// Losses is the number of VMs whose simultaneous loss the group tolerates.
 	Losses int
-	// LeaveBound is how long after the directory shows that a runner leaves requests may still be
-	// sent there, a span; 0 if that isn't told.
-	LeaveBound clock.Millis
+	// DrainNoticeLimit is how long requests may still be sent to a runner after the directory
+	// shows that it is leaving; 0 if unknown.
+	DrainNoticeLimit clock.Millis
 
 	Clock      clock.Clock
 	Logger     log.Logger
 	Registerer prometheus.Registerer
 	Exchange   *digest.Exchange
-	// Quota counts the requests of teams that gateways tell of, by the boot clock, for gateways
-	// that start; nil if nobody limits them.
+	// Quota counts the team requests that gateways report, by the boot clock, as initial
+	// usage for gateways that start; nil if team requests aren't limited.
 	Quota   *quota.Counter
 	Boot    clock.Clock
 	Runners runner.Client
 	// Directory lists all running instances.
 	Directory func(context.Context) ([]*toucanhingev1.Runner, error)
-	// Core calls the leader, wherever it is.
+	// Core finds and calls the leader.
 	Core *control.Client
-	// Seeds lists addresses to fall back on when no known VM of the core answers.
+	// Seeds returns the fallback addresses for when no known control VM replies.
 	Seeds func() []string
-	// Fatal ends the process: its state can't be trusted any more.
+	// Fatal ends the process after an error that leaves its state inconsistent.
 	Fatal func(error)
 }
 
-// Core is one VM of the core.
+// Core is a control VM.
 type Core struct {
 	config  Config
 	group   *replica.Group
 	machine *systemstate.Machine
 	driver  *batchrun.Driver
 	fleet   *fleet
-	// acquaintances are the members that this VM knew last.
-	acquaintances *acquaintances
-	// tables wakes those who wait for a new routing table, and results those who wait for
-	// results of a job.
-	tables   *signal.Signal
-	results  *topics
-	confirms *confirms
-	metrics  *metrics
-	// attending counts the gateways whose calls for news wait here.
-	attending atomic.Int64
-	// announcedAt is when this VM announced itself last, Unix time in milliseconds, and asked has
-	// room for one: someone wants to know who leads.
+	// knownMembers are the last known members, stored on disk.
+	knownMembers *knownMembers
+	// tables wakes calls that wait for a new routing table, and results wakes calls that wait
+	// for results of a job.
+	tables        *signal.Signal
+	results       *topics
+	readConfirmer *readConfirmer
+	metrics       *metrics
+	// subscribers counts the gateways whose Attend calls are being served.
+	subscribers atomic.Int64
+	// announcedAt is the time of this VM's last announcement, as Unix time in milliseconds.
+	// announceNow requests an immediate announcement; it buffers one request.
 	announcedAt atomic.Int64
-	asked       chan struct{}
+	announceNow chan struct{}
 
 	identity string
 	cancel   context.CancelFunc
-	duties   sync.WaitGroup
+	tasks    sync.WaitGroup
 }
 
-// Open restores the VM's replica.
+// Open creates the VM and restores its replica from disk.
 func Open(config Config) (*Core, error) {
 	identity, err := replica.Identity(config.Folder)
 	if err != nil {
 		return nil, fmt.Errorf("data folder: %w", err)
 	}
-	c := &Core{config: config, identity: identity, fleet: newFleet(), tables: signal.New(), results: newTopics(), asked: make(chan struct{}, 1), metrics: newMetrics(config.Registerer)}
-	c.confirms = newConfirms(func(ctx context.Context) error { return c.group.Read(ctx) })
-	c.acquaintances = recall(filepath.Join(config.Folder, "acquaintances"), config.Logger)
-	config.Core.SetAddresses(c.acquaintances.withSeeds(config.Seeds()))
+	c := &Core{config: config, identity: identity, fleet: newFleet(), tables: signal.New(), results: newTopics(), announceNow: make(chan struct{}, 1), metrics: newMetrics(config.Registerer)}
+	c.readConfirmer = newReadConfirmer(func(ctx context.Context) error { return c.group.Read(ctx) })
+	c.knownMembers = loadKnownMembers(filepath.Join(config.Folder, "acquaintances"), config.Logger)
+	config.Core.SetAddresses(c.knownMembers.withSeeds(config.Seeds()))
 	folder := filepath.Join(config.Folder, "core")
 	c.machine = systemstate.NewMachine(systemstate.MachineConfig{
 		Folder: filepath.Join(folder, "state"), Fatal: config.Fatal, Notify: c.notify,
 	})
-	carries := carrier.New(carrier.Config{
-		Source: config.Name, Gateways: c.fleet.carriers, Direct: config.Runners, HTTP: web.NewClient, Clock: config.Clock, Logger: config.Logger,
+	proxy := carrier.New(carrier.Config{
+		Source: config.Name, Gateways: c.fleet.proxyGateways, Direct: config.Runners, HTTP: web.NewClient, Clock: config.Clock, Logger: config.Logger,
 		Registerer: config.Registerer,
 	})
 	c.driver = batchrun.New(batchrun.Config{
-		Machine: c.machine, Propose: c.propose, Client: carries.Calls(), Late: carries.Late, Exchange: config.Exchange,
-		Runners: c.fleet.list, DataCentre: config.DataCentre, Clock: config.Clock, Logger: config.Logger,
+		Machine: c.machine, Propose: c.propose, Client: proxy.Calls(), Late: proxy.Late, Exchange: config.Exchange,
+		Runners: c.fleet.currentRunners, DataCentre: config.DataCentre, Clock: config.Clock, Logger: config.Logger,
 		Metrics: batchrun.NewMetrics(config.Registerer),
 	})
-	var founders []replica.Peer
-	for _, address := range config.Founders {
-		founders = append(founders, replica.Peer{Name: address, Address: address, Voter: true})
+	var foundingMembers []replica.Peer
+	for _, address := range config.FoundingMembers {
+		foundingMembers = append(foundingMembers, replica.Peer{Name: address, Address: address, Voter: true})
 	}
 	c.group, err = replica.Open(replica.Config{
 		Group: Group, Name: config.Address, Identity: identity, Address: config.Address, Folder: folder,
-		Bootstrap: founders, Clock: config.Clock, Logger: config.Logger, Registerer: config.Registerer,
-		HeartbeatEvery: heartbeat, ElectionTimeout: election,
-		CheckpointBytes: checkpointBytes, KeepBytes: keepBytes, LogFileBytes: logFileBytes, RingSize: ringSize,
+		Bootstrap: foundingMembers, Clock: config.Clock, Logger: config.Logger, Registerer: config.Registerer,
+		HeartbeatEvery: heartbeatInterval, ElectionTimeout: electionTimeout,
+		CheckpointBytes: checkpointBytes, KeepBytes: retainBytes, LogFileBytes: logFileBytes, RingSize: ringSize,
 	}, replica.Machine{
 		Apply: c.machine.Apply, Checkpoint: c.machine.Checkpoint, Load: c.machine.Load,
 		Export: c.machine.Export, Import: c.machine.Import,
@@ -157,18 +158,18 @@
 	return c, nil
 }
 
-// Replicas hands the calls of other VMs to the replica.
-func (c *Core) Replicas() *replica.Server {
+// ReplicaServer returns the server for the other members' calls to this replica.
+func (c *Core) ReplicaServer() *replica.Server {
 	return replica.NewServer(map[uint32]*replica.Group{Group: c.group})
 }
 
-// Start begins the VM's duties.
+// Start starts the VM's background tasks.
 func (c *Core) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
-	c.duty(func() { c.lead(ctx) })
-	c.duty(func() { c.announce(ctx) })
-	c.duty(func() {
+	c.startTask(func() { c.lead(ctx) })
+	c.startTask(func() { c.announce(ctx) })
+	c.startTask(func() {
 		select {
 		case <-c.group.Failed():
 			c.config.Fatal(c.group.Err())
@@ -177,50 +178,51 @@
 	})
 }
 
-func (c *Core) duty(run func()) {
-	c.duties.Add(1)
+// startTask runs a function in the background; Stop waits for its end.
+func (c *Core) startTask(run func()) {
+	c.tasks.Add(1)
 	go func() {
-		defer c.duties.Done()
+		defer c.tasks.Done()
 		run()
 	}()
 }
 
-// Stop hands the leadership over and closes the replica.
+// Stop transfers the leadership, stops the background tasks and closes the replica.
 func (c *Core) Stop(ctx context.Context) {
-	if _, _, self := c.group.Leader(); self {
+	if _, _, leads := c.group.Leader(); leads {
 		if err := c.group.Handover(ctx); err != nil {
 			level.Warn(c.config.Logger).Log(logs.KeyEvent, "handover-failed", logs.KeyError, err)
 		}
 	}
 	c.cancel()
-	c.duties.Wait()
+	c.tasks.Wait()
 	if err := c.group.Close(); err != nil {
 		level.Error(c.config.Logger).Log(logs.KeyEvent, "close-failed", logs.KeyError, err)
 	}
 	c.machine.Close()
 }
 
-// HeardDigest tells that another daemon's load changed.
-func (c *Core) HeardDigest(uint64) { c.driver.Wake() }
+// DigestReceived has to be called when a load digest of another daemon was received.
+func (c *Core) DigestReceived(uint64) { c.driver.Wake() }
 
-// Version is the routing table in force here.
+// Version returns the version of the active routing table, 0 if there is none.
 func (c *Core) Version() uint64 {
-	if t := c.inForce(); t != nil {
+	if t := c.activeTable(); t != nil {
 		return t.Version
 	}
 	return 0
 }
 
-// inForce is the routing table in force here, nil before the first.
-func (c *Core) inForce() *routing.Table {
+// activeTable returns the active routing table, nil if there is none.
+func (c *Core) activeTable() *routing.Table {
 	var table *routing.Table
 	c.machine.View(func(s *systemstate.State) { table = s.Table() })
 	return table
 }
 
-// teamName is the team that holds a key, for a log line; empty if none does.
+// teamName returns the name of the team that owns a key, for log lines; empty if there is none.
 func (c *Core) teamName(key []byte) string {
-	table := c.inForce()
+	table := c.activeTable()
 	if table == nil {
 		return ""
 	}
@@ -228,7 +230,7 @@
 	return team.GetName()
 }
 
-// jobName is the name in the core of a caller's job; empty if there is no such job.
+// jobName returns the core's name of a caller's job; empty if the job isn't found.
 func (c *Core) jobName(key []byte, id string) string {
 	name := ""
 	c.machine.View(func(s *systemstate.State) {
@@ -253,50 +255,52 @@
 	}
 }
 
-// errAnswers tells that a command was logged by a program that counts otherwise.
-var errAnswers = errors.New("the command gave no outcome")
+// errUnexpectedOutcomes means that a command didn't return one outcome of the expected type for
+// each step, for example because another program version applied it.
+var errUnexpectedOutcomes = errors.New("the command did not return the expected outcomes")
 
-// propose logs steps as one command and returns their outcomes.
+// propose logs steps as one command and returns one outcome per step.
 func (c *Core) propose(ctx context.Context, steps ...*toucanhingev1.SystemStep) ([]any, error) {
 	data, err := proto.Marshal(&toucanhingev1.SystemCommand{AtMs: int64(c.config.Clock.Now()), Steps: steps})
 	if err != nil {
-		return nil, fmt.Errorf("encode a command: %w", err)
+		return nil, fmt.Errorf("encode a system command: %w", err)
 	}
 	result, err := c.group.Propose(ctx, data)
 	if err != nil {
-		return nil, fmt.Errorf("log a command: %w", err)
+		return nil, fmt.Errorf("log a system command: %w", err)
 	}
-	answers, ok := result.([]any)
-	if !ok || len(answers) != len(steps) {
-		return nil, errAnswers
+	outcomes, ok := result.([]any)
+	if !ok || len(outcomes) != len(steps) {
+		return nil, errUnexpectedOutcomes
 	}
-	return answers, nil
+	return outcomes, nil
 }
 
 // proposeOne logs one step and returns its outcome.
 func proposeOne[T any](ctx context.Context, c *Core, step *toucanhingev1.SystemStep) (T, error) {
 	var zero T
-	answers, err := c.propose(ctx, step)
+	outcomes, err := c.propose(ctx, step)
 	if err != nil {
 		return zero, err
 	}
-	answer, ok := answers[0].(T)
+	outcome, ok := outcomes[0].(T)
 	if !ok {
-		return zero, errAnswers
+		return zero, errUnexpectedOutcomes
 	}
-	return answer, nil
+	return outcome, nil
 }
 
-// confirm makes sure that this VM leads and sees all that was acknowledged.
-func (c *Core) confirm(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, confirmTime)
+// confirmRead confirms with a majority that this VM still leads, so that a read that follows
+// sees all acknowledged writes.
+func (c *Core) confirmRead(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	if err := c.confirms.join(ctx); err != nil {
-		return fmt.Errorf("confirm a read: %w", err)
+	if err := c.readConfirmer.join(ctx); err != nil {
+		return fmt.Errorf("confirm a read with a majority: %w", err)
 	}
 	return nil
 }
 
-// confirmTime is how long a majority may take to confirm a read; callers turn to
-// another VM after a second.
-const confirmTime = 800 * time.Millisecond
+// confirmTimeout bounds the confirmation of a read by a majority. It is below the second after
+// which callers try another VM.
+const confirmTimeout = 800 * time.Millisecond
--- a/control/pkg/core/directory.go
+++ b/control/pkg/core/directory.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// leastDirectoryEvery and mostDirectoryEvery bound the interval between two readings of the
-	// directory. It lags by most of a second anyway.
-	leastDirectoryEvery = 500 * time.Millisecond
-	mostDirectoryEvery  = time.Second
-	// readingsWithin is the number of readings within the time after which no request may go to
-	// a runner that leaves. A lost leader costs two of them, and the word takes its way.
-	readingsWithin = 6
-	directoryTime  = time.Second
+	// minDirectoryInterval and maxDirectoryInterval bound the interval between two reads of the
+	// directory. The directory itself lags by almost a second.
+	minDirectoryInterval = 500 * time.Millisecond
+	maxDirectoryInterval = time.Second
+	// readsPerDrainNotice is the number of directory reads within DrainNoticeLimit. The loss of
+	// a leader costs two of them, and the update needs some time to reach the gateways.
+	readsPerDrainNotice = 6
+	directoryTimeout    = time.Second
 )
 
-// directoryEvery is how often the directory is read. Each reading is a call for each page of it,
-// so on a large fleet it is read no more often than needed.
-func directoryEvery(leaveBound clock.Millis) time.Duration {
-	return min(max(leaveBound.Duration()/readingsWithin, leastDirectoryEvery), mostDirectoryEvery)
+// directoryInterval returns the interval between two reads of the directory. Each read takes one
+// call per page, so that a large fleet is read no more often than necessary.
+func directoryInterval(drainNoticeLimit clock.Millis) time.Duration {
+	return min(max(drainNoticeLimit.Duration()/readsPerDrainNotice, minDirectoryInterval), maxDirectoryInterval)
 }
 
-// readDirectory follows the platform's list of runners. Its calls are limited
-// for all daemons together, so only the leader reads it.
+// readDirectory polls the platform's list of runners. The platform limits the calls of all
+// daemons together, so only the leader polls.
 func (c *Core) readDirectory(ctx context.Context) {
-	ticker := time.NewTicker(directoryEvery(c.config.LeaveBound))
+	ticker := time.NewTicker(directoryInterval(c.config.DrainNoticeLimit))
 	defer ticker.Stop()
 	for {
-		c.readOnce(ctx)
+		c.readDirectoryOnce(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -43,20 +43,20 @@
 	}
 }
 
-func (c *Core) readOnce(ctx context.Context) {
-	readCtx, cancel := context.WithTimeout(ctx, directoryTime)
+func (c *Core) readDirectoryOnce(ctx context.Context) {
+	readCtx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	runners, err := c.config.Directory(readCtx)
 	if err != nil {
-		c.metrics.directory.WithLabelValues("failed").Inc()
+		c.metrics.directoryReads.WithLabelValues("failed").Inc()
 		if ctx.Err() == nil {
 			level.Warn(c.config.Logger).Log(logs.KeyEvent, "directory-unread", logs.KeyError, err)
 		}
 		return
 	}
-	c.metrics.directory.WithLabelValues("read").Inc()
+	c.metrics.directoryReads.WithLabelValues("read").Inc()
 	c.config.Exchange.SetRunners(len(runners))
-	if ids := c.fleet.restarted(runners); len(ids) > 0 {
+	if ids := c.fleet.restartedRunners(runners); len(ids) > 0 {
 		level.Info(c.config.Logger).Log(logs.KeyEvent, "runners-restarted", "runners", strings.Join(ids, " "))
 	}
 	if c.fleet.setRunners(runners) {
--- a/control/pkg/core/directory_test.go
+++ b/control/pkg/core/directory_test.go
@@ -9,18 +9,18 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// The directory has a page for some of the runners, and a call a page: read twice a second on a
-// fleet whose bound is five seconds, two calls in five told nobody anything.
-func TestTheDirectoryIsReadAsOftenAsTheBoundAsks(t *testing.T) {
+// The directory is paged, and each page takes one call. When a fleet with a drain notice limit
+// of five seconds was read twice a second, two calls in five were unnecessary.
+func TestDirectoryIntervalFollowsDrainNoticeLimit(t *testing.T) {
 	for _, c := range []struct {
-		bound clock.Millis
-		every time.Duration
+		limit    clock.Millis
+		interval time.Duration
 	}{
 		{0, 500 * time.Millisecond},
 		{3_000, 500 * time.Millisecond},
 		{4_200, 700 * time.Millisecond},
 		{60_000, time.Second},
 	} {
-		require.Equal(t, c.every, directoryEvery(c.bound), "%d", c.bound)
+		require.Equal(t, c.interval, directoryInterval(c.limit), "limit of %d ms", c.limit)
 	}
 }
--- a/control/pkg/core/fleet.go
+++ b/control/pkg/core/fleet.go
@@ -17,166 +17,169 @@
 )
 
 const (
-	// presenceExpiry is how long a gateway counts as there after it last attended. In a large
-	// fleet it takes up to two seconds until the leader hears of it again.
+	// presenceExpiry is the time after which a gateway that was last seen counts as gone. In a
+	// large fleet up to two seconds pass until the leader receives its next sign of life.
 	presenceExpiry clock.Millis = 4_000
-	// referFresh is how long after it was heard last a gateway is named to others.
-	referFresh clock.Millis = 2_000
-	// mostReserve is the number of VMs that are no members and announce themselves all the time:
-	// twice the members that two losses ask for. Others rest for a while after each word.
-	mostReserve = 12
-	// reserveFresh is how long such a VM counts after it announced itself.
-	reserveFresh clock.Millis = 1_500
-	// restTime is how long a VM rests: less than the silence after which it counts as gone.
-	restTime clock.Millis = 2_000
+	// maxReferralAge is how recently a gateway must have been seen to be named to others.
+	maxReferralAge clock.Millis = 2_000
+	// maxReserve is the number of VMs outside the group that announce themselves continuously:
+	// twice the members needed to tolerate two losses. Other VMs are idle between announcements.
+	maxReserve = 12
+	// maxReserveAge is how long a VM counts as part of the reserve after its last announcement.
+	maxReserveAge clock.Millis = 1_500
+	// idleInterval is the time between two announcements of an idle VM. It is shorter than
+	// unresponsiveAfter, after which the VM would count as gone.
+	idleInterval clock.Millis = 2_000
 )
 
-// fleet is what the leader knows of the running daemons and runners. It is not
-// durable: a new leader learns it anew within a second.
+// fleet is the leader's view of the running daemons and runners. It isn't durable: a new
+// leader rebuilds it within a second.
 type fleet struct {
 	changed *signal.Signal
 
 	mu       sync.Mutex
 	revision uint64
-	// began is when this leader began.
-	began clock.Millis
-	// known says that the list of runners was read since this leader began.
-	known    bool
-	runners  []*toucanhingev1.Runner
-	gateways map[string]gateway
-	// carrying lists them for calls of items, nil if it must be made anew.
-	carrying []carrier.Gateway
-	// tree has them as they hear one another, nil if it must be made anew.
+	// leaderSince is when this VM's current term as the leader began.
+	leaderSince clock.Millis
+	// runnersKnown reports whether the list of runners was read since then.
+	runnersKnown bool
+	runners      []*toucanhingev1.Runner
+	gateways     map[string]gateway
+	// proxies caches the gateways for proxied calls of batch items, nil after a change.
+	proxies []carrier.Gateway
+	// tree caches the fan-out tree of the gateways, nil after a change.
 	tree *fanout.Tree
-	// vms are the VMs of the core that announced themselves, by address.
-	vms   map[string]announced
-	cores []string
-	// told is what gateways were told, for differences.
-	told fleetview.Log
+	// vms are the control VMs that announced themselves, by address.
+	vms           map[string]announcedVM
+	coreAddresses []string
+	// views logs the published views, from which differences are computed.
+	views fleetview.Log
 }
 
+// gateway is a gateway as the leader last saw it.
 type gateway struct {
 	address    string
 	dataCentre string
-	heard      clock.Millis
-	// holds says that it holds a fleet, so that others can hear from it.
-	holds bool
+	lastSeen   clock.Millis
+	// hasFleet reports whether the gateway has a fleet view, so that others can subscribe to it.
+	hasFleet bool
 }
 
-type announced struct {
+// announcedVM is a control VM that announced itself.
+type announcedVM struct {
 	name     string
 	identity string
-	heard    clock.Millis
-	// resting says that it was told to rest.
-	resting bool
+	lastSeen clock.Millis
+	// idle reports whether the VM was requested to announce itself less often.
+	idle bool
 }
 
 func newFleet() *fleet {
-	return &fleet{changed: signal.New(), gateways: map[string]gateway{}, vms: map[string]announced{}}
+	return &fleet{changed: signal.New(), gateways: map[string]gateway{}, vms: map[string]announcedVM{}}
 }
 
-// begin starts a leader's time: its revisions are above those of all before. What this
-// VM knew from an earlier time of its own is forgotten: a VM that led again after six
-// seconds sent items to runners that had been leaving all that time, until it had read
-// the list anew 200 ms later.
-func (f *fleet) begin(now clock.Millis, term uint64) {
+// startTerm resets the fleet at the start of a leader's term. Its revisions are higher than those
+// of all earlier terms. The state of an earlier term of this VM is dropped: a VM that led again
+// after six seconds sent items to runners that had begun to leave meanwhile, until it had read
+// the list 200 ms later.
+func (f *fleet) startTerm(now clock.Millis, term uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.began = now
+	f.leaderSince = now
 	f.revision = term << 32
-	f.known = false
+	f.runnersKnown = false
 	f.runners = nil
 	f.gateways = map[string]gateway{}
-	f.carrying, f.tree = nil, nil
-	f.vms = map[string]announced{}
-	f.told = fleetview.Log{}
+	f.proxies, f.tree = nil, nil
+	f.vms = map[string]announcedVM{}
+	f.views = fleetview.Log{}
 }
 
-func (f *fleet) list() []*toucanhingev1.Runner {
+func (f *fleet) currentRunners() []*toucanhingev1.Runner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runners
 }
 
-// restarted lists the runners of a new list that started again under their id.
-func (f *fleet) restarted(runners []*toucanhingev1.Runner) []string {
+// restartedRunners returns the IDs of the runners whose start time differs in a new list.
+func (f *fleet) restartedRunners(runners []*toucanhingev1.Runner) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	born := make(map[string]int64, len(f.runners))
+	startTimes := make(map[string]int64, len(f.runners))
 	for _, r := range f.runners {
-		born[r.GetId()] = r.GetBornMs()
+		startTimes[r.GetId()] = r.GetBornMs()
 	}
 	var ids []string
 	for _, r := range runners {
-		if before, known := born[r.GetId()]; known && before != r.GetBornMs() {
+		if before, known := startTimes[r.GetId()]; known && before != r.GetBornMs() {
 			ids = append(ids, r.GetId())
 		}
 	}
 	return ids
 }
 
-// setRunners takes over a new list, and says whether it differs.
+// setRunners applies a new list of runners and reports whether it differs from the previous one.
 func (f *fleet) setRunners(runners []*toucanhingev1.Runner) bool {
 	slices.SortFunc(runners, func(a, b *toucanhingev1.Runner) int { return strings.Compare(a.GetId(), b.GetId()) })
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	same := func(a, b *toucanhingev1.Runner) bool { return proto.Equal(a, b) }
-	if f.known && slices.EqualFunc(f.runners, runners, same) {
+	if f.runnersKnown && slices.EqualFunc(f.runners, runners, same) {
 		return false
 	}
-	f.known = true
+	f.runnersKnown = true
 	f.runners = runners
 	f.bump()
 	return true
 }
 
-func (f *fleet) setCores(addresses []string) {
+func (f *fleet) setCoreAddresses(addresses []string) {
 	slices.Sort(addresses)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !slices.Equal(f.cores, addresses) {
-		f.cores = addresses
+	if !slices.Equal(f.coreAddresses, addresses) {
+		f.coreAddresses = addresses
 		f.bump()
 	}
 }
 
-// attend notes a gateway that was heard at a moment.
-func (f *fleet) attend(name string, g gateway) {
+// recordGateway records that a gateway was seen.
+func (f *fleet) recordGateway(name string, g gateway) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before, known := f.gateways[name]
-	g.heard = max(g.heard, before.heard)
+	g.lastSeen = max(g.lastSeen, before.lastSeen)
 	f.gateways[name] = g
 	if !known || before.address != g.address {
 		f.bump()
 	}
 }
 
-// refer names the gateways from which one can hear what it asks the leader for, none if it has
-// to hear that from the leader.
-func (f *fleet) refer(now clock.Millis, g gateway) []string {
+// referrals returns the addresses of gateways to which a gateway can subscribe instead of the
+// leader, none if it has to subscribe to the leader.
+func (f *fleet) referrals(now clock.Millis, g gateway) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.tree == nil {
-		f.tree = f.makeTree()
+		f.tree = f.buildTree()
 	}
 	if f.tree.Empty() {
 		return nil
 	}
-	useful := map[string]bool{}
+	usable := map[string]bool{}
 	for _, other := range f.gateways {
-		useful[other.address] = other.holds && now-other.heard <= referFresh
+		usable[other.address] = other.hasFleet && now-other.lastSeen <= maxReferralAge
 	}
-	var named []string
+	var addresses []string
 	for _, address := range f.tree.Parents(fanout.Gateway{Address: g.address, DataCentre: g.dataCentre}) {
-		if useful[address] {
-			named = append(named, address)
+		if usable[address] {
+			addresses = append(addresses, address)
 		}
 	}
-	return named
+	return addresses
 }
 
-func (f *fleet) makeTree() *fanout.Tree {
+func (f *fleet) buildTree() *fanout.Tree {
 	list := make([]fanout.Gateway, 0, len(f.gateways))
 	for _, g := range f.gateways {
 		list = append(list, fanout.Gateway{Address: g.address, DataCentre: g.dataCentre})
@@ -185,105 +188,110 @@
 	return &t
 }
 
-// knownPart is the part of the gateways of before that a new leader must have heard of before it
-// tells of them. Some may have gone with the leader before.
-const knownPart = 0.9
+// minKnownShare is the share of the previous leader's gateways that a new leader must have seen
+// before it publishes its view. It is below 1 because some gateways may have stopped together
+// with the previous leader.
+const minKnownShare = 0.9
 
-// lacks says whether this leader has just begun, and doesn't know yet of most of the gateways that
-// one knows. Told so, a gateway of a large fleet took it for a small one: it sent its digests
-// to few others, and turned to the leader for news as all of them did. The caller holds the lock.
-func (f *fleet) lacks(now clock.Millis, m *toucanhingev1.AttendRequest) bool {
-	return m.GetHaveFleet() != 0 && m.GetKnows() > fanout.MostDirect && now-f.began < gatheringTime &&
-		float64(len(f.gateways)) < knownPart*float64(m.GetKnows())
+// lacksGateways reports whether this leader's term has just begun and it knows less than
+// minKnownShare of the gateways that the calling gateway knows. An incomplete view made the
+// gateways of a large fleet treat it as a small one: they sent their digests to few peers, and
+// all of them subscribed to the leader. The caller holds the lock.
+func (f *fleet) lacksGateways(now clock.Millis, m *toucanhingev1.AttendRequest) bool {
+	return m.GetHaveFleet() != 0 && m.GetKnows() > fanout.MostDirect && now-f.leaderSince < gatheringPeriod &&
+		float64(len(f.gateways)) < minKnownShare*float64(m.GetKnows())
 }
 
-// gathers says whether this leader has just begun, and doesn't know the gateways yet.
-func (f *fleet) gathers(now clock.Millis) bool {
+// gathering reports whether this leader's term has just begun, so that it may not know all gateways.
+func (f *fleet) gathering(now clock.Millis) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return now-f.began < gatheringTime
+	return now-f.leaderSince < gatheringPeriod
 }
 
-// large says whether gateways hear from one another.
+// large reports whether the fleet is so large that gateways subscribe to one another.
 func (f *fleet) large() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.gateways) > fanout.MostDirect
 }
 
-// expire forgets gateways that fell silent.
-func (f *fleet) expire(now clock.Millis) {
+// expireGateways removes gateways that were last seen more than presenceExpiry ago.
+func (f *fleet) expireGateways(now clock.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, g := range f.gateways {
-		if now-g.heard > presenceExpiry {
+		if now-g.lastSeen > presenceExpiry {
 			delete(f.gateways, name)
 			f.bump()
 		}
 	}
 }
 
-// announce notes a VM of the core, and says whether it may rest: on a site with a hundred of them
-// all those that do nothing would keep the leader busy.
-func (f *fleet) announce(now clock.Millis, name, address, identity string) (rests bool) {
+// recordAnnouncement records the announcement of a control VM and reports whether the VM should
+// be idle: in a deployment with a hundred of them, idle VMs would otherwise keep the leader busy.
+func (f *fleet) recordAnnouncement(now clock.Millis, name, address, identity string) (idle bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	rests = !slices.Contains(f.cores, address) && f.reserve(now, address) >= mostReserve
-	f.vms[address] = announced{name: name, identity: identity, heard: now, resting: rests}
-	return rests
+	idle = !slices.Contains(f.coreAddresses, address) && f.reserveSize(now, address) >= maxReserve
+	f.vms[address] = announcedVM{name: name, identity: identity, lastSeen: now, idle: idle}
+	return idle
 }
 
-// reserve counts the other VMs that stand by and are no members; the caller holds the lock.
-func (f *fleet) reserve(now clock.Millis, self string) int {
+// reserveSize counts the VMs other than exclude that are neither members nor idle and announced
+// themselves recently. The caller holds the lock.
+func (f *fleet) reserveSize(now clock.Millis, exclude string) int {
 	count := 0
 	for address, v := range f.vms {
-		if address != self && !v.resting && now-v.heard <= reserveFresh && !slices.Contains(f.cores, address) {
+		if address != exclude && !v.idle && now-v.lastSeen <= maxReserveAge && !slices.Contains(f.coreAddresses, address) {
 			count++
 		}
 	}
 	return count
 }
 
-func (f *fleet) announced() map[string]announced {
+// announcedVMs returns a copy of the control VMs that announced themselves, by address.
+func (f *fleet) announcedVMs() map[string]announcedVM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	vms := make(map[string]announced, len(f.vms))
+	vms := make(map[string]announcedVM, len(f.vms))
 	for address, v := range f.vms {
 		vms[address] = v
 	}
 	return vms
 }
 
+// bump starts a new revision. The caller holds the lock.
 func (f *fleet) bump() {
 	f.revision++
-	f.carrying, f.tree = nil, nil
+	f.proxies, f.tree = nil, nil
 	f.changed.Fire()
 }
 
-// view is the fleet for a gateway that holds an older revision, nil otherwise; only what changed
-// if it reads differences. A new leader tells nothing before it has read the list: gateways keep
-// what the one before told, which is at most a moment old.
+// view returns the fleet view for a gateway with an older revision, nil otherwise. Gateways that
+// support it receive only the differences. A new leader returns nothing before it has read the
+// list of runners: gateways keep the previous leader's view, which is only slightly older.
 func (f *fleet) view(now clock.Millis, m *toucanhingev1.AttendRequest, self digest.Peer) *toucanhingev1.FleetView {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.known || f.lacks(now, m) {
+	if !f.runnersKnown || f.lacksGateways(now, m) {
 		return nil
 	}
-	if f.told.Newest() != f.revision {
-		f.told.Take(f.whole(self))
+	if f.views.Newest() != f.revision {
+		f.views.Take(f.fullView(self))
 	}
-	return f.told.Since(m.GetHaveFleet(), m.GetReadsDifferences())
+	return f.views.Since(m.GetHaveFleet(), m.GetReadsDifferences())
 }
 
-func (f *fleet) whole(self digest.Peer) *toucanhingev1.FleetView {
-	v := &toucanhingev1.FleetView{Revision: f.revision, Runners: f.runners, CoreAddresses: f.cores}
+func (f *fleet) fullView(self digest.Peer) *toucanhingev1.FleetView {
+	v := &toucanhingev1.FleetView{Revision: f.revision, Runners: f.runners, CoreAddresses: f.coreAddresses}
 	for _, p := range append(f.peers(), self) {
 		v.DigestPeers = append(v.DigestPeers, &toucanhingev1.DigestPeer{Address: p.Address, DataCentre: p.DataCentre, Core: p.Core})
 	}
 	return v
 }
 
-// digestPeers lists the gateways, which take load digests.
+// digestPeers returns the gateways as receivers of load digests.
 func (f *fleet) digestPeers() []digest.Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -298,14 +306,14 @@
 	return peers
 }
 
-// carriers lists the gateways for calls of items; the list must not be changed.
-func (f *fleet) carriers() []carrier.Gateway {
+// proxyGateways returns the gateways for proxied calls of batch items. The result must not be modified.
+func (f *fleet) proxyGateways() []carrier.Gateway {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.carrying == nil {
+	if f.proxies == nil {
 		for _, g := range f.gateways {
-			f.carrying = append(f.carrying, carrier.Gateway{Address: g.address, DataCentre: g.dataCentre})
+			f.proxies = append(f.proxies, carrier.Gateway{Address: g.address, DataCentre: g.dataCentre})
 		}
 	}
-	return f.carrying
+	return f.proxies
 }
--- a/control/pkg/core/lead.go
+++ b/control/pkg/core/leader.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	leadTick = 50 * time.Millisecond
-	// gatheringTime is how long a new leader waits before it takes it that all gateways tell it
-	// what they do.
-	gatheringTime clock.Millis = 1_000
-	repairEvery                = 100 * time.Millisecond
-	repairTime                 = 2 * time.Second
-	// silentAfter is the silence after which a VM of the core is replaced if
-	// another one stands ready. A killed process is back within two seconds.
-	silentAfter clock.Millis = 3_000
+	leadershipCheckInterval = 50 * time.Millisecond
+	// gatheringPeriod is how long a new leader waits until it assumes that it knows all gateways
+	// and receives their usage.
+	gatheringPeriod clock.Millis = 1_000
+	repairInterval               = 100 * time.Millisecond
+	repairTimeout                = 2 * time.Second
+	// unresponsiveAfter is the time without an announcement after which a control VM is replaced
+	// if another one is available. A killed process restarts within two seconds.
+	unresponsiveAfter clock.Millis = 3_000
 )
 
-// lead carries out the leader's duties while this VM leads.
+// lead runs the leader's tasks whenever this VM leads.
 func (c *Core) lead(ctx context.Context) {
-	ticker := time.NewTicker(leadTick)
+	ticker := time.NewTicker(leadershipCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -36,43 +36,44 @@
 			return
 		case <-ticker.C:
 		}
-		if _, _, self := c.group.Leader(); self && c.confirm(ctx) == nil {
-			c.leadOnce(ctx)
+		if _, _, self := c.group.Leader(); self && c.confirmRead(ctx) == nil {
+			c.leadTerm(ctx)
 		}
 	}
 }
 
-// leadOnce leads until the leadership is lost.
-func (c *Core) leadOnce(parent context.Context) {
+// leadTerm runs the leader's tasks until the leadership is lost.
+func (c *Core) leadTerm(parent context.Context) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	term := c.group.Term()
-	c.fleet.begin(c.config.Clock.Now(), term)
+	c.fleet.startTerm(c.config.Clock.Now(), term)
 	if c.config.Quota != nil {
-		c.config.Quota.Reset(c.config.Boot.Now() + gatheringTime)
+		c.config.Quota.Reset(c.config.Boot.Now() + gatheringPeriod)
 	}
 	level.Info(c.config.Logger).Log(logs.KeyEvent, "lead-begun", logs.KeyTerm, term)
-	duties := []func(context.Context){c.driver.Run, c.readDirectory, c.repair, c.keepQuarantines}
-	done := make(chan struct{}, len(duties))
-	for _, run := range duties {
+	tasks := []func(context.Context){c.driver.Run, c.readDirectory, c.repair, c.syncQuarantines}
+	done := make(chan struct{}, len(tasks))
+	for _, run := range tasks {
 		go func() {
 			run(ctx)
 			done <- struct{}{}
 		}()
 	}
-	c.holdLead(ctx, term)
+	c.watchTerm(ctx, term)
 	cancel()
-	for range duties {
+	for range tasks {
 		<-done
 	}
 	level.Info(c.config.Logger).Log(logs.KeyEvent, "lead-ended", logs.KeyTerm, term)
-	// Gateways that hear this VM take it that they reach the core.
+	// Gateways that receive digests from this VM assume that they can reach the core.
 	c.config.Exchange.SetPeers(nil)
 	c.fleet.changed.Fire()
 }
 
-func (c *Core) holdLead(ctx context.Context, term uint64) {
-	ticker := time.NewTicker(leadTick)
+// watchTerm maintains the gateways and digest peers until the term ends or the leadership is lost.
+func (c *Core) watchTerm(ctx context.Context, term uint64) {
+	ticker := time.NewTicker(leadershipCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -83,43 +84,44 @@
 		if _, _, self := c.group.Leader(); !self || c.group.Term() != term {
 			return
 		}
-		c.fleet.expire(c.config.Clock.Now())
+		c.fleet.expireGateways(c.config.Clock.Now())
 		c.config.Exchange.SetPeers(c.fleet.digestPeers())
 	}
 }
 
-// repair keeps the group's membership as package repair decides.
+// repair continuously adapts the group's membership as package repair decides.
 func (c *Core) repair(ctx context.Context) {
-	ticker := time.NewTicker(repairEvery)
+	ticker := time.NewTicker(repairInterval)
 	defer ticker.Stop()
-	began := c.config.Clock.Now()
+	leaderSince := c.config.Clock.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		c.repairOnce(ctx, began)
+		c.repairOnce(ctx, leaderSince)
 	}
 }
 
-func (c *Core) repairOnce(ctx context.Context, began clock.Millis) {
-	c.register(ctx)
-	decide := repair.Config{Self: c.config.Address, Losses: c.config.Losses, SilentAfter: silentAfter}
+func (c *Core) repairOnce(ctx context.Context, leaderSince clock.Millis) {
+	c.registerVMs(ctx)
+	planner := repair.Config{Self: c.config.Address, Losses: c.config.Losses, SilentAfter: unresponsiveAfter}
 	members := c.members()
-	step := decide.Next(c.config.Clock.Now(), members, c.vms(began, members))
+	step := planner.Next(c.config.Clock.Now(), members, c.vms(leaderSince, members))
 	if step.Kind == repair.Nothing {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, repairTime)
+	ctx, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
-	err := c.change(ctx, step)
+	err := c.applyStep(ctx, step)
 	level.Info(c.config.Logger).Log(logs.KeyEvent, "membership-step", "kind", step.Kind, "member", step.Member.Name,
 		"reason", step.Reason, "members", len(members), logs.KeyError, err)
-	c.metrics.repairs.WithLabelValues(step.Reason).Inc()
+	c.metrics.membershipSteps.WithLabelValues(step.Reason).Inc()
 }
 
-func (c *Core) change(ctx context.Context, step repair.Step) error {
+// applyStep carries out a membership change.
+func (c *Core) applyStep(ctx context.Context, step repair.Step) error {
 	switch step.Kind {
 	case repair.AddLearner:
 		return c.group.AddLearner(ctx, replica.Peer{
@@ -136,26 +138,26 @@
 	}
 }
 
-// members lists the group's replicas.
+// members returns the group's replicas and passes their addresses on to the fleet.
 func (c *Core) members() []repair.Member {
 	status := c.group.Status()
 	var members []repair.Member
 	var addresses []string
 	for _, r := range status.GetReplicas() {
-		behind := status.GetCommit() - min(r.GetMatch(), status.GetCommit())
+		lag := status.GetCommit() - min(r.GetMatch(), status.GetCommit())
 		members = append(members, repair.Member{
-			Name: r.GetName(), Address: r.GetAddress(), Identity: r.GetIdentity(), Voter: r.GetVoter(), Behind: behind,
+			Name: r.GetName(), Address: r.GetAddress(), Identity: r.GetIdentity(), Voter: r.GetVoter(), Behind: lag,
 		})
 		addresses = append(addresses, r.GetAddress())
 	}
-	c.fleet.setCores(addresses)
+	c.fleet.setCoreAddresses(addresses)
 	return members
 }
 
-// vms lists the VMs that announced themselves, and the members that haven't had
-// the time to since this leader began.
-func (c *Core) vms(began clock.Millis, members []repair.Member) []repair.VM {
-	byAddress := c.fleet.announced()
+// vms returns the VMs that announced themselves, and the members that have not announced
+// themselves since this leader's term began. The latter count as last seen at its beginning.
+func (c *Core) vms(leaderSince clock.Millis, members []repair.Member) []repair.VM {
+	byAddress := c.fleet.announcedVMs()
 	retiring := map[string]bool{}
 	member := map[string]bool{}
 	for _, m := range members {
@@ -163,8 +165,8 @@
 	}
 	c.machine.View(func(s *systemstate.State) {
 		for _, v := range s.VMs() {
-			if _, heard := byAddress[v.Address]; !heard && member[v.Address] {
-				byAddress[v.Address] = announced{name: v.Name, identity: v.Identity, heard: began}
+			if _, seen := byAddress[v.Address]; !seen && member[v.Address] {
+				byAddress[v.Address] = announcedVM{name: v.Name, identity: v.Identity, lastSeen: leaderSince}
 			}
 			if byAddress[v.Address].identity == v.Identity {
 				retiring[v.Address] = v.Retiring
@@ -174,18 +176,18 @@
 	var vms []repair.VM
 	for address, v := range byAddress {
 		vms = append(vms, repair.VM{
-			Name: address, Address: address, Identity: v.identity, Heard: v.heard, Retiring: retiring[address],
+			Name: address, Address: address, Identity: v.identity, Heard: v.lastSeen, Retiring: retiring[address],
 		})
 	}
 	return vms
 }
 
-// register logs the names of VMs that are new.
-func (c *Core) register(ctx context.Context) {
+// registerVMs logs the announced VMs that are new or whose address or identity changed.
+func (c *Core) registerVMs(ctx context.Context) {
 	var steps []*toucanhingev1.SystemStep
-	heard := c.fleet.announced()
+	announced := c.fleet.announcedVMs()
 	c.machine.View(func(s *systemstate.State) {
-		for address, v := range heard {
+		for address, v := range announced {
 			known, found := s.VM(v.name)
 			if !found || known.Address != address || known.Identity != v.identity {
 				steps = append(steps, &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_RegisterVm{
@@ -197,7 +199,7 @@
 	if len(steps) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, repairTime)
+	ctx, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
 	if _, err := c.propose(ctx, steps...); err != nil {
 		level.Warn(c.config.Logger).Log(logs.KeyEvent, "vms-unregistered", logs.KeyError, err)
--- a/control/pkg/core/metrics.go
+++ b/control/pkg/core/metrics.go
@@ -6,13 +6,13 @@
 )
 
 type metrics struct {
-	directory *prometheus.CounterVec
-	repairs   *prometheus.CounterVec
-	jobs      *prometheus.CounterVec
-	attends   *prometheus.CounterVec
+	directoryReads  *prometheus.CounterVec
+	membershipSteps *prometheus.CounterVec
+	jobs            *prometheus.CounterVec
+	attendCalls     *prometheus.CounterVec
 }
 
-// Outcomes of gateways' calls for news.
+// Outcomes of gateways' Attend calls.
 const (
 	attendAnswered = "answered"
 	attendReferred = "referred"
@@ -23,17 +23,17 @@
 func newMetrics(r prometheus.Registerer) *metrics {
 	factory := promauto.With(r)
 	return &metrics{
-		directory: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "toucanhinge_directory_reads_total", Help: "Readings of the list of runners by outcome.",
+		directoryReads: factory.NewCounterVec(prometheus.CounterOpts{
+			Name: "toucanhinge_directory_reads_total", Help: "Reads of the list of runners, by outcome.",
 		}, []string{"outcome"}),
-		repairs: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "toucanhinge_membership_steps_total", Help: "Changes of the core's membership by reason.",
+		membershipSteps: factory.NewCounterVec(prometheus.CounterOpts{
+			Name: "toucanhinge_membership_steps_total", Help: "Changes of the core's membership, by reason.",
 		}, []string{"reason"}),
 		jobs: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "toucanhinge_jobs_total", Help: "Submitted jobs by outcome.",
+			Name: "toucanhinge_jobs_total", Help: "Submitted jobs, by outcome.",
 		}, []string{"outcome"}),
-		attends: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "toucanhinge_attend_calls_total", Help: "Gateways' calls for news, by outcome.",
+		attendCalls: factory.NewCounterVec(prometheus.CounterOpts{
+			Name: "toucanhinge_attend_calls_total", Help: "Gateways' calls for state updates, by outcome.",
 		}, []string{"outcome"}),
 	}
 }
--- a/control/pkg/core/lead_again_test.go
+++ b/control/pkg/core/new_term_test.go
@@ -9,18 +9,18 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// A VM leads, another one takes over for some seconds, and the first one leads again.
-// Meanwhile a runner began to leave. The list of the earlier time still shows it at work,
-// so items would be sent there, past the time in which it takes new work.
-func TestAnEarlierListOfRunnersIsForgotten(t *testing.T) {
+// A VM leads, another one leads for some seconds, and the first one leads again. Meanwhile a
+// runner has begun to leave. The list from the first term doesn't show that yet, so that items
+// would be sent to the runner after it stopped accepting new work.
+func TestNewTermDropsEarlierRunnerList(t *testing.T) {
 	f := newFleet()
-	f.begin(0, 4)
+	f.startTerm(0, 4)
 	f.setRunners([]*toucanhingev1.Runner{{Id: "stays"}, {Id: "leaves-meanwhile"}})
-	require.Len(t, f.list(), 2)
+	require.Len(t, f.currentRunners(), 2)
 
-	f.begin(0, 8)
-	require.Empty(t, f.list(), "no item is sent anywhere before the list is read")
-	require.Nil(t, f.view(0, &toucanhingev1.AttendRequest{ReadsDifferences: true}, digest.Peer{Address: "self"}), "gateways keep what the leader before told")
+	f.startTerm(0, 8)
+	require.Empty(t, f.currentRunners(), "no items may be sent before the list is read")
+	require.Nil(t, f.view(0, &toucanhingev1.AttendRequest{ReadsDifferences: true}, digest.Peer{Address: "self"}), "gateways keep the previous leader's view")
 
 	require.True(t, f.setRunners([]*toucanhingev1.Runner{{Id: "stays"}, {Id: "leaves-meanwhile", Leaving: true}}))
 	require.Len(t, f.view(0, &toucanhingev1.AttendRequest{ReadsDifferences: true}, digest.Peer{Address: "self"}).GetRunners(), 2)
--- a/control/pkg/core/operator.go
+++ b/control/pkg/core/operator.go
@@ -15,17 +15,17 @@
 )
 
 var (
-	// ErrUnknownVM tells that no VM of the core has that name.
-	ErrUnknownVM = errors.New("no VM of the core has that name")
-	// ErrTooFew tells that too few VMs would be left.
-	ErrTooFew = errors.New("too few VMs of the core would be left")
-	// ErrNoTable tells that there is no routing table yet.
-	ErrNoTable = errors.New("there is no routing table yet")
+	// ErrUnknownVM means that no control VM has the given name.
+	ErrUnknownVM = errors.New("no VM of the core has this name")
+	// ErrTooFewVMs means that too few control VMs would remain.
+	ErrTooFewVMs = errors.New("too few VMs of the core would remain")
+	// ErrNoTable means that no routing table was acknowledged yet.
+	ErrNoTable = errors.New("no routing table exists yet")
 )
 
-// ReplaceTable puts a table in force once it is synced on a majority, if no equal
-// or higher version is. It returns the version in force. An invalid table is a
-// routing.ErrInvalid.
+// ReplaceTable activates a table once it is synced on a majority, unless a table with an equal
+// or higher version is active. It returns the active version. The error for an invalid table
+// is a routing.ErrInvalid.
 func (c *Core) ReplaceTable(ctx context.Context, table *toucanhingev1.RoutingTable) (uint64, error) {
 	if _, err := routing.New(table); err != nil {
 		return 0, err
@@ -42,19 +42,19 @@
 
 // ReadTable returns the newest acknowledged table, confirmed by a majority.
 func (c *Core) ReadTable(ctx context.Context) (*toucanhingev1.RoutingTable, error) {
-	if err := c.confirm(ctx); err != nil {
+	if err := c.confirmRead(ctx); err != nil {
 		return nil, err
 	}
-	table := c.inForce()
+	table := c.activeTable()
 	if table == nil {
 		return nil, ErrNoTable
 	}
 	return table.Wire(), nil
 }
 
-// RetireVM begins to empty a VM of the core.
+// RetireVM starts to remove a control VM from the group. Retired reports the end of the removal.
 func (c *Core) RetireVM(ctx context.Context, name string) error {
-	if err := c.confirm(ctx); err != nil {
+	if err := c.confirmRead(ctx); err != nil {
 		return err
 	}
 	vm, found := c.vm(name)
@@ -65,9 +65,9 @@
 		return nil
 	}
 	now := c.config.Clock.Now()
-	decide := repair.Config{Self: c.config.Address, Losses: c.config.Losses, SilentAfter: silentAfter}
-	if !decide.MayRetire(now, vm.Address, c.vms(now, c.members())) {
-		return ErrTooFew
+	planner := repair.Config{Self: c.config.Address, Losses: c.config.Losses, SilentAfter: unresponsiveAfter}
+	if !planner.MayRetire(now, vm.Address, c.vms(now, c.members())) {
+		return ErrTooFewVMs
 	}
 	if _, err := proposeOne[bool](ctx, c, &toucanhingev1.SystemStep{
 		Step: &toucanhingev1.SystemStep_RetireVm{RetireVm: &toucanhingev1.RetireVMStep{Name: name}},
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// Retired says whether a VM that was to be emptied holds nothing any more.
+// Retired reports whether a VM is retiring and no longer a member of the group.
 func (c *Core) Retired(ctx context.Context, name string) (bool, error) {
-	if err := c.confirm(ctx); err != nil {
+	if err := c.confirmRead(ctx); err != nil {
 		return false, err
 	}
 	vm, found := c.vm(name)
@@ -103,9 +103,9 @@
 	return vm, found
 }
 
-// IsElsewhere says whether the error is that this VM doesn't lead, so that the
-// call had no effect and the leader can be asked.
-func IsElsewhere(err error) bool {
+// IsNotLeader reports whether an error means that this VM doesn't lead, so that the call had no
+// effect and can be sent to the leader.
+func IsNotLeader(err error) bool {
 	var notLeader *replica.NotLeaderError
 	return errors.As(err, &notLeader)
 }
--- a/control/pkg/core/quarantines.go
+++ b/control/pkg/core/quarantines.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// quarantinesEvery is how often the leader looks for requests that were quarantined or
-	// cleared. All daemons know of one at once by datagrams; the log is for the case that all
-	// processes end at once. Without it a request crashed four more runners then.
-	quarantinesEvery = 200 * time.Millisecond
-	quarantinesTime  = time.Second
+	// quarantineInterval is the interval at which the leader checks for new and cleared
+	// quarantines. Daemons learn of them at once through datagrams. The log serves the case that
+	// all processes end at the same time: without it, a request then crashed four more runners.
+	quarantineInterval = 200 * time.Millisecond
+	quarantineTimeout  = time.Second
 )
 
-// keepQuarantines tells what the log holds, and logs what the daemons found out since.
-func (c *Core) keepQuarantines(ctx context.Context) {
-	var kept []crashes.Quarantine
-	c.machine.View(func(s *systemstate.State) { kept = s.Quarantines() })
-	c.config.Exchange.Impose(kept)
-	ticker := time.NewTicker(quarantinesEvery)
+// syncQuarantines applies the logged quarantines to this daemon and then logs the changes that
+// daemons report.
+func (c *Core) syncQuarantines(ctx context.Context) {
+	var logged []crashes.Quarantine
+	c.machine.View(func(s *systemstate.State) { logged = s.Quarantines() })
+	c.config.Exchange.Impose(logged)
+	ticker := time.NewTicker(quarantineInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -35,19 +36,19 @@
 		case <-ticker.C:
 		}
 		now := c.config.Exchange.Quarantines()
-		if slices.Equal(contentsOf(kept), contentsOf(now)) {
+		if slices.Equal(quarantineKeys(logged), quarantineKeys(now)) {
 			continue
 		}
 		if err := c.logQuarantines(ctx, now); err != nil {
 			level.Warn(c.config.Logger).Log(logs.KeyEvent, "quarantines-unlogged", "quarantines", len(now), logs.KeyError, err)
 			continue
 		}
-		kept = now
+		logged = now
 	}
 }
 
 func (c *Core) logQuarantines(parent context.Context, list []crashes.Quarantine) error {
-	ctx, cancel := context.WithTimeout(parent, quarantinesTime)
+	ctx, cancel := context.WithTimeout(parent, quarantineTimeout)
 	defer cancel()
 	_, err := c.propose(ctx, &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_KeepQuarantines{
 		KeepQuarantines: &toucanhingev1.KeepQuarantinesStep{Quarantines: systemstate.SaveQuarantines(list)},
@@ -55,22 +56,24 @@
 	return err
 }
 
-// contentsOf lists what the quarantines are about and how often each was imposed, in order.
-func contentsOf(list []crashes.Quarantine) []quarantineKey {
+// quarantineKeys returns the sorted fingerprints of the quarantined requests, each with the number
+// of times it was quarantined.
+func quarantineKeys(list []crashes.Quarantine) []quarantineKey {
 	keys := make([]quarantineKey, 0, len(list))
 	for _, q := range list {
 		keys = append(keys, quarantineKey{q.Content, q.Terms})
 	}
 	slices.SortFunc(keys, func(a, b quarantineKey) int {
-		if order := slices.Compare(a.content[:], b.content[:]); order != 0 {
-			return order
+		if result := slices.Compare(a.fingerprint[:], b.fingerprint[:]); result != 0 {
+			return result
 		}
 		return a.terms - b.terms
 	})
 	return keys
 }
 
+// quarantineKey identifies one imposition of a quarantine.
 type quarantineKey struct {
-	content crashes.Content
-	terms   int
+	fingerprint crashes.Content
+	terms       int
 }
--- a/control/pkg/core/service.go
+++ b/control/pkg/core/service.go
@@ -20,24 +20,24 @@
 
 var _ toucanhingev1connect.CoreServiceHandler = (*Core)(nil)
 
-// self is this VM as a daemon that takes load digests.
-func (c *Core) self() digest.Peer {
+// digestPeer returns this VM as a receiver of load digests.
+func (c *Core) digestPeer() digest.Peer {
 	return digest.Peer{Address: c.config.Address, DataCentre: c.config.DataCentre, Core: true}
 }
 
-// Announce notes a VM of the core.
+// Announce records the announcement of a control VM.
 func (c *Core) Announce(_ context.Context, r *connect.Request[toucanhingev1.AnnounceRequest]) (*connect.Response[toucanhingev1.AnnounceResponse], error) {
-	if err := c.leads(); err != nil {
+	if err := c.requireLeader(); err != nil {
 		return nil, err
 	}
-	answer := &toucanhingev1.AnnounceResponse{CoreAddresses: c.Addresses()}
-	if c.fleet.announce(c.config.Clock.Now(), r.Msg.GetName(), r.Msg.GetAddress(), r.Msg.GetIdentity()) {
-		answer.AgainMs = uint32(restTime)
+	response := &toucanhingev1.AnnounceResponse{CoreAddresses: c.Addresses()}
+	if c.fleet.recordAnnouncement(c.config.Clock.Now(), r.Msg.GetName(), r.Msg.GetAddress(), r.Msg.GetIdentity()) {
+		response.AgainMs = uint32(idleInterval)
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
-// Addresses of the group's members.
+// Addresses returns the addresses of the group's members.
 func (c *Core) Addresses() []string {
 	var addresses []string
 	for _, r := range c.group.Status().GetReplicas() {
@@ -46,16 +46,16 @@
 	return addresses
 }
 
-// SubmitJob accepts a job once it is synced on a majority.
+// SubmitJob accepts a job. It returns after the job is synced on a majority.
 func (c *Core) SubmitJob(ctx context.Context, r *connect.Request[toucanhingev1.SubmitJobRequest]) (*connect.Response[toucanhingev1.SubmitJobResponse], error) {
-	if err := c.leads(); err != nil {
+	if err := c.requireLeader(); err != nil {
 		return nil, err
 	}
 	outcome, err := proposeOne[toucanhingev1.SubmitOutcome](ctx, c, &toucanhingev1.SystemStep{
 		Step: &toucanhingev1.SystemStep_AcceptJob{AcceptJob: &toucanhingev1.AcceptJobStep{Job: r.Msg}},
 	})
 	if err != nil {
-		return nil, c.refusal(err)
+		return nil, c.callError(err)
 	}
 	c.metrics.jobs.WithLabelValues(outcome.String()).Inc()
 	level.Info(c.config.Logger).Log(logs.KeyEvent, "job-submitted", logs.KeyJob, r.Msg.GetJob(), "team", c.teamName(r.Msg.GetKey()),
@@ -63,75 +63,78 @@
 	return connect.NewResponse(&toucanhingev1.SubmitJobResponse{Outcome: outcome}), nil
 }
 
-// ReadListed returns results in the order in which they were listed.
+// ReadListed returns a job's results in the order in which they were listed, and waits for the next
+// result if there is none.
 func (c *Core) ReadListed(ctx context.Context, r *connect.Request[toucanhingev1.ReadListedRequest]) (*connect.Response[toucanhingev1.ReadListedResponse], error) {
-	if err := c.confirm(ctx); err != nil {
-		return nil, c.refusal(err)
+	if err := c.confirmRead(ctx); err != nil {
+		return nil, c.callError(err)
 	}
-	timer := time.NewTimer(wait(r.Msg.GetWaitMs()))
+	timer := time.NewTimer(waitLimit(r.Msg.GetWaitMs()))
 	defer timer.Stop()
 	for {
 		changed := c.results.next(c.jobName(r.Msg.GetKey(), r.Msg.GetJob()))
-		answer, err := c.listed(r.Msg)
+		response, err := c.listResults(r.Msg)
 		if err != nil {
 			return nil, connect.NewError(connect.CodeUnavailable, err)
 		}
-		if !answer.GetFound() || len(answer.GetResults()) > 0 || r.Msg.GetAfter() >= answer.GetTotal() {
-			return connect.NewResponse(answer), nil
+		if !response.GetFound() || len(response.GetResults()) > 0 || r.Msg.GetAfter() >= response.GetTotal() {
+			return connect.NewResponse(response), nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return connect.NewResponse(answer), nil
+			return connect.NewResponse(response), nil
 		case <-ctx.Done():
 			return nil, connect.NewError(connect.CodeCanceled, ctx.Err())
 		}
 	}
 }
 
-// record is a listed result without its text.
-type record struct {
+// listedResult is a result whose text is not loaded yet.
+type listedResult struct {
 	result *toucanhingev1.ItemResult
 	parts  []segment.Ref
 }
 
-func (c *Core) listed(r *toucanhingev1.ReadListedRequest) (*toucanhingev1.ReadListedResponse, error) {
-	answer := &toucanhingev1.ReadListedResponse{}
-	var records []record
+// listResults returns the results after a position, up to the requested number of bytes and at
+// least one.
+func (c *Core) listResults(r *toucanhingev1.ReadListedRequest) (*toucanhingev1.ReadListedResponse, error) {
+	response := &toucanhingev1.ReadListedResponse{}
+	var records []listedResult
 	c.machine.View(func(s *systemstate.State) {
 		j, admitted := s.Find(r.GetKey(), r.GetJob())
 		if j == nil {
-			answer.Denied = !admitted
+			response.Denied = !admitted
 			return
 		}
-		answer.Found, answer.Total = true, uint32(len(j.Items))
+		response.Found, response.Total = true, uint32(len(j.Items))
 		for _, index := range j.Listed[min(int(r.GetAfter()), len(j.Listed)):] {
 			item := j.Items[index]
-			records = append(records, record{
+			records = append(records, listedResult{
 				result: &toucanhingev1.ItemResult{Item: item.ID, Completed: item.Completed}, parts: item.Parts,
 			})
 		}
 	})
-	bytes := 0
+	size := 0
 	for _, rec := range records {
 		text, err := c.machine.Text(rec.parts)
 		if err != nil {
 			return nil, err
 		}
 		rec.result.Text = text
-		bytes += len(rec.result.GetText())
-		if bytes > int(r.GetMostBytes()) && len(answer.GetResults()) > 0 {
+		size += len(rec.result.GetText())
+		if size > int(r.GetMostBytes()) && len(response.GetResults()) > 0 {
 			break
 		}
-		answer.Results = append(answer.Results, rec.result)
+		response.Results = append(response.Results, rec.result)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// ReadBody returns the body of an item that isn't listed yet.
+// ReadBody returns the request body of an item.
 func (c *Core) ReadBody(ctx context.Context, r *connect.Request[toucanhingev1.ReadBodyRequest]) (*connect.Response[toucanhingev1.ReadBodyResponse], error) {
-	if err := c.confirm(ctx); err != nil {
-		return nil, c.refusal(err)
+	if err := c.confirmRead(ctx); err != nil {
+		return nil, c.callError(err)
 	}
 	ref, denied := segment.Ref(0), false
 	c.machine.View(func(s *systemstate.State) {
@@ -156,34 +159,34 @@
 	return connect.NewResponse(&toucanhingev1.ReadBodyResponse{Found: true, Body: item.GetBody()}), nil
 }
 
-// EndJob ends a job for good.
+// EndJob ends a job permanently.
 func (c *Core) EndJob(ctx context.Context, r *connect.Request[toucanhingev1.EndJobRequest]) (*connect.Response[toucanhingev1.EndJobResponse], error) {
-	if err := c.leads(); err != nil {
+	if err := c.requireLeader(); err != nil {
 		return nil, err
 	}
 	outcome, err := proposeOne[systemstate.EndOutcome](ctx, c, &toucanhingev1.SystemStep{
 		Step: &toucanhingev1.SystemStep_EndJob{EndJob: &toucanhingev1.EndJobStep{Job: r.Msg.GetJob(), Key: r.Msg.GetKey()}},
 	})
 	if err != nil {
-		return nil, c.refusal(err)
+		return nil, c.callError(err)
 	}
 	level.Info(c.config.Logger).Log(logs.KeyEvent, "job-ended", logs.KeyJob, r.Msg.GetJob(), "team", c.teamName(r.Msg.GetKey()),
 		"found", outcome.Found, "denied", outcome.Denied)
 	return connect.NewResponse(&toucanhingev1.EndJobResponse{Found: outcome.Found, Denied: outcome.Denied}), nil
 }
 
-// leads refuses on a VM that doesn't lead, and names the one that does.
-func (c *Core) leads() error {
+// requireLeader returns an error that names the leader if this VM doesn't lead.
+func (c *Core) requireLeader() error {
 	if _, _, self := c.group.Leader(); self {
 		return nil
 	}
 	return control.NotLeader(c.Leader())
 }
 
-// Leader is the address of the leader as far as known here, empty otherwise. A VM
-// that isn't a member, on a site with more of them than the group needs, knows it
-// only from its announcements; callers that were told nothing there tried VM
-// after VM, for seconds on a site with 100 of them.
+// Leader returns the address of the leader, empty if it isn't known here. A VM that isn't a
+// member, in a deployment with more VMs than the group needs, knows the leader only from its
+// own announcements. Callers that got no address there tried VM after VM, for seconds in a
+// deployment with 100 of them.
 func (c *Core) Leader() string {
 	if _, address, _ := c.group.Leader(); address != "" {
 		return address
@@ -194,16 +197,17 @@
 	return c.group.Named()
 }
 
-// NameLeader tells at once which VM leads, as far as this one knows.
+// NameLeader returns the last known leader without waiting.
 func (c *Core) NameLeader(
 	context.Context, *connect.Request[toucanhingev1.NameLeaderRequest],
 ) (*connect.Response[toucanhingev1.NameLeaderResponse], error) {
-	c.look()
+	c.triggerAnnounce()
 	return connect.NewResponse(&toucanhingev1.NameLeaderResponse{Address: c.Leader()}), nil
 }
 
-// refusal tells a caller why its call had no effect, or that this isn't known.
-func (c *Core) refusal(err error) error {
+// callError converts an error to a Connect error that tells the caller whether the call had no
+// effect or its outcome is unknown.
+func (c *Core) callError(err error) error {
 	var notLeader *replica.NotLeaderError
 	switch {
 	case errors.As(err, &notLeader):
--- a/control/pkg/core/confirm_keys_test.go
+++ b/control/pkg/core/team_keys_test.go
@@ -13,15 +13,15 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// A leader loses its two followers and doesn't know it yet. Gateways that ask it whether
-// their keys still hold must get no answer: another leader may have acknowledged meanwhile
-// that a key is gone. Without keys to confirm they still get its news.
-func TestALeaderWithoutAMajorityConfirmsNoKeys(t *testing.T) {
-	s := newSite(t, 3)
-	s.startAll()
-	s.replace(1)
-	leader := s.leader()
-	ask := func(confirm bool) (*toucanhingev1.AttendResponse, error) {
+// A leader has lost its two followers without noticing. It must not confirm API keys to
+// gateways, because another leader may have acknowledged the removal of a key meanwhile.
+// Calls that don't request a confirmation may still return updates.
+func TestLeaderWithoutQuorumConfirmsNoKeys(t *testing.T) {
+	cl := newCluster(t, 3)
+	cl.startAll()
+	cl.replaceTable(1)
+	leader := cl.leader()
+	attendOnce := func(confirm bool) (*toucanhingev1.AttendResponse, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		answer, err := leader.core.Attend(ctx, connect.NewRequest(&toucanhingev1.AttendRequest{Name: "g", DigestAddress: "127.0.0.1:9", Confirm: confirm}))
@@ -30,31 +30,31 @@
 		}
 		return answer.Msg, nil
 	}
-	answer, err := ask(true)
+	answer, err := attendOnce(true)
 	require.NoError(t, err)
 	require.True(t, answer.GetConfirmed())
-	require.Empty(t, answer.GetTable().GetDocument(), "the operator's text, with the keys, stays in the core")
+	require.Empty(t, answer.GetTable().GetDocument(), "the operator's document contains keys and must not leave the core")
 	require.Equal(t, uint64(1), answer.GetTable().GetVersion())
 
-	for _, v := range s.vms {
+	for _, v := range cl.vms {
 		if v != leader {
 			v.kill()
 		}
 	}
-	if answer, err = ask(false); err == nil {
+	if answer, err = attendOnce(false); err == nil {
 		require.False(t, answer.GetConfirmed())
 	}
-	_, err = ask(true)
+	_, err = attendOnce(true)
 	require.Error(t, err)
 }
 
-// A caller asks for a job with a key that was taken away a moment ago; its gateway doesn't
-// know that yet. The leader does, and says so in place of an answer.
-func TestTheLeaderJudgesKeysInCallsAboutJobs(t *testing.T) {
-	s := newSite(t, 3)
-	s.startAll()
+// A caller uses a key that has just been removed, and its gateway doesn't know that yet. The
+// leader knows the newest table and has to deny the call.
+func TestLeaderChecksKeysInJobCalls(t *testing.T) {
+	cl := newCluster(t, 3)
+	cl.startAll()
 	table := func(version uint64, keys ...string) *toucanhingev1.RoutingTable {
-		wire := tableOf(version)
+		wire := testTable(version)
 		wire.Keyed = true
 		wire.Teams = []*toucanhingev1.Team{{Name: "a"}, {Name: "b", Keys: [][]byte{apikey.Bytes("b1")}}}
 		for _, key := range keys {
@@ -62,20 +62,20 @@
 		}
 		return wire
 	}
-	put := func(wire *toucanhingev1.RoutingTable) {
+	replaceTable := func(wire *toucanhingev1.RoutingTable) {
 		require.Eventually(t, func() bool {
-			_, err := s.leader().core.ReplaceTable(context.Background(), wire)
+			_, err := cl.leader().core.ReplaceTable(context.Background(), wire)
 			return err == nil
-		}, patience, 20*time.Millisecond)
+		}, waitTimeout, 20*time.Millisecond)
 	}
-	put(table(1, "a1", "a2"))
-	core, ctx := s.leader().core, context.Background()
+	replaceTable(table(1, "a1", "a2"))
+	core, ctx := cl.leader().core, context.Background()
 	submitted, err := core.SubmitJob(ctx, connect.NewRequest(&toucanhingev1.SubmitJobRequest{
 		Job: "j", Host: "h", Target: "/j/x", Key: apikey.Bytes("a1"), Items: []*toucanhingev1.JobItem{{Id: "i", Target: "/x", Body: []byte("body")}},
 	}))
 	require.NoError(t, err)
 	require.Equal(t, toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_ACCEPTED, submitted.Msg.GetOutcome())
-	put(table(2, "a2"))
+	replaceTable(table(2, "a2"))
 	for _, c := range []struct {
 		key           string
 		found, denied bool
@@ -93,54 +93,54 @@
 	}
 }
 
-// All gateways hear what teams have used; one that starts is told by the leader, once. A VM that
-// has just begun to lead says of how long a span it knows.
-func TestAGatewayThatStartsLearnsWhatTeamsHaveUsed(t *testing.T) {
-	s := newSite(t, 3)
-	s.startAll()
-	s.replace(1)
-	leader := s.leader()
-	ask := func(have uint64) *toucanhingev1.AttendResponse {
+// Running gateways learn the teams' usage from load digests. A gateway that starts receives it
+// once from the leader. A new leader reports how much of the window its usage covers.
+func TestStartingGatewayReceivesTeamUsage(t *testing.T) {
+	cl := newCluster(t, 3)
+	cl.startAll()
+	cl.replaceTable(1)
+	leader := cl.leader()
+	attendOnce := func(have uint64) *toucanhingev1.AttendResponse {
 		answer, err := leader.core.Attend(context.Background(), connect.NewRequest(&toucanhingev1.AttendRequest{
 			Name: "g", DigestAddress: "127.0.0.1:9", HaveFleet: have, WaitMs: 50,
 		}))
 		require.NoError(t, err)
 		return answer.Msg
 	}
-	require.Eventually(t, func() bool { return ask(0).GetFleet() != nil }, patience, 20*time.Millisecond)
-	require.Less(t, ask(0).GetUsesKnownMs(), uint32(5_000), "it leads for a moment only")
+	require.Eventually(t, func() bool { return attendOnce(0).GetFleet() != nil }, waitTimeout, 20*time.Millisecond)
+	require.Less(t, attendOnce(0).GetUsesKnownMs(), uint32(5_000), "a new leader knows the usage only since its term began")
 	now := leader.core.config.Boot.Now()
 	leader.core.config.Quota.Reset(now - 60_000)
 	leader.core.config.Quota.Heard(now, &toucanhingev1.LoadDigest{
 		Source: "g2", Epoch: 1, Sequence: 1, CountingMs: 10, Uses: []*toucanhingev1.TeamUse{{Team: 7, Count: 3}},
 	}, false)
-	answer := ask(0)
+	answer := attendOnce(0)
 	require.Equal(t, uint32(5_000), answer.GetUsesKnownMs())
 	require.Len(t, answer.GetUses(), 1)
 	require.Equal(t, int64(3), answer.GetUses()[0].GetCount())
-	require.Empty(t, ask(answer.GetFleet().GetRevision()).GetUses(), "a gateway that runs counts by itself")
+	require.Empty(t, attendOnce(answer.GetFleet().GetRevision()).GetUses(), "a running gateway counts the usage itself")
 }
 
-func TestOperatorsSeeTeamsAndNoKeys(t *testing.T) {
-	s := newSite(t, 3)
-	s.startAll()
-	wire := tableOf(1)
+func TestListTeamsReportsLimitsAndUsage(t *testing.T) {
+	cl := newCluster(t, 3)
+	cl.startAll()
+	wire := testTable(1)
 	wire.Keyed = true
 	wire.Teams = []*toucanhingev1.Team{{Name: "a", Keys: [][]byte{apikey.Bytes("a1"), apikey.Bytes("a2")}, Rate: 2, Burst: 1}, {Name: "b"}}
 	require.Eventually(t, func() bool {
-		_, err := s.leader().core.ReplaceTable(context.Background(), wire)
+		_, err := cl.leader().core.ReplaceTable(context.Background(), wire)
 		return err == nil
-	}, patience, 20*time.Millisecond)
-	core, ctx := s.leader().core, context.Background()
+	}, waitTimeout, 20*time.Millisecond)
+	core, ctx := cl.leader().core, context.Background()
 	_, err := core.SubmitJob(ctx, connect.NewRequest(&toucanhingev1.SubmitJobRequest{
 		Job: "j", Host: "h", Target: "/j/x", Key: apikey.Bytes("a1"), Items: []*toucanhingev1.JobItem{{Id: "i", Target: "/x", Tokens: 30}},
 	}))
 	require.NoError(t, err)
-	// The count begins anew when the VM begins its duties as the leader, a moment after it leads.
+	// The usage counter is reset when the leader's tasks start, shortly after the VM becomes the leader.
 	require.Eventually(t, func() bool {
 		answer, err := core.Attend(ctx, connect.NewRequest(&toucanhingev1.AttendRequest{Name: "g", DigestAddress: "127.0.0.1:9"}))
 		return err == nil && answer.Msg.GetFleet() != nil
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	core.config.Quota.Reset(core.config.Boot.Now() - 60_000)
 	core.config.Quota.Heard(core.config.Boot.Now(), &toucanhingev1.LoadDigest{
 		Source: "g", Epoch: 1, Sequence: 1, CountingMs: 10, Uses: []*toucanhingev1.TeamUse{{Team: uint32(quota.IDOf("a")), Count: 3, Refused: 5}},
--- a/control/pkg/core/teams.go
+++ b/control/pkg/core/teams.go
@@ -9,33 +9,34 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// ListTeams tells operators of the teams: their limits, what they use, and what was refused.
+// ListTeams returns the teams with their limits, their usage and the number of refused requests, for
+// operators.
 func (c *Core) ListTeams(ctx context.Context, r *connect.Request[toucanhingev1.ListTeamsRequest]) (*connect.Response[toucanhingev1.ListTeamsResponse], error) {
-	if err := c.leads(); err != nil {
+	if err := c.requireLeader(); err != nil {
 		return nil, err
 	}
-	if err := c.confirm(ctx); err != nil {
-		return nil, c.refusal(err)
+	if err := c.confirmRead(ctx); err != nil {
+		return nil, c.callError(err)
 	}
-	answer := &toucanhingev1.ListTeamsResponse{}
+	response := &toucanhingev1.ListTeamsResponse{}
 	if c.config.Quota != nil {
-		answer.WindowMs = uint32(c.config.Quota.Window())
+		response.WindowMs = uint32(c.config.Quota.Window())
 	}
 	c.machine.View(func(s *systemstate.State) {
 		if s.Table() == nil {
 			return
 		}
-		answer.Version = s.Table().Version
+		response.Version = s.Table().Version
 		for _, t := range s.Table().Teams() {
 			if r.Msg.GetTeam() == "" || r.Msg.GetTeam() == t.GetName() {
-				answer.Teams = append(answer.Teams, c.statusOf(s, t))
+				response.Teams = append(response.Teams, c.teamStatus(s, t))
 			}
 		}
 	})
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
-func (c *Core) statusOf(s *systemstate.State, t *toucanhingev1.Team) *toucanhingev1.TeamStatus {
+func (c *Core) teamStatus(s *systemstate.State, t *toucanhingev1.Team) *toucanhingev1.TeamStatus {
 	status := &toucanhingev1.TeamStatus{
 		Name: t.GetName(), Keys: uint32(len(t.GetKeys())), Priority: t.Priority, Rate: t.GetRate(), Burst: t.GetBurst(),
 	}
--- a/control/pkg/core/topics.go
+++ b/control/pkg/core/topics.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// topics are signals by name. With one signal for all, each of some hundred results a second
-// woke all of the hundreds of readers and gateways that waited for something else.
+// topics is a set of named signals. With one signal for all topics, each of some hundred results
+// a second would wake hundreds of readers and gateways that wait for other events.
 type topics struct {
 	mu      sync.Mutex
 	waiting map[string]chan struct{}
@@ -11,7 +11,7 @@
 
 func newTopics() *topics { return &topics{waiting: map[string]chan struct{}{}} }
 
-// next returns a channel that is closed when the topic's signal fires the next time.
+// next returns a channel that is closed when the topic fires the next time.
 func (t *topics) next(topic string) <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
