--- a/control/pkg/batchrun/driver.go
+++ b/control/pkg/batchrun/driver.go
@@ -181,7 +181,7 @@
 func (d *Driver) addJob(s *systemstate.State, j *systemstate.Job) {
 	due, expires, rank := j.Accepted, j.Accepted+expirySlack, uint32(0)
 	if route, found := s.Route(j); found {
-		rank = s.Rank(j, route)
+		rank = s.Priority(j, route)
 		due += clock.Millis(route.CompletionMs)
 		expires += clock.Millis(route.RetentionMs)
 	}
--- a/control/pkg/systemstate/machine.go
+++ b/control/pkg/systemstate/machine.go
@@ -15,24 +15,24 @@
 
 const (
 	recordsName = "records"
-	// rollBytes is the length of a segment file. A file goes when its last
-	// record does, so it is small against a VM's disk of some hundred MB.
-	rollBytes = 8 << 20
+	// segmentBytes is the length of a segment file. A file is deleted when its last record is
+	// released, so it has to be small compared to a VM's disk of some hundred MB.
+	segmentBytes = 8 << 20
 )
 
-// MachineConfig describes a machine.
+// MachineConfig configures a Machine.
 type MachineConfig struct {
-	// Folder is the group's own folder on disk.
+	// Folder is the folder on disk that is reserved for this group.
 	Folder string
-	// Fatal is told of a failed write to a segment. The state in memory is then
-	// ahead of the disk for good, so the process has to stop.
+	// Fatal is called if a logged command can't be decoded or a write to a segment fails. After
+	// a failed write the state in memory stays ahead of the disk, so the process has to stop.
 	Fatal func(error)
-	// Notify is told what a command changed, in the applier's goroutine.
+	// Notify is called for each change by a command, in the goroutine that applies commands. It may be nil.
 	Notify func(Change)
 }
 
-// Machine is the state with its segments and a lock, as a consensus group
-// drives it. Apply, Checkpoint, Load and Import belong to one goroutine.
+// Machine is the replicated state machine of a consensus group: the state with its segments,
+// guarded by a lock. Apply, Checkpoint, Load and Import must be called from one goroutine.
 type Machine struct {
 	config  MachineConfig
 	mu      sync.RWMutex
@@ -41,32 +41,32 @@
 	folder  string
 }
 
-// NewMachine makes a machine; call Load before use.
+// NewMachine returns a machine without state. Load must be called before use.
 func NewMachine(config MachineConfig) *Machine {
 	return &Machine{config: config}
 }
 
-// Apply carries out one logged command. The answer is a []any, one for each step.
+// Apply applies one logged command. It returns a []any with one outcome per step.
 func (m *Machine) Apply(_ uint64, data []byte) any {
 	command := &toucanhingev1.SystemCommand{}
 	if err := proto.Unmarshal(data, command); err != nil {
-		m.config.Fatal(fmt.Errorf("a logged command can't be read: %w", err))
+		m.config.Fatal(fmt.Errorf("decode a logged command: %w", err))
 		return nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	answers := make([]any, 0, len(command.GetSteps()))
+	outcomes := make([]any, 0, len(command.GetSteps()))
 	for _, step := range command.GetSteps() {
-		answers = append(answers, m.state.Step(clock.Millis(command.GetAtMs()), step))
+		outcomes = append(outcomes, m.state.Step(clock.Millis(command.GetAtMs()), step))
 	}
 	if err := m.records.Flush(); err != nil {
 		m.config.Fatal(err)
 	}
-	return answers
+	return outcomes
 }
 
-// Checkpoint syncs the segments and returns the manifest: all state in memory,
-// and the segments' names and lengths.
+// Checkpoint syncs the segments and returns the manifest, which holds the state in memory and the
+// names and lengths of the segments.
 func (m *Machine) Checkpoint() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -77,14 +77,14 @@
 	snapshot.Folder = m.folder
 	segments, err := m.records.Checkpoint()
 	if err != nil {
-		return nil, fmt.Errorf("checkpoint of the records: %w", err)
+		return nil, fmt.Errorf("checkpoint the records: %w", err)
 	}
 	snapshot.Segments = segments
 	return encode(snapshot), nil
 }
 
-// Load goes back to a manifest; nil means the empty state. What the log holds
-// after the manifest has to be applied again.
+// Load replaces the state by that of a manifest; nil means the empty state. Log entries after the
+// manifest have to be applied again.
 func (m *Machine) Load(manifest []byte) error {
 	snapshot, err := readManifest(manifest)
 	if err != nil {
@@ -98,9 +98,9 @@
 	return segment.DeleteOtherGenerations(m.config.Folder, m.folder)
 }
 
-// restore puts the state of a manifest in place of the present one.
+// restore replaces the current state by that of a manifest. The caller holds the lock.
 func (m *Machine) restore(snapshot *toucanhingev1.SystemSnapshot) error {
-	records := m.store(snapshot.GetFolder())
+	records := m.newStore(snapshot.GetFolder())
 	if m.folder == snapshot.GetFolder() && m.records != nil {
 		m.records.Close()
 	}
@@ -137,11 +137,11 @@
 	return snapshot, nil
 }
 
-func (m *Machine) store(folder string) *segment.Store {
-	return segment.New(segment.Config{Folder: filepath.Join(m.config.Folder, folder), Name: recordsName, Roll: rollBytes})
+func (m *Machine) newStore(folder string) *segment.Store {
+	return segment.New(segment.Config{Folder: filepath.Join(m.config.Folder, folder), Name: recordsName, Roll: segmentBytes})
 }
 
-// Export ships a manifest and the segments that it names.
+// Export writes a manifest and the segments that it names to w.
 func (m *Machine) Export(manifest []byte, w io.Writer) error {
 	snapshot, err := readManifest(manifest)
 	if err != nil {
@@ -150,15 +150,15 @@
 	if err := segment.SendManifest(w, manifest); err != nil {
 		return err
 	}
-	if err := m.store(snapshot.GetFolder()).Export(snapshot.GetSegments(), w); err != nil {
-		return fmt.Errorf("ship the records: %w", err)
+	if err := m.newStore(snapshot.GetFolder()).Export(snapshot.GetSegments(), w); err != nil {
+		return fmt.Errorf("export the records: %w", err)
 	}
 	return nil
 }
 
-// Import replaces the state by what Export shipped, received into a folder of
-// its own and synced. The old folder stays until the next checkpoint: a crash
-// before the caller has noted the returned manifest loads the old one again.
+// Import replaces the state by an export. It syncs the received segments in a new folder. The old
+// folder stays until the next checkpoint, because after a crash before the caller has stored the
+// returned manifest, the old state is loaded again.
 func (m *Machine) Import(r io.Reader) ([]byte, error) {
 	manifest, err := segment.ReceiveManifest(r)
 	if err != nil {
@@ -169,8 +169,8 @@
 		return nil, err
 	}
 	snapshot.Folder = segment.FreeGeneration(m.config.Folder, m.folder)
-	if err := m.store(snapshot.GetFolder()).Import(snapshot.GetSegments(), r); err != nil {
-		return nil, fmt.Errorf("receive the records: %w", err)
+	if err := m.newStore(snapshot.GetFolder()).Import(snapshot.GetSegments(), r); err != nil {
+		return nil, fmt.Errorf("import the records: %w", err)
 	}
 	m.mu.Lock()
 	err = m.restore(snapshot)
@@ -184,14 +184,14 @@
 	return encode(snapshot), nil
 }
 
-// View runs a reader on the state; it must not keep what it points to.
+// View calls read with the state under a read lock. read must not retain references to the state.
 func (m *Machine) View(read func(*State)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	read(m.state)
 }
 
-// Record returns a kept record.
+// Record returns a stored record.
 func (m *Machine) Record(ref segment.Ref) ([]byte, error) {
 	m.mu.RLock()
 	records := m.records
@@ -199,7 +199,7 @@
 	return records.Read(ref)
 }
 
-// Text puts an item's text together from its parts.
+// Text returns an item's text, joined from its parts.
 func (m *Machine) Text(parts []segment.Ref) ([]byte, error) {
 	var text []byte
 	for _, ref := range parts {
@@ -220,7 +220,7 @@
 	}
 	item := &toucanhingev1.JobItem{}
 	if err := proto.Unmarshal(data, item); err != nil {
-		return nil, fmt.Errorf("decode an item: %w", err)
+		return nil, fmt.Errorf("decode a job item: %w", err)
 	}
 	return item, nil
 }
--- a/control/pkg/systemstate/quarantine.go
+++ b/control/pkg/systemstate/quarantine.go
@@ -8,11 +8,11 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Quarantines lists the requests that are kept from all runners; some may have ended.
+// Quarantines returns the logged quarantines. Some may have expired.
 func (s *State) Quarantines() []crashes.Quarantine { return slices.Clone(s.quarantines) }
 
-// SaveQuarantines writes quarantines as the log and checkpoints hold them.
-func SaveQuarantines(list []crashes.Quarantine) []*toucanhingev1.SavedQuarantine {
+// EncodeQuarantines converts quarantines to the format of the log and of checkpoints.
+func EncodeQuarantines(list []crashes.Quarantine) []*toucanhingev1.SavedQuarantine {
 	var saved []*toucanhingev1.SavedQuarantine
 	for _, q := range list {
 		saved = append(saved, &toucanhingev1.SavedQuarantine{
@@ -22,8 +22,9 @@
 	return saved
 }
 
-// quarantinesOf reads them back. What isn't of the right length comes from a newer program.
-func quarantinesOf(saved []*toucanhingev1.SavedQuarantine) []crashes.Quarantine {
+// decodeQuarantines is the inverse of EncodeQuarantines. It skips entries whose fingerprint has another
+// length, which are from a newer program version.
+func decodeQuarantines(saved []*toucanhingev1.SavedQuarantine) []crashes.Quarantine {
 	var list []crashes.Quarantine
 	for _, m := range saved {
 		q := crashes.Quarantine{Since: clock.Millis(m.GetSinceMs()), Until: clock.Millis(m.GetUntilMs()), Terms: int(m.GetTerms())}
--- a/control/pkg/systemstate/quarantine_test.go
+++ b/control/pkg/systemstate/quarantine_test.go
@@ -9,23 +9,23 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// What crashes runners is remembered by the log and by its checkpoints; each step replaces
-// what was there, and an entry that a newer program wrote otherwise is passed over.
-func TestQuarantinesAreKept(t *testing.T) {
+// Quarantines are stored in the log and in checkpoints. Each step replaces the whole list, and an
+// entry in the format of a newer program version is skipped.
+func TestQuarantinesAreRestored(t *testing.T) {
 	s := New(Config{})
 	list := []crashes.Quarantine{{Content: crashes.Content{1}, Since: 5, Until: 500, Terms: 1}, {Content: crashes.Content{2}, Since: 7, Until: 900, Terms: 3}}
-	keep := func(saved []*toucanhingev1.SavedQuarantine) {
+	storeQuarantines := func(saved []*toucanhingev1.SavedQuarantine) {
 		s.Step(10, &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_KeepQuarantines{
 			KeepQuarantines: &toucanhingev1.KeepQuarantinesStep{Quarantines: saved},
 		}})
 	}
-	keep(SaveQuarantines(list))
+	storeQuarantines(EncodeQuarantines(list))
 	require.Equal(t, list, s.Quarantines())
 	restored, err := Restore(Config{}, s.Save())
 	require.NoError(t, err)
 	require.Equal(t, list, restored.Quarantines())
-	keep(append(SaveQuarantines(list[:1]), &toucanhingev1.SavedQuarantine{Content: []byte("short")}))
+	storeQuarantines(append(EncodeQuarantines(list[:1]), &toucanhingev1.SavedQuarantine{Content: []byte("short")}))
 	require.Equal(t, list[:1], s.Quarantines())
-	keep(nil)
+	storeQuarantines(nil)
 	require.Empty(t, s.Quarantines())
 }
--- a/control/pkg/systemstate/snapshot.go
+++ b/control/pkg/systemstate/snapshot.go
@@ -12,15 +12,16 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
+// encode marshals a message, which can't fail for messages of this program.
 func encode(m proto.Message) []byte {
 	data, err := proto.Marshal(m)
 	if err != nil {
-		panic(fmt.Sprintf("a message can't be encoded: %v", err))
+		panic(fmt.Sprintf("encode a message: %v", err))
 	}
 	return data
 }
 
-// Save writes the state but for the segments, which the caller adds.
+// Save returns a snapshot of the state without the segments, which the caller adds.
 func (s *State) Save() *toucanhingev1.SystemSnapshot {
 	snapshot := &toucanhingev1.SystemSnapshot{NowMs: int64(s.now)}
 	if s.table != nil {
@@ -39,7 +40,7 @@
 			Name: v.Name, Address: v.Address, Identity: v.Identity, Retiring: v.Retiring,
 		})
 	}
-	snapshot.Quarantines = SaveQuarantines(s.quarantines)
+	snapshot.Quarantines = EncodeQuarantines(s.quarantines)
 	return snapshot
 }
 
@@ -51,7 +52,7 @@
 		item := &j.Items[i]
 		out := &toucanhingev1.SavedBatchItem{
 			Id: item.ID, Tokens: item.Tokens, Failures: item.Failures, Completed: item.Completed,
-			Request: uint64(item.Request), Last: item.Last,
+			Request: uint64(item.Request), Last: item.LastEvent,
 		}
 		for _, ref := range item.Parts {
 			out.Parts = append(out.Parts, uint64(ref))
@@ -61,7 +62,7 @@
 	return saved
 }
 
-// Restore makes the state that Save wrote.
+// Restore returns the state of a snapshot by Save.
 func Restore(config Config, snapshot *toucanhingev1.SystemSnapshot) (*State, error) {
 	s := New(config)
 	s.now = clock.Millis(snapshot.GetNowMs())
@@ -79,7 +80,7 @@
 	for _, v := range snapshot.GetVms() {
 		s.vms[v.GetName()] = &VM{Name: v.GetName(), Address: v.GetAddress(), Identity: v.GetIdentity(), Retiring: v.GetRetiring()}
 	}
-	s.quarantines = quarantinesOf(snapshot.GetQuarantines())
+	s.quarantines = decodeQuarantines(snapshot.GetQuarantines())
 	return s, nil
 }
 
@@ -91,7 +92,7 @@
 	for _, item := range saved.GetItems() {
 		in := Item{
 			ID: item.GetId(), Tokens: item.GetTokens(), Failures: item.GetFailures(), Completed: item.GetCompleted(),
-			Request: segment.Ref(item.GetRequest()), Last: item.GetLast(),
+			Request: segment.Ref(item.GetRequest()), LastEvent: item.GetLast(),
 		}
 		for _, ref := range item.GetParts() {
 			in.Parts = append(in.Parts, segment.Ref(ref))
--- a/control/pkg/systemstate/state.go
+++ b/control/pkg/systemstate/state.go
@@ -1,6 +1,6 @@
-// Package systemstate is what the core agrees on: the routing table, the batch
-// jobs with their results in the order in which they were finished, and the VMs
-// of the core. It is driven by the log of one consensus group.
+// Package systemstate implements the replicated state of the core: the routing table, the batch
+// jobs with their results in the order in which they were finished, the quarantined requests, and
+// the control VMs. It is driven by the log of one consensus group.
 package systemstate
 
 import (
@@ -14,58 +14,58 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// keepClosed is how long a job stays readable after all its items are listed or
-// it was ended. Callers that lost an answer ask again for minutes at most.
-const keepClosed clock.Millis = 15 * 60 * 1000
+// closedJobRetention is how long after its acceptance a closed job, with all items listed or ended
+// by the caller, is retained at least. Callers that lost a response retry for some minutes at most.
+const closedJobRetention clock.Millis = 15 * 60 * 1000
 
-// Config gives the state its files.
+// Config connects the state to its record store and its observer.
 type Config struct {
-	// Append keeps a record in a segment.
+	// Append stores a record in a segment.
 	Append func(payload []byte) segment.Ref
-	// Release says that some records of a file are no longer needed.
+	// Release releases a number of records of a file that are no longer needed.
 	Release func(file uint32, count uint64)
-	// Notify is told what changed, may be nil.
+	// Notify is called for each change; it may be nil.
 	Notify func(Change)
 }
 
-// Change tells the surroundings what a step changed.
+// Change describes a change of the state by a step.
 type Change struct {
 	Kind ChangeKind
 	Job  string
 	Item uint32
 }
 
-// ChangeKind is the kind of a change.
+// ChangeKind is the kind of a Change.
 type ChangeKind int
 
 const (
-	// TableReplaced tells that a newer routing table is in force.
+	// TableReplaced means that a newer routing table is active.
 	TableReplaced ChangeKind = iota + 1
-	// JobAccepted tells that a new job is there.
+	// JobAccepted means that a new job was accepted.
 	JobAccepted
-	// ItemListed tells that an item got its result.
+	// ItemListed means that an item's result was listed.
 	ItemListed
-	// JobEnded tells that the caller ended a job.
+	// JobEnded means that the caller ended a job.
 	JobEnded
-	// VMsChanged tells that the list of the core's VMs changed.
+	// VMsChanged means that the list of control VMs changed.
 	VMsChanged
-	// Reloaded tells that all of it was replaced by a snapshot.
+	// Reloaded means that the whole state was replaced by a snapshot.
 	Reloaded
 )
 
 // Job is an accepted batch job.
 type Job struct {
-	// Name is the job's in the core, ID the caller's name of it.
+	// Name is the job's unique name in the core, see JobName. ID is the caller's name of the job.
 	Name string
 	ID   string
-	// Team handed it in; empty if none did.
+	// Team is the team that submitted the job; empty if none did.
 	Team     string
 	Host     string
 	Target   string
 	Accepted clock.Millis
 	Ended    bool
 	Items    []Item
-	// Listed are the finished items in the order of their results.
+	// Listed holds the indexes of the finished items in the order of their results.
 	Listed []uint32
 }
 
@@ -73,22 +73,24 @@
 type Item struct {
 	ID     string
 	Tokens int64
-	// Failures counts the attempts that its runners failed.
-	Failures  uint32
+	// Failures counts the failed attempts.
+	Failures uint32
+	// Done reports whether the item has a result. Completed reports whether that is a complete
+	// text and not a failure.
 	Done      bool
 	Completed bool
-	// Request is the record of the JobItem.
+	// Request refers to the record of the JobItem.
 	Request segment.Ref
-	// Parts are the records that make up the text so far, in order, and Last is
-	// the last event in them.
-	Parts []segment.Ref
-	Last  uint64
+	// Parts refers to the records of the text so far, in order. LastEvent is the number of the
+	// last event in them.
+	Parts     []segment.Ref
+	LastEvent uint64
 }
 
-// Open says whether items may still be run.
+// Open reports whether items of the job may still be run.
 func (j *Job) Open() bool { return !j.Ended && len(j.Listed) < len(j.Items) }
 
-// VM is a VM of the core.
+// VM is a registered control VM.
 type VM struct {
 	Name     string
 	Address  string
@@ -96,29 +98,29 @@
 	Retiring bool
 }
 
-// State is the whole state.
+// State is the replicated state of the core.
 type State struct {
 	config Config
 	now    clock.Millis
 	table  *routing.Table
 	jobs   map[string]*Job
 	vms    map[string]*VM
-	// quarantines are the requests that are kept from all runners, newest last.
+	// quarantines are the quarantines of requests, newest last.
 	quarantines []crashes.Quarantine
 }
 
-// New makes an empty state.
+// New returns an empty state.
 func New(config Config) *State {
 	return &State{config: config, jobs: map[string]*Job{}, vms: map[string]*VM{}}
 }
 
-// Table is the routing table in force, nil if there is none yet.
+// Table returns the active routing table, nil if there is none yet.
 func (s *State) Table() *routing.Table { return s.table }
 
-// Job returns a job by its name in the core, nil if there is none.
+// Job returns a job by its name in the core, nil if it doesn't exist.
 func (s *State) Job(name string) *Job { return s.jobs[name] }
 
-// OpenJobs lists the jobs with items to run, oldest first.
+// OpenJobs returns the open jobs, oldest first.
 func (s *State) OpenJobs() []*Job {
 	var open []*Job
 	for _, j := range s.jobs {
@@ -135,7 +137,7 @@
 	return open
 }
 
-// VM returns a VM of the core by its name.
+// VM returns a control VM by its name.
 func (s *State) VM(name string) (VM, bool) {
 	v := s.vms[name]
 	if v == nil {
@@ -144,7 +146,7 @@
 	return *v, true
 }
 
-// VMs lists the VMs of the core.
+// VMs returns the control VMs, sorted by name.
 func (s *State) VMs() []VM {
 	list := make([]VM, 0, len(s.vms))
 	for _, v := range s.vms {
@@ -159,11 +161,11 @@
 	return list
 }
 
-// Waiting sums up the tokens of a team's items on a route that aren't finished.
-func (s *State) Waiting(route routing.Route, team string) int64 {
+// WaitingTokens returns the sum of the tokens of a team's unfinished items on a route.
+func (s *State) WaitingTokens(route routing.Route, team string) int64 {
 	sum := int64(0)
 	for _, j := range s.jobs {
-		if !j.Open() || j.Team != team || !s.on(j, route) {
+		if !j.Open() || j.Team != team || !s.isOnRoute(j, route) {
 			continue
 		}
 		for i := range j.Items {
@@ -175,17 +177,19 @@
 	return sum
 }
 
-func (s *State) on(j *Job, route routing.Route) bool {
+// isOnRoute reports whether a route applies to a job.
+func (s *State) isOnRoute(j *Job, route routing.Route) bool {
 	r, found := s.Route(j)
 	return found && r.Host == route.Host && r.Prefix == route.Prefix
 }
 
-// Route is the route of a job in the table in force.
+// Route returns the route of a job in the active table.
 func (s *State) Route(j *Job) (routing.Route, bool) {
-	return s.routeOf(j.Host, j.Target)
+	return s.findBatchRoute(j.Host, j.Target)
 }
 
-func (s *State) routeOf(host, target string) (routing.Route, bool) {
+// findBatchRoute returns the batch route for a host and a target in the active table.
+func (s *State) findBatchRoute(host, target string) (routing.Route, bool) {
 	if s.table == nil {
 		return routing.Route{}, false
 	}
@@ -210,25 +214,25 @@
 	case *toucanhingev1.SystemStep_RegisterVm:
 		s.registerVM(x.RegisterVm)
 	case *toucanhingev1.SystemStep_KeepProgress:
-		s.keepProgress(x.KeepProgress)
+		s.storeProgress(x.KeepProgress)
 	case *toucanhingev1.SystemStep_KeepQuarantines:
-		s.quarantines = quarantinesOf(x.KeepQuarantines.GetQuarantines())
+		s.quarantines = decodeQuarantines(x.KeepQuarantines.GetQuarantines())
 	case *toucanhingev1.SystemStep_RetireVm:
 		return s.retireVM(x.RetireVm.GetName())
 	}
 	return nil
 }
 
-// replaceTable takes a table with a higher version. Operators race and resend:
-// an equal or lower version has no effect, whatever it holds, and still counts
-// as acknowledged. The outcome is the version in force.
+// replaceTable activates a table with a higher version. Because operators may race and resend, a
+// table with an equal or lower version has no effect, whatever its content, and still counts as
+// acknowledged. The outcome is the active version.
 func (s *State) replaceTable(wire *toucanhingev1.RoutingTable) uint64 {
 	if s.table != nil && wire.GetVersion() <= s.table.Version {
 		return s.table.Version
 	}
 	table, err := routing.New(wire)
 	if err != nil {
-		// Checked before it was proposed, so this is an entry of a newer program.
+		// Tables are validated before they are proposed, so this entry is from a newer program version.
 		return s.version()
 	}
 	s.table = table
@@ -243,13 +247,12 @@
 	return s.table.Version
 }
 
-// acceptJob takes a job whole, or not at all. A resend of an accepted job gets
-// the same answer and changes nothing. The key is judged here, in the order of the
-// log: checked by a gateway only, a job could be accepted after the acknowledgement
-// of the table that took its key away.
+// acceptJob accepts a job with all its items or refuses it. A resend of an accepted job has the
+// same outcome and no effect. The key is checked here, in the order of the log: if only gateways
+// checked it, a job could be accepted after the acknowledgement of a table without its key.
 func (s *State) acceptJob(at clock.Millis, request *toucanhingev1.SubmitJobRequest) toucanhingev1.SubmitOutcome {
-	route, found := s.routeOf(request.GetHost(), request.GetTarget())
-	team, allowed := s.teamOn(route, found, request.GetKey())
+	route, found := s.findBatchRoute(request.GetHost(), request.GetTarget())
+	team, allowed := s.authorizeJob(route, found, request.GetKey())
 	if !allowed {
 		return toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_UNKNOWN_KEY
 	}
@@ -257,11 +260,11 @@
 	if s.jobs[name] != nil {
 		return toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_ACCEPTED
 	}
-	s.dropClosed()
+	s.deleteClosedJobs()
 	if !found {
 		return toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_NO_ROUTE
 	}
-	if route.QuotaTokens > 0 && s.Waiting(route, team)+tokens(request) > route.QuotaTokens {
+	if route.QuotaTokens > 0 && s.WaitingTokens(route, team)+sumTokens(request) > route.QuotaTokens {
 		return toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_OVER_QUOTA
 	}
 	j := &Job{Name: name, ID: request.GetJob(), Team: team, Host: request.GetHost(), Target: request.GetTarget(), Accepted: at}
@@ -273,7 +276,8 @@
 	return toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_ACCEPTED
 }
 
-func tokens(request *toucanhingev1.SubmitJobRequest) int64 {
+// sumTokens returns the sum of the tokens of a job's items.
+func sumTokens(request *toucanhingev1.SubmitJobRequest) int64 {
 	sum := int64(0)
 	for _, item := range request.GetItems() {
 		sum += item.GetTokens()
@@ -281,7 +285,7 @@
 	return sum
 }
 
-// item returns an item that has no result yet.
+// openItem returns an item that has no result yet, nil if there is none.
 func (s *State) openItem(job string, index uint32) (*Job, *Item) {
 	j := s.jobs[job]
 	if j == nil || int(index) >= len(j.Items) || j.Items[index].Done {
@@ -290,10 +294,9 @@
 	return j, &j.Items[index]
 }
 
-// finishItem lists an item's result. The first one stands: a run that was
-// repeated after a change of leader may finish twice. The outcome is false if the
-// text goes on from a progress that isn't the one kept here: joined, the two
-// would be a text that no runner made.
+// finishItem lists an item's result. Only the first result counts: an item that was run again after
+// a change of leader may finish twice. The outcome is false if the text continues other progress
+// than the stored one, because joining the two would yield a text that no runner generated.
 func (s *State) finishItem(step *toucanhingev1.FinishItemStep) bool {
 	j, item := s.openItem(step.GetJob(), step.GetItem())
 	if item == nil {
@@ -301,8 +304,8 @@
 	}
 	switch {
 	case !step.GetCompleted() || step.GetAfter() == 0:
-		s.dropParts(item)
-	case step.GetAfter() != item.Last:
+		s.releaseParts(item)
+	case step.GetAfter() != item.LastEvent:
 		return false
 	}
 	item.Done, item.Completed = true, step.GetCompleted()
@@ -314,22 +317,22 @@
 	return true
 }
 
-// keepProgress keeps what an item's run has made so far, if it follows what is
-// kept already.
-func (s *State) keepProgress(step *toucanhingev1.KeepProgressStep) {
+// storeProgress appends partial text of an item if it directly follows the stored text.
+func (s *State) storeProgress(step *toucanhingev1.KeepProgressStep) {
 	_, item := s.openItem(step.GetJob(), step.GetItem())
-	if item == nil || item.Last != step.GetAfter() || step.GetLast() <= step.GetAfter() {
+	if item == nil || item.LastEvent != step.GetAfter() || step.GetLast() <= step.GetAfter() {
 		return
 	}
 	item.Parts = append(item.Parts, s.config.Append(step.GetText()))
-	item.Last = step.GetLast()
+	item.LastEvent = step.GetLast()
 }
 
-func (s *State) dropParts(item *Item) {
+// releaseParts discards the stored text of an item.
+func (s *State) releaseParts(item *Item) {
 	for _, ref := range item.Parts {
 		s.release(ref)
 	}
-	item.Parts, item.Last = nil, 0
+	item.Parts, item.LastEvent = nil, 0
 }
 
 func (s *State) countFailure(step *toucanhingev1.CountFailureStep) {
@@ -356,8 +359,8 @@
 	if v != nil && v.Address == step.GetAddress() && v.Identity == step.GetIdentity() {
 		return
 	}
-	// Another folder under the name is another start of the machine's life: what
-	// was asked of the old one is done with.
+	// Another data folder under the same name is a new member, to which a request to retire the
+	// old one doesn't apply.
 	s.vms[step.GetName()] = &VM{Name: step.GetName(), Address: step.GetAddress(), Identity: step.GetIdentity()}
 	s.notify(Change{Kind: VMsChanged})
 }
@@ -372,17 +375,17 @@
 	return true
 }
 
-// dropClosed forgets jobs that were closed long ago.
-func (s *State) dropClosed() {
-	for id, j := range s.jobs {
-		if j.Open() || s.now-j.Accepted < keepClosed {
+// deleteClosedJobs deletes closed jobs whose retention time is over.
+func (s *State) deleteClosedJobs() {
+	for name, j := range s.jobs {
+		if j.Open() || s.now-j.Accepted < closedJobRetention {
 			continue
 		}
 		for i := range j.Items {
 			s.release(j.Items[i].Request)
-			s.dropParts(&j.Items[i])
+			s.releaseParts(&j.Items[i])
 		}
-		delete(s.jobs, id)
+		delete(s.jobs, name)
 	}
 }
 
--- a/control/pkg/systemstate/state_test.go
+++ b/control/pkg/systemstate/state_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { seed.Main(m, 23, seed.Length{Checks: 60}) }
 
-func machine(t require.TestingT, folder string) *Machine {
+func newTestMachine(t require.TestingT, folder string) *Machine {
 	m := NewMachine(MachineConfig{Folder: folder, Fatal: func(err error) { require.NoError(t, err) }})
 	require.NoError(t, m.Load(nil))
 	return m
@@ -24,9 +24,9 @@
 func apply(t require.TestingT, m *Machine, at int64, steps ...*toucanhingev1.SystemStep) []any {
 	data, err := proto.Marshal(&toucanhingev1.SystemCommand{AtMs: at, Steps: steps})
 	require.NoError(t, err)
-	answers, ok := m.Apply(0, data).([]any)
+	outcomes, ok := m.Apply(0, data).([]any)
 	require.True(t, ok)
-	return answers
+	return outcomes
 }
 
 func tableStep(version uint64, quota int64) *toucanhingev1.SystemStep {
@@ -65,42 +65,41 @@
 	return step
 }
 
-// A leader logs what an item has made so far and is deposed; its successor goes
-// on from there. The old leader's late steps, and a result that goes on from
-// another progress than the logged one, must not be joined with it: the text
-// would have a gap, or a piece twice.
-func TestProgressIsJoinedOnlyWhereItFits(t *testing.T) {
-	m := machine(t, t.TempDir())
+// A leader logs an item's partial text and loses its leadership; its successor continues from
+// there. Late steps of the old leader, and a result that continues other progress than the logged
+// one, must not be appended: the text would have a gap or a duplicated part.
+func TestProgressMustFollowStoredText(t *testing.T) {
+	m := newTestMachine(t, t.TempDir())
 	apply(t, m, 1, tableStep(1, 0), jobStep("a", 3, 1))
 	apply(t, m, 2, progressStep(0, 0, 2, "1\n2"), progressStep(0, 2, 3, "\n3"))
 	apply(t, m, 2, progressStep(0, 2, 4, "\n3\n4"), progressStep(0, 0, 9, "all"), progressStep(0, 3, 3, ""))
-	require.Equal(t, "1\n2\n3", textOf(t, m, "a", 0))
+	require.Equal(t, "1\n2\n3", itemText(t, m, "a", 0))
 	require.Equal(t, []any{false}, apply(t, m, 3, finishAfterStep(0, 2, "\n3\n4")))
 	require.Equal(t, []any{true}, apply(t, m, 3, finishAfterStep(0, 3, "\n4")))
-	require.Equal(t, "1\n2\n3\n4", textOf(t, m, "a", 0))
-	require.Equal(t, []any{true}, apply(t, m, 4, finishAfterStep(0, 0, "whole")), "the first result stands")
-	require.Equal(t, "1\n2\n3\n4", textOf(t, m, "a", 0))
+	require.Equal(t, "1\n2\n3\n4", itemText(t, m, "a", 0))
+	require.Equal(t, []any{true}, apply(t, m, 4, finishAfterStep(0, 0, "whole")), "only the first result counts")
+	require.Equal(t, "1\n2\n3\n4", itemText(t, m, "a", 0))
 
 	apply(t, m, 5, progressStep(1, 0, 2, "1\n2"))
-	require.Equal(t, []any{true}, apply(t, m, 5, finishAfterStep(1, 0, "whole")), "a whole text needs no progress")
-	require.Equal(t, "whole", textOf(t, m, "a", 1))
+	require.Equal(t, []any{true}, apply(t, m, 5, finishAfterStep(1, 0, "whole")), "a complete text doesn't depend on progress")
+	require.Equal(t, "whole", itemText(t, m, "a", 1))
 
 	apply(t, m, 6, progressStep(2, 0, 2, "1\n2"))
 	failed := finishStep("a", 2, "")
 	failed.GetFinishItem().Completed = false
 	apply(t, m, 6, failed)
-	require.Empty(t, textOf(t, m, "a", 2), "an item that is given up has no text")
+	require.Empty(t, itemText(t, m, "a", 2), "a failed item has no text")
 }
 
 func endStep(job string) *toucanhingev1.SystemStep {
 	return &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_EndJob{EndJob: &toucanhingev1.EndJobStep{Job: job}}}
 }
 
-// Two operators race, and one's change arrives once more after it was overtaken.
-// The highest version stays in force, and what was sent under an equal or lower
-// one has no effect, though it is acknowledged.
-func TestTheHighestTableStaysInForce(t *testing.T) {
-	m := machine(t, t.TempDir())
+// Two operators race, and a table arrives again after a newer one. The table with the highest
+// version must stay active; tables with an equal or lower version are acknowledged but have no
+// effect.
+func TestHighestTableVersionStaysActive(t *testing.T) {
+	m := newTestMachine(t, t.TempDir())
 	require.Equal(t, []any{uint64(7)}, apply(t, m, 1, tableStep(7, 0)))
 	require.Equal(t, []any{uint64(7)}, apply(t, m, 1, tableStep(5, 0)))
 	other := tableStep(7, 0)
@@ -110,24 +109,24 @@
 	require.Equal(t, []any{uint64(12)}, apply(t, m, 1, tableStep(12, 0)))
 }
 
-func TestJobs(t *testing.T) {
-	m := machine(t, t.TempDir())
+func TestSubmitAndEndJobs(t *testing.T) {
+	m := newTestMachine(t, t.TempDir())
 	accepted, overQuota, noRoute := toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_ACCEPTED,
 		toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_OVER_QUOTA, toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_NO_ROUTE
 	require.Equal(t, []any{noRoute}, apply(t, m, 1, jobStep("a", 2, 10)), "no table yet")
 	apply(t, m, 1, tableStep(1, 50))
 	require.Equal(t, []any{accepted}, apply(t, m, 2, jobStep("a", 2, 10)))
-	require.Equal(t, []any{accepted}, apply(t, m, 9, jobStep("a", 2, 10)), "a resend is accepted once")
+	require.Equal(t, []any{accepted}, apply(t, m, 9, jobStep("a", 2, 10)), "a resend must have no effect")
 	require.Equal(t, []any{overQuota}, apply(t, m, 3, jobStep("b", 4, 10)))
-	require.Equal(t, []any{accepted}, apply(t, m, 3, jobStep("b", 3, 10)), "it fits exactly")
+	require.Equal(t, []any{accepted}, apply(t, m, 3, jobStep("b", 3, 10)), "the job uses the quota exactly")
 	apply(t, m, 4, finishStep("a", 1, "text"))
-	require.Equal(t, []any{accepted}, apply(t, m, 5, jobStep("c", 1, 10)), "finished items make room")
+	require.Equal(t, []any{accepted}, apply(t, m, 5, jobStep("c", 1, 10)), "finished items don't count against the quota")
 	require.Equal(t, []any{EndOutcome{Found: true}}, apply(t, m, 5, endStep("b")))
-	require.Equal(t, []any{EndOutcome{Found: true}}, apply(t, m, 5, endStep("b")), "a resend is acknowledged again")
+	require.Equal(t, []any{EndOutcome{Found: true}}, apply(t, m, 5, endStep("b")), "a repeated request must be acknowledged again")
 	require.Equal(t, []any{EndOutcome{}}, apply(t, m, 5, endStep("z")))
-	require.Equal(t, []any{accepted}, apply(t, m, 6, jobStep("d", 3, 10)), "ended jobs make room")
+	require.Equal(t, []any{accepted}, apply(t, m, 6, jobStep("d", 3, 10)), "ended jobs don't count against the quota")
 	m.View(func(s *State) {
-		require.Equal(t, int64(2), int64(s.Job("a").Accepted), "the first acceptance counts")
+		require.Equal(t, int64(2), int64(s.Job("a").Accepted), "the time of the first acceptance counts")
 		var open []string
 		for _, j := range s.OpenJobs() {
 			open = append(open, j.ID)
@@ -136,18 +135,18 @@
 	})
 }
 
-// A leader finishes an item and is deposed; its successor has run the item too.
-// Whichever result is logged first stands, at its position, with its text.
-func TestTheFirstResultStands(t *testing.T) {
-	m := machine(t, t.TempDir())
+// A leader finishes an item and loses its leadership, and its successor has run the item too. The
+// result that is logged first must be kept, at its position and with its text.
+func TestFirstResultIsKept(t *testing.T) {
+	m := newTestMachine(t, t.TempDir())
 	apply(t, m, 1, tableStep(1, 0), jobStep("a", 3, 1))
 	apply(t, m, 2, finishStep("a", 2, "first"), finishStep("a", 0, "zero"))
 	apply(t, m, 3, finishStep("a", 2, "second"), finishStep("a", 9, "no such item"), finishStep("z", 0, "no such job"))
 	m.View(func(s *State) { require.Equal(t, []uint32{2, 0}, s.Job("a").Listed) })
-	require.Equal(t, "first", textOf(t, m, "a", 2))
+	require.Equal(t, "first", itemText(t, m, "a", 2))
 }
 
-func textOf(t require.TestingT, m *Machine, job string, item int) string {
+func itemText(t require.TestingT, m *Machine, job string, item int) string {
 	var i Item
 	m.View(func(s *State) { i = s.Job(job).Items[item] })
 	text, err := m.Text(i.Parts)
@@ -155,21 +154,21 @@
 	return string(text)
 }
 
-func TestClosedJobsAreForgottenMuchLater(t *testing.T) {
-	m := machine(t, t.TempDir())
+func TestClosedJobsAreDeletedAfterRetention(t *testing.T) {
+	m := newTestMachine(t, t.TempDir())
 	apply(t, m, 1, tableStep(1, 0), jobStep("a", 1, 1), jobStep("open", 1, 1))
 	apply(t, m, 2, finishStep("a", 0, "text"))
-	apply(t, m, int64(keepClosed), jobStep("b", 1, 1))
+	apply(t, m, int64(closedJobRetention), jobStep("b", 1, 1))
 	m.View(func(s *State) { require.NotNil(t, s.Job("a")) })
-	apply(t, m, int64(keepClosed)+2, jobStep("c", 1, 1))
+	apply(t, m, int64(closedJobRetention)+2, jobStep("c", 1, 1))
 	m.View(func(s *State) {
 		require.Nil(t, s.Job("a"))
 		require.NotNil(t, s.Job("open"))
 	})
 }
 
-func TestVMs(t *testing.T) {
-	m := machine(t, t.TempDir())
+func TestRegisterAndRetireVM(t *testing.T) {
+	m := newTestMachine(t, t.TempDir())
 	register := func(identity string) *toucanhingev1.SystemStep {
 		return &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_RegisterVm{
 			RegisterVm: &toucanhingev1.RegisterVMStep{Name: "vm", Address: "1", Identity: identity},
@@ -182,10 +181,13 @@
 	apply(t, m, 1, register("x"))
 	m.View(func(s *State) { v, _ := s.VM("vm"); require.True(t, v.Retiring) })
 	apply(t, m, 1, register("y"))
-	m.View(func(s *State) { v, _ := s.VM("vm"); require.False(t, v.Retiring, "another folder, another life") })
+	m.View(func(s *State) {
+		v, _ := s.VM("vm")
+		require.False(t, v.Retiring, "a VM with a new data folder must not be retiring")
+	})
 }
 
-// oracle is the state as a few maps.
+// oracle is a simple model of the state.
 type oracle struct {
 	version uint64
 	jobs    map[string]*oracleJob
@@ -198,40 +200,39 @@
 	texts  map[uint32]string
 }
 
-// TestRapidStateAgreesWithAnOracle plays commands, restarts from a checkpoint with
-// the log replayed, and copies to an empty replica, in any order; what can be read
-// agrees with the oracle all the while.
-func TestRapidStateAgreesWithAnOracle(t *testing.T) {
+// TestRapidStateMatchesOracle runs commands, restarts from a checkpoint with a replay of the log,
+// and copies to an empty replica, in random order. The readable state must always match an oracle.
+func TestRapidStateMatchesOracle(t *testing.T) {
 	folders := 0
 	base := t.TempDir()
 	rapid.Check(t, func(t *rapid.T) {
 		folders++
 		folder := fmt.Sprintf("%s/%d", base, folders)
-		m := machine(t, folder)
+		m := newTestMachine(t, folder)
 		o := &oracle{jobs: map[string]*oracleJob{}}
 		var manifest []byte
 		var log [][]byte
-		do := func(t *rapid.T, step *toucanhingev1.SystemStep) any {
+		applyStep := func(t *rapid.T, step *toucanhingev1.SystemStep) any {
 			data, err := proto.Marshal(&toucanhingev1.SystemCommand{AtMs: 1, Steps: []*toucanhingev1.SystemStep{step}})
 			require.NoError(t, err)
 			log = append(log, data)
-			answers, ok := m.Apply(0, data).([]any)
+			outcomes, ok := m.Apply(0, data).([]any)
 			require.True(t, ok)
-			return answers[0]
+			return outcomes[0]
 		}
 		job := rapid.SampledFrom([]string{"a", "b", "c"})
-		do(t, tableStep(1, 0))
+		applyStep(t, tableStep(1, 0))
 		o.version = 1
 		t.Repeat(map[string]func(*rapid.T){
 			"table": func(t *rapid.T) {
 				v := rapid.Uint64Range(1, 20).Draw(t, "version")
 				o.version = max(o.version, v)
-				require.Equal(t, o.version, do(t, tableStep(v, 0)))
+				require.Equal(t, o.version, applyStep(t, tableStep(v, 0)))
 			},
 			"accept": func(t *rapid.T) {
 				id := job.Draw(t, "job")
 				n := rapid.IntRange(1, 4).Draw(t, "items")
-				require.Equal(t, toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_ACCEPTED, do(t, jobStep(id, n, 1)))
+				require.Equal(t, toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_ACCEPTED, applyStep(t, jobStep(id, n, 1)))
 				if o.jobs[id] == nil {
 					o.jobs[id] = &oracleJob{items: n, texts: map[uint32]string{}}
 				}
@@ -240,7 +241,7 @@
 				id := job.Draw(t, "job")
 				index := rapid.Uint32Range(0, 4).Draw(t, "item")
 				text := rapid.StringMatching(`[a-z]{1,20}`).Draw(t, "text")
-				do(t, finishStep(id, index, text))
+				applyStep(t, finishStep(id, index, text))
 				if j := o.jobs[id]; j != nil && int(index) < j.items && j.texts[index] == "" {
 					j.listed = append(j.listed, index)
 					j.texts[index] = text
@@ -248,7 +249,7 @@
 			},
 			"end": func(t *rapid.T) {
 				id := job.Draw(t, "job")
-				require.Equal(t, EndOutcome{Found: o.jobs[id] != nil}, do(t, endStep(id)))
+				require.Equal(t, EndOutcome{Found: o.jobs[id] != nil}, applyStep(t, endStep(id)))
 				if o.jobs[id] != nil {
 					o.jobs[id].ended = true
 				}
@@ -277,7 +278,7 @@
 				m.Close()
 				folders++
 				folder = fmt.Sprintf("%s/%d", base, folders)
-				m = machine(t, folder)
+				m = newTestMachine(t, folder)
 				manifest, err = m.Import(&export)
 				require.NoError(t, err)
 			},
@@ -297,7 +298,7 @@
 				})
 				for id, want := range o.jobs {
 					for index, text := range want.texts {
-						require.Equal(t, text, textOf(t, m, id, int(index)))
+						require.Equal(t, text, itemText(t, m, id, int(index)))
 					}
 				}
 			},
--- a/control/pkg/systemstate/team.go
+++ b/control/pkg/systemstate/team.go
@@ -7,15 +7,16 @@
 	"toucanhinge.example/common/pkg/routing"
 )
 
-// EndOutcome is what became of the end of a job.
+// EndOutcome is the outcome of a request to end a job.
 type EndOutcome struct {
 	Found bool
-	// Denied says that the caller's key isn't any team's.
+	// Denied reports whether the caller's key belongs to no team.
 	Denied bool
 }
 
-// JobName is a job's name in the core. Each team has its own names: a team that sends a job
-// under the name of another team's gets its own job, and can't learn that the other exists.
+// JobName returns the unique name in the core of a team's job. Each team has its own namespace: a
+// team that submits a job under an ID that another team uses gets its own job, and can't find out
+// that the other job exists.
 func JobName(team, id string) string {
 	if team == "" && !strings.Contains(id, "/") {
 		return id
@@ -23,12 +24,12 @@
 	return url.PathEscape(team) + "/" + id
 }
 
-// Find looks a caller's job up. A job of another team isn't found, as if there were none;
-// admitted is false if the caller's key isn't any team's. A job that no team handed in is
-// everybody's, and so are all while the table in force knows no teams.
+// Find returns a caller's job, nil if the job doesn't exist or belongs to another team. admitted is
+// false if the caller's key belongs to no team. A job without a team is accessible to all callers,
+// and so are all jobs while the active table has no teams.
 func (s *State) Find(key []byte, id string) (j *Job, admitted bool) {
 	if s.table == nil || !s.table.Keyed() {
-		return s.findAny(id), true
+		return s.findByID(id), true
 	}
 	team, admitted := s.table.Admits(key)
 	if !admitted {
@@ -40,8 +41,9 @@
 	return s.jobs[JobName("", id)], true
 }
 
-// findAny looks a job up whoever handed it in, the oldest one of that name.
-func (s *State) findAny(id string) *Job {
+// findByID returns the job with an ID regardless of its team: a job without a team if there is one,
+// else the oldest job.
+func (s *State) findByID(id string) *Job {
 	if j := s.jobs[JobName("", id)]; j != nil {
 		return j
 	}
@@ -54,18 +56,19 @@
 	return found
 }
 
-// teamOn names the team for which a job is handed in on a route, and says whether the key
-// allows it.
-func (s *State) teamOn(route routing.Route, found bool, key []byte) (team string, allowed bool) {
+// authorizeJob returns the team of the key with which a job is submitted on a route, and reports
+// whether the job is allowed.
+func (s *State) authorizeJob(route routing.Route, found bool, key []byte) (team string, allowed bool) {
 	if s.table == nil || !s.table.Keyed() {
 		return "", true
 	}
-	holder, known := s.table.TeamOf(key)
-	return holder.GetName(), known || found && route.GetOpen()
+	owner, known := s.table.TeamOf(key)
+	return owner.GetName(), known || found && route.GetOpen()
 }
 
-// Rank is the priority of a job's items, 0 for the most urgent: its team's, or its route's.
-func (s *State) Rank(j *Job, route routing.Route) uint32 {
+// Priority returns the priority of a job's items, 0 for the most urgent. It is the priority of the
+// job's team on the route or, without a team, that of the route.
+func (s *State) Priority(j *Job, route routing.Route) uint32 {
 	for _, t := range s.table.Teams() {
 		if t.GetName() == j.Team {
 			return routing.Team{Team: t}.PriorityOn(route)
@@ -74,8 +77,8 @@
 	return route.GetPriority()
 }
 
-// OpenOf counts a team's open jobs, and the tokens of their unfinished items.
-func (s *State) OpenOf(team string) (jobs int, tokens int64) {
+// TeamBacklog returns the number of a team's open jobs and the tokens of their unfinished items.
+func (s *State) TeamBacklog(team string) (jobs int, tokens int64) {
 	for _, j := range s.jobs {
 		if !j.Open() || j.Team != team {
 			continue
--- a/control/pkg/systemstate/team_test.go
+++ b/control/pkg/systemstate/team_test.go
@@ -18,7 +18,7 @@
 	unknownKey = toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_UNKNOWN_KEY
 )
 
-// keyedStep is a table with teams; each holds the keys that start with its name.
+// keyedStep returns a step with a table of teams. Each team owns the keys that start with its name.
 func keyedStep(version uint64, quota int64, keys ...string) *toucanhingev1.SystemStep {
 	step := tableStep(version, quota)
 	table := step.GetReplaceTable()
@@ -46,24 +46,24 @@
 	return step
 }
 
-// A gateway lets a job in with a key; before the job is in the log, a table without that key
-// is acknowledged there. The job must not be accepted, although the gateway knew the key.
-func TestAKeyThatIsGoneHandsInNoJob(t *testing.T) {
-	m := machine(t, t.TempDir())
+// A gateway admits a job by its key, but a table without the key is acknowledged before the job is
+// logged. The job must not be accepted.
+func TestRemovedKeyCannotSubmitJob(t *testing.T) {
+	m := newTestMachine(t, t.TempDir())
 	apply(t, m, 1, keyedStep(1, 0, "a1", "a2", "b1"))
 	require.Equal(t, []any{accepted, uint64(2), unknownKey}, apply(t, m, 2, keyedJob("j", "a1", 1, 1), keyedStep(2, 0, "a2", "b1"), keyedJob("k", "a1", 1, 1)))
-	require.Equal(t, []any{unknownKey}, apply(t, m, 3, keyedJob("j", "a1", 1, 1)), "nor again")
-	require.Equal(t, []any{accepted}, apply(t, m, 3, keyedJob("j", "a2", 1, 1)), "another key of the team goes on with it")
+	require.Equal(t, []any{unknownKey}, apply(t, m, 3, keyedJob("j", "a1", 1, 1)), "a retry must be refused too")
+	require.Equal(t, []any{accepted}, apply(t, m, 3, keyedJob("j", "a2", 1, 1)), "another key of the team must still give access to the job")
 	m.View(func(s *State) {
 		require.Len(t, s.OpenJobs(), 1)
-		require.Equal(t, "a", s.OpenJobs()[0].Team, "a key that is gone ends no job")
+		require.Equal(t, "a", s.OpenJobs()[0].Team, "removing a key must not end jobs")
 	})
 }
 
-// A team asks for, ends, or hands in again a job under the name of another team's. It must
-// learn nothing of that job, and change nothing in it.
-func TestATeamCantReachAnothersJobs(t *testing.T) {
-	m := machine(t, t.TempDir())
+// A team reads, ends or submits a job under an ID that another team uses. It must not learn that
+// the other job exists, nor change it.
+func TestTeamCannotAccessJobsOfOtherTeam(t *testing.T) {
+	m := newTestMachine(t, t.TempDir())
 	apply(t, m, 1, keyedStep(1, 0, "a1", "b1"), keyedJob("j", "a1", 2, 1))
 	m.View(func(s *State) {
 		for _, c := range []struct {
@@ -76,7 +76,7 @@
 		}
 	})
 	require.Equal(t, []any{EndOutcome{}, EndOutcome{Denied: true}}, apply(t, m, 2, keyedEnd("j", "b1"), keyedEnd("j", "c1")))
-	require.Equal(t, []any{accepted}, apply(t, m, 3, keyedJob("j", "b1", 1, 1)), "as if there were no other")
+	require.Equal(t, []any{accepted}, apply(t, m, 3, keyedJob("j", "b1", 1, 1)), "the ID must be free for another team")
 	m.View(func(s *State) {
 		require.Len(t, s.OpenJobs(), 2)
 		j, _ := s.Find(apikey.Bytes("b1"), "j")
@@ -89,15 +89,15 @@
 	})
 }
 
-func TestEachTeamHasItsOwnQuotaOfTokens(t *testing.T) {
-	m := machine(t, t.TempDir())
+func TestTokenQuotaIsPerTeam(t *testing.T) {
+	m := newTestMachine(t, t.TempDir())
 	apply(t, m, 1, keyedStep(1, 50, "a1", "b1"))
 	require.Equal(t, []any{accepted, overQuota, accepted, accepted, overQuota}, apply(t, m, 2,
 		keyedJob("j", "a1", 4, 10), keyedJob("k", "a1", 2, 10), keyedJob("l", "a1", 1, 10), keyedJob("j", "b1", 5, 10), keyedJob("k", "b1", 1, 1)))
 }
 
-func TestJobsOfNoTeam(t *testing.T) {
-	m := machine(t, t.TempDir())
+func TestJobsWithoutTeam(t *testing.T) {
+	m := newTestMachine(t, t.TempDir())
 	apply(t, m, 1, tableStep(1, 0), jobStep("before", 1, 1), jobStep("with/slash", 1, 1))
 	open := keyedStep(2, 0, "a1")
 	open.GetReplaceTable().Routes[0].Open = true
@@ -123,20 +123,20 @@
 	apply(t, m, 4, tableStep(3, 0))
 	m.View(func(s *State) {
 		j, admitted := s.Find(nil, "slash")
-		require.NotNil(t, j, "without teams, all jobs are everybody's")
+		require.NotNil(t, j, "without teams, all callers have access to all jobs")
 		require.True(t, admitted)
 	})
 }
 
-// TestRapidTeamsSeeTheirOwnJobs compares many tables, jobs and restarts with an oracle that
-// keeps a list of jobs for each team.
-func TestRapidTeamsSeeTheirOwnJobs(t *testing.T) {
+// TestRapidTeamsSeeOnlyTheirJobs runs random table changes, jobs and restarts and compares the
+// accessible jobs with an oracle that keeps a list of jobs per team.
+func TestRapidTeamsSeeOnlyTheirJobs(t *testing.T) {
 	folders := 0
 	base := t.TempDir()
 	rapid.Check(t, func(t *rapid.T) {
 		folders++
 		folder := fmt.Sprintf("%s/%d", base, folders)
-		m := machine(t, folder)
+		m := newTestMachine(t, folder)
 		version := uint64(0)
 		keys := map[string]bool{}
 		type name struct{ team, id string }
