--- a/control/pkg/dispatch/bench_test.go
+++ b/control/pkg/dispatch/bench_test.go
@@ -8,9 +8,8 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// BenchmarkStep is one decision on a fleet whose places are all taken but for a few, with
-// thousands of items that wait: what a change of the load costs the daemon that decides.
-// Figures before and after in docs/decisions/fleet-scale.md.
+// BenchmarkStep measures one decision after a change of the load, on a fleet with few free slots
+// and thousands of waiting items. Results are in docs/decisions/fleet-scale.md.
 func BenchmarkStep(b *testing.B) {
 	for _, c := range []struct{ runners, items int }{{144, 3_000}, {144, 30_000}, {600, 3_000}, {600, 30_000}} {
 		b.Run(fmt.Sprintf("%d-runners-%d-items", c.runners, c.items), func(b *testing.B) {
@@ -18,25 +17,25 @@
 			var runners []*toucanhingev1.Runner
 			loads := map[string]Load{}
 			for i := range c.runners {
-				r := runnerOf(fmt.Sprintf("r%d", i), 8)
+				r := testRunner(fmt.Sprintf("r%d", i), 8)
 				runners = append(runners, r)
 				loads[r.GetId()] = Load{Online: 5}
 			}
 			for i := range c.items {
-				item := itemOf(fmt.Sprintf("job-%d", i/10), uint32(i%10), clock.Millis(18_000+i/10))
+				item := testItem(fmt.Sprintf("job-%d", i/10), uint32(i%10), clock.Millis(18_000+i/10))
 				item.Tokens = int64(300 + i%97)
 				m.Add(item)
 			}
-			around := around(loads, runners...)
-			around.Services = func(string) []string { return []string{"llm"} }
+			env := testEnvironment(loads, runners...)
+			env.Services = func(string) []string { return []string{"llm"} }
 			now := clock.Millis(0)
-			m.Step(now, around)
+			m.Step(now, env)
 			b.ResetTimer()
 			for i := range b.N {
 				now += 5
 				busy := runners[i/2%len(runners)].GetId()
 				loads[busy] = Load{Online: 6 - i%2}
-				m.Step(now, around)
+				m.Step(now, env)
 			}
 		})
 	}
--- a/control/pkg/dispatch/fill.go
+++ b/control/pkg/dispatch/fill.go
@@ -9,122 +9,123 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// fill starts items at the places that are free.
-func (m *Machine) fill(now clock.Millis, around Surroundings, order order, actions *Actions) {
-	if !m.waits(now) || around.MostStarts != nil && *around.MostStarts == 0 {
+// fill starts waiting items on the free slots.
+func (m *Machine) fill(now clock.Millis, env Environment, order itemOrder, actions *Actions) {
+	if !m.hasStartable(now) || env.MaxStarts != nil && *env.MaxStarts == 0 {
 		return
 	}
-	rooms, free := m.rooms(now, around)
+	slots, free := m.freeSlots(now, env)
 	if free == 0 {
 		return
 	}
-	for _, i := range m.first(now, around, order, rooms) {
-		if around.MostStarts != nil && len(actions.Start) >= *around.MostStarts {
+	for _, i := range m.firstItems(now, env, order, slots) {
+		if env.MaxStarts != nil && len(actions.Start) >= *env.MaxStarts {
 			return
 		}
-		p := rooms.best(around.Services(i.Key.Job))
-		if p == nil {
+		c := slots.best(env.Services(i.Key.Job))
+		if c == nil {
 			continue
 		}
-		p.take()
-		m.unwait(i)
-		i.runner, i.began = p.runner.GetId(), now
+		c.acquire()
+		m.removeWaiting(i)
+		i.runner, i.startedAt = c.runner.GetId(), now
 		i.team.running++
 		m.running[i.runner] = append(m.running[i.runner], i)
-		actions.Start = append(actions.Start, Start{Key: i.Key, Runner: p.runner})
+		actions.Start = append(actions.Start, Start{Key: i.Key, Runner: c.runner})
 	}
 }
 
-// waits says whether any item may begin.
-func (m *Machine) waits(now clock.Millis) bool {
+// hasStartable reports whether any waiting item may be started now.
+func (m *Machine) hasStartable(now clock.Millis) bool {
 	return slices.ContainsFunc(m.waiting, func(i *item) bool { return i.notBefore <= now })
 }
 
-// first lists the waiting items that may get a place, in order. Jobs with the same
-// services compete; of each such group no more are kept than its services have places,
-// so that a decision among thousands of items doesn't sort them all.
-func (m *Machine) first(now clock.Millis, around Surroundings, order order, rooms rooms) []*item {
-	groups := map[string]*front{}
-	ofJob := map[string]*front{}
+// firstItems returns the waiting items that may get a slot, in order. Items of jobs with the same
+// services form a group, and of each group at most as many items are considered as its services
+// have free slots, so that a decision doesn't sort thousands of items.
+func (m *Machine) firstItems(now clock.Millis, env Environment, order itemOrder, slots slotsByService) []*item {
+	groups := map[string]*topItems{}
+	byJob := map[string]*topItems{}
 	for _, i := range m.waiting {
 		if i.notBefore > now {
 			continue
 		}
-		f, known := ofJob[i.Key.Job]
+		top, known := byJob[i.Key.Job]
 		if !known {
-			services := around.Services(i.Key.Job)
+			services := env.Services(i.Key.Job)
 			name := strings.Join(services, " ")
-			if f = groups[name]; f == nil {
-				f = newFront(rooms.free(services), order)
-				groups[name] = f
+			if top = groups[name]; top == nil {
+				top = newTopItems(slots.free(services), order)
+				groups[name] = top
 			}
-			ofJob[i.Key.Job] = f
+			byJob[i.Key.Job] = top
 		}
-		f.offer(i)
+		top.offer(i)
 	}
 	var list []*item
-	for _, f := range groups {
-		list = append(list, f.items.list...)
+	for _, top := range groups {
+		list = append(list, top.items.list...)
 	}
 	slices.SortFunc(list, order.compare)
 	return list
 }
 
-// front keeps the first of the items that are offered, with the last of them on top of a heap.
-type front struct {
-	most  int
-	order order
-	items ordered[*item]
+// topItems collects the first items by order, up to a limit. The last of them is on top of the heap,
+// so that it can be replaced by a better one.
+type topItems struct {
+	limit int
+	order itemOrder
+	items heapOf[*item]
 }
 
-func newFront(most int, order order) *front {
-	return &front{most: most, order: order, items: ordered[*item]{before: func(a, b *item) bool { return order.compare(a, b) > 0 }}}
+func newTopItems(limit int, order itemOrder) *topItems {
+	return &topItems{limit: limit, order: order, items: heapOf[*item]{before: func(a, b *item) bool { return order.compare(a, b) > 0 }}}
 }
 
-func (f *front) offer(i *item) {
+func (t *topItems) offer(i *item) {
 	switch {
-	case f.items.Len() < f.most:
-		heap.Push(&f.items, i)
-	case f.most > 0 && f.order.compare(i, f.items.list[0]) < 0:
-		f.items.list[0] = i
-		heap.Fix(&f.items, 0)
+	case t.items.Len() < t.limit:
+		heap.Push(&t.items, i)
+	case t.limit > 0 && t.order.compare(i, t.items.list[0]) < 0:
+		t.items.list[0] = i
+		heap.Fix(&t.items, 0)
 	}
 }
 
-// place is a runner with the places that are free there.
-type place struct {
+// candidate is a runner with free slots.
+type candidate struct {
 	runner *toucanhingev1.Runner
 	free   int
 	near   bool
-	room   *room
+	slots  *serviceSlots
 }
 
-// take uses one of the places.
-func (p *place) take() {
-	p.free--
-	p.room.free--
-	heap.Fix(&p.room.places, 0)
+// acquire uses one of the free slots.
+func (c *candidate) acquire() {
+	c.free--
+	c.slots.free--
+	heap.Fix(&c.slots.candidates, 0)
 }
 
-func (p *place) before(other *place) bool {
-	if p.free != other.free {
-		return p.free > other.free
+func (c *candidate) before(other *candidate) bool {
+	if c.free != other.free {
+		return c.free > other.free
 	}
-	return p.near && !other.near
+	return c.near && !other.near
 }
 
-// room holds the free places of a service, in a heap with the best one on top: the
-// runner with the most room, a near one if there is as much.
-type room struct {
-	free   int
-	places ordered[*place]
+// serviceSlots holds the free slots of a service. The candidates form a heap with the best one on
+// top: the runner with the most free slots, and among equal ones a near one.
+type serviceSlots struct {
+	free       int
+	candidates heapOf[*candidate]
 }
 
-// rooms are the free places by service.
-type rooms map[string]*room
+// slotsByService holds the free slots by service.
+type slotsByService map[string]*serviceSlots
 
-// free counts the places of some services.
-func (r rooms) free(services []string) int {
+// free returns the number of free slots of the given services.
+func (r slotsByService) free(services []string) int {
 	free := 0
 	for _, s := range services {
 		if r[s] != nil {
@@ -134,45 +135,45 @@
 	return free
 }
 
-// best is the best place of some services, nil if all are taken.
-func (r rooms) best(services []string) *place {
-	var found *place
+// best returns the best candidate of the given services, nil if they have no free slot.
+func (r slotsByService) best(services []string) *candidate {
+	var found *candidate
 	for _, s := range services {
 		if r[s] == nil || r[s].free == 0 {
 			continue
 		}
-		if p := r[s].places.list[0]; found == nil || p.before(found) {
-			found = p
+		if c := r[s].candidates.list[0]; found == nil || c.before(found) {
+			found = c
 		}
 	}
 	return found
 }
 
-// rooms lists the free places, and counts them.
-func (m *Machine) rooms(now clock.Millis, around Surroundings) (rooms, int) {
-	all, free := rooms{}, 0
-	for _, r := range around.Runners {
+// freeSlots returns the free slots by service, and their number.
+func (m *Machine) freeSlots(now clock.Millis, env Environment) (slotsByService, int) {
+	all, free := slotsByService{}, 0
+	for _, r := range env.Runners {
 		if r.GetLeaving() || m.blocked[r.GetId()] > now {
 			continue
 		}
-		load := around.Load(r.GetId())
-		if load.Silent {
+		load := env.Load(r.GetId())
+		if load.Unresponsive {
 			continue
 		}
-		left := int(r.GetSlots()) - load.all() - len(m.running[r.GetId()])
-		if left <= 0 {
+		unused := int(r.GetSlots()) - load.all() - len(m.running[r.GetId()])
+		if unused <= 0 {
 			continue
 		}
 		if all[r.GetService()] == nil {
-			all[r.GetService()] = &room{places: ordered[*place]{before: (*place).before}}
+			all[r.GetService()] = &serviceSlots{candidates: heapOf[*candidate]{before: (*candidate).before}}
 		}
-		at := all[r.GetService()]
-		at.places.Push(&place{runner: r, free: left, near: around.Near(r), room: at})
-		at.free += left
-		free += left
+		slots := all[r.GetService()]
+		slots.candidates.Push(&candidate{runner: r, free: unused, near: env.Near(r), slots: slots})
+		slots.free += unused
+		free += unused
 	}
-	for _, at := range all {
-		heap.Init(&at.places)
+	for _, slots := range all {
+		heap.Init(&slots.candidates)
 	}
 	return all, free
 }
--- a/control/pkg/dispatch/machine.go
+++ b/control/pkg/dispatch/machine.go
@@ -1,13 +1,14 @@
-// Package dispatch decides which batch items run where. The load that it
-// answers: online requests come in bursts that need nearly every place for some
-// seconds and leave most of them free in between, while items run for seconds
-// and are due within some tens of seconds. So items fill every place that online
-// work leaves, at once; they give a place back as soon as online work stands
-// before it, and go on later from their last event; those that can still be in
-// time go first, and when there are more of them than places, those with the least
-// left. A decision costs what changes: on fleets of hundreds of runners with
-// thousands of waiting items it is asked for up to 200 times a second. It holds no
-// goroutine, socket or clock.
+// Package dispatch decides which batch items run on which runners. It is designed for this load:
+// online requests arrive in bursts that need nearly all slots for some seconds and leave most of
+// them free in between, while items run for seconds and have deadlines within some tens of seconds.
+//
+// Items therefore fill all slots that online work leaves free. They yield a slot as soon as online
+// work waits for it, and later resume from their last event. Items that can still meet their
+// deadline go first; under overload, those with the least remaining time go first.
+//
+// The cost of a decision has to depend on what changed: on fleets of hundreds of runners with
+// thousands of waiting items, up to 200 decisions are requested a second. The package has no
+// goroutines, sockets or clocks.
 package dispatch
 
 import (
@@ -17,7 +18,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Key names an item.
+// Key identifies an item.
 type Key struct {
 	Job   string
 	Index uint32
@@ -26,178 +27,188 @@
 // Item is an item to run.
 type Item struct {
 	Key Key
-	// Due is when the result should be there, Expires when it may be given up.
-	Due     clock.Millis
-	Expires clock.Millis
-	// Tokens is its size, of the prompt and the longest answer; 0 if it isn't known.
+	// Deadline is when the result should be available. Expires is when the item is given up.
+	Deadline clock.Millis
+	Expires  clock.Millis
+	// Tokens is the size of the prompt and of the longest possible answer; 0 if unknown.
 	Tokens int64
-	// Team handed it in, empty if none did; Rank is its priority, 0 for the most urgent.
-	Team string
-	Rank uint32
+	// Team is the team that submitted the item; empty if none did. Priority is 0 for the most
+	// urgent items.
+	Team     string
+	Priority uint32
 }
 
-// Load is what other work there is at a runner: online requests and items that
-// another daemon still runs.
+// Load is the other work on a runner: online requests, and items that other daemons still run.
 type Load struct {
 	Online int
 	Batch  int
-	// Foreign work is nobody's here; it ends when it ends.
+	// Foreign is work that no daemon counts, for example that of another system. It can't be stopped
+	// from here.
 	Foreign int
-	// Silent says that a daemon with calls there has heard nothing for too long.
-	Silent bool
+	// Unresponsive reports whether a daemon with calls to the runner has received nothing from it
+	// for too long.
+	Unresponsive bool
 }
 
+// all returns the sum of all other work.
 func (l Load) all() int { return l.Online + l.Batch + l.Foreign }
 
-// Surroundings is what the machine can see when it decides.
-type Surroundings struct {
+// Environment is the input of a decision.
+type Environment struct {
 	Runners []*toucanhingev1.Runner
 	Load    func(runner string) Load
-	// Services lists where the items of a job may run; none if its route is gone.
+	// Services returns the services on which the items of a job may run; none if its route was
+	// removed.
 	Services func(job string) []string
-	// Near says whether a runner is in the same data centre.
+	// Near reports whether a runner is in the same data centre.
 	Near func(*toucanhingev1.Runner) bool
-	// MostStarts bounds the items that begin now; nil for no bound.
-	MostStarts *int
+	// MaxStarts limits the items that are started by the decision; nil means no limit.
+	MaxStarts *int
 }
 
-// Start is an item that begins, or goes on, at a runner.
+// Start is an item to start or resume on a runner.
 type Start struct {
 	Key    Key
 	Runner *toucanhingev1.Runner
 }
 
-// Actions is what a step asks for.
+// Actions is the result of a decision.
 type Actions struct {
 	Start []Start
-	// Pause items: break their calls off, they go on later.
+	// Pause lists the items whose calls have to be stopped, to be resumed later.
 	Pause []Key
-	// GiveUp items that may be given up.
+	// GiveUp lists the items that have expired.
 	GiveUp []Key
 }
 
+// item is an item that waits or runs.
 type item struct {
 	Item
-	order     uint64
+	// sequence is the item's position in the order of arrival.
+	sequence uint64
+	// runner is where the item has run since startedAt; empty while the item waits.
 	runner    string
-	began     clock.Millis
-	ran       clock.Millis
+	startedAt clock.Millis
+	// ranFor is how long the item ran in earlier attempts.
+	ranFor clock.Millis
+	// notBefore is the earliest time of the next start.
 	notBefore clock.Millis
-	// at is its index among the waiting items, -1 while it runs.
-	at int
-	// whole is its expected running time, judged by so many measured runs and one.
-	whole  clock.Millis
-	judged int
-	team   *team
+	// waitIndex is the item's index among the waiting items, -1 while it runs.
+	waitIndex int
+	// estimate caches the expected total run time. estimateVersion is one more than the number of recorded
+	// runs from which it was computed.
+	estimate        clock.Millis
+	estimateVersion int
+	team            *team
 }
 
-// Machine keeps the items that wait or run.
+// Machine is a state machine that holds the waiting and running items and decides which of them run.
 type Machine struct {
 	items map[Key]*item
-	// waiting are the items that don't run, in no order.
+	// waiting holds the items that don't run, in no particular order.
 	waiting []*item
 	// perJob counts the items of each job.
-	perJob  map[string]int
-	teams   map[string]*team
-	order   uint64
-	running map[string][]*item
-	blocked map[string]clock.Millis
-	// expires is when the first item may be given up, at the earliest.
-	expires  clock.Millis
-	measured measured
-	pressure pressure
+	perJob   map[string]int
+	teams    map[string]*team
+	sequence uint64
+	running  map[string][]*item
+	blocked  map[string]clock.Millis
+	// nextExpiry is a lower bound of the time at which the next item expires.
+	nextExpiry clock.Millis
+	runTimes   runTimeModel
+	overload   overload
 }
 
-// New makes an empty machine.
+// New returns an empty machine.
 func New() *Machine {
 	return &Machine{
 		items: map[Key]*item{}, perJob: map[string]int{}, teams: map[string]*team{}, running: map[string][]*item{}, blocked: map[string]clock.Millis{},
-		expires: never,
+		nextExpiry: never,
 	}
 }
 
-// Add takes an item to run.
+// Add adds an item to run. It has no effect if the item is already known.
 func (m *Machine) Add(i Item) {
 	if m.items[i.Key] != nil {
 		return
 	}
-	m.order++
-	added := &item{Item: i, order: m.order, team: m.join(i.Team)}
+	m.sequence++
+	added := &item{Item: i, sequence: m.sequence, team: m.joinTeam(i.Team)}
 	m.items[i.Key] = added
-	m.wait(added)
+	m.addWaiting(added)
 	m.perJob[i.Key.Job]++
-	m.expires = min(m.expires, i.Expires)
+	m.nextExpiry = min(m.nextExpiry, i.Expires)
 }
 
-// Has says whether the item waits or runs.
+// Has reports whether an item waits or runs.
 func (m *Machine) Has(key Key) bool { return m.items[key] != nil }
 
-// Lateness is how long after its due time an item would end now, a span; negative if it is
-// in time.
+// Lateness returns how far an item is past its deadline; negative before the deadline.
 func (m *Machine) Lateness(now clock.Millis, key Key) clock.Millis {
 	if i := m.items[key]; i != nil {
-		return now - i.Due
+		return now - i.Deadline
 	}
 	return 0
 }
 
-// Left is how long an item is expected to run on, a span.
-func (m *Machine) Left(now clock.Millis, key Key) clock.Millis {
+// Remaining returns the expected remaining run time of an item.
+func (m *Machine) Remaining(now clock.Millis, key Key) clock.Millis {
 	if i := m.items[key]; i != nil {
-		return m.measured.left(now, i)
+		return m.runTimes.remaining(now, i)
 	}
 	return 0
 }
 
-// Drop forgets an item, and says whether it ran.
+// Drop removes an item and reports whether it was running.
 func (m *Machine) Drop(key Key) bool {
 	i := m.items[key]
 	if i == nil {
 		return false
 	}
 	ran := i.runner != ""
-	m.forget(i)
+	m.remove(i)
 	return ran
 }
 
-func (m *Machine) forget(i *item) {
-	m.leave(i)
-	m.unwait(i)
+// remove removes an item.
+func (m *Machine) remove(i *item) {
+	m.unassign(i)
+	m.removeWaiting(i)
 	delete(m.items, i.Key)
-	m.part(i.team)
+	m.leaveTeam(i.team)
 	m.perJob[i.Key.Job]--
 	if m.perJob[i.Key.Job] == 0 {
 		delete(m.perJob, i.Key.Job)
 	}
 }
 
-// Finished notes that an item ran to its end, and forgets it.
+// Finished records the run time of an item that ran to its end, and removes the item.
 func (m *Machine) Finished(now clock.Millis, key Key) {
 	if i := m.items[key]; i != nil {
-		m.measured.note(i, i.ran+now-i.began)
+		m.runTimes.record(i, i.ranFor+now-i.startedAt)
 	}
 	m.Drop(key)
 }
 
-// Stopped notes that an item's call ended early. It waits again, at the earliest
-// after the pause.
-func (m *Machine) Stopped(now clock.Millis, key Key, pause clock.Millis) {
+// Stopped records that an item's call ended early. The item waits again and is not restarted
+// before the backoff is over.
+func (m *Machine) Stopped(now clock.Millis, key Key, backoff clock.Millis) {
 	i := m.items[key]
 	if i == nil || i.runner == "" {
 		return
 	}
-	i.ran += now - i.began
-	i.notBefore = now + pause
-	m.leave(i)
+	i.ranFor += now - i.startedAt
+	i.notBefore = now + backoff
+	m.unassign(i)
 }
 
-// Block keeps new items off a runner until a time: it refused one, or can't be
-// reached.
+// Block excludes a runner that refused an item or can't be reached from new items until the given
+// time.
 func (m *Machine) Block(runner string, until clock.Millis) {
 	m.blocked[runner] = max(m.blocked[runner], until)
 }
 
-// Jobs lists the jobs that have items here.
+// Jobs returns the jobs with items that wait or run.
 func (m *Machine) Jobs() []string {
 	jobs := make([]string, 0, len(m.perJob))
 	for job := range m.perJob {
@@ -206,15 +217,16 @@
 	return jobs
 }
 
-// Counts are the items that wait and that run.
+// Counts returns the numbers of waiting and running items.
 func (m *Machine) Counts() (waiting, running int) {
 	return len(m.waiting), len(m.items) - len(m.waiting)
 }
 
-// Pressed says whether more items wait than can be in time.
-func (m *Machine) Pressed() bool { return m.pressure.pressed }
+// Overloaded reports whether more items wait than can meet their deadlines.
+func (m *Machine) Overloaded() bool { return m.overload.active }
 
-func (m *Machine) leave(i *item) {
+// unassign moves a running item back to the waiting items.
+func (m *Machine) unassign(i *item) {
 	if i.runner == "" {
 		return
 	}
@@ -224,83 +236,85 @@
 	}
 	i.runner = ""
 	i.team.running--
-	m.wait(i)
+	m.addWaiting(i)
 }
 
-func (m *Machine) wait(i *item) {
-	i.at = len(m.waiting)
+// addWaiting adds an item to the waiting items.
+func (m *Machine) addWaiting(i *item) {
+	i.waitIndex = len(m.waiting)
 	m.waiting = append(m.waiting, i)
 }
 
-// unwait takes an item out of those that wait; the last one takes its index.
-func (m *Machine) unwait(i *item) {
+// removeWaiting removes an item from the waiting items and moves the last one to its index.
+func (m *Machine) removeWaiting(i *item) {
 	last := len(m.waiting) - 1
 	moved := m.waiting[last]
-	m.waiting[i.at], moved.at = moved, i.at
+	m.waiting[i.waitIndex], moved.waitIndex = moved, i.waitIndex
 	m.waiting[last] = nil
 	m.waiting = m.waiting[:last]
-	i.at = -1
+	i.waitIndex = -1
 }
 
-// Step decides.
-func (m *Machine) Step(now clock.Millis, around Surroundings) Actions {
+// Step makes a full decision.
+func (m *Machine) Step(now clock.Millis, env Environment) Actions {
 	var actions Actions
 	m.expire(now, &actions)
-	if m.pressure.due(now) {
-		m.pressure.look(now, m, around)
+	if m.overload.checkDue(now) {
+		m.overload.check(now, m, env)
 	}
-	m.share()
+	m.updateTeamDelays()
 	order := m.orderAt(now)
-	for _, r := range around.Runners {
-		m.yield(now, r, around, order, &actions)
+	for _, r := range env.Runners {
+		m.yield(now, r, env, order, &actions)
 	}
-	m.fill(now, around, order, &actions)
+	m.fill(now, env, order, &actions)
 	return actions
 }
 
-// Yield decides only which items give way at some runners; Step decides that for all.
-func (m *Machine) Yield(now clock.Millis, runners []*toucanhingev1.Runner, around Surroundings) Actions {
+// Yield decides only which items yield on the given runners. Step includes this for all runners.
+func (m *Machine) Yield(now clock.Millis, runners []*toucanhingev1.Runner, env Environment) Actions {
 	var actions Actions
 	order := m.orderAt(now)
 	for _, r := range runners {
-		m.yield(now, r, around, order, &actions)
+		m.yield(now, r, env, order, &actions)
 	}
 	return actions
 }
 
+// expire removes the expired items.
 func (m *Machine) expire(now clock.Millis, actions *Actions) {
-	if now < m.expires {
+	if now < m.nextExpiry {
 		return
 	}
-	m.expires = never
+	m.nextExpiry = never
 	for key, i := range m.items {
 		if now < i.Expires {
-			m.expires = min(m.expires, i.Expires)
+			m.nextExpiry = min(m.nextExpiry, i.Expires)
 			continue
 		}
 		actions.GiveUp = append(actions.GiveUp, key)
-		m.forget(i)
+		m.remove(i)
 	}
 }
 
-// yield pauses items while a runner has more work than places. Engines run what
-// they get in the order of arrival, so an online request would else wait for an
-// item's end, seconds later. The items that would be started last give way.
-func (m *Machine) yield(now clock.Millis, r *toucanhingev1.Runner, around Surroundings, order order, actions *Actions) {
-	mine := m.running[r.GetId()]
-	if len(mine) == 0 {
+// yield pauses items on a runner with more work than slots. Engines run requests in the order of
+// arrival, so that an online request would otherwise wait seconds for the end of an item. The items
+// that would be started last yield first.
+func (m *Machine) yield(now clock.Millis, r *toucanhingev1.Runner, env Environment, order itemOrder, actions *Actions) {
+	running := m.running[r.GetId()]
+	if len(running) == 0 {
 		return
 	}
-	load := around.Load(r.GetId())
-	over := min(load.all()+len(mine)-int(r.GetSlots()), len(mine))
-	if over <= 0 {
+	load := env.Load(r.GetId())
+	excess := min(load.all()+len(running)-int(r.GetSlots()), len(running))
+	if excess <= 0 {
 		return
 	}
-	patient := slices.Clone(mine)
-	slices.SortFunc(patient, func(a, b *item) int { return order.compare(b, a) })
-	for _, i := range patient[:over] {
-		i.ran += now - i.began
-		m.leave(i)
+	lastFirst := slices.Clone(running)
+	slices.SortFunc(lastFirst, func(a, b *item) int { return order.compare(b, a) })
+	for _, i := range lastFirst[:excess] {
+		i.ranFor += now - i.startedAt
+		m.unassign(i)
 		actions.Pause = append(actions.Pause, i.Key)
 	}
 }
--- a/control/pkg/dispatch/order.go
+++ b/control/pkg/dispatch/order.go
@@ -7,42 +7,45 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// never is later than any moment.
+// never is later than any other time.
 const never clock.Millis = math.MaxInt64
 
-// order says which item goes first.
-type order struct {
+// itemOrder is the order in which waiting items are started at a given time.
+type itemOrder struct {
 	now      clock.Millis
-	measured *measured
-	// shortest says that those with the least left go first.
-	shortest bool
+	runTimes *runTimeModel
+	// shortestFirst puts the items with the least remaining run time first.
+	shortestFirst bool
 }
 
-func (m *Machine) orderAt(now clock.Millis) order {
-	return order{now: now, measured: &m.measured, shortest: m.pressure.pressed}
+// orderAt returns the order of items at the given time.
+func (m *Machine) orderAt(now clock.Millis) itemOrder {
+	return itemOrder{now: now, runTimes: &m.runTimes, shortestFirst: m.overload.active}
 }
 
-// compare puts the items that can still be in time before the late ones: under overload
-// the other way round each place would go to an item that is late already, and all would be.
+// compare puts items that can still meet their deadline before late ones. In the reverse order,
+// each slot would go to an item that is already late under overload, and all items would be late.
 //
-// Among them, while all can be done, the one goes first that must begin first to be in time:
-// by when they are due, long items began too late (see TestLongItemsBeginSooner). When not
-// all can be done that order loses most, since every item gets a little of each place and
-// all end late; then the one with the least left goes first (see TestAFleetWithTooManyItems).
-func (o order) compare(a, b *item) int {
-	leftA, leftB := o.measured.left(o.now, a), o.measured.left(o.now, b)
-	latestA, latestB := a.Due-leftA, b.Due-leftB
+// Among these items, the one that has to start first to meet its deadline goes first as long as
+// all items can be done. Ordered by deadline alone, long items started too late (see
+// TestLongItemsStartSooner). Under overload that order misses most deadlines, because every item
+// gets a small part of the slots and all end late. The item with the least remaining run time then
+// goes first; the tests with too many items in lab/pkg/replay cover this.
+func (o itemOrder) compare(a, b *item) int {
+	remainingA, remainingB := o.runTimes.remaining(o.now, a), o.runTimes.remaining(o.now, b)
+	latestA, latestB := a.Deadline-remainingA, b.Deadline-remainingB
 	if byLate := compareBool(o.now > latestA, o.now > latestB); byLate != 0 {
 		return byLate
 	}
-	if o.shortest {
-		if byLeft := cmp.Compare(leftA+a.shift(), leftB+b.shift()); byLeft != 0 {
-			return byLeft
+	if o.shortestFirst {
+		if byRemaining := cmp.Compare(remainingA+a.delay(), remainingB+b.delay()); byRemaining != 0 {
+			return byRemaining
 		}
 	}
-	return cmp.Or(cmp.Compare(latestA+a.shift(), latestB+b.shift()), cmp.Compare(a.order, b.order))
+	return cmp.Or(cmp.Compare(latestA+a.delay(), latestB+b.delay()), cmp.Compare(a.sequence, b.sequence))
 }
 
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
--- a/control/pkg/dispatch/team.go
+++ b/control/pkg/dispatch/team.go
@@ -3,29 +3,30 @@
 import "toucanhinge.example/common/pkg/clock"
 
 const (
-	// rankSpan is how much later an item goes for each rank below the most urgent, a span. It is
-	// bounded, so that no team waits for ever behind more urgent ones.
-	rankSpan clock.Millis = 2_000
-	// manyTimes the mean number of running items of a team, and leastMany, is what a team may
-	// have before its further items go later: by manySpan for each such number more. Jobs come
-	// in lumps of some ten items, which are no reason.
-	manyTimes              = 2
-	leastMany              = 10
-	manySpan  clock.Millis = 20_000
+	// priorityDelay is how much later an item is ordered for each priority level below the most
+	// urgent. The delay is finite, so that no team is starved by more urgent ones.
+	priorityDelay clock.Millis = 2_000
+	// A team may have shareFactor times the teams' mean number of running items, plus baseShare,
+	// before its further items are delayed by excessDelay for each multiple of that number. Jobs
+	// often arrive as some ten items at a time, which must not cause a delay.
+	shareFactor              = 2
+	baseShare                = 10
+	excessDelay clock.Millis = 20_000
 )
 
-// team is who handed items in. One that hands in many times what others do gets the places that
-// these leave: else its items, all due at the same time, would go before those that come a few
-// seconds later, and make all of them late.
+// team is a team with items. A team that submits many times the items of others gets only the slots
+// that the others leave free. Otherwise its items, all with the same deadline, would run before
+// items that arrive a few seconds later and make all of these late.
 type team struct {
 	name    string
 	items   int
 	running int
-	// shift is how much later the team's items go now, a span.
-	shift clock.Millis
+	// delay is how much later the team's items are currently ordered.
+	delay clock.Millis
 }
 
-func (m *Machine) join(name string) *team {
+// joinTeam returns the team with the given name and counts an item of it.
+func (m *Machine) joinTeam(name string) *team {
 	t := m.teams[name]
 	if t == nil {
 		t = &team{name: name}
@@ -35,24 +36,25 @@
 	return t
 }
 
-func (m *Machine) part(t *team) {
+// leaveTeam counts an item of the team as removed.
+func (m *Machine) leaveTeam(t *team) {
 	t.items--
 	if t.items == 0 {
 		delete(m.teams, t.name)
 	}
 }
 
-// share works out who has many times what others have.
-func (m *Machine) share() {
+// updateTeamDelays delays the teams that have many times the running items of others.
+func (m *Machine) updateTeamDelays() {
 	if len(m.teams) == 0 {
 		return
 	}
 	running := len(m.items) - len(m.waiting)
-	most := manyTimes*float64(running)/float64(len(m.teams)) + leastMany
+	fairShare := shareFactor*float64(running)/float64(len(m.teams)) + baseShare
 	for _, t := range m.teams {
-		t.shift = clock.Millis(max(float64(t.running)/most-1, 0) * float64(manySpan))
+		t.delay = clock.Millis(max(float64(t.running)/fairShare-1, 0) * float64(excessDelay))
 	}
 }
 
-// shift is how much later the item goes than its time says, a span.
-func (i *item) shift() clock.Millis { return i.team.shift + clock.Millis(i.Rank)*rankSpan }
+// delay returns how much later the item is ordered because of its team and priority.
+func (i *item) delay() clock.Millis { return i.team.delay + clock.Millis(i.Priority)*priorityDelay }
