--- a/control/pkg/consensus/actions.go
+++ b/control/pkg/consensus/actions.go
@@ -1,8 +1,8 @@
 package consensus
 
-// HardState is what a replica must remember over a restart beside its log.
-// Vote is the identity of the candidate that got this term's vote: a name would
-// let a candidate that lost its disk ask twice.
+// HardState is the state that a replica must persist in addition to its log. Vote is the
+// identity of the candidate that received the vote of this term: with a name, a candidate
+// that lost its disk could request a second vote.
 type HardState struct {
 	Term uint64
 	Vote string
@@ -14,9 +14,9 @@
 	Term  uint64
 }
 
-// Persist is to be written and synced, in the order of Sequence, and answered by
-// Synced. Entries replace whatever the log holds from the first one's index on.
-// With Reset the whole log goes first and starts anew after that base.
+// Persist must be written and synced in the order of Sequence, and be confirmed by
+// Synced. Entries replace the entries of the log from the first one's index on. If Reset
+// is set, the whole log is removed first and starts again after that base.
 type Persist struct {
 	Sequence uint64
 	State    HardState
@@ -24,40 +24,40 @@
 	Entries  []Entry
 }
 
-// Reason tells why something was refused. What is refused wasn't appended.
+// Reason is why an event was refused. A refused proposal or change wasn't appended.
 type Reason string
 
 const (
-	// ReasonNotLeader is also given while a handover is under way.
+	// ReasonNotLeader also applies while a leadership transfer is in progress.
 	ReasonNotLeader Reason = "not_leader"
-	// ReasonOverloaded tells that too much waits to be committed.
+	// ReasonOverloaded means that too many bytes wait to be committed.
 	ReasonOverloaded Reason = "overloaded"
-	// ReasonChangePending tells that an earlier change isn't committed, or that
-	// the leader has committed nothing in its own term yet.
+	// ReasonChangePending means that an earlier change isn't committed, or that the
+	// leader hasn't committed an entry of its own term yet.
 	ReasonChangePending Reason = "change_pending"
-	// ReasonLearnerBehind tells that the learner lacks committed entries.
+	// ReasonLearnerBehind means that the learner lacks committed entries.
 	ReasonLearnerBehind Reason = "learner_behind"
-	// ReasonMemberExists tells that the name is taken.
+	// ReasonMemberExists means that the name is already in use.
 	ReasonMemberExists Reason = "member_exists"
-	// ReasonMemberUnknown tells that no such member, or learner, exists.
+	// ReasonMemberUnknown means that no such member, or no such learner, exists.
 	ReasonMemberUnknown Reason = "member_unknown"
-	// ReasonIsLeader tells that the leader can't be removed before a handover.
+	// ReasonIsLeader means that the leader can't be removed before a leadership transfer.
 	ReasonIsLeader Reason = "is_leader"
-	// ReasonNoTarget tells that no other voter could take over.
+	// ReasonNoTarget means that no other voter took over the leadership.
 	ReasonNoTarget Reason = "no_target"
 )
 
-// Refused answers the event of this ID: it had no effect.
+// Refused answers the event with this ID. The event had no effect.
 type Refused struct {
 	ID     uint64
 	Reason Reason
 }
 
-// HandedOver tells that the leader gave up its place after the target of this
-// Handover had been told to campaign.
-type HandedOver struct{ ID uint64 }
+// LeadershipTransferred reports that the leader stepped down after it had sent
+// KindCampaign to the target of the TransferLeadership with this ID.
+type LeadershipTransferred struct{ ID uint64 }
 
-// Accepted tells where the proposal or change of this ID stands in the log. It
+// Accepted is the position in the log of the proposal or change with this ID. The command
 // is committed if the entry at Index is delivered with this Term.
 type Accepted struct {
 	ID    uint64
@@ -65,27 +65,28 @@
 	Term  uint64
 }
 
-// ReadConfirmed tells that a read that sees all entries up to Index is current.
+// ReadConfirmed reports that a read that reflects all entries up to Index is current.
 type ReadConfirmed struct {
 	ID    uint64
 	Index uint64
 }
 
-// InstallSnapshot asks for the latest checkpoint to be sent to a member whose
-// next entries are no longer in the log. SnapshotSent answers.
+// InstallSnapshot requests that the latest checkpoint be sent to a member whose next
+// entries are no longer in the log. SnapshotSent reports the result.
 type InstallSnapshot struct{ To Member }
 
-// Actions is what one Step asks for. Messages may be sent at once: what depends
-// on a sync is held back in the machine until Synced.
+// Actions is the output of one Step. Messages may be sent at once: the machine withholds
+// a message that depends on a sync until it receives Synced.
 type Actions struct {
-	Persist   *Persist
-	Messages  []Message
-	Committed []Entry
-	Accepted  []Accepted
-	Refused   []Refused
-	Reads     []ReadConfirmed
-	Handed    []HandedOver
-	Snapshots []InstallSnapshot
-	// DropBefore, if not 0, lets files go whose entries are all at or below it.
+	Persist     *Persist
+	Messages    []Message
+	Committed   []Entry
+	Accepted    []Accepted
+	Refused     []Refused
+	Reads       []ReadConfirmed
+	Transferred []LeadershipTransferred
+	Snapshots   []InstallSnapshot
+	// DropBefore, if not 0, allows the removal of log files whose entries all are at or
+	// below this index.
 	DropBefore uint64
 }
--- a/control/pkg/consensus/change.go
+++ b/control/pkg/consensus/change.go
@@ -2,13 +2,13 @@
 
 import "toucanhinge.example/common/pkg/clock"
 
-// changeMembers appends a membership that differs by one member, so that every
-// majority before and after share a replica. A second change waits until the
-// first is committed, and the first of a term until an entry of that term is:
-// else two leaders could build on different memberships whose majorities are
-// disjoint.
+// changeMembers appends a membership that differs by one member, so that every majority
+// before the change shares a replica with every majority after it. A second change waits
+// until the first is committed, and the first change of a term until an entry of that
+// term is committed. Otherwise two leaders could build on different memberships whose
+// majorities are disjoint.
 func (m *Machine) changeMembers(e ChangeMembers) {
-	if m.role != RoleLeader || m.leading.handover.target != "" {
+	if m.role != RoleLeader || m.leaderState.transfer.target != "" {
 		m.refuse(e.ID, ReasonNotLeader)
 		return
 	}
@@ -17,7 +17,7 @@
 		m.refuse(e.ID, ReasonChangePending)
 		return
 	}
-	members, reason := m.changed(e)
+	members, reason := m.changedMembers(e)
 	if reason != "" {
 		m.refuse(e.ID, reason)
 		return
@@ -29,7 +29,7 @@
 	m.broadcast()
 }
 
-func (m *Machine) changed(e ChangeMembers) (Members, Reason) {
+func (m *Machine) changedMembers(e ChangeMembers) (Members, Reason) {
 	current := m.members()
 	found, exists := current.Find(e.Member.Name)
 	rest := current.without(e.Member.Name)
@@ -45,9 +45,9 @@
 		if !exists || found.Voter {
 			return nil, ReasonMemberUnknown
 		}
-		// A newcomer that lacks entries would count towards a majority while
-		// the loss of one more replica already loses what it lacks.
-		if m.leading.progress[found.Name].match < m.commit {
+		// A learner that lacks entries would count towards a majority as a voter. The
+		// loss of one more replica could then lose these entries.
+		if m.leaderState.progress[found.Name].match < m.commit {
 			return nil, ReasonLearnerBehind
 		}
 		found.Voter = true
@@ -63,23 +63,23 @@
 	}
 }
 
-// handover is a change of leader that the leader itself began.
-type handover struct {
-	id     uint64
-	target string
-	until  clock.Millis
-	told   bool
+// leadershipTransfer is a change of leader that the leader itself initiated.
+type leadershipTransfer struct {
+	id           uint64
+	target       string
+	deadline     clock.Millis
+	campaignSent bool
 }
 
-// startHandover picks the voter that lacks least and takes no new proposals
-// until it has taken over, or an election timeout has passed.
-func (m *Machine) startHandover(id uint64) {
-	if m.role != RoleLeader || m.leading.handover.target != "" {
+// startTransfer selects the live voter that lacks the fewest entries, and refuses new
+// proposals until that voter leads or an election timeout has passed.
+func (m *Machine) startTransfer(id uint64) {
+	if m.role != RoleLeader || m.leaderState.transfer.target != "" {
 		m.refuse(id, ReasonNotLeader)
 		return
 	}
 	var best *progress
-	m.others(func(p *progress) {
+	m.forEachPeer(func(p *progress) {
 		if p.member.Voter && m.isLive(p) && (best == nil || p.match > best.match) {
 			best = p
 		}
@@ -88,24 +88,26 @@
 		m.refuse(id, ReasonNoTarget)
 		return
 	}
-	m.leading.handover = handover{id: id, target: best.member.Name, until: m.now + m.config.ElectionTimeout}
-	m.advanceHandover(best)
+	m.leaderState.transfer = leadershipTransfer{
+		id: id, target: best.member.Name, deadline: m.now + m.config.ElectionTimeout,
+	}
+	m.advanceTransfer(best)
 }
 
-// advanceHandover tells the target to campaign once it holds the whole log.
-func (m *Machine) advanceHandover(p *progress) {
-	h := &m.leading.handover
-	if h.target != p.member.Name || h.told || p.match < m.log.last() {
+// advanceTransfer makes the target campaign once it has the whole log.
+func (m *Machine) advanceTransfer(p *progress) {
+	t := &m.leaderState.transfer
+	if t.target != p.member.Name || t.campaignSent || p.match < m.log.last() {
 		return
 	}
-	h.told = true
+	t.campaignSent = true
 	m.send(p.member, Message{Kind: KindCampaign})
 }
 
-func (m *Machine) tickHandover() {
-	h := m.leading.handover
-	if h.target != "" && m.now >= h.until {
-		m.leading.handover = handover{}
-		m.refuse(h.id, ReasonNoTarget)
+func (m *Machine) expireTransfer() {
+	t := m.leaderState.transfer
+	if t.target != "" && m.now >= t.deadline {
+		m.leaderState.transfer = leadershipTransfer{}
+		m.refuse(t.id, ReasonNoTarget)
 	}
 }
--- a/control/pkg/consensus/compact.go
+++ b/control/pkg/consensus/compact.go
@@ -1,10 +1,10 @@
 package consensus
 
-// lagFactor is how many times KeepBytes may be kept for a member that lags.
+// lagFactor times KeepBytes is the most that is retained for a member that lags.
 const lagFactor = 8
 
 func (m *Machine) compact(e Compact) {
-	index := m.keepAfter(e)
+	index := m.compactionIndex(e)
 	if index <= m.log.base.Index {
 		return
 	}
@@ -13,23 +13,23 @@
 	m.out.DropBefore = index
 }
 
-// keepAfter picks the last entry to drop. Dropping what a live member is about to
-// be sent would make it need a snapshot, and under load another one as soon as
-// the first has arrived, for ever.
-func (m *Machine) keepAfter(e Compact) uint64 {
+// compactionIndex returns the index of the last entry to drop. If the entries that a live
+// member is about to be sent were dropped, the member would need a snapshot, and under
+// load another one as soon as the first has arrived, without end.
+func (m *Machine) compactionIndex(e Compact) uint64 {
 	index := min(e.Index, m.delivered)
 	needed := index
-	m.others(func(p *progress) {
+	m.forEachPeer(func(p *progress) {
 		if m.isLive(p) {
 			needed = min(needed, p.match)
 		}
 	})
-	kept, bytes := uint64(0), 0
+	retained, bytes := uint64(0), 0
 	for index > m.log.base.Index {
-		kept++
+		retained++
 		bytes += len(m.log.entries[index-m.log.base.Index-1].Data)
-		wanted := kept <= e.KeepEntries && bytes <= e.KeepBytes
-		if !wanted && (index <= needed || bytes > lagFactor*e.KeepBytes) {
+		retain := retained <= e.KeepEntries && bytes <= e.KeepBytes
+		if !retain && (index <= needed || bytes > lagFactor*e.KeepBytes) {
 			break
 		}
 		index--
--- a/control/pkg/consensus/config.go
+++ b/control/pkg/consensus/config.go
@@ -2,63 +2,65 @@
 
 import "toucanhinge.example/common/pkg/clock"
 
-// Config sets up a machine..
+// Config configures a Machine.
 type Config struct {
 	Name     string
 	Identity string
-	// HeartbeatEvery is the leader's interval between heartbeats.
-	HeartbeatEvery clock.Millis
-	// ElectionTimeout is the least silence before an election. The greatest is
-	// just under twice as much.
+	// HeartbeatInterval is the time between two heartbeats of the leader.
+	HeartbeatInterval clock.Millis
+	// ElectionTimeout is the shortest time without contact to a leader after which a
+	// replica starts an election. The random maximum is just under twice as long.
 	ElectionTimeout clock.Millis
-	// FirstElection is the greatest time after a start at which a replica that was
-	// a member before asks for the first time whether it could win an election. If
-	// a leader is at work, the others say no and nothing happens; if all have lost
-	// power, the one that completes a majority needn't wait for a timeout.
-	FirstElection clock.Millis
-	// Jitter returns a number from 0 to below n.
+	// MaxFirstElectionDelay is the longest time after a start at which a replica that was
+	// a member before sends its first pre-vote requests. If there is a leader, the other
+	// members refuse and nothing changes. If all members lost power, the replica that
+	// completes a majority doesn't have to wait for an election timeout.
+	MaxFirstElectionDelay clock.Millis
+	// Jitter returns a random number from 0 to below n.
 	Jitter func(n clock.Millis) clock.Millis
-	// MaxBatchBytes bounds the entries of one append.
+	// MaxBatchBytes limits the size of the entries in one append message.
 	MaxBatchBytes int
-	// MaxInflight bounds the entries sent to a member and not yet answered.
+	// MaxInflight limits the number of entries sent to a member and not yet acknowledged.
 	MaxInflight uint64
-	// MaxInflightBytes bounds the same by size.
+	// MaxInflightBytes limits the size of the entries sent to a member and not yet
+	// acknowledged.
 	MaxInflightBytes int
-	// MaxUncommittedBytes bounds what the leader takes before it commits.
+	// MaxUncommittedBytes limits the size of the uncommitted entries that the leader
+	// accepts.
 	MaxUncommittedBytes int
 }
 
-// Restored is what a replica found on its disk.
+// Restored is the state that a replica read from its disk at start.
 type Restored struct {
 	State HardState
-	// Base is the entry before the first of Entries; BaseMembers is the
-	// membership as of Applied.
+	// Base is the entry before the first one of Entries.
 	Base    Base
 	Entries []Entry
-	// Applied is the last entry that the restored state covers.
+	// Applied is the index of the last entry that the restored state machine covers.
+	// AppliedMembers is the membership as of that entry.
 	Applied        uint64
 	AppliedMembers Members
 }
 
 const (
-	defaultHeartbeat      = 100
-	defaultElection       = 400
-	defaultFirstElection  = 60
-	defaultBatchBytes     = 1 << 20
-	defaultInflight       = 4096
-	defaultInflightBytes  = 4 << 20
-	defaultUncommittedMax = 64 << 20
+	defaultHeartbeat             = 100
+	defaultElection              = 400
+	defaultMaxFirstElectionDelay = 60
+	defaultBatchBytes            = 1 << 20
+	defaultInflight              = 4096
+	defaultInflightBytes         = 4 << 20
+	defaultMaxUncommittedBytes   = 64 << 20
 )
 
 func (c Config) withDefaults() Config {
-	if c.HeartbeatEvery == 0 {
-		c.HeartbeatEvery = defaultHeartbeat
+	if c.HeartbeatInterval == 0 {
+		c.HeartbeatInterval = defaultHeartbeat
 	}
 	if c.ElectionTimeout == 0 {
 		c.ElectionTimeout = defaultElection
 	}
-	if c.FirstElection == 0 {
-		c.FirstElection = defaultFirstElection
+	if c.MaxFirstElectionDelay == 0 {
+		c.MaxFirstElectionDelay = defaultMaxFirstElectionDelay
 	}
 	if c.MaxBatchBytes == 0 {
 		c.MaxBatchBytes = defaultBatchBytes
@@ -70,7 +72,7 @@
 		c.MaxInflightBytes = defaultInflightBytes
 	}
 	if c.MaxUncommittedBytes == 0 {
-		c.MaxUncommittedBytes = defaultUncommittedMax
+		c.MaxUncommittedBytes = defaultMaxUncommittedBytes
 	}
 	return c
 }
--- a/control/pkg/consensus/doc.go
+++ b/control/pkg/consensus/doc.go
@@ -1,6 +1,6 @@
-// Package consensus decides what the replicas of one group agree on: a
-// replicated log with elected leaders in the manner of Raft, as a deterministic
-// machine. Step takes the time and one event and returns what is to be done; the
-// package holds no goroutine, socket, file, wall clock or global randomness, so
-// that the same machine runs in the process and under the fuzzing tests.
+// Package consensus implements a replicated log with elected leaders in the manner
+// of Raft. The replicas of a group run it as a deterministic state machine: Step
+// takes the time and one event and returns the actions to execute. The package uses
+// no goroutines, sockets, files, wall clock or global randomness, so that the same
+// machine runs in production and under the fuzz tests.
 package consensus
--- a/control/pkg/consensus/election.go
+++ b/control/pkg/consensus/election.go
@@ -1,26 +1,27 @@
 package consensus
 
-// retryPart is the part of the election timeout within which a lost election is
-// tried again. A try takes some 10 ms with the syncs, so two rarely meet again.
-const retryPart = 2
+// retryDivisor divides the election timeout. A lost election is retried within the
+// result. An attempt takes some 10 ms with the syncs, so two attempts rarely collide
+// again.
+const retryDivisor = 2
 
-// hearsLeader says whether a leader is known to be at work. While it is, votes
-// are refused without taking over the asker's term: a replica that was removed
-// or cut off would else depose a leader that serves everybody else. The time is
-// a heartbeat short of the election timeout: whoever misses the leader first
-// would often be refused by one that heard it a moment later, and the election
-// would take another timeout.
-func (m *Machine) hearsLeader() bool {
+// hasLiveLeader reports whether a leader is known to be alive. While it is, vote requests
+// are refused without entering their term: a replica that was removed or cut off could
+// otherwise depose a leader that serves all other replicas. The limit is one heartbeat
+// interval below the leader timeout: the first replica to miss the leader would otherwise
+// often be refused by a replica that received a heartbeat slightly later, and the
+// election would take another timeout.
+func (m *Machine) hasLiveLeader() bool {
 	if m.role == RoleLeader {
 		return true
 	}
-	return m.leader != "" && m.now-m.leaderContact < m.patience.span()-m.config.HeartbeatEvery
+	return m.leader != "" && m.now-m.lastLeaderContact < m.leaderTimeout.value()-m.config.HeartbeatInterval
 }
 
-// preCampaign asks whether an election could be won, without entering a new
-// term. A replica that was cut off would otherwise come back with a high term
-// and force the others into an election.
-func (m *Machine) preCampaign() {
+// startPreVote queries whether an election could be won, without entering a new term. A
+// replica that was cut off would otherwise return with a high term and force the others
+// into an election.
+func (m *Machine) startPreVote() {
 	m.resetElection()
 	self, ok := m.self()
 	if !ok || !self.Voter {
@@ -29,12 +30,12 @@
 	m.role = RolePreCandidate
 	m.leader = ""
 	m.votes = map[string]bool{self.Name: true}
-	m.askVotes(KindPreVote, m.state.Term+1)
+	m.requestVotes(KindPreVote, m.state.Term+1)
 	m.tally()
 }
 
-// campaign enters a new term and asks for votes. They go out, and the own vote
-// counts, only once the term and vote are synced.
+// campaign enters a new term and requests votes. The requests are sent, and the replica's
+// own vote counts, only once the term and the vote are synced.
 func (m *Machine) campaign(kind Kind) {
 	self, ok := m.self()
 	if !ok || !self.Voter || m.role == RoleLeader {
@@ -46,32 +47,32 @@
 	m.leader = ""
 	m.votes = map[string]bool{}
 	m.resetElection()
-	m.askVotes(kind, m.state.Term)
+	m.requestVotes(kind, m.state.Term)
 }
 
-func (m *Machine) askVotes(kind Kind, term uint64) {
+func (m *Machine) requestVotes(kind Kind, term uint64) {
 	for _, p := range m.members() {
 		if p.Voter && p.Name != m.config.Name {
-			m.sendSynced(p, Message{Kind: kind, Term: term, Index: m.log.last(), LogTerm: m.log.lastTerm()})
+			m.sendAfterSync(p, Message{Kind: kind, Term: term, Index: m.log.last(), LogTerm: m.log.lastTerm()})
 		}
 	}
 }
 
 func (m *Machine) onPreVote(msg Message) {
-	granted := msg.Term > m.state.Term && !m.hearsLeader() && m.upToDate(msg)
-	answer := Message{Kind: KindPreVoteAnswer, Reject: !granted}
+	granted := msg.Term > m.state.Term && !m.hasLiveLeader() && m.upToDate(msg)
+	response := Message{Kind: KindPreVoteResponse, Reject: !granted}
 	if granted {
-		answer.Term = msg.Term
+		response.Term = msg.Term
 	}
-	m.sendSynced(Member{Name: msg.From, Identity: msg.FromIdentity}, answer)
+	m.sendAfterSync(Member{Name: msg.From, Identity: msg.FromIdentity}, response)
 }
 
-// onVote gives at most one vote in a term, to a log that holds at least what
-// this one holds. A learner votes too when it is asked: the asker's log may hold
-// a promotion that hasn't arrived here.
+// onVote grants at most one vote per term, to a candidate whose log is at least as
+// complete as the log of this replica. A learner also votes on request: the candidate's
+// log may contain a promotion that hasn't arrived here.
 func (m *Machine) onVote(msg Message) {
-	free := m.state.Vote == "" || m.state.Vote == msg.FromIdentity
-	granted := free && m.leader == "" && m.role != RoleLeader && m.upToDate(msg)
+	canVote := m.state.Vote == "" || m.state.Vote == msg.FromIdentity
+	granted := canVote && m.leader == "" && m.role != RoleLeader && m.upToDate(msg)
 	if granted && m.state.Vote == "" {
 		m.state.Vote = msg.FromIdentity
 		m.persist()
@@ -79,7 +80,9 @@
 	if granted {
 		m.resetElection()
 	}
-	m.sendSynced(Member{Name: msg.From, Identity: msg.FromIdentity}, Message{Kind: KindVoteAnswer, Reject: !granted})
+	m.sendAfterSync(
+		Member{Name: msg.From, Identity: msg.FromIdentity}, Message{Kind: KindVoteResponse, Reject: !granted},
+	)
 }
 
 func (m *Machine) upToDate(msg Message) bool {
@@ -87,22 +90,22 @@
 	return msg.LogTerm > term || msg.LogTerm == term && msg.Index >= m.log.last()
 }
 
-func (m *Machine) onVoteAnswer(msg Message) {
-	wanted := KindVoteAnswer
+func (m *Machine) onVoteResponse(msg Message) {
+	expected := KindVoteResponse
 	term := m.state.Term
 	if m.role == RolePreCandidate {
-		wanted = KindPreVoteAnswer
+		expected = KindPreVoteResponse
 		term++
 	}
-	if msg.Kind == KindVoteAnswer && msg.Reject && m.role == RoleCandidate && msg.Term == m.state.Term {
-		// Two replicas that come back within some milliseconds of each other, with the
-		// third one gone, each vote for themselves. With a whole timeout until the next
-		// try, there was no leader for another half second. A refusal that doesn't cost
-		// the election does no harm: the one who wins it stops asking.
-		m.electionDue = min(m.electionDue, m.now+m.config.Jitter(m.config.ElectionTimeout/retryPart))
+	if msg.Kind == KindVoteResponse && msg.Reject && m.role == RoleCandidate && msg.Term == m.state.Term {
+		// Two replicas that return within some milliseconds of each other, with the third
+		// one down, each vote for themselves. With a whole timeout before the next
+		// attempt there was no leader for another half second. A refusal that doesn't
+		// cost the election does no harm: the winner sends no further requests.
+		m.electionDeadline = min(m.electionDeadline, m.now+m.config.Jitter(m.config.ElectionTimeout/retryDivisor))
 		return
 	}
-	if msg.Kind != wanted || msg.Reject || msg.Term != term || m.votes == nil {
+	if msg.Kind != expected || msg.Reject || msg.Term != term || m.votes == nil {
 		return
 	}
 	m.votes[msg.From] = true
@@ -126,6 +129,6 @@
 	case RolePreCandidate:
 		m.campaign(KindVote)
 	case RoleCandidate:
-		m.lead()
+		m.becomeLeader()
 	}
 }
--- a/control/pkg/consensus/entry.go
+++ b/control/pkg/consensus/entry.go
@@ -1,15 +1,16 @@
 package consensus
 
-// EntryKind says what an entry of the log carries.
+// EntryKind is the type of a log entry.
 type EntryKind uint32
 
 const (
-	// EntryCommand is a command for the state machine.
+	// EntryCommand is a command for the replicated state machine.
 	EntryCommand EntryKind = iota + 1
-	// EntryEmpty is what a new leader appends, so that an entry of its own term
-	// can be committed.
+	// EntryEmpty has no payload. A new leader appends one, so that an entry of its own
+	// term can be committed.
 	EntryEmpty
-	// EntryMembers is a whole membership. It is in force once it is in the log.
+	// EntryMembers contains a complete membership. It takes effect as soon as it is in
+	// the log.
 	EntryMembers
 )
 
@@ -21,8 +22,8 @@
 	Data  []byte
 }
 
-// readable says whether the machine can take the entry in.
-func (e Entry) readable() bool {
+// decodable reports whether the machine can decode the entry.
+func (e Entry) decodable() bool {
 	if e.Kind != EntryMembers {
 		return true
 	}
--- a/control/pkg/consensus/entry_log.go
+++ b/control/pkg/consensus/entry_log.go
@@ -2,8 +2,8 @@
 
 import "sort"
 
-// entryLog is the part of the log that is kept in memory. Slices of it go out in
-// messages, so entries in place are never changed.
+// entryLog is the part of the log that is held in memory. Slices of it are shared with
+// messages, so existing entries are never modified.
 type entryLog struct {
 	base    Base
 	entries []Entry
@@ -18,7 +18,7 @@
 	return term
 }
 
-// term tells the term of an entry, and false when the log doesn't hold it.
+// term returns the term of an entry, and false if the log doesn't contain it.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.base.Index {
 		return l.base.Term, true
@@ -29,7 +29,7 @@
 	return l.entries[index-l.base.Index-1].Term, true
 }
 
-// slice returns entries from one index to another, both included.
+// slice returns the entries from one index to another, both included.
 func (l *entryLog) slice(from, to uint64) []Entry {
 	if from > to {
 		return nil
@@ -42,8 +42,8 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// truncate drops the entries from index on. The capacity goes too, so that the
-// next append doesn't write over entries that messages still refer to.
+// truncate removes the entries from index on. It also cuts the capacity, so that the next
+// append doesn't overwrite entries that messages still refer to.
 func (l *entryLog) truncate(index uint64) {
 	kept := index - l.base.Index - 1
 	l.entries = l.entries[:kept:kept]
@@ -64,13 +64,13 @@
 	l.entries = nil
 }
 
-// membership is a Members with the entry that set it.
+// membership is a Members value and the index of the entry that set it.
 type membership struct {
 	index   uint64
 	members Members
 }
 
-// memberHistory keeps the memberships that a truncated log may fall back to.
+// memberHistory lists the memberships that a truncation of the log may revert to.
 type memberHistory []membership
 
 func (h memberHistory) current() Members {
@@ -87,18 +87,18 @@
 	return h[len(h)-1].index
 }
 
-// before returns how many memberships were set below the index.
-func (h memberHistory) before(index uint64) int {
+// countBefore returns the number of memberships set before index.
+func (h memberHistory) countBefore(index uint64) int {
 	return sort.Search(len(h), func(i int) bool { return h[i].index >= index })
 }
 
 func (h memberHistory) truncate(index uint64) memberHistory {
-	kept := h.before(index)
+	kept := h.countBefore(index)
 	return h[:kept:kept]
 }
 
 func (h memberHistory) compact(index uint64) memberHistory {
-	kept := h.before(index + 1)
+	kept := h.countBefore(index + 1)
 	if kept <= 1 {
 		return h
 	}
--- a/control/pkg/consensus/event.go
+++ b/control/pkg/consensus/event.go
@@ -1,32 +1,33 @@
 package consensus
 
-// Event is one of the types below.
+// Event is an input of Machine.Step, one of the types below.
 type Event interface{ isEvent() }
 
-// Tick lets time pass. It is due a few times for each heartbeat.
+// Tick advances the time. It is expected several times per heartbeat interval.
 type Tick struct{}
 
-// Received hands over a message of another replica.
+// Received passes on a message from another replica.
 type Received struct{ Message Message }
 
-// Proposal is a command with the caller's handle for the outcome.
+// Proposal is a command with the caller's ID for its outcome.
 type Proposal struct {
 	ID   uint64
 	Data []byte
 }
 
-// Propose asks for commands to be appended, in this order. They travel and sync
-// together.
+// Propose appends commands in this order. They are sent and synced together.
 type Propose struct{ Proposals []Proposal }
 
-// ReadIndex asks for a read point that a majority confirms.
+// ReadIndex requests a read index that a majority confirms.
 type ReadIndex struct{ ID uint64 }
 
-// Synced tells that the Persist of this sequence, and all before, are durable.
+// Synced reports that the Persist with this sequence number and all earlier ones are
+// durable.
 type Synced struct{ Sequence uint64 }
 
-// Handover asks the leader to give its place to the most advanced voter.
-type Handover struct{ ID uint64 }
+// TransferLeadership makes the leader transfer its leadership to the voter with the most
+// complete log.
+type TransferLeadership struct{ ID uint64 }
 
 // ChangeKind is the kind of a membership change.
 type ChangeKind uint32
@@ -34,22 +35,22 @@
 const (
 	// AddLearner adds a member that receives the log and doesn't vote.
 	AddLearner ChangeKind = iota + 1
-	// Promote makes a learner that holds all that is committed a voter.
+	// Promote makes a learner that has all committed entries a voter.
 	Promote
-	// Remove takes a member out.
+	// Remove removes a member.
 	Remove
 )
 
-// ChangeMembers asks for one change of the membership. Promote and Remove look
-// at the name only.
+// ChangeMembers requests one change of the membership. Promote and Remove use only the
+// name of the member.
 type ChangeMembers struct {
 	ID     uint64
 	Kind   ChangeKind
 	Member Member
 }
 
-// SnapshotSent tells the leader how an InstallSnapshot action ended. Index is
-// the last entry that the state covers.
+// SnapshotSent reports the result of an InstallSnapshot action to the leader. Index is
+// the last entry that the snapshot covers.
 type SnapshotSent struct {
 	Name      string
 	Identity  string
@@ -57,36 +58,36 @@
 	Installed bool
 }
 
-// SnapshotInstalled tells that the state of a peer, up to and with Index, is
-// durable and applied here. Only committed entries are ever in such a state, so
-// it holds whoever sent it.
+// SnapshotInstalled reports that the snapshot of a peer, which covers all entries up to
+// and including Index, is durable and applied on this replica. A snapshot contains only
+// committed entries, so it is valid whichever replica sent it.
 type SnapshotInstalled struct {
 	Index   uint64
 	Term    uint64
 	Members Members
 }
 
-// Form gives a replica that holds nothing the first entry of a new group. All
-// members write the same one, so it counts as committed.
-type Form struct{ Members Members }
+// FormGroup gives a replica with an empty log the first entry of a new group. All members
+// write the same entry, so it counts as committed.
+type FormGroup struct{ Members Members }
 
-// Compact lets the machine drop entries up to and with Index: a durable
-// checkpoint covers them. It keeps the last KeepEntries of them as long as they
-// are at most KeepBytes, and some more that a live member still lacks.
+// Compact allows the machine to drop the entries up to and including Index, which a
+// durable checkpoint covers. The machine retains the last KeepEntries of them as long as
+// they have at most KeepBytes, and some more that a live member still lacks.
 type Compact struct {
 	Index       uint64
 	KeepEntries uint64
 	KeepBytes   int
 }
 
-func (Tick) isEvent()              {}
-func (Received) isEvent()          {}
-func (Propose) isEvent()           {}
-func (ReadIndex) isEvent()         {}
-func (Synced) isEvent()            {}
-func (Handover) isEvent()          {}
-func (ChangeMembers) isEvent()     {}
-func (SnapshotSent) isEvent()      {}
-func (SnapshotInstalled) isEvent() {}
-func (Form) isEvent()              {}
-func (Compact) isEvent()           {}
+func (Tick) isEvent()               {}
+func (Received) isEvent()           {}
+func (Propose) isEvent()            {}
+func (ReadIndex) isEvent()          {}
+func (Synced) isEvent()             {}
+func (TransferLeadership) isEvent() {}
+func (ChangeMembers) isEvent()      {}
+func (SnapshotSent) isEvent()       {}
+func (SnapshotInstalled) isEvent()  {}
+func (FormGroup) isEvent()          {}
+func (Compact) isEvent()            {}
--- a/control/pkg/consensus/formation.go
+++ b/control/pkg/consensus/formation.go
@@ -9,75 +9,75 @@
 	"github.com/pkg/errors"
 )
 
-var errNoHello = errors.New("hello carries no content")
+var errNoHello = errors.New("hello message must have exactly one entry")
 
-// Formation finds out, at the first start of a group, which identities its
-// members have. Settings name the members but nobody knows the others' random
-// identities yet.
+// Formation determines the identities of the members at the first start of a group. The
+// settings name the members, but no replica knows the random identities of the others
+// yet.
 //
-// Each replica pins, durably, the first identity it sees under each name, and
-// tells all its pins. It takes part only once every member has told the very
-// same full set, or one that already takes part has. So when the first replica
-// votes, all members hold the same pins for good: a replica that loses its disk
-// in between can't get any set that names its new identity agreed, and a vote
-// that it gave before is never given twice. The price: all members must be up
-// once, at the same time, before a new group takes its first entry.
+// Each replica durably pins the first identity it sees under each name and sends all its
+// pins to the others. It takes part in the group only once every member has sent exactly
+// the same complete set of pins, or once a member that already takes part has sent it. So
+// when the first replica votes, all members have the same pins permanently: if a replica
+// loses its disk in between, no set with its new identity can be agreed on, and a vote
+// that it gave before is never given twice. The price is that all members must be up at
+// the same time once before a new group accepts its first entry.
 type Formation struct {
 	self   Member
 	pins   Members
 	agreed map[string]bool
 	formed bool
-	// resumed tells that the group was formed just before a restart.
+	// resumed means that the group was formed just before a restart.
 	resumed bool
 }
 
-// Hello is what replicas tell one another during formation, and what each keeps
-// on its disk meanwhile.
+// Hello is the message that replicas exchange during formation, and the record that each
+// one stores on its disk meanwhile.
 type Hello struct {
 	Pins   Members `json:"pins"`
 	Formed bool    `json:"formed"`
 }
 
-// FormationActions is what a step of a formation asks for. Keep, if not nil,
-// must be durable before anything else is done. Formed is set once, with the
-// first membership. Conflict names a member whose identity, or whose settings,
-// differ from what is pinned.
+// FormationActions is the output of a formation step. Persist, if not nil, must be
+// durable before any other action is executed. Formed is set once, to the first
+// membership. Conflict is the name of a member whose identity or settings differ from the
+// pinned ones.
 type FormationActions struct {
-	Keep     *Hello
+	Persist  *Hello
 	Messages []Message
 	Formed   Members
 	Conflict string
 }
 
-// FormationConfig sets up a formation. Settings are the members of a new group,
-// Kept is what was made durable before, and HasLog says whether the log has
-// entries.
+// FormationConfig configures a Formation. BootstrapMembers are the members of a new
+// group, Persisted is the record that was made durable before, and HasLog reports whether
+// the log has entries.
 type FormationConfig struct {
-	Self     Member
-	Settings Members
-	Kept     Hello
-	HasLog   bool
+	Self             Member
+	BootstrapMembers Members
+	Persisted        Hello
+	HasLog           bool
 }
 
-// NewFormation starts a formation.
+// NewFormation creates a formation.
 func NewFormation(config FormationConfig) *Formation {
-	f := &Formation{self: config.Self, pins: slices.Clone(config.Kept.Pins), agreed: map[string]bool{}}
+	f := &Formation{self: config.Self, pins: slices.Clone(config.Persisted.Pins), agreed: map[string]bool{}}
 	switch {
-	case config.HasLog && config.Kept.Formed:
+	case config.HasLog && config.Persisted.Formed:
 		f.formed = true
 	case config.HasLog:
-		f.Finish()
-	case config.Kept.Formed:
+		f.MarkJoined()
+	case config.Persisted.Formed:
 		f.resumed = true
 	case len(f.pins) == 0:
-		f.pins = firstPins(config)
+		f.pins = initialPins(config)
 	}
 	return f
 }
 
-func firstPins(config FormationConfig) Members {
+func initialPins(config FormationConfig) Members {
 	var pins Members
-	for _, m := range config.Settings {
+	for _, m := range config.BootstrapMembers {
 		m.Identity = ""
 		if m.Name == config.Self.Name {
 			m.Identity = config.Self.Identity
@@ -88,23 +88,23 @@
 	return pins
 }
 
-// Done says that this replica takes part.
+// Done reports whether this replica takes part in the group.
 func (f *Formation) Done() bool { return f.formed }
 
-// Finish notes that the replica got its log from a leader instead. Its pins are
-// then no proof of anything, so it tells them to nobody.
-func (f *Formation) Finish() {
+// MarkJoined records that the replica received its log from a leader instead. Its pins
+// then prove nothing, so it doesn't send them any more.
+func (f *Formation) MarkJoined() {
 	f.formed = true
 	f.pins = nil
 }
 
-// Tick greets the others, as long as the group isn't formed.
+// Tick sends a hello to the other members as long as the group isn't formed.
 func (f *Formation) Tick() FormationActions {
 	var out FormationActions
 	if f.formed || !f.pins.Has(f.self.Name, f.self.Identity) {
 		return out
 	}
-	f.conclude(&out)
+	f.formIfAgreed(&out)
 	for _, m := range f.pins {
 		if m.Name != f.self.Name {
 			out.Messages = append(out.Messages, f.hello(m.Name))
@@ -113,7 +113,7 @@
 	return out
 }
 
-// Receive takes the greeting of another replica.
+// Receive handles the hello of another replica.
 func (f *Formation) Receive(msg Message) FormationActions {
 	var out FormationActions
 	hello, err := decodeHello(msg)
@@ -139,24 +139,25 @@
 	} else if hello.Formed || f.complete() && complete(hello.Pins) {
 		out.Conflict = msg.From
 	}
-	f.conclude(&out)
+	f.formIfAgreed(&out)
 	return out
 }
 
-// pin takes the first identity seen under a name that the settings list.
+// pin records the first identity seen under a name that the settings list.
 func (f *Formation) pin(msg Message, out *FormationActions) {
 	for i, m := range f.pins {
 		if m.Name == msg.From && m.Identity == "" && msg.FromIdentity != "" {
 			f.pins = slices.Clone(f.pins)
 			f.pins[i].Identity = msg.FromIdentity
 			f.agreed = map[string]bool{}
-			out.Keep = &Hello{Pins: f.pins}
+			out.Persist = &Hello{Pins: f.pins}
 		}
 	}
 }
 
-// conclude forms the group once all others told the same full pins.
-func (f *Formation) conclude(out *FormationActions) {
+// formIfAgreed forms the group once all other members have sent the same complete set of
+// pins.
+func (f *Formation) formIfAgreed(out *FormationActions) {
 	if f.resumed || len(f.agreed) == len(f.pins)-1 {
 		f.form(out)
 	}
@@ -166,7 +167,7 @@
 	if f.complete() && !f.formed {
 		f.formed = true
 		out.Formed = f.pins
-		out.Keep = &Hello{Pins: f.pins, Formed: true}
+		out.Persist = &Hello{Pins: f.pins, Formed: true}
 	}
 }
 
@@ -184,7 +185,7 @@
 func (f *Formation) hello(to string) Message {
 	data, err := json.Marshal(Hello{Pins: f.pins, Formed: f.formed})
 	if err != nil {
-		panic(fmt.Sprintf("hello can't be encoded: %v", err))
+		panic(fmt.Sprintf("encode hello: %v", err))
 	}
 	return Message{
 		Kind: KindHello, From: f.self.Name, FromIdentity: f.self.Identity, To: to,
--- a/control/pkg/consensus/formation_test.go
+++ b/control/pkg/consensus/formation_test.go
@@ -9,171 +9,171 @@
 	"pgregory.net/rapid"
 )
 
-// founder is a replica of a new group with what its disk holds.
-type founder struct {
+// formingNode is a replica of a new group and the content of its disk.
+type formingNode struct {
 	name      string
 	identity  string
-	kept      Hello
+	persisted Hello
 	log       Members
 	formation *Formation
 }
 
-type founders struct {
-	nodes   []*founder
-	network []Message
-	lost    int
-	// formed are the memberships that replicas took part with.
+type formingGroup struct {
+	nodes     []*formingNode
+	network   []Message
+	lostDisks int
+	// formed are the memberships with which replicas took part.
 	formed []Members
 	fail   func(format string, arguments ...any)
 }
 
-func newFounders(size int) *founders {
-	fs := &founders{}
+func newFormingGroup(size int) *formingGroup {
+	g := &formingGroup{}
 	for i := range size {
-		fs.nodes = append(fs.nodes, &founder{name: fmt.Sprintf("n%d", i), identity: fmt.Sprintf("n%d-disk0", i)})
+		g.nodes = append(g.nodes, &formingNode{name: fmt.Sprintf("n%d", i), identity: fmt.Sprintf("n%d-disk0", i)})
 	}
-	for _, f := range fs.nodes {
-		fs.restart(f)
+	for _, f := range g.nodes {
+		g.restart(f)
 	}
-	return fs
+	return g
 }
 
-func (fs *founders) restart(f *founder) {
+func (g *formingGroup) restart(f *formingNode) {
 	var settings Members
-	for _, o := range fs.nodes {
+	for _, o := range g.nodes {
 		settings = append(settings, Member{Name: o.name, Voter: true})
 	}
 	f.formation = NewFormation(FormationConfig{
-		Self: Member{Name: f.name, Identity: f.identity}, Settings: settings,
-		Kept: f.kept, HasLog: f.log != nil,
+		Self: Member{Name: f.name, Identity: f.identity}, BootstrapMembers: settings,
+		Persisted: f.persisted, HasLog: f.log != nil,
 	})
 }
 
-// act carries actions out; a crash may come after any durable step.
-func (fs *founders) act(f *founder, actions FormationActions, crash func() bool) {
-	if actions.Keep != nil {
-		f.kept = *actions.Keep
+// execute executes the actions. The node may crash after any durable step.
+func (g *formingGroup) execute(f *formingNode, actions FormationActions, crash func() bool) {
+	if actions.Persist != nil {
+		f.persisted = *actions.Persist
 		if crash() {
-			fs.restart(f)
+			g.restart(f)
 			return
 		}
 	}
 	if actions.Formed != nil {
 		f.log = actions.Formed
-		fs.check(f.log)
+		g.check(f.log)
 		if crash() {
-			fs.restart(f)
+			g.restart(f)
 			return
 		}
 	}
-	fs.network = append(fs.network, actions.Messages...)
+	g.network = append(g.network, actions.Messages...)
 }
 
-// check compares a membership with those formed before. Only when all disks were
-// lost may there be another one; it shares no identity with the first.
-func (fs *founders) check(members Members) {
-	for _, other := range fs.formed {
+// check compares a membership with those formed before. Another one is valid only after
+// all disks were lost; it shares no identity with the first.
+func (g *formingGroup) check(members Members) {
+	for _, other := range g.formed {
 		for _, m := range members {
 			if other.Has(m.Name, m.Identity) && !slices.Equal(other, members) {
-				fs.fail("formed %v and %v", other, members)
+				g.fail("formed %v and %v", other, members)
 			}
 		}
 	}
-	fs.formed = append(fs.formed, members)
+	g.formed = append(g.formed, members)
 }
 
-func (fs *founders) deliver(m Message, crash func() bool) {
-	for _, f := range fs.nodes {
+func (g *formingGroup) deliver(m Message, crash func() bool) {
+	for _, f := range g.nodes {
 		if f.name == m.To {
-			fs.act(f, f.formation.Receive(m), crash)
+			g.execute(f, f.formation.Receive(m), crash)
 		}
 	}
 }
 
-// A group is formed for the first time while replicas crash and lose their
-// disks. If two replicas started with different identities for the same member,
-// the member that lost its disk could vote twice in one term. So all that ever
-// take part must have taken the same members.
+// A group is formed for the first time while replicas crash and lose their disks. If two
+// replicas started with different identities for the same member, a member that lost its
+// disk could vote twice in one term. Therefore all replicas that ever take part must have
+// the same members.
 func TestFuzzFormation(t *testing.T) {
 	formed := 0
 	rapid.Check(t, func(t *rapid.T) {
-		fs := newFounders(rapid.IntRange(1, 4).Draw(t, "replicas"))
-		fs.fail = func(format string, arguments ...any) { t.Fatalf(format, arguments...) }
+		g := newFormingGroup(rapid.IntRange(1, 4).Draw(t, "replicas"))
+		g.fail = func(format string, arguments ...any) { t.Fatalf(format, arguments...) }
 		choose := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
 		crash := func() bool { return choose(8) == 0 }
 		tick := func(*rapid.T) {
-			f := fs.nodes[choose(len(fs.nodes))]
-			fs.act(f, f.formation.Tick(), crash)
+			f := g.nodes[choose(len(g.nodes))]
+			g.execute(f, f.formation.Tick(), crash)
 		}
 		deliver := func(*rapid.T) {
-			if len(fs.network) > 0 {
-				i := choose(len(fs.network))
-				m := fs.network[i]
+			if len(g.network) > 0 {
+				i := choose(len(g.network))
+				m := g.network[i]
 				if choose(4) > 0 {
-					fs.network = append(fs.network[:i:i], fs.network[i+1:]...)
+					g.network = append(g.network[:i:i], g.network[i+1:]...)
 				}
-				fs.deliver(m, crash)
+				g.deliver(m, crash)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"tick": tick, "tick2": tick, "deliver": deliver, "deliver2": deliver, "deliver3": deliver,
-			"restart": func(*rapid.T) { fs.restart(fs.nodes[choose(len(fs.nodes))]) },
+			"restart": func(*rapid.T) { g.restart(g.nodes[choose(len(g.nodes))]) },
 			"lose disk": func(*rapid.T) {
-				f := fs.nodes[choose(len(fs.nodes))]
-				if choose(10) > 0 || fs.lost == 2 {
+				f := g.nodes[choose(len(g.nodes))]
+				if choose(10) > 0 || g.lostDisks == 2 {
 					return
 				}
-				fs.lost++
-				f.identity = fmt.Sprintf("%s-disk%d", f.name, fs.lost)
-				f.kept, f.log = Hello{}, nil
-				fs.restart(f)
+				g.lostDisks++
+				f.identity = fmt.Sprintf("%s-disk%d", f.name, g.lostDisks)
+				f.persisted, f.log = Hello{}, nil
+				g.restart(f)
 			},
 		})
-		formed += len(fs.formed)
+		formed += len(g.formed)
 	})
 	require.Positive(t, formed)
 }
 
-// All replicas are up once: the group forms, whatever the order of their starts.
-func TestFormationEnds(t *testing.T) {
+// The group forms once all replicas are up, whatever the order of their starts.
+func TestFormationCompletesOnceAllReplicasRun(t *testing.T) {
 	for size := 1; size <= 5; size++ {
-		fs := newFounders(size)
-		fs.fail = t.Fatalf
+		g := newFormingGroup(size)
+		g.fail = t.Fatalf
 		never := func() bool { return false }
 		for range 4 {
-			for _, f := range fs.nodes {
-				fs.act(f, f.formation.Tick(), never)
+			for _, f := range g.nodes {
+				g.execute(f, f.formation.Tick(), never)
 			}
-			for len(fs.network) > 0 {
-				m := fs.network[0]
-				fs.network = fs.network[1:]
-				fs.deliver(m, never)
+			for len(g.network) > 0 {
+				m := g.network[0]
+				g.network = g.network[1:]
+				g.deliver(m, never)
 			}
 		}
-		for _, f := range fs.nodes {
+		for _, f := range g.nodes {
 			require.Len(t, f.log, size)
 		}
 	}
 }
 
-// A replica that lost its disk comes back into a formed group under its old
-// name. It is told apart by its identity and doesn't take part.
-func TestLostDiskDoesntFormAgain(t *testing.T) {
-	fs := newFounders(3)
-	fs.fail = t.Fatalf
+// A replica that lost its disk returns to a formed group under its old name. Its new
+// identity gives it away, and it doesn't take part.
+func TestFormationExcludesReplicaWithLostDisk(t *testing.T) {
+	g := newFormingGroup(3)
+	g.fail = t.Fatalf
 	never := func() bool { return false }
 	run := func() (conflicts int) {
 		for range 4 {
-			for _, f := range fs.nodes {
-				fs.act(f, f.formation.Tick(), never)
+			for _, f := range g.nodes {
+				g.execute(f, f.formation.Tick(), never)
 			}
-			for len(fs.network) > 0 {
-				m := fs.network[0]
-				fs.network = fs.network[1:]
-				for _, f := range fs.nodes {
+			for len(g.network) > 0 {
+				m := g.network[0]
+				g.network = g.network[1:]
+				for _, f := range g.nodes {
 					if f.name == m.To {
 						actions := f.formation.Receive(m)
-						fs.act(f, actions, never)
+						g.execute(f, actions, never)
 						if actions.Conflict != "" {
 							conflicts++
 						}
@@ -184,34 +184,34 @@
 		return conflicts
 	}
 	require.Zero(t, run())
-	lost := fs.nodes[1]
-	lost.identity, lost.kept, lost.log = "n1-disk1", Hello{}, nil
-	fs.restart(lost)
+	lost := g.nodes[1]
+	lost.identity, lost.persisted, lost.log = "n1-disk1", Hello{}, nil
+	g.restart(lost)
 	require.Positive(t, run())
 	require.Nil(t, lost.log)
 	require.False(t, lost.formation.Done())
 }
 
-// A replica of a replaced disk pinned others during its lonely start, and then
-// got the log from a leader. What it pinned isn't what the group was formed with;
-// another replaced replica that pinned the same must not start from it.
-func TestJoinedReplicaVouchesForNothing(t *testing.T) {
+// A replica with a replaced disk pinned other members at its start and then received the
+// log from a leader. Its pins aren't those that the group was formed with, so another
+// replica with a replaced disk and the same pins must not form the group from them.
+func TestJoinedReplicaSendsNoPins(t *testing.T) {
 	pins := Members{{Name: "a", Identity: "a1", Voter: true}, {Name: "b", Identity: "b1", Voter: true}}
 	hello := Message{Kind: KindHello, From: "b", FromIdentity: "b1", To: "a"}
-	other := NewFormation(FormationConfig{Self: Member{Name: "b", Identity: "b1"}, Kept: Hello{Pins: pins}})
+	other := NewFormation(FormationConfig{Self: Member{Name: "b", Identity: "b1"}, Persisted: Hello{Pins: pins}})
 	hello.Entries = other.Tick().Messages[0].Entries
 	scenarios := []struct {
-		name    string
-		kept    Hello
-		answers int
+		name      string
+		persisted Hello
+		responses int
 	}{
-		{name: "formed", kept: Hello{Pins: pins, Formed: true}, answers: 1},
-		{name: "joined", kept: Hello{Pins: pins}},
+		{name: "formed", persisted: Hello{Pins: pins, Formed: true}, responses: 1},
+		{name: "joined", persisted: Hello{Pins: pins}},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
-			f := NewFormation(FormationConfig{Self: Member{Name: "a", Identity: "a1"}, Kept: sc.kept, HasLog: true})
-			require.Len(t, f.Receive(hello).Messages, sc.answers)
+			f := NewFormation(FormationConfig{Self: Member{Name: "a", Identity: "a1"}, Persisted: sc.persisted, HasLog: true})
+			require.Len(t, f.Receive(hello).Messages, sc.responses)
 		})
 	}
 }
--- a/control/pkg/consensus/fuzz_test.go
+++ b/control/pkg/consensus/fuzz_test.go
@@ -13,21 +13,21 @@
 	"toucanhinge.example/common/pkg/seed"
 )
 
-// TestMain fixes the seed and the length of the fuzzing unless flags give them.
+// TestMain sets the seed and the length of the fuzzing unless flags set them.
 func TestMain(m *testing.M) {
 	seed.Main(m, 7, seed.Length{Checks: 150, Steps: 400})
 }
 
-// any picks a node.
+// any returns a random node.
 func (s *sim) any() *simNode { return s.nodes[s.choose(len(s.nodes))] }
 
-// faults are the single things that may happen at any moment.
+// faults returns the single events that may happen at any time.
 func (s *sim) faults() map[string]func() {
 	return map[string]func(){
 		"deliver":    s.deliverAny,
 		"deliver2":   s.deliverAny,
 		"deliver3":   s.deliverAny,
-		"double":     s.doubleAny,
+		"double":     s.duplicateAny,
 		"drop":       s.dropAny,
 		"sync":       func() { n := s.any(); s.sync(n, s.choose(len(n.pending)+1)) },
 		"sync2":      func() { n := s.any(); s.sync(n, len(n.pending)) },
@@ -39,26 +39,26 @@
 		"lose disk":  s.loseAnyDisk,
 		"cut":        func() { s.cuts[[2]string{s.any().name, s.any().name}] = true },
 		"heal":       func() { clear(s.cuts) },
-		"calm":       func() { s.calm(clock.Millis(s.choose(600))) },
-		"calm2":      func() { s.calm(clock.Millis(s.choose(1500))) },
-		"storm":      s.storm,
-		"storm2":     s.storm,
-		"storm3":     s.storm,
+		"calm":       func() { s.runWithoutFaults(clock.Millis(s.choose(600))) },
+		"calm2":      func() { s.runWithoutFaults(clock.Millis(s.choose(1500))) },
+		"storm":      s.runRandomSteps,
+		"storm2":     s.runRandomSteps,
+		"storm3":     s.runRandomSteps,
 		"propose":    s.proposeAny,
 		"propose2":   s.proposeAny,
 		"read":       s.readAny,
 		"change":     s.changeAny,
 		"repair":     s.repair,
-		"handover":   func() { s.step(s.any(), Handover{ID: s.id()}) },
+		"handover":   func() { s.step(s.any(), TransferLeadership{ID: s.id()}) },
 		"checkpoint": func() { s.checkpoint(s.any()) },
 	}
 }
 
-// storm lets the replicas work in any order, one step at a time, while one of
-// them may have a disk that hangs and one may be cut off. Small faults in between
-// are what finds a promise that was made too early.
-func (s *sim) storm() {
-	hangs, away := s.any(), s.any()
+// runRandomSteps lets the replicas run in random order, one step at a time, while one of
+// them may have a stalled disk and one may be isolated. Small faults in between reveal
+// responses that are sent before the data they confirm is durable.
+func (s *sim) runRandomSteps() {
+	stalled, partitioned := s.any(), s.any()
 	isolated := s.choose(3) == 0
 	for range s.choose(150) {
 		n := s.any()
@@ -67,7 +67,7 @@
 			n.clock += clock.Millis(s.choose(60))
 			s.step(n, Tick{})
 		case 1, 2:
-			if n != hangs {
+			if n != stalled {
 				s.sync(n, s.choose(len(n.pending)+1))
 			}
 		case 3:
@@ -75,23 +75,23 @@
 				s.proposeAny()
 			}
 		default:
-			p, ok := s.takeParcel()
-			if ok && isolated && (p.from == away.name || p.to == away.name) {
-				s.lose(p)
+			p, ok := s.takePacket()
+			if ok && isolated && (p.from == partitioned.name || p.to == partitioned.name) {
+				s.dropPacket(p)
 			} else if ok {
-				s.transfer(p)
+				s.deliverPacket(p)
 			}
 		}
 	}
 	if s.choose(4) == 0 {
-		s.crash(hangs)
-		s.restart(hangs)
+		s.crash(stalled)
+		s.restart(stalled)
 	}
 }
 
-func (s *sim) takeParcel() (parcel, bool) {
+func (s *sim) takePacket() (packet, bool) {
 	if len(s.network) == 0 {
-		return parcel{}, false
+		return packet{}, false
 	}
 	i := s.choose(len(s.network))
 	p := s.network[i]
@@ -100,12 +100,12 @@
 }
 
 func (s *sim) deliverAny() {
-	if p, ok := s.takeParcel(); ok {
-		s.transfer(p)
+	if p, ok := s.takePacket(); ok {
+		s.deliverPacket(p)
 	}
 }
 
-func (s *sim) doubleAny() {
+func (s *sim) duplicateAny() {
 	if len(s.network) > 0 {
 		if p := s.network[s.choose(len(s.network))]; p.message != nil {
 			s.network = append(s.network, p)
@@ -114,8 +114,8 @@
 }
 
 func (s *sim) dropAny() {
-	if p, ok := s.takeParcel(); ok {
-		s.lose(p)
+	if p, ok := s.takePacket(); ok {
+		s.dropPacket(p)
 	}
 }
 
@@ -126,7 +126,7 @@
 }
 
 func (s *sim) loseAnyDisk() {
-	if s.lost < 3 && s.choose(6) == 0 {
+	if s.lostDisks < 3 && s.choose(6) == 0 {
 		s.loseDisk(s.any())
 	}
 }
@@ -150,7 +150,7 @@
 		n = l
 	}
 	id := s.id()
-	s.reads[id] = s.highest
+	s.reads[id] = s.highestCommitted
 	s.step(n, ReadIndex{ID: id})
 }
 
@@ -162,8 +162,8 @@
 	})
 }
 
-// repair does what an operator would: a member whose disk is gone is removed,
-// added as a learner and promoted.
+// repair acts like an operator: a member whose disk is lost is removed, added as a
+// learner and promoted.
 func (s *sim) repair() {
 	l := s.leader()
 	if l == nil {
@@ -188,57 +188,57 @@
 	}
 }
 
-// checkChange sees that a voter is made only of a replica that holds, synced,
-// everything that is committed.
+// checkChange checks that only a replica that has synced all committed entries becomes a
+// voter.
 func (s *sim) checkChange(l, n *simNode, change ChangeMembers) {
 	m, held := l.machine.members().Find(n.name)
 	if change.Kind == Remove && !held {
 		s.counts.removed++
 	}
-	if change.Kind != Promote || !m.Voter || s.lies != (lies{}) {
+	if change.Kind != Promote || !m.Voter || s.bypass != (bypass{}) {
 		return
 	}
 	s.counts.promoted++
-	if last := n.base.Index + uint64(len(n.entries)); max(last, n.point.index) < s.highest {
-		s.fail("%s became a voter with %d of %d entries", n.name, last, s.highest)
+	if last := n.base.Index + uint64(len(n.entries)); max(last, n.checkpoint.index) < s.highestCommitted {
+		s.fail("%s became a voter with only %d of %d entries", n.name, last, s.highestCommitted)
 	}
 }
 
-// settle ends a run: all works again, and then the group must too.
-func (s *sim) settle() {
+// checkRecovery ends a run: all faults end, and the group must then work again.
+func (s *sim) checkRecovery() {
 	clear(s.cuts)
 	for _, n := range s.nodes {
 		if n.machine == nil {
 			s.restart(n)
 		}
 	}
-	s.calm(8000)
-	if !s.mustWork() || s.violation != "" {
+	s.runWithoutFaults(8000)
+	if !s.quorumSurvives() || s.violation != "" {
 		return
 	}
 	l := s.leader()
 	if l == nil {
-		s.fail("no leader though all works")
+		s.fail("no leader after all faults ended")
 		return
 	}
-	before := s.highest
+	before := s.highestCommitted
 	id := s.id()
 	s.reads[id] = before
 	s.step(l, Propose{Proposals: []Proposal{{ID: s.id(), Data: []byte("last")}}})
-	s.calm(3000)
-	if s.violation == "" && s.highest == before {
-		s.fail("nothing is committed though all works")
+	s.runWithoutFaults(3000)
+	if s.violation == "" && s.highestCommitted == before {
+		s.fail("no entry is committed after all faults ended")
 	}
 	for _, m := range l.machine.members() {
-		if n := s.node(m.Name); n.identity == m.Identity && n.applied < s.highest && s.violation == "" {
-			s.fail("%s stays at %d of %d though all works", n.name, n.applied, s.highest)
+		if n := s.node(m.Name); n.identity == m.Identity && n.applied < s.highestCommitted && s.violation == "" {
+			s.fail("%s applied only %d of %d entries after all faults ended", n.name, n.applied, s.highestCommitted)
 		}
 	}
 }
 
-// mustWork says whether every view of the membership has a majority left whose
-// disks weren't lost.
-func (s *sim) mustWork() bool {
+// quorumSurvives reports whether a majority of every known membership still has its
+// disks.
+func (s *sim) quorumSurvives() bool {
 	known := false
 	for _, n := range s.nodes {
 		members := n.machine.members()
@@ -256,10 +256,10 @@
 	return known
 }
 
-// Replicas crash at any step, also between write and sync, lose disks, are cut
-// off in one direction and see their clocks jump, while messages are lost,
-// doubled and reordered and operators change members. Whatever happens, nothing
-// that one replica applied is ever missing or different on another.
+// Replicas crash at any step, also between write and sync, lose disks, are cut off in one
+// direction and see their clocks jump. Messages are lost, duplicated and reordered, and
+// operators change members. An entry that one replica applied must never be missing or
+// different on another.
 func TestFuzzConsensus(t *testing.T) {
 	var all counts
 	rapid.Check(t, func(t *rapid.T) {
@@ -275,9 +275,9 @@
 		for name, fault := range s.faults() {
 			actions[name] = func(*rapid.T) { fault() }
 		}
-		s.calm(1500)
+		s.runWithoutFaults(1500)
 		t.Repeat(actions)
-		s.settle()
+		s.checkRecovery()
 		if s.violation != "" {
 			t.Fatal(s.violation)
 		}
@@ -285,18 +285,18 @@
 	})
 	t.Logf("%+v", all)
 	for _, count := range []int{
-		all.committed, all.leaders, all.reads, all.promoted, all.removed, all.installed, all.lost, all.handed,
+		all.committed, all.leaders, all.reads, all.promoted, all.removed, all.installed, all.lostDisks, all.transferred,
 	} {
-		require.Positive(t, count, "the runs don't reach everything: %+v", all)
+		require.Positive(t, count, "some kinds of event never happened: %+v", all)
 	}
 }
 
-// hunt runs seeds until the oracle finds a violation.
-func hunt(seeds uint64, l lies) (violation string, seed uint64) {
+// findViolation runs seeds until the oracle finds a violation.
+func findViolation(seeds uint64, b bypass) (violation string, seed uint64) {
 	for seed = 1; seed <= seeds; seed++ {
 		r := rand.New(rand.NewPCG(seed, 0))
 		s := newSim(3, 0, r.IntN)
-		s.lies = l
+		s.bypass = b
 		var names []string
 		faults := s.faults()
 		for name := range faults {
@@ -313,37 +313,37 @@
 	return "", 0
 }
 
-// With a safeguard switched off, a crash or a lost disk takes back what was
-// promised: two replicas lead one term, or an acknowledged entry is gone. The
-// oracle must see that; with all safeguards on the same runs pass.
-func TestOracleSeesMissingSafeguards(t *testing.T) {
+// With a safeguard switched off, a crash or a lost disk undoes an acknowledgement: two
+// replicas lead one term, or an acknowledged entry is lost. The oracle must detect that.
+// With all safeguards on, the same runs pass.
+func TestOracleDetectsDisabledSafeguards(t *testing.T) {
 	const seeds = 400
 	scenarios := []struct {
-		name string
-		lies lies
+		name   string
+		bypass bypass
 	}{
-		{name: "acknowledged before it is synced", lies: lies{syncEarly: true}},
-		{name: "lost disk goes by its old identity", lies: lies{keepIdentity: true}},
+		{name: "acknowledged before it is synced", bypass: bypass{syncEarly: true}},
+		{name: "lost disk with its old identity", bypass: bypass{keepIdentity: true}},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
-			violation, seed := hunt(seeds, sc.lies)
+			violation, seed := findViolation(seeds, sc.bypass)
 			t.Logf("seed %d: %s", seed, violation)
 			require.NotEmpty(t, violation)
-			honest, _ := hunt(seed, lies{})
-			require.Empty(t, honest)
+			unaltered, _ := findViolation(seed, bypass{})
+			require.Empty(t, unaltered)
 		})
 	}
 }
 
-// A broken peer sends anything at all. The machine may lose time over it, but it
-// must not fall over, nor replace what is committed.
-func TestFuzzGarbage(t *testing.T) {
+// A faulty peer sends arbitrary messages. They may delay the machine, but it must neither
+// panic nor replace committed entries.
+func TestFuzzInvalidMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(3, 0, rand.New(rand.NewPCG(1, 0)).IntN)
-		s.calm(1500)
+		s.runWithoutFaults(1500)
 		s.step(s.leader(), Propose{Proposals: []Proposal{{Data: []byte("a")}, {Data: []byte("b")}}})
-		s.calm(500)
+		s.runWithoutFaults(500)
 		n := s.any()
 		small := rapid.Uint64Range(0, 12)
 		for range 30 {
@@ -373,7 +373,7 @@
 				}
 			}
 			before := n.machine.log.slice(1, n.machine.commit)
-			n.machine.Step(n.clock, request(from, n, m))
+			n.machine.Step(n.clock, received(from, n, m))
 			n.machine.Step(n.clock, Synced{Sequence: n.machine.sequence})
 			n.machine.Step(n.clock, Propose{Proposals: []Proposal{{Data: []byte("c")}}})
 			for _, e := range before {
--- a/control/pkg/consensus/leader.go
+++ b/control/pkg/consensus/leader.go
@@ -6,50 +6,50 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// leading is what only a leader keeps.
-type leading struct {
-	progress     map[string]*progress
-	heartbeatDue clock.Millis
-	uncommitted  int
-	round        uint64
-	reads        []pendingRead
-	handover     handover
+// leaderState is the state that only a leader has.
+type leaderState struct {
+	progress         map[string]*progress
+	nextHeartbeat    clock.Millis
+	uncommittedBytes int
+	readRound        uint64
+	reads            []pendingRead
+	transfer         leadershipTransfer
 }
 
-// hangTimeouts is how many election timeouts a sync may take.
-const hangTimeouts = 4
+// maxSyncTimeouts is the longest time that a sync may take, in election timeouts.
+const maxSyncTimeouts = 4
 
 type progressState int
 
 const (
-	// probing sends one append and waits for its answer.
+	// probing sends one append and waits for its response.
 	probing progressState = iota
-	// replicating sends appends without waiting.
+	// replicating sends appends without waiting for responses.
 	replicating
-	// snapshotting waits for a snapshot to arrive.
+	// snapshotting waits until a snapshot is installed or has failed.
 	snapshotting
 )
 
-// progress is what the leader knows of another member.
+// progress is the state of another member as the leader knows it.
 type progress struct {
 	member Member
 	state  progressState
 	match  uint64
 	next   uint64
 	paused bool
-	// bytes is how much of the entries is sent and not answered.
-	bytes int
-	// retried is the match at the last heartbeat.
-	retried uint64
-	round   uint64
-	contact clock.Millis
+	// inflightBytes is the size of the entries that are sent and not acknowledged.
+	inflightBytes int
+	// heartbeatMatch is the match at the last heartbeat.
+	heartbeatMatch uint64
+	readRound      uint64
+	lastContact    clock.Millis
 }
 
-func (m *Machine) lead() {
+func (m *Machine) becomeLeader() {
 	m.role = RoleLeader
 	m.leader = m.config.Name
 	m.votes = nil
-	m.leading = leading{progress: map[string]*progress{}, heartbeatDue: m.now}
+	m.leaderState = leaderState{progress: map[string]*progress{}, nextHeartbeat: m.now}
 	m.updateProgress()
 	m.appendEntries(Entry{Index: m.log.last() + 1, Term: m.state.Term, Kind: EntryEmpty})
 	m.broadcast()
@@ -57,106 +57,107 @@
 }
 
 func (m *Machine) stopLeading() {
-	for _, r := range m.leading.reads {
+	for _, r := range m.leaderState.reads {
 		m.refuse(r.id, ReasonNotLeader)
 	}
-	if h := m.leading.handover; h.told {
-		m.out.Handed = append(m.out.Handed, HandedOver{ID: h.id})
-	} else if h.target != "" {
-		m.refuse(h.id, ReasonNoTarget)
+	if t := m.leaderState.transfer; t.campaignSent {
+		m.out.Transferred = append(m.out.Transferred, LeadershipTransferred{ID: t.id})
+	} else if t.target != "" {
+		m.refuse(t.id, ReasonNoTarget)
 	}
-	m.leading = leading{}
+	m.leaderState = leaderState{}
 }
 
 func (m *Machine) refuse(id uint64, reason Reason) {
 	m.out.Refused = append(m.out.Refused, Refused{ID: id, Reason: reason})
 }
 
-// updateProgress follows the membership.
+// updateProgress aligns the progress of the members with the membership.
 func (m *Machine) updateProgress() {
-	for name, p := range m.leading.progress {
+	for name, p := range m.leaderState.progress {
 		if !m.members().Has(name, p.member.Identity) {
-			delete(m.leading.progress, name)
+			delete(m.leaderState.progress, name)
 		}
 	}
 	for _, member := range m.members() {
 		if member.Name == m.config.Name {
 			continue
 		}
-		p := m.leading.progress[member.Name]
+		p := m.leaderState.progress[member.Name]
 		if p == nil {
-			p = &progress{next: m.log.last() + 1, contact: m.now}
-			m.leading.progress[member.Name] = p
+			p = &progress{next: m.log.last() + 1, lastContact: m.now}
+			m.leaderState.progress[member.Name] = p
 		}
 		p.member = member
 	}
 }
 
-// others walks over the other members in the membership's order: a map's order
-// would make the machine's actions differ from run to run.
-func (m *Machine) others(visit func(*progress)) {
+// forEachPeer visits the other members in the order of the membership. With the order of
+// a map, the actions of the machine would differ from run to run.
+func (m *Machine) forEachPeer(visit func(*progress)) {
 	for _, member := range m.members() {
-		if p := m.leading.progress[member.Name]; p != nil {
+		if p := m.leaderState.progress[member.Name]; p != nil {
 			visit(p)
 		}
 	}
 }
 
 func (m *Machine) tickLeader() {
-	if !m.hasQuorumContact() || m.diskHangs() {
-		m.follow(m.state.Term, "")
+	if !m.hasQuorumContact() || m.diskStalled() {
+		m.becomeFollower(m.state.Term, "")
 		return
 	}
-	m.tickHandover()
-	if m.now >= m.leading.heartbeatDue {
+	m.expireTransfer()
+	if m.now >= m.leaderState.nextHeartbeat {
 		m.heartbeat()
-		m.others(m.retry)
+		m.forEachPeer(m.resend)
 	}
 }
 
-// retry sends again what a member hasn't answered for a heartbeat. The append may
-// have arrived and only its answer be lost: then heartbeats find nothing missing,
-// and once the window is full nothing would be sent any more.
-func (m *Machine) retry(p *progress) {
-	if p.state == replicating && p.match < p.next-1 && p.match == p.retried {
+// resend sends entries again that a member hasn't acknowledged since the last heartbeat.
+// The append may have arrived and only its response been lost: heartbeats then find no
+// missing entry, and once the in-flight window is full nothing would be sent any more.
+func (m *Machine) resend(p *progress) {
+	if p.state == replicating && p.match < p.next-1 && p.match == p.heartbeatMatch {
 		p.state = probing
 		p.next = p.match + 1
-		p.bytes = 0
+		p.inflightBytes = 0
 	}
-	p.retried = p.match
+	p.heartbeatMatch = p.match
 	if p.state == probing {
 		p.paused = false
 		m.sendAppend(p)
 	}
 }
 
-// diskHangs says that the own disk hasn't synced for several election timeouts. A
-// leader delivers nothing that it hasn't synced, so its callers would wait for a
-// disk while the others have a majority of working ones. It can't win the next
-// election either: its pre-votes wait for the disk.
-func (m *Machine) diskHangs() bool {
-	return len(m.pending) > 0 && m.now-m.pending[0].since > hangTimeouts*m.config.ElectionTimeout
+// diskStalled reports whether a sync of this replica's disk has been pending for several
+// election timeouts. A leader delivers no entry that it hasn't synced, so its callers
+// would wait for this disk while the other members have a majority of working disks. The
+// replica can't win the next election either: its pre-vote requests wait for the disk.
+func (m *Machine) diskStalled() bool {
+	return len(m.pending) > 0 && m.now-m.pending[0].since > maxSyncTimeouts*m.config.ElectionTimeout
 }
 
-// hasQuorumContact is false once a majority has been silent for an election
-// timeout. A leader behind a silent cut would else keep its callers waiting for
-// hours while the others have long elected another one.
+// hasQuorumContact reports whether a majority, including the leader, was last seen within
+// the leader timeout. A leader behind a network partition that drops packets silently
+// would otherwise keep its callers waiting for hours, although the other members have
+// long since elected a new leader.
 func (m *Machine) hasQuorumContact() bool {
-	heard := 0
+	live := 0
 	if self, ok := m.self(); ok && self.Voter {
-		heard++
+		live++
 	}
-	m.others(func(p *progress) {
+	m.forEachPeer(func(p *progress) {
 		if p.member.Voter && m.isLive(p) {
-			heard++
+			live++
 		}
 	})
-	return heard >= m.members().Quorum()
+	return live >= m.members().Quorum()
 }
 
 func (m *Machine) heartbeat() {
-	m.leading.heartbeatDue = m.now + m.config.HeartbeatEvery
-	m.others(func(p *progress) {
+	m.leaderState.nextHeartbeat = m.now + m.config.HeartbeatInterval
+	m.forEachPeer(func(p *progress) {
 		index := p.next - 1
 		term, ok := m.log.term(index)
 		if !ok {
@@ -164,22 +165,22 @@
 		}
 		m.send(p.member, Message{
 			Kind: KindHeartbeat, Index: index, LogTerm: term,
-			Commit: m.commit, Read: m.leading.round,
+			Commit: m.commit, Read: m.leaderState.readRound,
 		})
 	})
 }
 
-// isLive says whether a member was heard from within an election timeout, or within as long
-// as this leader's own delays explain.
+// isLive reports whether the member was last seen within the leader timeout. The timeout
+// grows with the delays of this leader itself.
 func (m *Machine) isLive(p *progress) bool {
-	return m.now-p.contact <= m.patience.span()
+	return m.now-p.lastContact <= m.leaderTimeout.value()
 }
 
 func (m *Machine) broadcast() {
-	m.others(m.sendAppend)
+	m.forEachPeer(m.sendAppend)
 }
 
-// sendAppend sends what the member lacks, as far as its state allows.
+// sendAppend sends the entries that the member lacks, as far as its state allows.
 func (m *Machine) sendAppend(p *progress) {
 	for {
 		if p.paused || p.state == snapshotting {
@@ -187,7 +188,7 @@
 		}
 		term, ok := m.log.term(p.next - 1)
 		if !ok && !m.isLive(p) {
-			// The next heartbeat tries again.
+			// The next heartbeat retries.
 			p.state, p.paused = probing, true
 			return
 		}
@@ -196,7 +197,7 @@
 			m.out.Snapshots = append(m.out.Snapshots, InstallSnapshot{To: p.member})
 			return
 		}
-		entries := m.batch(p)
+		entries := m.nextBatch(p)
 		if len(entries) == 0 && p.state == replicating {
 			return
 		}
@@ -208,7 +209,7 @@
 			return
 		}
 		p.next += uint64(len(entries))
-		p.bytes += dataBytes(entries)
+		p.inflightBytes += dataBytes(entries)
 	}
 }
 
@@ -220,11 +221,11 @@
 	return bytes
 }
 
-// batch picks the next entries for a member within the bounds of one message and
-// of what may be on the way. More on the way than the network carries in a
-// moment would keep heartbeats behind it, and the leader would take the members
-// for lost just when it has the most to do.
-func (m *Machine) batch(p *progress) []Entry {
+// nextBatch returns the next entries for a member within the limits of one message and of
+// the entries in flight. With more in flight than the network transfers quickly,
+// heartbeats would be delayed behind it, and the leader would consider the members lost
+// just when it has the most to do.
+func (m *Machine) nextBatch(p *progress) []Entry {
 	last := min(m.log.last(), p.match+m.config.MaxInflight)
 	bytes := 0
 	to := p.next
@@ -233,15 +234,15 @@
 		if bytes > m.config.MaxBatchBytes && to > p.next {
 			break
 		}
-		if p.bytes+bytes > m.config.MaxInflightBytes && p.bytes+int(to-p.next) > 0 {
+		if p.inflightBytes+bytes > m.config.MaxInflightBytes && p.inflightBytes+int(to-p.next) > 0 {
 			break
 		}
 	}
 	return m.log.slice(p.next, to-1)
 }
 
-func (m *Machine) onAppendAnswer(msg Message) {
-	p := m.contact(msg)
+func (m *Machine) onAppendResponse(msg Message) {
+	p := m.recordContact(msg)
 	if p == nil || msg.Index > m.log.last() {
 		return
 	}
@@ -257,7 +258,7 @@
 	p.state = replicating
 	p.paused = false
 	m.advanceCommit()
-	m.advanceHandover(p)
+	m.advanceTransfer(p)
 	m.sendAppend(p)
 }
 
@@ -266,15 +267,15 @@
 		return
 	}
 	if p.match >= m.log.base.Index {
-		p.bytes = max(0, p.bytes-dataBytes(m.log.slice(p.match+1, min(index, p.next-1))))
+		p.inflightBytes = max(0, p.inflightBytes-dataBytes(m.log.slice(p.match+1, min(index, p.next-1))))
 	} else {
-		p.bytes = 0
+		p.inflightBytes = 0
 	}
 	p.match = index
 }
 
-// onReject goes back to where the member's log may agree. A late reject of what
-// has since been acknowledged is passed over.
+// onReject goes back to the position where the log of the member may agree. A late
+// rejection of entries that have since been acknowledged is ignored.
 func (m *Machine) onReject(p *progress, msg Message) {
 	if p.state == snapshotting || msg.Index <= p.match {
 		return
@@ -282,45 +283,45 @@
 	p.next = max(p.match+1, min(msg.Index, msg.Hint+1))
 	p.state = probing
 	p.paused = false
-	p.bytes = 0
+	p.inflightBytes = 0
 	m.sendAppend(p)
 }
 
-func (m *Machine) onHeartbeatAnswer(msg Message) {
-	p := m.contact(msg)
+func (m *Machine) onHeartbeatResponse(msg Message) {
+	p := m.recordContact(msg)
 	if p == nil {
 		return
 	}
-	p.round = max(p.round, msg.Read)
+	p.readRound = max(p.readRound, msg.Read)
 	m.confirmReads()
 	if msg.Reject {
 		m.onReject(p, msg)
 	}
 }
 
-// contact notes a sign of life in the own term and returns the sender's
-// progress.
-func (m *Machine) contact(msg Message) *progress {
+// recordContact records the time of a response in the current term and returns the
+// progress of the sender.
+func (m *Machine) recordContact(msg Message) *progress {
 	if m.role != RoleLeader {
 		return nil
 	}
-	p := m.leading.progress[msg.From]
+	p := m.leaderState.progress[msg.From]
 	if p != nil {
-		p.contact = m.now
+		p.lastContact = m.now
 	}
 	return p
 }
 
-// advanceCommit commits what a majority has synced. The own log counts only as
-// far as it is synced, and only entries of the own term are counted: an older
-// one on a majority can still be replaced.
+// advanceCommit commits entries that a majority has synced. The leader's own log counts
+// only as far as it is synced, and only entries of the current term count: an entry of an
+// earlier term on a majority can still be replaced.
 func (m *Machine) advanceCommit() {
 	var matches []uint64
 	for _, member := range m.members() {
 		if !member.Voter {
 			continue
 		}
-		if p := m.leading.progress[member.Name]; p != nil {
+		if p := m.leaderState.progress[member.Name]; p != nil {
 			matches = append(matches, p.match)
 		} else {
 			matches = append(matches, m.synced)
@@ -335,17 +336,17 @@
 		return
 	}
 	for _, e := range m.log.slice(m.commit+1, index) {
-		m.leading.uncommitted = max(0, m.leading.uncommitted-len(e.Data))
+		m.leaderState.uncommittedBytes = max(0, m.leaderState.uncommittedBytes-len(e.Data))
 	}
 	m.commit = index
-	m.tellCommit()
+	m.broadcastCommit()
 	m.startReads()
 }
 
-// tellCommit lets followers apply at once instead of with the next heartbeat:
-// configuration spreads through them.
-func (m *Machine) tellCommit() {
-	m.others(func(p *progress) {
+// broadcastCommit lets followers apply entries at once instead of after the next
+// heartbeat: followers pass the configuration on.
+func (m *Machine) broadcastCommit() {
+	m.forEachPeer(func(p *progress) {
 		if p.state != replicating {
 			return
 		}
@@ -355,18 +356,18 @@
 		}
 		term, _ := m.log.term(p.next - 1)
 		m.send(p.member, Message{
-			Kind: KindHeartbeat, Index: p.next - 1, LogTerm: term, Commit: m.commit, Read: m.leading.round,
+			Kind: KindHeartbeat, Index: p.next - 1, LogTerm: term, Commit: m.commit, Read: m.leaderState.readRound,
 		})
 	})
 }
 
 func (m *Machine) onSnapshotSent(e SnapshotSent) {
-	p := m.leading.progress[e.Name]
+	p := m.leaderState.progress[e.Name]
 	if m.role != RoleLeader || p == nil || p.member.Identity != e.Identity || p.state != snapshotting {
 		return
 	}
 	p.state = probing
-	p.bytes = 0
+	p.inflightBytes = 0
 	p.paused = !e.Installed
 	if e.Installed {
 		p.next = max(p.match, e.Index) + 1
--- a/control/pkg/consensus/machine.go
+++ b/control/pkg/consensus/machine.go
@@ -7,17 +7,17 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// Role is what a replica is at the moment.
+// Role is the current role of a replica.
 type Role string
 
 const (
-	// RoleFollower follows a leader, or waits for one.
+	// RoleFollower follows a leader or waits for one.
 	RoleFollower Role = "follower"
-	// RolePreCandidate asks whether it could win an election.
+	// RolePreCandidate queries whether it could win an election.
 	RolePreCandidate Role = "precandidate"
-	// RoleCandidate asks for votes in a term of its own.
+	// RoleCandidate requests votes in a new term.
 	RoleCandidate Role = "candidate"
-	// RoleLeader takes proposals.
+	// RoleLeader accepts proposals.
 	RoleLeader Role = "leader"
 )
 
@@ -36,33 +36,34 @@
 
 	pending  []pendingPersist
 	sequence uint64
-	// synced is the last entry that is durable here, syncedTerm the term.
+	// synced is the last entry that is durable on this replica, syncedTerm the last
+	// durable term.
 	synced     uint64
 	syncedTerm uint64
 
-	electionDue   clock.Millis
-	leaderContact clock.Millis
-	patience      patience
-	ticked        clock.Millis
-	votes         map[string]bool
-	forced        bool
+	electionDeadline  clock.Millis
+	lastLeaderContact clock.Millis
+	leaderTimeout     leaderTimeout
+	lastTick          clock.Millis
+	votes             map[string]bool
+	forced            bool
 
-	leading leading
-	out     Actions
+	leaderState leaderState
+	out         Actions
 }
 
-// pendingPersist is a Persist that isn't synced, with the messages that may only
-// go out once it is.
+// pendingPersist is a Persist that isn't synced yet, with the messages that may be sent
+// only after the sync.
 type pendingPersist struct {
 	sequence uint64
 	since    clock.Millis
 	last     uint64
 	term     uint64
-	after    []Message
+	messages []Message
 }
 
-// New starts a machine from what the disk held. A replica without any members
-// is passive: it neither campaigns nor votes until a leader sends it the log.
+// New creates a machine from the state found on disk. A replica without any members is
+// passive: it neither campaigns nor votes until a leader sends it the log.
 func New(config Config, restored Restored) (*Machine, error) {
 	m := &Machine{
 		config:     config.withDefaults(),
@@ -72,11 +73,11 @@
 		commit:     restored.Applied,
 		syncedTerm: restored.State.Term,
 	}
-	m.patience.timeout = m.config.ElectionTimeout
+	m.leaderTimeout.electionTimeout = m.config.ElectionTimeout
 	m.synced = m.log.last()
 	m.delivered = m.commit
 	if restored.Applied < restored.Base.Index || restored.Applied > m.synced {
-		return nil, fmt.Errorf("state covers entry %d but the log goes from %d to %d",
+		return nil, fmt.Errorf("restored state covers entry %d, but the log contains entries %d to %d",
 			restored.Applied, restored.Base.Index+1, m.synced)
 	}
 	if len(restored.AppliedMembers) > 0 {
@@ -84,7 +85,7 @@
 	}
 	for _, e := range restored.Entries {
 		if e.Index > restored.Applied {
-			if err := m.noteMembers(e); err != nil {
+			if err := m.recordMembers(e); err != nil {
 				return nil, err
 			}
 		}
@@ -92,14 +93,14 @@
 	return m, nil
 }
 
-// Step tells the machine the time and one event, and returns
-// what is to be done. A clock that goes backwards is taken to stand still.
+// Step sets the time, handles one event and returns the resulting actions. If the clock
+// goes backwards, the time of the machine stands still.
 func (m *Machine) Step(now clock.Millis, event Event) Actions {
-	if m.electionDue == 0 {
+	if m.electionDeadline == 0 {
 		m.now = now
 		m.resetElection()
 		if len(m.members()) > 0 {
-			m.electionDue = now + m.config.Jitter(m.config.FirstElection)
+			m.electionDeadline = now + m.config.Jitter(m.config.MaxFirstElectionDelay)
 		}
 	}
 	m.now = max(m.now, now)
@@ -114,16 +115,16 @@
 		m.readIndex(e.ID)
 	case Synced:
 		m.onSynced(e.Sequence)
-	case Handover:
-		m.startHandover(e.ID)
+	case TransferLeadership:
+		m.startTransfer(e.ID)
 	case ChangeMembers:
 		m.changeMembers(e)
 	case SnapshotSent:
 		m.onSnapshotSent(e)
 	case SnapshotInstalled:
 		m.onSnapshotInstalled(e)
-	case Form:
-		m.form(e.Members)
+	case FormGroup:
+		m.formGroup(e.Members)
 	case Compact:
 		m.compact(e)
 	}
@@ -135,24 +136,24 @@
 
 func (m *Machine) tick() {
 	if m.role == RoleLeader {
-		if m.ticked > 0 {
-			m.patience.note(m.now - m.ticked)
+		if m.lastTick > 0 {
+			m.leaderTimeout.observe(m.now - m.lastTick)
 		}
-		m.ticked = m.now
+		m.lastTick = m.now
 		m.tickLeader()
 		return
 	}
-	if m.now >= m.electionDue {
-		m.preCampaign()
+	if m.now >= m.electionDeadline {
+		m.startPreVote()
 	}
 }
 
 func (m *Machine) resetElection() {
-	m.electionDue = m.now + m.patience.span() + m.config.Jitter(m.config.ElectionTimeout)
+	m.electionDeadline = m.now + m.leaderTimeout.value() + m.config.Jitter(m.config.ElectionTimeout)
 }
 
-// persist returns this step's Persist with the current hard state, and makes
-// everything sent from now on wait for it.
+// persist returns the Persist of this step with the current hard state. Messages sent
+// with sendAfterSync from now on wait for it.
 func (m *Machine) persist() *Persist {
 	if m.out.Persist == nil {
 		m.sequence++
@@ -166,8 +167,8 @@
 	return m.out.Persist
 }
 
-// appendEntries adds entries to the log, replacing those from the first one's
-// index on.
+// appendEntries adds entries to the log. They replace existing entries from the first
+// one's index on.
 func (m *Machine) appendEntries(entries ...Entry) {
 	first := entries[0].Index
 	if first <= m.log.last() {
@@ -175,8 +176,8 @@
 	}
 	m.log.append(entries...)
 	for _, e := range entries {
-		if err := m.noteMembers(e); err != nil {
-			panic(fmt.Sprintf("entry %d of the log: %v", e.Index, err))
+		if err := m.recordMembers(e); err != nil {
+			panic(fmt.Sprintf("append entry %d: %v", e.Index, err))
 		}
 	}
 	p := m.persist()
@@ -185,7 +186,7 @@
 
 func (m *Machine) truncate(index uint64) {
 	if index <= m.commit {
-		panic(fmt.Sprintf("entry %d is committed and can't be replaced", index))
+		panic(fmt.Sprintf("truncate log: entry %d is already committed", index))
 	}
 	m.log.truncate(index)
 	m.history = m.history.truncate(index)
@@ -195,13 +196,13 @@
 	}
 }
 
-func (m *Machine) noteMembers(e Entry) error {
+func (m *Machine) recordMembers(e Entry) error {
 	if e.Kind != EntryMembers {
 		return nil
 	}
 	members, err := DecodeMembers(e.Data)
 	if err != nil {
-		return fmt.Errorf("members of entry %d: %w", e.Index, err)
+		return fmt.Errorf("read membership from entry %d: %w", e.Index, err)
 	}
 	m.history = append(m.history, membership{index: e.Index, members: members})
 	return nil
@@ -212,7 +213,7 @@
 	for _, p := range m.pending[:done] {
 		m.synced = max(m.synced, p.last)
 		m.syncedTerm = max(m.syncedTerm, p.term)
-		m.out.Messages = append(m.out.Messages, p.after...)
+		m.out.Messages = append(m.out.Messages, p.messages...)
 	}
 	m.pending = append([]pendingPersist(nil), m.pending[done:]...)
 	switch m.role {
@@ -223,8 +224,9 @@
 	}
 }
 
-// deliver hands out committed entries. They must be synced here too, so that the
-// state machine never knows more than the log beside it after a crash.
+// deliver returns committed entries to the caller. They must also be synced on this
+// replica, so that after a crash the state machine is never ahead of the log on the same
+// disk.
 func (m *Machine) deliver() {
 	to := min(m.commit, m.synced)
 	if to <= m.delivered {
@@ -234,8 +236,9 @@
 	m.delivered = to
 }
 
-// address fills in both ends and the term.
-func (m *Machine) address(to Member, msg Message) Message {
+// withHeader sets sender and receiver, and the current term unless the message has a
+// term.
+func (m *Machine) withHeader(to Member, msg Message) Message {
 	msg.From, msg.FromIdentity = m.config.Name, m.config.Identity
 	msg.To, msg.ToIdentity = to.Name, to.Identity
 	if msg.Term == 0 {
@@ -244,22 +247,23 @@
 	return msg
 }
 
-// send lets a message go at once: it promises nothing about this disk.
+// send sends a message at once. The message must not depend on a pending sync of this
+// disk.
 func (m *Machine) send(to Member, msg Message) {
-	m.out.Messages = append(m.out.Messages, m.address(to, msg))
+	m.out.Messages = append(m.out.Messages, m.withHeader(to, msg))
 }
 
-// sendSynced holds a message back until all that was persisted before is
-// durable. An answer sent earlier counts towards a majority that a crash takes
-// back: an acknowledged entry is lost, or two leaders share a term. Waiting for
-// the latest Persist is enough since they sync in order.
-func (m *Machine) sendSynced(to Member, msg Message) {
+// sendAfterSync withholds a message until everything persisted before is durable. A
+// response sent earlier would count towards a majority that a crash undoes: an
+// acknowledged entry would be lost, or two leaders would share a term. It is enough to
+// wait for the latest Persist, since they sync in order.
+func (m *Machine) sendAfterSync(to Member, msg Message) {
 	if len(m.pending) == 0 {
 		m.send(to, msg)
 		return
 	}
 	last := &m.pending[len(m.pending)-1]
-	last.after = append(last.after, m.address(to, msg))
+	last.messages = append(last.messages, m.withHeader(to, msg))
 }
 
 func (m *Machine) members() Members { return m.history.current() }
@@ -269,7 +273,7 @@
 	return self, ok && self.Identity == m.config.Identity
 }
 
-func (m *Machine) form(members Members) {
+func (m *Machine) formGroup(members Members) {
 	if m.log.last() > 0 || len(m.members()) > 0 {
 		return
 	}
--- a/control/pkg/consensus/machine_test.go
+++ b/control/pkg/consensus/machine_test.go
@@ -9,11 +9,12 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// newCalm is a cluster without faults but for those the test makes.
-func newCalm(t *testing.T, size, spares int) *sim {
+// newFaultlessSim returns a cluster with a leader. It has no faults except those that the
+// test injects.
+func newFaultlessSim(t *testing.T, size, spares int) *sim {
 	t.Helper()
 	s := newSim(size, spares, rand.New(rand.NewPCG(1, 0)).IntN)
-	s.calm(2000)
+	s.runWithoutFaults(2000)
 	require.NotNil(t, s.leader())
 	return s
 }
@@ -39,26 +40,27 @@
 	}
 }
 
-// pass delivers what is on the way from one node to another.
-func (s *sim) pass(from, to *simNode) {
-	parcels := s.network
+// deliverBetween delivers the packets in flight from one node to another.
+func (s *sim) deliverBetween(from, to *simNode) {
+	packets := s.network
 	s.network = nil
-	for _, p := range parcels {
+	for _, p := range packets {
 		if p.from == from.name && p.to == to.name {
-			s.transfer(p)
+			s.deliverPacket(p)
 		} else {
 			s.network = append(s.network, p)
 		}
 	}
 }
 
-// deliverAll hands over what is on the way and syncs, without letting time pass.
+// deliverAll delivers the packets in flight and syncs all disks, without advancing the
+// time.
 func (s *sim) deliverAll() {
 	for range 10 {
-		parcels := s.network
+		packets := s.network
 		s.network = nil
-		for _, p := range parcels {
-			s.transfer(p)
+		for _, p := range packets {
+			s.deliverPacket(p)
 		}
 		for _, n := range s.nodes {
 			s.sync(n, len(n.pending))
@@ -66,11 +68,10 @@
 	}
 }
 
-// Two replicas may each win the pre-vote before either campaigns. The third
-// votes for the first, crashes right after the vote was acknowledged, and is
-// asked by the second in the same term. If it forgot its vote, both would lead
-// that term.
-func TestVoteOutlivesACrash(t *testing.T) {
+// Two replicas may both win the pre-vote before either campaigns. The third replica votes
+// for the first, crashes right after the vote was acknowledged, and receives a request
+// from the second in the same term. If it forgot its vote, both would lead that term.
+func TestVoteSurvivesCrash(t *testing.T) {
 	scenarios := []struct {
 		name      string
 		forget    bool
@@ -82,87 +83,87 @@
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
 			s := newSim(3, 0, func(int) int { return 0 })
-			s.lies.forgetVote = sc.forget
+			s.bypass.forgetVote = sc.forget
 			first, second, third := s.nodes[0], s.nodes[1], s.nodes[2]
 			for _, n := range []*simNode{first, second} {
 				self := Member{Name: n.name, Identity: n.identity}
-				s.step(n, Received{Message: n.machine.address(self, Message{Kind: KindCampaign})})
+				s.step(n, Received{Message: n.machine.withHeader(self, Message{Kind: KindCampaign})})
 				s.sync(n, len(n.pending))
 			}
-			s.pass(first, third)
+			s.deliverBetween(first, third)
 			s.sync(third, len(third.pending))
 			s.crash(third)
 			s.restart(third)
-			s.pass(second, third)
+			s.deliverBetween(second, third)
 			s.sync(third, len(third.pending))
-			s.pass(third, first)
-			s.pass(third, second)
+			s.deliverBetween(third, first)
+			s.deliverBetween(third, second)
 			require.Equal(t, sc.violation, s.violation != "", s.violation)
 		})
 	}
 }
 
-// A replica is cut off for a long time and comes back. Without a pre-vote it
-// would have raised its term with every election it held alone, and the leader
-// that serves everybody would have to step down for it.
-func TestReturningReplicaDeposesNobody(t *testing.T) {
+// A replica is cut off for a long time and returns. Without a pre-vote it would have
+// raised its term with every election it held alone, and the working leader would have to
+// step down.
+func TestPreVoteKeepsLeaderWhenReplicaReturns(t *testing.T) {
 	scenarios := []struct {
-		name     string
-		skipVote bool
+		name        string
+		skipPreVote bool
 	}{
 		{name: "with pre-vote"},
-		{name: "pre-votes granted by nobody's leave", skipVote: true},
+		{name: "with forged pre-vote responses", skipPreVote: true},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
-			s := newCalm(t, 3, 0)
-			leader, away := s.leader(), s.followers()[0]
+			s := newFaultlessSim(t, 3, 0)
+			leader, isolated := s.leader(), s.followers()[0]
 			term := leader.machine.state.Term
-			s.cutOff(away, true, true)
+			s.cutOff(isolated, true, true)
 			for range 40 {
-				s.calm(100)
-				if sc.skipVote && away.machine.role == RolePreCandidate {
+				s.runWithoutFaults(100)
+				if sc.skipPreVote && isolated.machine.role == RolePreCandidate {
 					other := s.followers()[1]
-					s.step(away, Received{Message: Message{
-						Kind: KindPreVoteAnswer, From: other.name, FromIdentity: other.identity,
-						To: away.name, ToIdentity: away.identity, Term: away.machine.state.Term + 1,
+					s.step(isolated, Received{Message: Message{
+						Kind: KindPreVoteResponse, From: other.name, FromIdentity: other.identity,
+						To: isolated.name, ToIdentity: isolated.identity, Term: isolated.machine.state.Term + 1,
 					}})
 				}
 			}
 			clear(s.cuts)
-			s.calm(2000)
-			require.Equal(t, sc.skipVote, s.leader().machine.state.Term > term)
+			s.runWithoutFaults(2000)
+			require.Equal(t, sc.skipPreVote, s.leader().machine.state.Term > term)
 			require.Empty(t, s.violation)
 		})
 	}
 }
 
-// A leader can send but hears nobody, or the other way about. Its callers would
-// wait for as long as the cut lasts; so it steps down by itself, and where the
-// others no longer hear it they elect another one.
-func TestCutLeaderStepsDown(t *testing.T) {
+// A leader can send but not receive, or the other way round. Its callers would wait as
+// long as the partition lasts, so the leader steps down by itself. If the other replicas
+// no longer receive its heartbeats, they elect a new leader.
+func TestPartitionedLeaderStepsDown(t *testing.T) {
 	scenarios := []struct {
 		name              string
 		inbound, outbound bool
 		forged            bool
 		stays             bool
 	}{
-		{name: "hears nobody", inbound: true},
-		{name: "reaches nobody", outbound: true},
-		{name: "neither", inbound: true, outbound: true},
-		{name: "check of the quorum deceived", inbound: true, outbound: true, forged: true, stays: true},
+		{name: "receives nothing", inbound: true},
+		{name: "sends nothing", outbound: true},
+		{name: "neither sends nor receives", inbound: true, outbound: true},
+		{name: "forged heartbeat responses", inbound: true, outbound: true, forged: true, stays: true},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
-			s := newCalm(t, 3, 0)
+			s := newFaultlessSim(t, 3, 0)
 			old := s.leader()
 			other := s.followers()[0]
 			s.cutOff(old, sc.inbound, sc.outbound)
 			for range 20 {
-				s.calm(100)
+				s.runWithoutFaults(100)
 				if sc.forged {
 					s.step(old, Received{Message: Message{
-						Kind: KindHeartbeatAnswer, From: other.name, FromIdentity: other.identity,
+						Kind: KindHeartbeatResponse, From: other.name, FromIdentity: other.identity,
 						To: old.name, ToIdentity: old.identity, Term: old.machine.state.Term,
 					}})
 				}
@@ -174,26 +175,26 @@
 	}
 }
 
-// A removed replica never learns that it was removed. It campaigns for ever, and
-// nobody is disturbed.
-func TestRemovedReplicaDisturbsNobody(t *testing.T) {
-	s := newCalm(t, 4, 0)
+// A removed replica never learns that it was removed. It campaigns for ever and must not
+// disturb the leader.
+func TestRemovedReplicaDoesNotDisturbLeader(t *testing.T) {
+	s := newFaultlessSim(t, 4, 0)
 	leader, removed := s.leader(), s.followers()[0]
 	term := leader.machine.state.Term
 	s.cutOff(removed, true, true)
 	s.step(leader, ChangeMembers{ID: s.id(), Kind: Remove, Member: Member{Name: removed.name}})
-	s.calm(500)
+	s.runWithoutFaults(500)
 	clear(s.cuts)
-	s.calm(5000)
+	s.runWithoutFaults(5000)
 	require.Equal(t, term, leader.machine.state.Term)
 	require.Equal(t, RoleLeader, leader.machine.role)
 	require.True(t, removed.machine.members().Has(removed.name, removed.identity))
 }
 
-// A process is frozen and thawed. The leader that was frozen must not serve
-// reads from its old state.
-func TestThawedLeaderServesNoOldRead(t *testing.T) {
-	s := newCalm(t, 3, 0)
+// A process is frozen and resumed. A leader that was frozen must not serve reads from its
+// old state.
+func TestResumedLeaderServesNoStaleRead(t *testing.T) {
+	s := newFaultlessSim(t, 3, 0)
 	old := s.leader()
 	s.cutOff(old, true, true)
 	others := s.followers()
@@ -210,7 +211,7 @@
 	s.deliverAll()
 	clear(s.cuts)
 	id := s.id()
-	s.reads[id] = s.highest
+	s.reads[id] = s.highestCommitted
 	old.clock += 2000
 	confirmed := s.counts.reads
 	s.step(old, ReadIndex{ID: id})
@@ -219,30 +220,30 @@
 	require.Empty(t, s.violation)
 }
 
-// The leader gives its place to another one before a planned stop, without an
-// election timeout in between.
-func TestHandoverNeedsNoTimeout(t *testing.T) {
-	s := newCalm(t, 3, 0)
+// The leader transfers its leadership before a planned stop, without an election timeout
+// in between.
+func TestLeadershipTransferWithoutElectionTimeout(t *testing.T) {
+	s := newFaultlessSim(t, 3, 0)
 	old := s.leader()
 	term := old.machine.state.Term
-	s.step(old, Handover{ID: s.id()})
+	s.step(old, TransferLeadership{ID: s.id()})
 	s.deliverAll()
 	require.NotEqual(t, old, s.leader())
 	require.Equal(t, term+1, s.leader().machine.state.Term)
-	require.Equal(t, 1, s.counts.handed)
+	require.Equal(t, 1, s.counts.transferred)
 }
 
-func TestChangesAreRefused(t *testing.T) {
+func TestMembershipChangeRefused(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		change ChangeMembers
 		before func(s *sim)
 		reason Reason
 	}{
-		{name: "name taken", change: ChangeMembers{Kind: AddLearner, Member: Member{Name: "n1", Identity: "other"}}, reason: ReasonMemberExists},
+		{name: "name already in use", change: ChangeMembers{Kind: AddLearner, Member: Member{Name: "n1", Identity: "other"}}, reason: ReasonMemberExists},
 		{name: "promote a voter", change: ChangeMembers{Kind: Promote, Member: Member{Name: "n1"}}, reason: ReasonMemberUnknown},
-		{name: "remove nobody", change: ChangeMembers{Kind: Remove, Member: Member{Name: "nobody"}}, reason: ReasonMemberUnknown},
-		{name: "remove itself", change: ChangeMembers{Kind: Remove}, reason: ReasonIsLeader},
+		{name: "remove unknown member", change: ChangeMembers{Kind: Remove, Member: Member{Name: "nobody"}}, reason: ReasonMemberUnknown},
+		{name: "remove the leader", change: ChangeMembers{Kind: Remove}, reason: ReasonIsLeader},
 		{
 			name: "second before the first is committed", change: ChangeMembers{Kind: Remove, Member: Member{Name: "n3"}},
 			before: func(s *sim) {
@@ -253,15 +254,15 @@
 			name: "learner without the log", change: ChangeMembers{Kind: Promote, Member: Member{Name: "n9"}},
 			before: func(s *sim) {
 				s.step(s.leader(), ChangeMembers{ID: s.id(), Kind: AddLearner, Member: Member{Name: "n9", Identity: "n9-disk0"}})
-				s.network = slicesWithout(s.network, "n9")
+				s.network = withoutPacketsTo(s.network, "n9")
 				s.deliverAll()
 			}, reason: ReasonLearnerBehind,
 		},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
-			s := newCalm(t, 4, 1)
-			// n9 is a member that no process stands for.
+			s := newFaultlessSim(t, 4, 1)
+			// n9 is a member without a process.
 			s.nodes = append(s.nodes, &simNode{name: "n9", identity: "n9-disk0", clock: simStart})
 			if sc.before != nil {
 				sc.before(s)
@@ -282,9 +283,9 @@
 	}
 }
 
-func slicesWithout(parcels []parcel, to string) []parcel {
-	var left []parcel
-	for _, p := range parcels {
+func withoutPacketsTo(packets []packet, to string) []packet {
+	var left []packet
+	for _, p := range packets {
 		if p.to != to {
 			left = append(left, p)
 		}
@@ -292,10 +293,10 @@
 	return left
 }
 
-// Too much uncommitted is refused at once instead of filling the memory while no
-// majority answers.
-func TestUncommittedIsBounded(t *testing.T) {
-	s := newCalm(t, 3, 0)
+// Proposals beyond the limit of uncommitted bytes are refused at once instead of filling
+// the memory while no majority responds.
+func TestUncommittedBytesAreBounded(t *testing.T) {
+	s := newFaultlessSim(t, 3, 0)
 	l := s.leader()
 	l.machine.config.MaxUncommittedBytes = 10
 	actions := l.machine.Step(l.clock, Propose{Proposals: []Proposal{
@@ -305,82 +306,84 @@
 	require.Equal(t, []Refused{{ID: 2, Reason: ReasonOverloaded}}, actions.Refused)
 }
 
-// An identity that the membership doesn't name can't help anybody to a majority.
-func TestAnswersOfAnotherIdentityDontCount(t *testing.T) {
+// A response from an identity that isn't in the membership must not count towards a
+// majority.
+func TestResponseFromUnknownIdentityIgnored(t *testing.T) {
 	s := newSim(3, 0, func(int) int { return 0 })
 	n := s.nodes[0]
 	s.step(n, Tick{})
 	n.clock += clock.Millis(10_000)
 	s.step(n, Tick{})
 	require.Equal(t, RolePreCandidate, n.machine.role)
-	answer := Message{
-		Kind: KindPreVoteAnswer, From: "n1", FromIdentity: "n1-disk9",
+	response := Message{
+		Kind: KindPreVoteResponse, From: "n1", FromIdentity: "n1-disk9",
 		To: n.name, ToIdentity: n.identity, Term: n.machine.state.Term + 1,
 	}
-	s.step(n, Received{Message: answer})
+	s.step(n, Received{Message: response})
 	require.Equal(t, RolePreCandidate, n.machine.role)
-	answer.FromIdentity = "n1-disk0"
-	s.step(n, Received{Message: answer})
+	response.FromIdentity = "n1-disk0"
+	s.step(n, Received{Message: response})
 	require.Equal(t, RoleCandidate, n.machine.role)
 }
 
-// All replicas lose power; two of three come back, one a moment after the other.
-// Until one leads, no caller is served, since nobody can vouch for a routing table.
-// Nothing is gained by waiting for a leader that can't be there: the second one
-// completes the majority and leads at once.
-func TestAMajorityThatIsBackElectsAtOnce(t *testing.T) {
+// All replicas lose power, and two of three return, one shortly after the other. Until
+// one leads no caller is served, since nothing confirms the routing table. The second
+// replica completes the majority and must lead at once, without waiting for a leader that
+// can't exist.
+func TestRestartedMajorityElectsLeaderAtOnce(t *testing.T) {
 	for seed := range uint64(20) {
-		s := newCalm(t, 3, 0)
+		s := newFaultlessSim(t, 3, 0)
 		s.jitter = rand.New(rand.NewPCG(seed, 1))
 		for _, n := range s.nodes {
 			s.crash(n)
 		}
 		s.restart(s.nodes[0])
-		s.calm(100)
+		s.runWithoutFaults(100)
 		require.Nil(t, s.leader())
 		s.restart(s.nodes[1])
 		waited := 0
 		for ; s.leader() == nil && waited < 2_000; waited += 10 {
-			s.calm(10)
+			s.runWithoutFaults(10)
 		}
 		require.LessOrEqual(t, waited, 150, "seed %d", seed)
 		require.Empty(t, s.violation)
 	}
 }
 
-// All replicas lose power, one of them with its disk. The other two are back at the
-// same moment, and ask at the same moment: each votes for itself, and neither can win.
-// They must not wait a whole timeout before they try again.
-func TestASplitVoteIsTriedAgainSoon(t *testing.T) {
+// All replicas lose power, and one of them loses its disk. The other two return and
+// request votes at the same time: each votes for itself, and neither can win. They must
+// not wait a whole timeout before they retry.
+func TestSplitVoteRetriedBeforeTimeout(t *testing.T) {
 	for seed := range uint64(20) {
-		s := newCalm(t, 3, 0)
+		s := newFaultlessSim(t, 3, 0)
 		for _, n := range s.nodes {
 			s.crash(n)
 		}
 		for _, n := range s.nodes[:2] {
 			s.restart(n)
 			self := Member{Name: n.name, Identity: n.identity}
-			s.step(n, Received{Message: n.machine.address(self, Message{Kind: KindCampaign, Term: n.machine.state.Term})})
+			s.step(n, Received{Message: n.machine.withHeader(self, Message{Kind: KindCampaign, Term: n.machine.state.Term})})
 		}
 		s.jitter = rand.New(rand.NewPCG(seed, 2))
 		waited := 0
 		for ; s.leader() == nil && waited < 3_000; waited += 10 {
-			s.calm(10)
+			s.runWithoutFaults(10)
 		}
 		require.LessOrEqual(t, waited, 420, "seed %d", seed)
 		require.Empty(t, s.violation)
 	}
 }
 
-// A replica restarts while another one leads: it asks, is told so, and follows.
-func TestARestartedReplicaDeposesNobody(t *testing.T) {
-	s := newCalm(t, 3, 0)
+// A replica restarts while another one leads: its pre-vote requests are refused, and it
+// follows.
+func TestRestartedReplicaDoesNotDeposeLeader(t *testing.T) {
+	s := newFaultlessSim(t, 3, 0)
 	term := s.leader().machine.state.Term
 	for range 5 {
-		away := s.followers()[0]
-		s.crash(away)
-		s.restart(away)
-		s.calm(300)
+		restarted := s.followers()[0]
+		s.crash(restarted)
+		s.restart(restarted)
+		s.runWithoutFaults(300)
 	}
 	require.Equal(t, term, s.leader().machine.state.Term)
 	require.Empty(t, s.violation)
--- a/control/pkg/consensus/members.go
+++ b/control/pkg/consensus/members.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// Member is one replica of the group. Identity is the random id of its data
-// folder: a replica that lost its disk comes back under another identity and is
-// another member, whatever its name.
+// Member is one replica of the group. Identity is the random ID of its data folder: a
+// replica that lost its disk returns with a new identity and is a different member, even
+// under the same name.
 type Member struct {
 	Name     string `json:"name"`
 	Address  string `json:"address"`
@@ -15,10 +15,10 @@
 	Voter    bool   `json:"voter"`
 }
 
-// Members is a whole membership, at most one member for each name.
+// Members is a complete membership, with at most one member per name.
 type Members []Member
 
-// Find returns the member of that name.
+// Find returns the member with the name.
 func (ms Members) Find(name string) (Member, bool) {
 	for _, m := range ms {
 		if m.Name == name {
@@ -28,13 +28,13 @@
 	return Member{}, false
 }
 
-// Has says whether the name stands in the membership under this identity.
+// Has reports whether the membership contains the name with this identity.
 func (ms Members) Has(name, identity string) bool {
 	m, ok := ms.Find(name)
 	return ok && m.Identity == identity
 }
 
-// Voters counts the members that vote.
+// Voters returns the number of members that vote.
 func (ms Members) Voters() int {
 	voters := 0
 	for _, m := range ms {
@@ -45,21 +45,21 @@
 	return voters
 }
 
-// Quorum is the number of voters that make a majority.
+// Quorum returns the number of voters that form a majority.
 func (ms Members) Quorum() int {
 	return ms.Voters()/2 + 1
 }
 
-// Encode gives the form that an EntryMembers carries.
+// Encode returns the payload of an EntryMembers entry.
 func (ms Members) Encode() []byte {
 	data, err := json.Marshal(ms)
 	if err != nil {
-		panic(fmt.Sprintf("members can't be encoded: %v", err))
+		panic(fmt.Sprintf("encode members: %v", err))
 	}
 	return data
 }
 
-// DecodeMembers reads what Encode wrote.
+// DecodeMembers decodes the result of Encode.
 func DecodeMembers(data []byte) (Members, error) {
 	if len(data) == 0 {
 		return nil, nil
@@ -71,7 +71,7 @@
 	return ms, nil
 }
 
-// without returns a copy that lacks the name.
+// without returns a copy without the member of that name.
 func (ms Members) without(name string) Members {
 	left := make(Members, 0, len(ms))
 	for _, m := range ms {
--- a/control/pkg/consensus/message.go
+++ b/control/pkg/consensus/message.go
@@ -1,41 +1,41 @@
 package consensus
 
-// Kind is the kind of a message between replicas. The numbers go over the wire:
-// never renumber.
+// Kind is the type of a message between replicas. The numbers are part of the wire
+// protocol: never renumber them.
 type Kind uint32
 
 const (
-	// KindPreVote asks whether a vote would be given in Term, which the asker
-	// hasn't entered yet.
+	// KindPreVote queries whether the receiver would vote for the sender in Term, which
+	// the sender hasn't entered yet.
 	KindPreVote Kind = iota + 1
-	// KindPreVoteAnswer answers it: granted with the asked term, or rejected
-	// with the answerer's own.
-	KindPreVoteAnswer
-	// KindVote asks for a vote in Term.
+	// KindPreVoteResponse answers KindPreVote: granted with the requested term, or
+	// rejected with the term of the responding replica.
+	KindPreVoteResponse
+	// KindVote requests a vote in Term.
 	KindVote
-	// KindHandoverVote is KindVote of a replica that the leader itself told to
-	// campaign, so the leader's recent contact is no reason to refuse.
-	KindHandoverVote
-	// KindVoteAnswer answers either.
-	KindVoteAnswer
-	// KindAppend carries entries that follow entry Index of LogTerm.
+	// KindTransferVote is the KindVote of a replica that campaigns at the leader's
+	// request. Recent contact with the leader is then no reason to refuse the vote.
+	KindTransferVote
+	// KindVoteResponse answers KindVote and KindTransferVote.
+	KindVoteResponse
+	// KindAppend carries the entries after the entry at Index, whose term is LogTerm.
 	KindAppend
-	// KindAppendAnswer says that the log is synced up to Index, or rejects what
-	// followed Index and hints at the last entry that may match.
-	KindAppendAnswer
-	// KindHeartbeat keeps contact, carries the read round and the commit point,
-	// and lets a lost append be noticed.
+	// KindAppendResponse confirms that the log is synced up to Index, or rejects the
+	// entries after Index. Hint is then the last entry that may match.
+	KindAppendResponse
+	// KindHeartbeat maintains contact, carries the read round and the commit index, and
+	// reveals a lost append.
 	KindHeartbeat
-	// KindHeartbeatAnswer echoes the read round. It promises nothing about syncs.
-	KindHeartbeatAnswer
-	// KindCampaign tells a voter that holds the whole log to campaign at once.
+	// KindHeartbeatResponse echoes the read round. It confirms no synced entries.
+	KindHeartbeatResponse
+	// KindCampaign makes a voter that has the whole log campaign at once.
 	KindCampaign
-	// KindHello carries the identities that a replica of a new group has seen.
+	// KindHello carries the identities that a replica of a new group has pinned.
 	KindHello
 )
 
-// Message goes from one replica to another. Both ends are named with the
-// identity of their data folder, as the sender knows it.
+// Message is sent from one replica to another. Sender and receiver are each identified by
+// their name and the identity of their data folder, as the sender knows it.
 type Message struct {
 	Kind         Kind
 	From         string
@@ -52,19 +52,19 @@
 	Entries      []Entry
 }
 
-// isAnswer tells the messages that count towards a majority.
-func (m Message) isAnswer() bool {
+// isResponse reports whether the message can count towards a majority.
+func (m Message) isResponse() bool {
 	switch m.Kind {
-	case KindPreVoteAnswer, KindVoteAnswer, KindAppendAnswer, KindHeartbeatAnswer:
+	case KindPreVoteResponse, KindVoteResponse, KindAppendResponse, KindHeartbeatResponse:
 		return true
 	default:
 		return false
 	}
 }
 
-// wellFormed says whether a replica of this version could have sent the message.
-// What is handled after this check can't bring the machine out of step with
-// itself, whatever a broken peer sends.
+// wellFormed reports whether a replica of this version could have sent the message. A
+// message that passes this check can't make the state of the machine inconsistent,
+// whatever a faulty peer sends.
 func (m Message) wellFormed() bool {
 	if m.Kind < KindPreVote || m.Kind > KindCampaign {
 		return false
@@ -74,7 +74,7 @@
 		if e.Index != m.Index+uint64(i)+1 || e.Term < term || e.Term > m.Term {
 			return false
 		}
-		if !e.readable() {
+		if !e.decodable() {
 			return false
 		}
 		term = e.Term
--- a/control/pkg/consensus/propose.go
+++ b/control/pkg/consensus/propose.go
@@ -11,7 +11,7 @@
 			Index: m.log.last() + uint64(len(appended)) + 1, Term: m.state.Term,
 			Kind: EntryCommand, Data: p.Data,
 		}
-		m.leading.uncommitted += len(p.Data)
+		m.leaderState.uncommittedBytes += len(p.Data)
 		appended = append(appended, e)
 		m.out.Accepted = append(m.out.Accepted, Accepted{ID: p.ID, Index: e.Index, Term: e.Term})
 	}
@@ -23,53 +23,53 @@
 }
 
 func (m *Machine) mayPropose(p Proposal) (Reason, bool) {
-	if m.role != RoleLeader || m.leading.handover.target != "" {
+	if m.role != RoleLeader || m.leaderState.transfer.target != "" {
 		return ReasonNotLeader, false
 	}
-	uncommitted := m.leading.uncommitted
+	uncommitted := m.leaderState.uncommittedBytes
 	if uncommitted > 0 && uncommitted+len(p.Data) > m.config.MaxUncommittedBytes {
 		return ReasonOverloaded, false
 	}
 	return "", true
 }
 
-// pendingRead waits for a majority to answer a heartbeat of its round.
+// pendingRead is a read that waits for a majority to respond to a heartbeat of its round.
 type pendingRead struct {
 	id    uint64
 	index uint64
 	round uint64
 }
 
-// readIndex begins a read. A leader that was deposed without knowing it would
-// answer from an old state; so a majority must confirm, after the read began,
-// that it still follows.
+// readIndex starts a read. A leader that was deposed without knowing it would respond
+// with an old state, so a majority must confirm, after the read began, that it still
+// follows this leader.
 func (m *Machine) readIndex(id uint64) {
 	if m.role != RoleLeader {
 		m.refuse(id, ReasonNotLeader)
 		return
 	}
-	m.leading.reads = append(m.leading.reads, pendingRead{id: id})
+	m.leaderState.reads = append(m.leaderState.reads, pendingRead{id: id})
 	m.startReads()
 }
 
-// startReads gives waiting reads their read point and round. Until an entry of
-// the own term is committed, the commit point may lag behind what an earlier
+// startReads assigns a read index and a round to waiting reads. Until an entry of the
+// current term is committed, the commit index may lag behind entries that an earlier
 // leader acknowledged.
 func (m *Machine) startReads() {
 	if term, ok := m.log.term(m.commit); !ok || term != m.state.Term {
 		return
 	}
 	started := false
-	for i := range m.leading.reads {
-		r := &m.leading.reads[i]
+	for i := range m.leaderState.reads {
+		r := &m.leaderState.reads[i]
 		if r.round != 0 {
 			continue
 		}
 		if !started {
-			m.leading.round++
+			m.leaderState.readRound++
 			started = true
 		}
-		r.index, r.round = m.commit, m.leading.round
+		r.index, r.round = m.commit, m.leaderState.readRound
 	}
 	if started {
 		m.heartbeat()
@@ -79,14 +79,14 @@
 
 func (m *Machine) confirmReads() {
 	confirmed := 0
-	for _, r := range m.leading.reads {
+	for _, r := range m.leaderState.reads {
 		if r.round == 0 || !m.roundConfirmed(r.round) {
 			break
 		}
 		m.out.Reads = append(m.out.Reads, ReadConfirmed{ID: r.id, Index: r.index})
 		confirmed++
 	}
-	m.leading.reads = m.leading.reads[confirmed:]
+	m.leaderState.reads = m.leaderState.reads[confirmed:]
 }
 
 func (m *Machine) roundConfirmed(round uint64) bool {
@@ -94,8 +94,8 @@
 	if self, ok := m.self(); ok && self.Voter {
 		confirmed++
 	}
-	m.others(func(p *progress) {
-		if p.member.Voter && p.round >= round {
+	m.forEachPeer(func(p *progress) {
+		if p.member.Voter && p.readRound >= round {
 			confirmed++
 		}
 	})
--- a/control/pkg/consensus/receive.go
+++ b/control/pkg/consensus/receive.go
@@ -1,91 +1,92 @@
 package consensus
 
-// receive takes a message that is meant for this identity.
+// receive handles a message that is addressed to this identity.
 //
-// A replica whose disk was lost knows neither its votes nor its entries. If it
-// answered for the old identity, two leaders could get a majority in one term,
-// or an acknowledged entry would be missing from every majority. So questions
-// are answered only under the identity they name, and answers count only from an
-// identity that the membership names. The asker's identity needs no check: a
-// replica that the membership doesn't name never campaigns, and a follower that
-// lags must accept a leader that was added after its own latest entry.
+// A replica that lost its disk knows neither its votes nor its entries. If it responded
+// under its old identity, two leaders could get a majority in one term, or an
+// acknowledged entry could be missing from every majority. Therefore only the identity
+// named in a request handles it, and a response counts only from an identity in the
+// membership. The sender of a request needs no check: a replica that isn't in the
+// membership never campaigns, and a follower that lags must accept a leader that was
+// added after the follower's latest entry.
 func (m *Machine) receive(msg Message) {
 	if msg.To != m.config.Name || msg.ToIdentity != m.config.Identity || !msg.wellFormed() {
 		return
 	}
-	if msg.isAnswer() && !m.members().Has(msg.From, msg.FromIdentity) {
+	if msg.isResponse() && !m.members().Has(msg.From, msg.FromIdentity) {
 		return
 	}
 	switch {
 	case msg.Term > m.state.Term:
-		if !m.takeHigherTerm(msg) {
+		if !m.handleHigherTerm(msg) {
 			return
 		}
 	case msg.Term < m.state.Term:
-		m.answerLowerTerm(msg)
+		m.respondToLowerTerm(msg)
 		return
 	}
 	switch msg.Kind {
 	case KindPreVote:
 		m.onPreVote(msg)
-	case KindVote, KindHandoverVote:
+	case KindVote, KindTransferVote:
 		m.onVote(msg)
-	case KindPreVoteAnswer, KindVoteAnswer:
-		m.onVoteAnswer(msg)
+	case KindPreVoteResponse, KindVoteResponse:
+		m.onVoteResponse(msg)
 	case KindAppend:
 		m.onAppend(msg)
 	case KindHeartbeat:
 		m.onHeartbeat(msg)
-	case KindAppendAnswer:
-		m.onAppendAnswer(msg)
-	case KindHeartbeatAnswer:
-		m.onHeartbeatAnswer(msg)
+	case KindAppendResponse:
+		m.onAppendResponse(msg)
+	case KindHeartbeatResponse:
+		m.onHeartbeatResponse(msg)
 	case KindCampaign:
-		m.campaign(KindHandoverVote)
+		m.campaign(KindTransferVote)
 	}
 }
 
-// takeHigherTerm enters the message's term where it must, and says whether the
-// message is to be handled.
-func (m *Machine) takeHigherTerm(msg Message) bool {
+// handleHigherTerm enters the term of the message if necessary, and reports whether the
+// message still needs to be handled.
+func (m *Machine) handleHigherTerm(msg Message) bool {
 	switch msg.Kind {
 	case KindPreVote:
 		return true
-	case KindPreVoteAnswer:
+	case KindPreVoteResponse:
 		if !msg.Reject {
 			return true
 		}
 	case KindVote:
-		if m.hearsLeader() {
+		if m.hasLiveLeader() {
 			return false
 		}
 	case KindCampaign:
-		// Only the leader of this term may hand over, and it isn't known here.
+		// Only the leader of this term may transfer its leadership, and this replica
+		// doesn't know that leader.
 		return false
 	}
 	leader := ""
 	if msg.Kind == KindAppend || msg.Kind == KindHeartbeat {
 		leader = msg.From
 	}
-	m.follow(msg.Term, leader)
+	m.becomeFollower(msg.Term, leader)
 	return true
 }
 
-// answerLowerTerm lets a leader or candidate of an old term learn the new one.
-func (m *Machine) answerLowerTerm(msg Message) {
+// respondToLowerTerm informs a leader or candidate of an old term about the current term.
+func (m *Machine) respondToLowerTerm(msg Message) {
 	from := Member{Name: msg.From, Identity: msg.FromIdentity}
 	switch msg.Kind {
 	case KindAppend:
-		m.sendSynced(from, Message{Kind: KindAppendAnswer, Reject: true, Index: msg.Index, Hint: m.log.last()})
+		m.sendAfterSync(from, Message{Kind: KindAppendResponse, Reject: true, Index: msg.Index, Hint: m.log.last()})
 	case KindHeartbeat:
-		m.sendSynced(from, Message{Kind: KindHeartbeatAnswer, Reject: true})
+		m.sendAfterSync(from, Message{Kind: KindHeartbeatResponse, Reject: true})
 	case KindPreVote:
-		m.sendSynced(from, Message{Kind: KindPreVoteAnswer, Reject: true})
+		m.sendAfterSync(from, Message{Kind: KindPreVoteResponse, Reject: true})
 	}
 }
 
-// follow enters a term as a follower.
-func (m *Machine) follow(term uint64, leader string) {
+// becomeFollower enters the term as a follower.
+func (m *Machine) becomeFollower(term uint64, leader string) {
 	if m.role == RoleLeader {
 		m.stopLeading()
 	}
@@ -99,53 +100,54 @@
 	m.resetElection()
 }
 
-func (m *Machine) heardLeader(name string) {
+func (m *Machine) onLeaderContact(name string) {
 	if m.role != RoleFollower || m.leader != name {
-		m.follow(m.state.Term, name)
+		m.becomeFollower(m.state.Term, name)
 	} else {
-		m.patience.note(m.now - m.leaderContact)
+		m.leaderTimeout.observe(m.now - m.lastLeaderContact)
 	}
-	m.leaderContact = m.now
+	m.lastLeaderContact = m.now
 	m.resetElection()
 }
 
 func (m *Machine) onAppend(msg Message) {
-	m.heardLeader(msg.From)
+	m.onLeaderContact(msg.From)
 	leader := Member{Name: msg.From, Identity: msg.FromIdentity}
 	if msg.Index < m.commit {
-		m.sendSynced(leader, Message{Kind: KindAppendAnswer, Index: m.commit})
+		m.sendAfterSync(leader, Message{Kind: KindAppendResponse, Index: m.commit})
 		return
 	}
 	if !m.matches(msg) {
-		m.sendSynced(leader, Message{Kind: KindAppendAnswer, Reject: true, Index: msg.Index, Hint: m.hint(msg)})
+		m.sendAfterSync(leader, Message{Kind: KindAppendResponse, Reject: true, Index: msg.Index, Hint: m.hint(msg)})
 		return
 	}
 	last := msg.Index + uint64(len(msg.Entries))
 	m.appendMissing(msg.Entries)
 	m.commit = max(m.commit, min(msg.Commit, last))
-	m.sendSynced(leader, Message{Kind: KindAppendAnswer, Index: last})
+	m.sendAfterSync(leader, Message{Kind: KindAppendResponse, Index: last})
 }
 
 func (m *Machine) onHeartbeat(msg Message) {
-	m.heardLeader(msg.From)
-	answer := Message{Kind: KindHeartbeatAnswer, Read: msg.Read, Index: msg.Index}
+	m.onLeaderContact(msg.From)
+	response := Message{Kind: KindHeartbeatResponse, Read: msg.Read, Index: msg.Index}
 	if msg.Index >= m.commit && !m.matches(msg) {
-		answer.Reject = true
-		answer.Hint = m.hint(msg)
+		response.Reject = true
+		response.Hint = m.hint(msg)
 	} else {
 		m.commit = max(m.commit, min(msg.Commit, msg.Index))
 	}
-	m.send(Member{Name: msg.From, Identity: msg.FromIdentity}, answer)
+	m.send(Member{Name: msg.From, Identity: msg.FromIdentity}, response)
 }
 
-// matches says whether the log holds the entry that the message builds on.
+// matches reports whether the log contains the entry that precedes the entries of the
+// message.
 func (m *Machine) matches(msg Message) bool {
 	term, ok := m.log.term(msg.Index)
 	return ok && term == msg.LogTerm
 }
 
-// hint names the last entry that may agree with the leader's log: entries of
-// terms above the leader's at that place can't.
+// hint returns the last entry that may agree with the leader's log. Entries with a higher
+// term than the leader's entry at that position can't agree.
 func (m *Machine) hint(msg Message) uint64 {
 	hint := min(m.log.last(), msg.Index)
 	if hint == msg.Index && hint > 0 {
@@ -161,8 +163,8 @@
 	return hint
 }
 
-// appendMissing skips what the log holds already: a delayed append must not cut
-// off entries that a later one of the same leader has added.
+// appendMissing skips entries that the log already contains: a delayed append must not
+// remove entries that a later append of the same leader has added.
 func (m *Machine) appendMissing(entries []Entry) {
 	for i, e := range entries {
 		if term, ok := m.log.term(e.Index); ok && term == e.Term {
--- a/control/pkg/consensus/sim_test.go
+++ b/control/pkg/consensus/sim_test.go
@@ -8,47 +8,46 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// lies switch one safeguard off from outside the machine. The oracle must then
-// find a violation, or it proves nothing.
-type lies struct {
-	// syncEarly tells the machine that data is synced when it is only written.
+// bypass switches a safeguard off from outside the machine. The oracle must then find a
+// violation, otherwise it proves nothing.
+type bypass struct {
+	// syncEarly reports data to the machine as synced when it is only written.
 	syncEarly bool
 	// forgetVote loses the vote, but not the term, in a crash.
 	forgetVote bool
-	// keepIdentity lets a replica that lost its disk go by its old identity.
+	// keepIdentity lets a replica that lost its disk use its old identity.
 	keepIdentity bool
 }
 
-// sim is a few machines with their disks, clocks and a network in between. All
+// sim runs a few machines with simulated disks, clocks and a simulated network. All
 // choices come from choose, so that a run can be shrunk or repeated.
 type sim struct {
 	choose func(n int) int
-	// jitter is apart from choose: a run shrunk to equal choices would let all
-	// replicas campaign at once for ever.
+	// jitter is independent of choose: in a run shrunk to equal choices all replicas
+	// would otherwise campaign at the same time for ever.
 	jitter  *rand.Rand
-	lies    lies
+	bypass  bypass
 	nodes   []*simNode
-	network []parcel
+	network []packet
 	cuts    map[[2]string]bool
-	// hangs is a node whose disk syncs nothing in calm times.
-	hangs  *simNode
-	nextID uint64
-	lost   int
-
-	// The oracle's knowledge.
-	committed map[uint64]Entry
-	highest   uint64
-	leaders   map[uint64]string
-	seen      map[Base]seenEntry
-	reads     map[uint64]uint64
-	violation string
-	counts    counts
+	// stalledDisk is a node whose disk completes no sync while runWithoutFaults runs.
+	stalledDisk *simNode
+	nextID      uint64
+	lostDisks   int
+
+	// The knowledge of the oracle.
+	committed        map[uint64]Entry
+	highestCommitted uint64
+	leaders          map[uint64]string
+	seenEntries      map[Base]seenEntry
+	reads            map[uint64]uint64
+	violation        string
+	counts           counts
 }
 
-// counts tells how often the rarer things happened, so that a run that never
-// reaches them is noticed.
+// counts tracks how often rare events happened, to detect runs that never reach them.
 type counts struct {
-	committed, leaders, reads, promoted, removed, installed, lost, handed int
+	committed, leaders, reads, promoted, removed, installed, lostDisks, transferred int
 }
 
 func (c *counts) add(o counts) {
@@ -58,24 +57,24 @@
 	c.promoted += o.promoted
 	c.removed += o.removed
 	c.installed += o.installed
-	c.lost += o.lost
-	c.handed += o.handed
+	c.lostDisks += o.lostDisks
+	c.transferred += o.transferred
 }
 
 type seenEntry struct {
-	data     string
-	previous uint64
+	data         string
+	previousTerm uint64
 }
 
-// parcel is a message, a snapshot, or the news of how a snapshot ended.
-type parcel struct {
+// packet is a message, a snapshot or the result of a snapshot.
+type packet struct {
 	from, to string
 	message  *Message
-	snapshot *simPoint
-	sent     *SnapshotSent
+	snapshot *simCheckpoint
+	result   *SnapshotSent
 }
 
-type simPoint struct {
+type simCheckpoint struct {
 	index   uint64
 	term    uint64
 	members Members
@@ -89,11 +88,11 @@
 	applied  uint64
 	members  Members
 
-	state   HardState
-	base    Base
-	entries []Entry
-	pending []Persist
-	point   simPoint
+	state      HardState
+	base       Base
+	entries    []Entry
+	pending    []Persist
+	checkpoint simCheckpoint
 }
 
 const simStart = 1_000_000
@@ -101,7 +100,7 @@
 func newSim(size, spares int, choose func(n int) int) *sim {
 	s := &sim{
 		choose: choose, jitter: rand.New(rand.NewPCG(uint64(choose(1000)), 0)), cuts: map[[2]string]bool{}, committed: map[uint64]Entry{},
-		leaders: map[uint64]string{}, seen: map[Base]seenEntry{}, reads: map[uint64]uint64{},
+		leaders: map[uint64]string{}, seenEntries: map[Base]seenEntry{}, reads: map[uint64]uint64{},
 	}
 	var members Members
 	for i := range size + spares {
@@ -140,9 +139,9 @@
 func (s *sim) restart(n *simNode) {
 	last := n.base.Index + uint64(len(n.entries))
 	l := entryLog{base: n.base, entries: n.entries}
-	if term, ok := l.term(n.point.index); n.point.index > 0 && (!ok || term != n.point.term) {
-		n.base, n.entries = Base{Index: n.point.index, Term: n.point.term}, nil
-	} else if last < n.point.index {
+	if term, ok := l.term(n.checkpoint.index); n.checkpoint.index > 0 && (!ok || term != n.checkpoint.term) {
+		n.base, n.entries = Base{Index: n.checkpoint.index, Term: n.checkpoint.term}, nil
+	} else if last < n.checkpoint.index {
 		s.fail("%s: log ends before its checkpoint", n.name)
 	}
 	m, err := New(Config{
@@ -150,16 +149,16 @@
 		Jitter: func(limit clock.Millis) clock.Millis { return clock.Millis(s.jitter.Int64N(int64(limit))) },
 	}, Restored{
 		State: n.state, Base: n.base, Entries: slices.Clone(n.entries),
-		Applied: n.point.index, AppliedMembers: n.point.members,
+		Applied: n.checkpoint.index, AppliedMembers: n.checkpoint.members,
 	})
 	if err != nil {
 		s.fail("%s: %v", n.name, err)
 		return
 	}
-	n.machine, n.applied, n.members = m, n.point.index, n.point.members
+	n.machine, n.applied, n.members = m, n.checkpoint.index, n.checkpoint.members
 }
 
-// step gives a running machine an event and carries out its actions.
+// step passes an event to a running machine and executes its actions.
 func (s *sim) step(n *simNode, event Event) {
 	if n.machine == nil {
 		return
@@ -170,14 +169,14 @@
 		s.checkEntries(n, p)
 	}
 	for _, m := range actions.Messages {
-		s.network = append(s.network, parcel{from: n.name, to: m.To, message: &m})
+		s.network = append(s.network, packet{from: n.name, to: m.To, message: &m})
 	}
-	s.deliver(n, actions.Committed)
-	s.counts.handed += len(actions.Handed)
+	s.checkCommitted(n, actions.Committed)
+	s.counts.transferred += len(actions.Transferred)
 	s.counts.reads += len(actions.Reads)
 	for _, r := range actions.Reads {
 		if r.Index < s.reads[r.ID] {
-			s.fail("%s: read at %d misses entry %d, acknowledged before", n.name, r.Index, s.reads[r.ID])
+			s.fail("%s: read at %d misses entry %d, which was acknowledged before", n.name, r.Index, s.reads[r.ID])
 		}
 	}
 	if actions.DropBefore > 0 && s.choose(2) == 0 {
@@ -186,20 +185,20 @@
 		n.base, n.entries = l.base, l.entries
 	}
 	for _, i := range actions.Snapshots {
-		point := n.point
-		s.network = append(s.network, parcel{from: n.name, to: i.To.Name, snapshot: &point, sent: &SnapshotSent{
-			Name: i.To.Name, Identity: i.To.Identity, Index: point.index,
+		checkpoint := n.checkpoint
+		s.network = append(s.network, packet{from: n.name, to: i.To.Name, snapshot: &checkpoint, result: &SnapshotSent{
+			Name: i.To.Name, Identity: i.To.Identity, Index: checkpoint.index,
 		}})
 	}
 	s.checkLeader(n)
-	if p := actions.Persist; p != nil && s.lies.syncEarly {
+	if p := actions.Persist; p != nil && s.bypass.syncEarly {
 		s.step(n, Synced{Sequence: p.Sequence})
 	}
 }
 
-// deliver checks committed entries against what others applied: all sequences
-// must be prefixes of one another.
-func (s *sim) deliver(n *simNode, entries []Entry) {
+// checkCommitted compares committed entries with those that other nodes applied: all
+// sequences must be prefixes of one another.
+func (s *sim) checkCommitted(n *simNode, entries []Entry) {
 	for _, e := range entries {
 		if e.Index != n.applied+1 {
 			s.fail("%s: applies entry %d after %d", n.name, e.Index, n.applied)
@@ -212,7 +211,7 @@
 			s.counts.committed++
 		}
 		s.committed[e.Index] = e
-		s.highest = max(s.highest, e.Index)
+		s.highestCommitted = max(s.highestCommitted, e.Index)
 		n.applied = e.Index
 		if e.Kind == EntryMembers {
 			n.members, _ = DecodeMembers(e.Data)
@@ -220,21 +219,21 @@
 	}
 }
 
-// checkEntries is log matching: an index and term name one content and one
+// checkEntries checks log matching: an index and term identify one content and one
 // predecessor.
 func (s *sim) checkEntries(n *simNode, p *Persist) {
 	for _, e := range p.Entries {
-		previous, _ := n.machine.log.term(e.Index - 1)
-		entry := seenEntry{data: string(e.Data), previous: previous}
+		previousTerm, _ := n.machine.log.term(e.Index - 1)
+		entry := seenEntry{data: string(e.Data), previousTerm: previousTerm}
 		key := Base{Index: e.Index, Term: e.Term}
-		if known, ok := s.seen[key]; ok && known != entry {
+		if known, ok := s.seenEntries[key]; ok && known != entry {
 			s.fail("%s: two entries at %d in term %d", n.name, e.Index, e.Term)
 		}
-		s.seen[key] = entry
+		s.seenEntries[key] = entry
 	}
 }
 
-// checkLeader is election safety, and that a leader holds all that is committed.
+// checkLeader checks election safety, and that a leader has all committed entries.
 func (s *sim) checkLeader(n *simNode) {
 	m := n.machine
 	if m.role != RoleLeader {
@@ -259,8 +258,8 @@
 	}
 }
 
-// write makes the first pending persists durable.
-func (n *simNode) write(count int) {
+// persist makes the first pending Persists durable.
+func (n *simNode) persist(count int) {
 	for _, p := range n.pending[:count] {
 		n.state = p.State
 		if p.Reset != nil {
@@ -278,39 +277,40 @@
 		return
 	}
 	sequence := n.pending[count-1].Sequence
-	n.write(count)
+	n.persist(count)
 	s.step(n, Synced{Sequence: sequence})
 }
 
-// crash loses what isn't written; what is written but not synced may survive.
+// crash loses Persists that aren't written. Data that is written but not synced may
+// survive.
 func (s *sim) crash(n *simNode) {
 	if n.machine == nil {
 		return
 	}
-	n.write(s.choose(len(n.pending) + 1))
+	n.persist(s.choose(len(n.pending) + 1))
 	n.pending = nil
 	n.machine = nil
-	if s.lies.forgetVote {
+	if s.bypass.forgetVote {
 		n.state.Vote = ""
 	}
 }
 
 func (s *sim) loseDisk(n *simNode) {
-	s.lost++
-	s.counts.lost++
-	if !s.lies.keepIdentity {
-		n.identity = fmt.Sprintf("%s-disk%d", n.name, s.lost)
+	s.lostDisks++
+	s.counts.lostDisks++
+	if !s.bypass.keepIdentity {
+		n.identity = fmt.Sprintf("%s-disk%d", n.name, s.lostDisks)
 	}
 	n.machine, n.pending = nil, nil
-	n.state, n.base, n.entries, n.point = HardState{}, Base{}, nil, simPoint{}
+	n.state, n.base, n.entries, n.checkpoint = HardState{}, Base{}, nil, simCheckpoint{}
 	s.restart(n)
 }
 
-// transfer takes a parcel to its end.
-func (s *sim) transfer(p parcel) {
+// deliverPacket passes a packet to its receiver.
+func (s *sim) deliverPacket(p packet) {
 	n := s.node(p.to)
 	if s.cuts[[2]string{p.from, p.to}] || n.machine == nil {
-		s.lose(p)
+		s.dropPacket(p)
 		return
 	}
 	switch {
@@ -318,16 +318,16 @@
 		s.step(n, Received{Message: *p.message})
 	case p.snapshot != nil:
 		s.install(n, *p.snapshot)
-		p.sent.Installed = true
-		s.network = append(s.network, parcel{from: p.to, to: p.from, sent: p.sent})
+		p.result.Installed = true
+		s.network = append(s.network, packet{from: p.to, to: p.from, result: p.result})
 	default:
-		s.step(n, *p.sent)
+		s.step(n, *p.result)
 	}
 }
 
-// lose drops a parcel. A sender of a snapshot always learns that it failed.
-func (s *sim) lose(p parcel) {
-	if p.snapshot == nil && p.sent == nil {
+// dropPacket drops a packet. The sender of a snapshot always learns that it failed.
+func (s *sim) dropPacket(p packet) {
+	if p.snapshot == nil && p.result == nil {
 		return
 	}
 	sender := p.from
@@ -335,32 +335,32 @@
 		sender = p.to
 	}
 	if n := s.node(sender); n.machine != nil {
-		failed := *p.sent
+		failed := *p.result
 		failed.Installed = false
 		s.step(n, failed)
 	}
 }
 
-// install makes a snapshot durable; the machine hears of it afterwards, unless
-// the process dies in between.
-func (s *sim) install(n *simNode, point simPoint) {
-	if point.index <= n.applied {
+// install makes a snapshot durable. The machine is informed afterwards, unless the
+// process crashes in between.
+func (s *sim) install(n *simNode, checkpoint simCheckpoint) {
+	if checkpoint.index <= n.applied {
 		return
 	}
 	s.counts.installed++
-	n.point = point
-	n.applied, n.members = point.index, point.members
+	n.checkpoint = checkpoint
+	n.applied, n.members = checkpoint.index, checkpoint.members
 	if s.choose(8) == 0 {
 		s.crash(n)
 		s.restart(n)
 		return
 	}
-	s.step(n, SnapshotInstalled{Index: point.index, Term: point.term, Members: point.members})
+	s.step(n, SnapshotInstalled{Index: checkpoint.index, Term: checkpoint.term, Members: checkpoint.members})
 }
 
-// checkpoint makes what is applied durable and cuts the log before it.
+// checkpoint makes the applied state durable and compacts the log before it.
 func (s *sim) checkpoint(n *simNode) {
-	if n.machine == nil || n.applied <= n.point.index {
+	if n.machine == nil || n.applied <= n.checkpoint.index {
 		return
 	}
 	term, ok := n.machine.log.term(n.applied)
@@ -368,26 +368,26 @@
 	if _, held := l.term(n.applied); !ok || !held {
 		return
 	}
-	n.point = simPoint{index: n.applied, term: term, members: n.members}
+	n.checkpoint = simCheckpoint{index: n.applied, term: term, members: n.members}
 	s.step(n, Compact{Index: n.applied, KeepEntries: uint64(s.choose(4)), KeepBytes: s.choose(100)})
 }
 
-// calm lets everything that isn't cut work for a while.
-func (s *sim) calm(span clock.Millis) {
+// runWithoutFaults runs all nodes and links that aren't cut for the duration.
+func (s *sim) runWithoutFaults(duration clock.Millis) {
 	const tick = 10
-	for passed := clock.Millis(0); passed < span && s.violation == ""; passed += tick {
+	for passed := clock.Millis(0); passed < duration && s.violation == ""; passed += tick {
 		for _, n := range s.nodes {
 			n.clock += tick
 			s.step(n, Tick{})
 		}
 		for range 8 {
-			parcels := s.network
+			packets := s.network
 			s.network = nil
-			for _, p := range parcels {
-				s.transfer(p)
+			for _, p := range packets {
+				s.deliverPacket(p)
 			}
 			for _, n := range s.nodes {
-				if n != s.hangs {
+				if n != s.stalledDisk {
 					s.sync(n, len(n.pending))
 				}
 			}
--- a/control/pkg/consensus/status.go
+++ b/control/pkg/consensus/status.go
@@ -1,13 +1,13 @@
 package consensus
 
-// MemberStatus is a member and, as far as the leader knows, how far its log is
-// synced.
+// MemberStatus is a member and the index up to which its log is synced, as far as the
+// leader knows.
 type MemberStatus struct {
 	Member Member
 	Match  uint64
 }
 
-// Status is a view of a machine for its surroundings.
+// Status is a view of the state of a machine.
 type Status struct {
 	Role    Role
 	Term    uint64
@@ -20,7 +20,7 @@
 	Pending int
 }
 
-// Status copies what the machine knows.
+// Status returns a copy of the current state.
 func (m *Machine) Status() Status {
 	s := Status{
 		Role: m.role, Term: m.state.Term, Leader: m.leader, Commit: m.commit,
@@ -28,7 +28,7 @@
 	}
 	for _, member := range m.members() {
 		status := MemberStatus{Member: member}
-		if p := m.leading.progress[member.Name]; p != nil {
+		if p := m.leaderState.progress[member.Name]; p != nil {
 			status.Match = p.match
 		} else if member.Name == m.config.Name {
 			status.Match = m.synced
@@ -38,17 +38,18 @@
 	return s
 }
 
-// Role tells what the replica is now.
+// Role returns the current role of the replica.
 func (m *Machine) Role() Role { return m.role }
 
-// Leader names the leader of the term, if it is known.
+// Leader returns the name of the leader of the current term, or an empty string if it is
+// unknown.
 func (m *Machine) Leader() string { return m.leader }
 
-// Commit is the last entry known to be committed.
+// Commit returns the index of the last entry known to be committed.
 func (m *Machine) Commit() uint64 { return m.commit }
 
-// Last is the last entry of the log, synced or not.
+// Last returns the index of the last entry of the log, synced or not.
 func (m *Machine) Last() uint64 { return m.log.last() }
 
-// Members is the membership in force.
+// Members returns the membership in force.
 func (m *Machine) Members() Members { return m.members() }
--- a/control/pkg/replica/api.go
+++ b/control/pkg/replica/api.go
@@ -92,7 +92,7 @@
 // Handover gives the leadership to the voter that lacks least, and returns once
 // this replica no longer leads. No proposal is lost by it.
 func (g *Group) Handover(ctx context.Context) error {
-	return g.order(ctx, func(id uint64) consensus.Event { return consensus.Handover{ID: id} })
+	return g.order(ctx, func(id uint64) consensus.Event { return consensus.TransferLeadership{ID: id} })
 }
 
 // AddLearner adds a replica that gets the log and doesn't vote.
