--- a/control/pkg/consensus/compact.go
+++ b/control/pkg/consensus/compact.go
@@ -1,6 +1,6 @@
 package consensus
 
-// lagFactor times KeepBytes is the most that is retained for a member that lags.
+// lagFactor times RetainBytes is the most that is retained for a member that lags.
 const lagFactor = 8
 
 func (m *Machine) compact(e Compact) {
@@ -28,8 +28,8 @@
 	for index > m.log.base.Index {
 		retained++
 		bytes += len(m.log.entries[index-m.log.base.Index-1].Data)
-		retain := retained <= e.KeepEntries && bytes <= e.KeepBytes
-		if !retain && (index <= needed || bytes > lagFactor*e.KeepBytes) {
+		retain := retained <= e.RetainEntries && bytes <= e.RetainBytes
+		if !retain && (index <= needed || bytes > lagFactor*e.RetainBytes) {
 			break
 		}
 		index--
--- a/control/pkg/consensus/event.go
+++ b/control/pkg/consensus/event.go
@@ -72,12 +72,12 @@
 type FormGroup struct{ Members Members }
 
 // Compact allows the machine to drop the entries up to and including Index, which a
-// durable checkpoint covers. The machine retains the last KeepEntries of them as long as
-// they have at most KeepBytes, and some more that a live member still lacks.
+// durable checkpoint covers. The machine retains the last RetainEntries of them as long as
+// they have at most RetainBytes, and some more that a live member still lacks.
 type Compact struct {
-	Index       uint64
-	KeepEntries uint64
-	KeepBytes   int
+	Index         uint64
+	RetainEntries uint64
+	RetainBytes   int
 }
 
 func (Tick) isEvent()               {}
--- a/control/pkg/consensus/sim_test.go
+++ b/control/pkg/consensus/sim_test.go
@@ -369,7 +369,7 @@
 		return
 	}
 	n.checkpoint = simCheckpoint{index: n.applied, term: term, members: n.members}
-	s.step(n, Compact{Index: n.applied, KeepEntries: uint64(s.choose(4)), KeepBytes: s.choose(100)})
+	s.step(n, Compact{Index: n.applied, RetainEntries: uint64(s.choose(4)), RetainBytes: s.choose(100)})
 }
 
 // runWithoutFaults runs all nodes and links that aren't cut for the duration.
--- a/control/pkg/core/core.go
+++ b/control/pkg/core/core.go
@@ -145,8 +145,8 @@
 	c.group, err = replica.Open(replica.Config{
 		Group: Group, Name: config.Address, Identity: identity, Address: config.Address, Folder: folder,
 		Bootstrap: founders, Clock: config.Clock, Logger: config.Logger, Registerer: config.Registerer,
-		HeartbeatEvery: heartbeat, ElectionTimeout: election,
-		CheckpointBytes: checkpointBytes, KeepBytes: keepBytes, LogFileBytes: logFileBytes, RingSize: ringSize,
+		HeartbeatInterval: heartbeat, ElectionTimeout: election,
+		CheckpointBytes: checkpointBytes, RetainBytes: keepBytes, LogFileBytes: logFileBytes, RingSize: ringSize,
 	}, replica.Machine{
 		Apply: c.machine.Apply, Checkpoint: c.machine.Checkpoint, Load: c.machine.Load,
 		Export: c.machine.Export, Import: c.machine.Import,
@@ -188,7 +188,7 @@
 // Stop hands the leadership over and closes the replica.
 func (c *Core) Stop(ctx context.Context) {
 	if _, _, self := c.group.Leader(); self {
-		if err := c.group.Handover(ctx); err != nil {
+		if err := c.group.TransferLeadership(ctx); err != nil {
 			level.Warn(c.config.Logger).Log(logs.KeyEvent, "handover-failed", logs.KeyError, err)
 		}
 	}
--- a/control/pkg/replica/applier.go
+++ b/control/pkg/replica/applier.go
@@ -8,14 +8,14 @@
 	"toucanhinge.example/control/pkg/consensus"
 )
 
-// applyItem is committed entries, or a snapshot to be taken over.
+// applyItem is a list of committed entries, or a snapshot to install.
 type applyItem struct {
-	entries []consensus.Entry
-	install *install
+	entries  []consensus.Entry
+	snapshot *spooledSnapshot
 }
 
-// applier is what the applying goroutine keeps. point is the latest checkpoint,
-// which senders of snapshots read too.
+// applier is the state of the applying goroutine. checkpoint is the latest checkpoint,
+// which goroutines that send snapshots read too.
 type applier struct {
 	index   uint64
 	term    uint64
@@ -23,33 +23,33 @@
 	entries uint64
 	bytes   int
 
-	mu    sync.Mutex
-	point checkpoint
-	// exporting is held shared while a snapshot is sent.
-	exporting sync.RWMutex
+	mu         sync.Mutex
+	checkpoint checkpoint
+	// exportMu is held for reading while a snapshot is sent.
+	exportMu sync.RWMutex
 }
 
-func (a *applier) setPoint(point checkpoint) {
+func (a *applier) setCheckpoint(cp checkpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.point = point
+	a.checkpoint = cp
 }
 
-func (a *applier) lastPoint() checkpoint {
+func (a *applier) latestCheckpoint() checkpoint {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.point
+	return a.checkpoint
 }
 
-func (g *Group) apply() {
+func (g *Group) runApplier() {
 	for {
 		select {
 		case <-g.ctx.Done():
 			return
 		case <-g.committed.wake:
 			for _, item := range g.committed.take() {
-				if item.install != nil {
-					g.installSnapshot(item.install)
+				if item.snapshot != nil {
+					g.installSnapshot(item.snapshot)
 					continue
 				}
 				g.applyEntries(item.entries)
@@ -65,13 +65,13 @@
 		if e.Index <= a.index {
 			continue
 		}
-		g.waiting.resolve(e, g.applyEntry(e))
+		g.waiters.resolve(e, g.applyEntry(e))
 		a.index, a.term = e.Index, e.Term
 		a.entries++
 		a.bytes += len(e.Data)
 		g.metrics.applied.Inc()
 	}
-	g.waiting.advance(a.index)
+	g.waiters.advance(a.index)
 }
 
 func (g *Group) applyEntry(e consensus.Entry) any {
--- a/control/pkg/replica/bench_test.go
+++ b/control/pkg/replica/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkPropose measures commands through three replicas on loopback with
-// real syncs: commands a second, and how long one caller waits.
+// BenchmarkPropose measures commands through three replicas on loopback with real syncs:
+// commands per second and the latency of one caller.
 func BenchmarkPropose(b *testing.B) {
 	for _, size := range []int{200, 20_000} {
 		for _, callers := range []int{1, 16, 128} {
@@ -24,30 +24,30 @@
 }
 
 func benchmarkPropose(b *testing.B, size, callers int) {
-	f := newFleet(b, 3, nil)
-	for _, n := range f.nodes {
-		n.journal.light.Store(true)
+	cl := newCluster(b, 3, nil)
+	for _, n := range cl.nodes {
+		n.commandLog.discard.Store(true)
 	}
-	leader := f.leader()
+	leader := cl.leader()
 	waits := make([][]time.Duration, callers)
-	var done sync.WaitGroup
+	var wg sync.WaitGroup
 	b.ResetTimer()
 	for caller := range callers {
-		done.Add(1)
+		wg.Add(1)
 		go func() {
-			defer done.Done()
+			defer wg.Done()
 			command := make([]byte, size)
 			for i := caller; i < b.N; i += callers {
-				begun := time.Now()
+				start := time.Now()
 				if _, err := leader.group.Propose(context.Background(), command); err != nil {
 					b.Error(err)
 					return
 				}
-				waits[caller] = append(waits[caller], time.Since(begun))
+				waits[caller] = append(waits[caller], time.Since(start))
 			}
 		}()
 	}
-	done.Wait()
+	wg.Wait()
 	b.StopTimer()
 	all := slices.Concat(waits...)
 	slices.Sort(all)
@@ -58,28 +58,28 @@
 
 // BenchmarkRead measures quorum-confirmed reads.
 func BenchmarkRead(b *testing.B) {
-	f := newFleet(b, 3, nil)
-	leader := f.leader()
+	cl := newCluster(b, 3, nil)
+	leader := cl.leader()
 	b.ResetTimer()
 	for range b.N {
 		require.NoError(b, leader.group.Read(context.Background()))
 	}
 }
 
-// BenchmarkFailover measures from the leader's loss to the next accepted
+// BenchmarkFailover measures the time from the loss of the leader to the next accepted
 // command.
 func BenchmarkFailover(b *testing.B) {
-	f := newFleet(b, 3, nil)
-	f.propose("first")
+	cl := newCluster(b, 3, nil)
+	cl.proposeUntilAccepted("first")
 	var gaps []time.Duration
 	for range b.N {
-		old := f.leader()
-		begun := time.Now()
-		f.stop(old)
-		f.propose("next")
-		gaps = append(gaps, time.Since(begun))
-		f.start(old)
-		f.holds(old, f.leader().journal.all())
+		old := cl.leader()
+		start := time.Now()
+		cl.stop(old)
+		cl.proposeUntilAccepted("next")
+		gaps = append(gaps, time.Since(start))
+		cl.start(old)
+		cl.waitForCommands(old, cl.leader().commandLog.all())
 	}
 	slices.Sort(gaps)
 	b.ReportMetric(float64(gaps[len(gaps)/2].Milliseconds()), "p50-ms")
--- a/control/pkg/replica/call.go
+++ b/control/pkg/replica/call.go
@@ -15,63 +15,63 @@
 	err    error
 }
 
-// call is a caller that waits for its proposal, read or change.
+// call is a caller that waits for the outcome of its proposal, read or change.
 type call struct {
-	command []byte
-	gone    <-chan struct{}
-	done    chan outcome
-	term    uint64
+	command  []byte
+	canceled <-chan struct{}
+	done     chan outcome
+	term     uint64
 }
 
 func newCall(ctx context.Context, command []byte) *call {
-	return &call{command: command, gone: ctx.Done(), done: make(chan outcome, 1)}
+	return &call{command: command, canceled: ctx.Done(), done: make(chan outcome, 1)}
 }
 
-func (c *call) abandoned() bool {
+func (c *call) isCanceled() bool {
 	select {
-	case <-c.gone:
+	case <-c.canceled:
 		return true
 	default:
 		return false
 	}
 }
 
-func (c *call) end(result any, err error) {
+func (c *call) complete(result any, err error) {
 	select {
 	case c.done <- outcome{result: result, err: err}:
 	default:
 	}
 }
 
-// order is a call that becomes an event of its own.
-type order struct {
+// adminRequest is a call that the machine receives as an event of its own.
+type adminRequest struct {
 	call  *call
 	event func(id uint64) consensus.Event
 }
 
-// waiting holds the callers whose outcome depends on entries being applied.
-type waiting struct {
+// waiters contains the calls whose outcome depends on entries being applied.
+type waiters struct {
 	mu      sync.Mutex
 	byIndex map[uint64]*call
-	reads   []waitingRead
+	reads   []pendingRead
 	applied uint64
 }
 
-type waitingRead struct {
+type pendingRead struct {
 	index uint64
 	call  *call
 }
 
-func (w *waiting) expect(c *call, index, term uint64) {
+func (w *waiters) add(c *call, index, term uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c.term = term
 	w.byIndex[index] = c
 }
 
-// resolve ends the call that waits for this entry. If another leader's entry
-// took the place, the command can never be committed any more.
-func (w *waiting) resolve(e consensus.Entry, result any) {
+// resolve completes the call that waits for this entry. If the entry of another leader
+// has the same index, the command can never be committed any more.
+func (w *waiters) resolve(e consensus.Entry, result any) {
 	w.mu.Lock()
 	c := w.byIndex[e.Index]
 	delete(w.byIndex, e.Index)
@@ -79,31 +79,31 @@
 	switch {
 	case c == nil:
 	case c.term == e.Term:
-		c.end(result, nil)
+		c.complete(result, nil)
 	default:
-		c.end(nil, &NotLeaderError{})
+		c.complete(nil, &NotLeaderError{})
 	}
 }
 
-// read ends the call once the index is applied.
-func (w *waiting) read(c *call, index uint64) {
+// addRead completes the call once the index is applied.
+func (w *waiters) addRead(c *call, index uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if index <= w.applied {
-		c.end(nil, nil)
+		c.complete(nil, nil)
 		return
 	}
-	w.reads = append(w.reads, waitingRead{index: index, call: c})
+	w.reads = append(w.reads, pendingRead{index: index, call: c})
 }
 
-func (w *waiting) advance(applied uint64) {
+func (w *waiters) advance(applied uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.applied = applied
 	left := w.reads[:0]
 	for _, r := range w.reads {
 		if r.index <= applied {
-			r.call.end(nil, nil)
+			r.call.complete(nil, nil)
 		} else {
 			left = append(left, r)
 		}
@@ -111,43 +111,43 @@
 	w.reads = left
 }
 
-func (w *waiting) lastApplied() uint64 {
+func (w *waiters) lastApplied() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.applied
 }
 
-// giveUp ends the calls whose entries aren't applied up to the index.
-func (w *waiting) giveUp(upTo uint64) {
+// failUpTo fails the calls up to the index whose entries aren't applied.
+func (w *waiters) failUpTo(upTo uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for index, c := range w.byIndex {
 		if index <= upTo {
-			c.end(nil, ErrUnknown)
+			c.complete(nil, ErrUnknown)
 			delete(w.byIndex, index)
 		}
 	}
 }
 
-// await waits for the outcome. Once the caller gives up, or the replica stops,
-// nobody knows what becomes of the call.
+// await waits for the outcome. Once the caller stops waiting, or the replica stops, the
+// outcome is unknown.
 func (g *Group) await(ctx context.Context, c *call) (any, error) {
 	select {
 	case o := <-c.done:
-		return g.counted(o.result, o.err)
+		return g.countRefusal(o.result, o.err)
 	case <-ctx.Done():
-		return g.counted(nil, fmt.Errorf("%w: %w", ErrUnknown, ctx.Err()))
+		return g.countRefusal(nil, fmt.Errorf("%w: %w", ErrUnknown, ctx.Err()))
 	case <-g.ctx.Done():
 	}
 	select {
 	case o := <-c.done:
-		return g.counted(o.result, o.err)
+		return g.countRefusal(o.result, o.err)
 	default:
-		return g.counted(nil, ErrUnknown)
+		return g.countRefusal(nil, ErrUnknown)
 	}
 }
 
-func (g *Group) counted(result any, err error) (any, error) {
+func (g *Group) countRefusal(result any, err error) (any, error) {
 	if err != nil {
 		g.metrics.refused.WithLabelValues(reasonOf(err)).Inc()
 	}
--- a/control/pkg/replica/checkpoint.go
+++ b/control/pkg/replica/checkpoint.go
@@ -12,7 +12,8 @@
 	"toucanhinge.example/control/pkg/disk"
 )
 
-// checkpoint says up to which entry the state machine's manifest reaches.
+// checkpoint is a manifest of the state machine, with the last entry that it covers and
+// the membership as of that entry.
 type checkpoint struct {
 	Index    uint64            `json:"index"`
 	Term     uint64            `json:"term"`
@@ -31,7 +32,7 @@
 	return writeJSON(checkpointPath(folder), c)
 }
 
-// readJSON leaves the value alone when the file doesn't exist.
+// readJSON leaves the value unchanged if the file doesn't exist.
 func readJSON(path string, value any) error {
 	data, err := disk.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -52,47 +53,47 @@
 		return fmt.Errorf("encode %s: %w", path, err)
 	}
 	if err := disk.WriteFile(path, data); err != nil {
-		return fmt.Errorf("keep %s: %w", filepath.Base(path), err)
+		return fmt.Errorf("store %s: %w", filepath.Base(path), err)
 	}
 	return nil
 }
 
-// checkpointIfDue takes a checkpoint, unless a snapshot of the last one is being
-// sent: its files must stay.
+// checkpointIfDue takes a checkpoint after enough entries, unless a snapshot of the
+// latest checkpoint is being sent: its files must remain.
 func (g *Group) checkpointIfDue() {
 	a := &g.applier
 	due := a.entries >= g.config.CheckpointEntries || a.bytes >= g.config.CheckpointBytes
-	if !due || !a.exporting.TryLock() {
+	if !due || !a.exportMu.TryLock() {
 		return
 	}
-	defer a.exporting.Unlock()
+	defer a.exportMu.Unlock()
 	manifest, err := g.machine.Checkpoint()
 	if err != nil {
 		g.fail(fmt.Errorf("checkpoint: %w", err))
 		return
 	}
-	point := checkpoint{Index: a.index, Term: a.term, Members: a.members, Manifest: manifest}
-	if err := g.keepCheckpoint(point); err != nil {
+	cp := checkpoint{Index: a.index, Term: a.term, Members: a.members, Manifest: manifest}
+	if err := g.storeCheckpoint(cp); err != nil {
 		g.fail(err)
 		return
 	}
 	g.metrics.checkpoints.Inc()
-	g.compact(point.Index)
+	g.compact(cp.Index)
 }
 
-func (g *Group) keepCheckpoint(point checkpoint) error {
-	if err := point.write(g.config.Folder); err != nil {
+func (g *Group) storeCheckpoint(cp checkpoint) error {
+	if err := cp.write(g.config.Folder); err != nil {
 		return err
 	}
-	g.applier.setPoint(point)
+	g.applier.setCheckpoint(cp)
 	g.applier.entries, g.applier.bytes = 0, 0
 	return nil
 }
 
-// compact lets go of what a checkpoint covers, but for some entries that members
-// who lag still need.
+// compact drops the entries that a checkpoint covers, except some that lagging members
+// still need.
 func (g *Group) compact(index uint64) {
 	_ = g.events.Put(g.ctx, consensus.Compact{
-		Index: index, KeepEntries: g.config.KeepEntries, KeepBytes: g.config.KeepBytes,
+		Index: index, RetainEntries: g.config.RetainEntries, RetainBytes: g.config.RetainBytes,
 	})
 }
--- a/control/pkg/replica/config.go
+++ b/control/pkg/replica/config.go
@@ -1,6 +1,6 @@
-// Package replica runs the replicas of consensus groups: it joins the machine of
-// package consensus to the log on disk, to the other replicas over the network
-// and to the state machine that the group drives.
+// Package replica runs the replicas of consensus groups. It connects the state machine of
+// package consensus to the log on disk, to the other replicas over the network and to the
+// state machine that the group replicates.
 package replica
 
 import (
@@ -17,30 +17,30 @@
 	"toucanhinge.example/control/pkg/disk"
 )
 
-// Machine is the state machine that one group drives. All functions but Export
-// are called from one goroutine.
+// Machine is the state machine that a group replicates. All functions except Export are
+// called from one goroutine.
 type Machine struct {
-	// Apply takes one committed command, in order, and returns its result. It
-	// must depend on nothing but the state and the command.
+	// Apply executes one committed command, in order, and returns its result. It must
+	// depend only on the state and the command.
 	Apply func(index uint64, command []byte) any
-	// Checkpoint makes durable what the machine keeps in files of its own and
-	// returns a manifest from which Load restores the state as of the last Apply.
-	// Files of the latest two manifests must stay.
+	// Checkpoint makes the machine's own files durable and returns a manifest from which
+	// Load restores the state as of the last Apply. The files of the latest two manifests
+	// must be retained.
 	Checkpoint func() ([]byte, error)
-	// Load restores the state as of the manifest when a replica starts; what
-	// later commands added to files is cut. Without a checkpoint the manifest is
-	// empty and stands for the empty state.
+	// Load restores the state as of the manifest when a replica starts. It removes from
+	// the files what later commands added. Without a checkpoint the manifest is empty and
+	// stands for the empty state.
 	Load func(manifest []byte) error
-	// Export writes the whole state for a peer: the manifest and its files. It
-	// runs beside Apply, never beside Checkpoint.
+	// Export writes the whole state for a peer: the manifest and its files. It runs
+	// concurrently with Apply, but never with Checkpoint.
 	Export func(manifest []byte, w io.Writer) error
-	// Import replaces the state by a peer's export. It is durable when it
-	// returns; after an error the old state holds.
+	// Import replaces the state with the export of a peer. The new state is durable when
+	// Import returns; after an error the old state remains.
 	Import func(r io.Reader) (manifest []byte, err error)
 }
 
-// Peer is a replica of a group. Identity is the one of its data folder; it stays
-// empty in Bootstrap, where it isn't known yet.
+// Peer is a replica of a group. Identity is the identity of its data folder. It is empty
+// in Bootstrap, where it isn't known yet.
 type Peer struct {
 	Name     string
 	Address  string
@@ -48,20 +48,20 @@
 	Voter    bool
 }
 
-// Config sets up one group.
+// Config configures one group.
 type Config struct {
 	Group uint32
-	// Name and Identity are this replica's; Identity is what the function of
-	// that name returned for the data folder.
+	// Name and Identity are those of this replica. Identity is the result of the function
+	// Identity for the data folder.
 	Name     string
 	Identity string
-	// Address is where the others reach this replica. Empty takes the one that
-	// Bootstrap gives under the own name.
+	// Address is the address at which the other replicas reach this replica. If it is
+	// empty, the address in Bootstrap under this replica's name is used.
 	Address string
-	// Folder is the group's own, below the data folder.
+	// Folder is the folder of the group, below the data folder.
 	Folder string
-	// Bootstrap are the members of a new group, this one among them. It is looked
-	// at for a group without any entries only, and for addresses.
+	// Bootstrap lists the members of a new group, including this replica. It is used only
+	// for a group without any entries, and for addresses.
 	Bootstrap []Peer
 
 	// Clock must be set.
@@ -69,27 +69,28 @@
 	Logger     log.Logger
 	Registerer prometheus.Registerer
 
-	HeartbeatEvery  clock.Millis
-	ElectionTimeout clock.Millis
-	// CheckpointEntries and CheckpointBytes say after how much a checkpoint is
-	// due, whichever is reached first.
+	HeartbeatInterval clock.Millis
+	ElectionTimeout   clock.Millis
+	// CheckpointEntries and CheckpointBytes are the number and size of applied entries
+	// after which a checkpoint is taken, whichever is reached first.
 	CheckpointEntries uint64
 	CheckpointBytes   int
-	// KeepEntries, at most KeepBytes of them, stay in the log and in memory behind
-	// a checkpoint for members that lag.
-	KeepEntries uint64
-	KeepBytes   int
-	// RingSize bounds the messages that wait to be taken in, and to be sent to one
-	// peer. A ring holds its memory all the time, about 200 bytes a place.
+	// RetainEntries is the number of entries, limited to RetainBytes, that remain in the log
+	// and in memory behind a checkpoint for members that lag.
+	RetainEntries uint64
+	RetainBytes   int
+	// RingSize limits the messages that wait to be handled, and the messages that wait to
+	// be sent to one peer. A ring always occupies its full memory, about 200 bytes per
+	// element.
 	RingSize int
-	// LogFileBytes is the size after which the log begins a new file.
+	// LogFileBytes is the size after which the log starts a new file.
 	LogFileBytes int64
 
-	// Client makes the HTTP client for one peer; nil means HTTP/2 without TLS.
+	// Client creates the HTTP client for one peer; nil means HTTP/2 without TLS.
 	Client func() *http.Client
 	// Jitter returns a number from 0 to below n; nil means a random one.
 	Jitter func(n clock.Millis) clock.Millis
-	// Disk holds the seams of the log; its folder is set by Open.
+	// Disk contains hooks of the log for tests. Open sets its folder and file size.
 	Disk disk.Config
 }
 
@@ -98,16 +99,16 @@
 	defaultElection          = 400
 	defaultCheckpointEntries = 50_000
 	defaultCheckpointBytes   = 64 << 20
-	defaultKeepEntries       = 5_000
-	defaultKeepBytes         = 8 << 20
+	defaultRetainEntries     = 5_000
+	defaultRetainBytes       = 8 << 20
 	defaultRingSize          = 4096
-	// maximumBacklog bounds the committed entries that wait to be applied.
-	maximumBacklog = 20_000
+	// maxApplyBacklog limits the committed entries that wait to be applied.
+	maxApplyBacklog = 20_000
 )
 
 func (c Config) withDefaults() Config {
-	if c.HeartbeatEvery == 0 {
-		c.HeartbeatEvery = defaultHeartbeat
+	if c.HeartbeatInterval == 0 {
+		c.HeartbeatInterval = defaultHeartbeat
 	}
 	if c.ElectionTimeout == 0 {
 		c.ElectionTimeout = defaultElection
@@ -118,11 +119,11 @@
 	if c.CheckpointBytes == 0 {
 		c.CheckpointBytes = defaultCheckpointBytes
 	}
-	if c.KeepEntries == 0 {
-		c.KeepEntries = defaultKeepEntries
+	if c.RetainEntries == 0 {
+		c.RetainEntries = defaultRetainEntries
 	}
-	if c.KeepBytes == 0 {
-		c.KeepBytes = defaultKeepBytes
+	if c.RetainBytes == 0 {
+		c.RetainBytes = defaultRetainBytes
 	}
 	if c.RingSize == 0 {
 		c.RingSize = defaultRingSize
@@ -147,7 +148,7 @@
 	return c
 }
 
-func (c Config) settings() consensus.Members {
+func (c Config) bootstrapMembers() consensus.Members {
 	var members consensus.Members
 	for _, p := range c.Bootstrap {
 		members = append(members, consensus.Member{Name: p.Name, Address: p.Address, Voter: p.Voter})
--- a/control/pkg/replica/errors.go
+++ b/control/pkg/replica/errors.go
@@ -9,17 +9,18 @@
 )
 
 var (
-	// ErrOverloaded tells that too much waits already. Nothing was proposed.
-	ErrOverloaded = errors.New("too much waits to be committed")
-	// ErrUnknown tells that the command may or may not be committed later.
-	ErrUnknown = errors.New("it isn't known whether the command will be committed")
-	// ErrStopped tells that the replica was closed or its disk failed. Nothing
-	// was proposed.
-	ErrStopped = errors.New("the replica has stopped")
+	// ErrOverloaded means that too many commands are already waiting. The command was not
+	// proposed.
+	ErrOverloaded = errors.New("too many commands wait to be committed")
+	// ErrUnknown means that the command may or may not be committed later.
+	ErrUnknown = errors.New("outcome unknown: the command may or may not be committed")
+	// ErrStopped means that the replica was closed or its disk failed. The command was
+	// not proposed.
+	ErrStopped = errors.New("replica has stopped")
 )
 
-// NotLeaderError tells that nothing was proposed here. Leader and Address are empty
-// while no leader is known.
+// NotLeaderError means that this replica isn't the leader and didn't propose the command.
+// Leader and Address are empty while no leader is known.
 type NotLeaderError struct {
 	Leader  string
 	Address string
@@ -29,10 +30,10 @@
 	if e.Leader == "" {
 		return "not the leader, and no leader is known"
 	}
-	return fmt.Sprintf("not the leader, that is %s at %s", e.Leader, e.Address)
+	return fmt.Sprintf("not the leader, the leader is %s at %s", e.Leader, e.Address)
 }
 
-// RefusedError tells why a handover or a change of the members had no effect.
+// RefusedError is why a leadership transfer or a membership change had no effect.
 type RefusedError struct {
 	Reason consensus.Reason
 }
--- a/control/pkg/replica/group.go
+++ b/control/pkg/replica/group.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	proposalRing = 4096
-	readRing     = 4096
-	orderRing    = 64
-	eventRing    = 64
+	proposalRingSize     = 4096
+	readRingSize         = 4096
+	adminRequestRingSize = 64
+	eventRingSize        = 64
 )
 
-// Group is this process's replica of one group.
+// Group is this process's replica of one consensus group.
 type Group struct {
 	config  Config
 	machine Machine
@@ -34,11 +34,11 @@
 	done   sync.WaitGroup
 	closed sync.Once
 
-	inbox     *ring.Ring[inboxItem]
-	proposals *ring.Ring[*call]
-	reads     *ring.Ring[*call]
-	orders    *ring.Ring[*order]
-	events    *ring.Ring[consensus.Event]
+	inbox         *ring.Ring[inboxItem]
+	proposals     *ring.Ring[*call]
+	reads         *ring.Ring[*call]
+	adminRequests *ring.Ring[*adminRequest]
+	events        *ring.Ring[consensus.Event]
 
 	persists   *mailbox[consensus.Persist]
 	dropBefore *mailbox[uint64]
@@ -47,56 +47,56 @@
 	syncedWake chan struct{}
 
 	view    atomic.Pointer[view]
-	waiting waiting
+	waiters waiters
 	failure atomic.Pointer[error]
 	failed  chan struct{}
 
-	// log belongs to the writer, loop to the consensus loop, applier to the
-	// applier, once they run.
+	// After the start, only the writer goroutine uses log, only the consensus loop uses
+	// loop, and only the applier goroutine uses applier, except for its locked fields.
 	log     *disk.Log
 	loop    loop
 	applier applier
 }
 
-// Open restores a replica from its folder and starts it. A damaged log is a
+// Open restores a replica from its folder and starts it. The error for a damaged log is a
 // *disk.DamageError.
 func Open(config Config, machine Machine) (*Group, error) {
 	config = config.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &Group{
 		config: config, machine: machine, ctx: ctx, cancel: cancel,
-		logger:     log.With(config.Logger, "group", config.Group),
-		metrics:    newMetrics(config.Registerer, config.Group),
-		reads:      ring.New[*call](ring.Config{Size: readRing}),
-		proposals:  ring.New[*call](ring.Config{Size: proposalRing}),
-		orders:     ring.New[*order](ring.Config{Size: orderRing}),
-		events:     ring.New[consensus.Event](ring.Config{Size: eventRing}),
-		persists:   newMailbox[consensus.Persist](),
-		dropBefore: newMailbox[uint64](),
-		committed:  newMailbox[applyItem](),
-		syncedWake: make(chan struct{}, 1),
-		failed:     make(chan struct{}),
+		logger:        log.With(config.Logger, "group", config.Group),
+		metrics:       newMetrics(config.Registerer, config.Group),
+		reads:         ring.New[*call](ring.Config{Size: readRingSize}),
+		proposals:     ring.New[*call](ring.Config{Size: proposalRingSize}),
+		adminRequests: ring.New[*adminRequest](ring.Config{Size: adminRequestRingSize}),
+		events:        ring.New[consensus.Event](ring.Config{Size: eventRingSize}),
+		persists:      newMailbox[consensus.Persist](),
+		dropBefore:    newMailbox[uint64](),
+		committed:     newMailbox[applyItem](),
+		syncedWake:    make(chan struct{}, 1),
+		failed:        make(chan struct{}),
 	}
 	g.inbox = ring.New[inboxItem](ring.Config{
 		Size: config.RingSize, Refused: g.metrics.dropped.WithLabelValues(dropInboxFull),
 	})
-	g.waiting.byIndex = map[uint64]*call{}
+	g.waiters.byIndex = map[uint64]*call{}
 	if err := g.restore(); err != nil {
 		cancel()
 		return nil, fmt.Errorf("open group %d: %w", config.Group, err)
 	}
 	_ = level.Info(g.logger).Log("event", "replica_opened", "identity", config.Identity,
-		"applied", g.waiting.applied, "last", g.loop.core.Last(), "term", g.view.Load().status.Term)
+		"applied", g.waiters.applied, "last", g.loop.consensus.Last(), "term", g.view.Load().status.Term)
 	g.start()
 	return g, nil
 }
 
 // restore reads the checkpoint and the log, and loads the state machine.
 func (g *Group) restore() error {
-	if err := removeSpooled(g.config.Folder); err != nil {
+	if err := removeSpooledSnapshots(g.config.Folder); err != nil {
 		return err
 	}
-	point, err := readCheckpoint(g.config.Folder)
+	cp, err := readCheckpoint(g.config.Folder)
 	if err != nil {
 		return err
 	}
@@ -108,52 +108,52 @@
 		return fmt.Errorf("open log: %w", err)
 	}
 	g.log = l
-	if content, err = g.matchLog(point, content); err != nil {
+	if content, err = g.alignLog(cp, content); err != nil {
 		return err
 	}
-	if err := g.machine.Load(point.Manifest); err != nil {
+	if err := g.machine.Load(cp.Manifest); err != nil {
 		return fmt.Errorf("load state: %w", err)
 	}
 	a := &g.applier
-	a.point, a.index, a.term, a.members = point, point.Index, point.Term, point.Members
-	g.waiting.applied = point.Index
-	return g.restoreLoop(point, content)
+	a.checkpoint, a.index, a.term, a.members = cp, cp.Index, cp.Term, cp.Members
+	g.waiters.applied = cp.Index
+	return g.restoreLoop(cp, content)
 }
 
-// matchLog sees to it that the log goes on from the checkpoint. A crash after a
-// snapshot was installed, and before the log was begun anew, leaves a log that
-// ends before it or differs from it.
-func (g *Group) matchLog(point checkpoint, content disk.Content) (disk.Content, error) {
-	if point.Index == 0 {
+// alignLog makes the log continue from the checkpoint. A crash after a snapshot was
+// installed, and before the log was reset, leaves a log that ends before the checkpoint
+// or differs from it.
+func (g *Group) alignLog(cp checkpoint, content disk.Content) (disk.Content, error) {
+	if cp.Index == 0 {
 		return content, nil
 	}
-	if content.Base.Index > point.Index || content.Last() == 0 && content.State.Term == 0 {
+	if content.Base.Index > cp.Index || content.Last() == 0 && content.State.Term == 0 {
 		return content, &disk.DamageError{
 			File:   checkpointPath(g.config.Folder),
-			Reason: fmt.Sprintf("the log begins after entry %d but the state ends with %d", content.Base.Index, point.Index),
+			Reason: fmt.Sprintf("log starts after entry %d, but the state ends at entry %d", content.Base.Index, cp.Index),
 		}
 	}
-	if term, ok := content.Term(point.Index); ok && term == point.Term {
+	if term, ok := content.Term(cp.Index); ok && term == cp.Term {
 		return content, nil
 	}
-	base := consensus.Base{Index: point.Index, Term: point.Term}
+	base := consensus.Base{Index: cp.Index, Term: cp.Term}
 	if err := g.log.Append(consensus.Persist{State: content.State, Reset: &base}); err != nil {
-		return content, fmt.Errorf("begin log after snapshot: %w", err)
+		return content, fmt.Errorf("reset log after snapshot: %w", err)
 	}
 	return disk.Content{State: content.State, Base: base}, nil
 }
 
 func (g *Group) start() {
-	for _, duty := range []func(){g.runLoop, g.write, g.apply} {
+	for _, task := range []func(){g.runLoop, g.runWriter, g.runApplier} {
 		g.done.Add(1)
 		go func() {
 			defer g.done.Done()
-			duty()
+			task()
 		}()
 	}
 }
 
-// fail stops the replica: it can't keep what it promises any more.
+// fail stops the replica, because it can no longer keep its guarantees.
 func (g *Group) fail(err error) {
 	if g.failure.CompareAndSwap(nil, &err) {
 		_ = level.Error(g.logger).Log("event", "replica_stopped", "error", err)
@@ -162,10 +162,11 @@
 	}
 }
 
-// Failed is closed when the replica stopped because of its disk; Err tells why.
+// Failed is closed when the replica stopped because its disk failed; Err returns the
+// cause.
 func (g *Group) Failed() <-chan struct{} { return g.failed }
 
-// Err is nil as long as the replica didn't fail.
+// Err returns nil unless the replica failed.
 func (g *Group) Err() error {
 	if err := g.failure.Load(); err != nil {
 		return *err
@@ -173,8 +174,8 @@
 	return nil
 }
 
-// Close stops the replica. What waits gets ErrUnknown or ErrStopped. It doesn't
-// hand over the leadership first.
+// Close stops the replica. Pending calls return ErrUnknown or ErrStopped. It doesn't
+// transfer the leadership first.
 func (g *Group) Close() error {
 	var err error
 	g.closed.Do(func() {
--- a/control/pkg/replica/group_test.go
+++ b/control/pkg/replica/group_test.go
@@ -7,31 +7,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOneReplicaKeepsItsCommandsOverARestart(t *testing.T) {
-	f := newFleet(t, 1, nil)
-	n := f.leader()
-	commands := numbered("x", 20)
+func TestSingleReplicaRestoresCommandsAfterRestart(t *testing.T) {
+	cl := newCluster(t, 1, nil)
+	n := cl.leader()
+	commands := numberedCommands("x", 20)
 	for i, command := range commands {
 		result, err := n.group.Propose(context.Background(), []byte(command))
 		require.NoError(t, err)
 		require.Equal(t, i+1, result)
 	}
-	f.stop(n)
-	f.start(n)
-	require.Equal(t, n, f.leader())
-	f.holds(n, commands)
+	cl.stop(n)
+	cl.start(n)
+	require.Equal(t, n, cl.leader())
+	cl.waitForCommands(n, commands)
 }
 
-func TestThreeReplicasApplyTheSame(t *testing.T) {
-	f := newFleet(t, 3, nil)
-	leader := f.leader()
-	commands := numbered("x", 20)
+func TestReplicasApplySameCommands(t *testing.T) {
+	cl := newCluster(t, 3, nil)
+	leader := cl.leader()
+	commands := numberedCommands("x", 20)
 	for _, command := range commands {
 		_, err := leader.group.Propose(context.Background(), []byte(command))
 		require.NoError(t, err)
 	}
-	for _, n := range f.nodes {
-		f.holds(n, commands)
+	for _, n := range cl.nodes {
+		cl.waitForCommands(n, commands)
 		if n != leader {
 			_, err := n.group.Propose(context.Background(), []byte("y"))
 			var notLeader *NotLeaderError
@@ -43,24 +43,23 @@
 	}
 }
 
-// The leader's process dies after it acknowledged commands. The caller sees
-// errors for a moment; the other two elect a leader, which holds all that was
-// acknowledged since a majority had it synced. The dead one comes back and
-// catches up.
-func TestLeaderLostAndBack(t *testing.T) {
-	f := newFleet(t, 3, nil)
-	old := f.leader()
-	commands := numbered("before", 10)
+// The leader's process dies after it acknowledged commands. Callers get errors until the
+// other two elect a leader, which has all acknowledged commands since a majority synced
+// them. The old leader returns and catches up.
+func TestCommandsSurviveLeaderCrash(t *testing.T) {
+	cl := newCluster(t, 3, nil)
+	old := cl.leader()
+	commands := numberedCommands("before", 10)
 	for _, command := range commands {
 		_, err := old.group.Propose(context.Background(), []byte(command))
 		require.NoError(t, err)
 	}
-	f.stop(old)
-	leader := f.leader()
+	cl.stop(old)
+	leader := cl.leader()
 	require.NotEqual(t, old.name, leader.name)
-	f.holds(leader, commands)
+	cl.waitForCommands(leader, commands)
 	_, err := leader.group.Propose(context.Background(), []byte("after"))
 	require.NoError(t, err)
-	f.start(old)
-	f.holds(old, append(commands, "after"))
+	cl.start(old)
+	cl.waitForCommands(old, append(commands, "after"))
 }
--- a/control/pkg/replica/identity.go
+++ b/control/pkg/replica/identity.go
@@ -14,9 +14,9 @@
 
 const identityBytes = 16
 
-// Identity reads the data folder's identity, or makes up a random one and syncs
-// it. A folder that was lost gets another identity, and so never votes as the
-// replica that it was.
+// Identity returns the identity of the data folder. If there is none, it creates a random
+// one and syncs it. A folder that replaces a lost one gets another identity, so the
+// replica never votes under the identity of the lost folder.
 func Identity(folder string) (string, error) {
 	path := filepath.Join(folder, "identity")
 	data, err := disk.ReadFile(path)
@@ -24,18 +24,18 @@
 		return string(data), nil
 	}
 	if !errors.Is(err, os.ErrNotExist) {
-		return "", fmt.Errorf("identity of the data folder: %w", err)
+		return "", fmt.Errorf("read identity of the data folder: %w", err)
 	}
 	if err := os.MkdirAll(folder, 0o750); err != nil {
-		return "", fmt.Errorf("make data folder: %w", err)
+		return "", fmt.Errorf("create data folder: %w", err)
 	}
 	random := make([]byte, identityBytes)
 	if _, err := rand.Read(random); err != nil {
-		return "", fmt.Errorf("make identity: %w", err)
+		return "", fmt.Errorf("generate identity: %w", err)
 	}
 	identity := hex.EncodeToString(random)
 	if err := disk.WriteFile(path, []byte(identity)); err != nil {
-		return "", fmt.Errorf("keep identity: %w", err)
+		return "", fmt.Errorf("store identity: %w", err)
 	}
 	return identity, nil
 }
--- a/control/pkg/replica/loop.go
+++ b/control/pkg/replica/loop.go
@@ -14,81 +14,85 @@
 
 const (
 	ticksPerHeartbeat = 2
-	// drainLimit bounds what one turn of the loop takes at once.
-	drainLimit = 1024
+	// maxDrain limits the calls that one iteration of the loop handles at once.
+	maxDrain = 1024
 )
 
-// inboxItem is a message with the address that its sender gave.
+// inboxItem is a message and the address that its sender reported.
 type inboxItem struct {
 	message consensus.Message
 	address string
 }
 
-// view is what other goroutines may know of the machine.
+// view is the state of the machine that other goroutines may read.
 type view struct {
 	status        consensus.Status
 	leaderAddress string
-	// named is the address of a leader that took this replica for another one.
-	named string
+	// oldIdentityLeader is the address of a leader that sends to an old identity of this
+	// replica.
+	oldIdentityLeader string
 }
 
-// loop is what the consensus loop keeps.
+// loop is the state of the consensus loop.
 type loop struct {
-	core      *consensus.Machine
+	consensus *consensus.Machine
 	formation *consensus.Formation
 	senders   map[string]*sender
-	// heard holds where each replica said that it is. settings holds what the own
-	// settings say.
-	heard     map[string]string
-	settings  map[string]string
-	conflicts map[string]bool
-	helloDue  clock.Millis
-	calls     map[uint64][]*call
-	lastCall  uint64
-	// lostAt is when this replica stopped leading while callers waited.
-	lostAt clock.Millis
-	role   consensus.Role
-	// named is where a leader is that sends to this replica's name under another
-	// identity, that of the disk which was lost, and namedAt when it did so last.
-	named   string
-	namedAt clock.Millis
+	// addresses contains the address that each replica reported. bootstrapAddresses
+	// contains the addresses from this replica's own settings.
+	addresses          map[string]string
+	bootstrapAddresses map[string]string
+	reportedConflicts  map[string]bool
+	nextHello          clock.Millis
+	pendingCalls       map[uint64][]*call
+	lastCallID         uint64
+	// leadershipLostAt is when this replica stopped leading. An election timeout later,
+	// calls that are still pending fail with ErrUnknown.
+	leadershipLostAt clock.Millis
+	role             consensus.Role
+	// oldIdentityLeader is the address of a leader that sends to this replica's name
+	// under another identity, that of a lost disk, and oldIdentityLeaderSeen is the time
+	// of its latest message.
+	oldIdentityLeader     string
+	oldIdentityLeaderSeen clock.Millis
 }
 
 func formationPath(folder string) string { return filepath.Join(folder, "formation") }
 
-func (g *Group) restoreLoop(point checkpoint, content disk.Content) error {
-	var kept consensus.Hello
-	if err := readJSON(formationPath(g.config.Folder), &kept); err != nil {
+func (g *Group) restoreLoop(cp checkpoint, content disk.Content) error {
+	var persisted consensus.Hello
+	if err := readJSON(formationPath(g.config.Folder), &persisted); err != nil {
 		return err
 	}
-	core, err := consensus.New(consensus.Config{
+	machine, err := consensus.New(consensus.Config{
 		Name: g.config.Name, Identity: g.config.Identity,
-		HeartbeatInterval: g.config.HeartbeatEvery, ElectionTimeout: g.config.ElectionTimeout,
+		HeartbeatInterval: g.config.HeartbeatInterval, ElectionTimeout: g.config.ElectionTimeout,
 		Jitter: g.config.Jitter,
 	}, consensus.Restored{
 		State: content.State, Base: content.Base, Entries: content.Entries,
-		Applied: point.Index, AppliedMembers: point.Members,
+		Applied: cp.Index, AppliedMembers: cp.Members,
 	})
 	if err != nil {
 		return fmt.Errorf("restore consensus: %w", err)
 	}
 	g.loop = loop{
-		core: core, senders: map[string]*sender{}, heard: map[string]string{}, settings: map[string]string{},
-		conflicts: map[string]bool{}, calls: map[uint64][]*call{},
+		consensus: machine, senders: map[string]*sender{},
+		addresses: map[string]string{}, bootstrapAddresses: map[string]string{},
+		reportedConflicts: map[string]bool{}, pendingCalls: map[uint64][]*call{},
 		formation: consensus.NewFormation(consensus.FormationConfig{
 			Self:             consensus.Member{Name: g.config.Name, Identity: g.config.Identity},
-			BootstrapMembers: g.config.settings(), Persisted: kept, HasLog: content.Last() > 0,
+			BootstrapMembers: g.config.bootstrapMembers(), Persisted: persisted, HasLog: content.Last() > 0,
 		}),
 	}
 	for _, p := range g.config.Bootstrap {
-		g.loop.settings[p.Name] = p.Address
+		g.loop.bootstrapAddresses[p.Name] = p.Address
 	}
-	g.publish()
+	g.publishView()
 	return nil
 }
 
 func (g *Group) runLoop() {
-	ticker := time.NewTicker(g.config.HeartbeatEvery.Duration() / ticksPerHeartbeat)
+	ticker := time.NewTicker(g.config.HeartbeatInterval.Duration() / ticksPerHeartbeat)
 	defer ticker.Stop()
 	g.tick()
 	for {
@@ -102,11 +106,11 @@
 		case <-g.syncedWake:
 			g.step(consensus.Synced{Sequence: g.synced.Load()})
 		case c := <-g.proposals.Items():
-			g.propose(append([]*call{c}, g.proposals.Drain(drainLimit)...))
+			g.propose(append([]*call{c}, g.proposals.Drain(maxDrain)...))
 		case c := <-g.reads.Items():
-			g.step(consensus.ReadIndex{ID: g.expect(append([]*call{c}, g.reads.Drain(drainLimit)...)...)})
-		case o := <-g.orders.Items():
-			g.step(o.event(g.expect(o.call)))
+			g.step(consensus.ReadIndex{ID: g.register(append([]*call{c}, g.reads.Drain(maxDrain)...)...)})
+		case o := <-g.adminRequests.Items():
+			g.step(o.event(g.register(o.call)))
 		case e := <-g.events.Items():
 			g.step(e)
 		}
@@ -115,40 +119,40 @@
 
 func (g *Group) tick() {
 	g.step(consensus.Tick{})
-	if now := g.config.Clock.Now(); !g.loop.formation.Done() && now >= g.loop.helloDue {
-		g.loop.helloDue = now + g.config.ElectionTimeout/2
-		g.form(g.loop.formation.Tick())
+	if now := g.config.Clock.Now(); !g.loop.formation.Done() && now >= g.loop.nextHello {
+		g.loop.nextHello = now + g.config.ElectionTimeout/2
+		g.executeFormation(g.loop.formation.Tick())
 	}
-	if at := g.loop.lostAt; at != 0 && g.config.Clock.Now()-at >= g.config.ElectionTimeout {
-		g.loop.lostAt = 0
-		g.waiting.giveUp(g.loop.core.Status().Last)
+	if at := g.loop.leadershipLostAt; at != 0 && g.config.Clock.Now()-at >= g.config.ElectionTimeout {
+		g.loop.leadershipLostAt = 0
+		g.waiters.failUpTo(g.loop.consensus.Status().Last)
 	}
-	g.publish()
+	g.publishView()
 }
 
-// expect keeps calls under a fresh id until an action tells their outcome.
-func (g *Group) expect(calls ...*call) uint64 {
-	g.loop.lastCall++
-	g.loop.calls[g.loop.lastCall] = calls
-	return g.loop.lastCall
+// register stores calls under a new ID until an action reports their outcome.
+func (g *Group) register(calls ...*call) uint64 {
+	g.loop.lastCallID++
+	g.loop.pendingCalls[g.loop.lastCallID] = calls
+	return g.loop.lastCallID
 }
 
-func (g *Group) take(id uint64) []*call {
-	calls := g.loop.calls[id]
-	delete(g.loop.calls, id)
+func (g *Group) takeCalls(id uint64) []*call {
+	calls := g.loop.pendingCalls[id]
+	delete(g.loop.pendingCalls, id)
 	return calls
 }
 
 func (g *Group) propose(calls []*call) {
-	backlog := g.loop.core.Commit() - min(g.loop.core.Commit(), g.waiting.lastApplied())
+	backlog := g.loop.consensus.Commit() - min(g.loop.consensus.Commit(), g.waiters.lastApplied())
 	var proposals []consensus.Proposal
 	for _, c := range calls {
 		switch {
-		case c.abandoned():
-		case backlog > maximumBacklog:
-			c.end(nil, ErrOverloaded)
+		case c.isCanceled():
+		case backlog > maxApplyBacklog:
+			c.complete(nil, ErrOverloaded)
 		default:
-			proposals = append(proposals, consensus.Proposal{ID: g.expect(c), Data: c.command})
+			proposals = append(proposals, consensus.Proposal{ID: g.register(c), Data: c.command})
 		}
 	}
 	if len(proposals) > 0 {
@@ -158,25 +162,25 @@
 
 func (g *Group) receive(item inboxItem) {
 	m := item.message
-	g.hear(m, item.address)
+	g.recordSender(m, item.address)
 	if m.Kind == consensus.KindHello {
-		g.form(g.loop.formation.Receive(m))
+		g.executeFormation(g.loop.formation.Receive(m))
 		return
 	}
 	g.step(consensus.Received{Message: m})
-	if !g.loop.formation.Done() && g.loop.core.Last() > 0 {
+	if !g.loop.formation.Done() && g.loop.consensus.Last() > 0 {
 		g.loop.formation.MarkJoined()
 	}
 }
 
-// form does what the formation of a new group asks for. It happens once in a
-// replica's life, so the loop may wait for the disk.
-func (g *Group) form(actions consensus.FormationActions) {
-	if name := actions.Conflict; name != "" && !g.loop.conflicts[name] {
-		g.loop.conflicts[name] = true
+// executeFormation executes the actions of a formation step. Formation happens once in
+// the life of a replica, so the loop may wait for the disk.
+func (g *Group) executeFormation(actions consensus.FormationActions) {
+	if name := actions.Conflict; name != "" && !g.loop.reportedConflicts[name] {
+		g.loop.reportedConflicts[name] = true
 		g.metrics.dropped.WithLabelValues(dropConflict).Inc()
 		_ = level.Error(g.logger).Log("event", "identity_conflict", "peer", name,
-			"cause", "another identity or other settings than pinned; a replaced disk must be removed, added and promoted")
+			"cause", "identity or settings differ from the pinned ones; a replaced disk must be removed, added and promoted")
 	}
 	if actions.Persist != nil {
 		if err := writeJSON(formationPath(g.config.Folder), actions.Persist); err != nil {
@@ -194,33 +198,33 @@
 }
 
 func (g *Group) step(event consensus.Event) {
-	actions := g.loop.core.Step(g.config.Clock.Now(), event)
-	if role := g.loop.core.Role(); role != g.loop.role {
+	actions := g.loop.consensus.Step(g.config.Clock.Now(), event)
+	if role := g.loop.consensus.Role(); role != g.loop.role {
 		g.changeRole(role)
 	}
-	g.act(actions)
+	g.execute(actions)
 }
 
 func (g *Group) changeRole(role consensus.Role) {
 	if g.loop.role == consensus.RoleLeader {
-		g.loop.lostAt = g.config.Clock.Now()
+		g.loop.leadershipLostAt = g.config.Clock.Now()
 	}
 	if role == consensus.RoleLeader {
-		g.loop.lostAt = 0
-		g.metrics.elections.Inc()
+		g.loop.leadershipLostAt = 0
+		g.metrics.leaderships.Inc()
 	}
 	g.loop.role = role
-	g.publish()
+	g.publishView()
 	s := g.view.Load().status
 	_ = level.Info(g.logger).Log("event", "role", "role", role, "term", s.Term, "leader", s.Leader, "commit", s.Commit)
 }
 
-// act carries out actions. Callers are registered before their entries can be
-// applied.
-func (g *Group) act(actions consensus.Actions) {
+// execute executes the actions of a step. Callers are registered before their entries can
+// be applied.
+func (g *Group) execute(actions consensus.Actions) {
 	for _, a := range actions.Accepted {
-		for _, c := range g.take(a.ID) {
-			g.waiting.expect(c, a.Index, a.Term)
+		for _, c := range g.takeCalls(a.ID) {
+			g.waiters.add(c, a.Index, a.Term)
 		}
 	}
 	if actions.Persist != nil {
@@ -233,18 +237,18 @@
 		g.committed.put(applyItem{entries: actions.Committed})
 	}
 	for _, r := range actions.Reads {
-		for _, c := range g.take(r.ID) {
-			g.waiting.read(c, r.Index)
+		for _, c := range g.takeCalls(r.ID) {
+			g.waiters.addRead(c, r.Index)
 		}
 	}
 	for _, h := range actions.Transferred {
-		for _, c := range g.take(h.ID) {
-			c.end(nil, nil)
+		for _, c := range g.takeCalls(h.ID) {
+			c.complete(nil, nil)
 		}
 	}
 	for _, r := range actions.Refused {
-		for _, c := range g.take(r.ID) {
-			c.end(nil, g.refusal(r.Reason))
+		for _, c := range g.takeCalls(r.ID) {
+			c.complete(nil, g.refusalError(r.Reason))
 		}
 	}
 	for _, s := range actions.Snapshots {
@@ -255,10 +259,10 @@
 	}
 }
 
-func (g *Group) refusal(reason consensus.Reason) error {
+func (g *Group) refusalError(reason consensus.Reason) error {
 	switch reason {
 	case consensus.ReasonNotLeader:
-		name := g.loop.core.Leader()
+		name := g.loop.consensus.Leader()
 		if name == g.config.Name {
 			return &NotLeaderError{}
 		}
@@ -270,33 +274,34 @@
 	}
 }
 
-// hear notes where a replica is. One that goes by a member's name under another
-// identity isn't that member.
-func (g *Group) hear(m consensus.Message, address string) {
-	member, named := g.loop.core.Members().Find(m.From)
-	if address != "" && (!named || member.Identity == m.FromIdentity) {
-		g.loop.heard[m.From] = address
+// recordSender records the address of the sender. A sender with the name of a member and
+// another identity isn't that member.
+func (g *Group) recordSender(m consensus.Message, address string) {
+	member, isMember := g.loop.consensus.Members().Find(m.From)
+	if address != "" && (!isMember || member.Identity == m.FromIdentity) {
+		g.loop.addresses[m.From] = address
 	}
 	leads := m.Kind == consensus.KindAppend || m.Kind == consensus.KindHeartbeat
 	if leads && m.To == g.config.Name && m.ToIdentity != g.config.Identity {
-		g.loop.named, g.loop.namedAt = address, g.config.Clock.Now()
+		g.loop.oldIdentityLeader, g.loop.oldIdentityLeaderSeen = address, g.config.Clock.Now()
 	}
 }
 
-// addressOf prefers what a replica said itself: it may have moved since it became
-// a member, or not be one yet.
+// addressOf returns the address of a replica. The address that the replica reported
+// itself has precedence: the replica may have moved since it became a member, or may not
+// be a member yet.
 func (g *Group) addressOf(name string) string {
-	if address := g.loop.heard[name]; address != "" {
+	if address := g.loop.addresses[name]; address != "" {
 		return address
 	}
-	if m, ok := g.loop.core.Members().Find(name); ok && m.Address != "" {
+	if m, ok := g.loop.consensus.Members().Find(name); ok && m.Address != "" {
 		return m.Address
 	}
-	return g.loop.settings[name]
+	return g.loop.bootstrapAddresses[name]
 }
 
-// send hands a message to the peer's sender, which is started anew when the
-// peer's address has changed.
+// send passes a message to the sender of the peer. If the address of the peer has
+// changed, a new sender is started.
 func (g *Group) send(m consensus.Message) {
 	address := g.addressOf(m.To)
 	if address == "" {
@@ -314,13 +319,13 @@
 	s.ring.Offer(m)
 }
 
-func (g *Group) publish() {
-	v := &view{status: g.loop.core.Status()}
+func (g *Group) publishView() {
+	v := &view{status: g.loop.consensus.Status()}
 	if v.status.Leader != "" {
 		v.leaderAddress = g.addressOf(v.status.Leader)
 	}
-	if g.config.Clock.Now()-g.loop.namedAt <= 2*g.config.ElectionTimeout {
-		v.named = g.loop.named
+	if g.config.Clock.Now()-g.loop.oldIdentityLeaderSeen <= 2*g.config.ElectionTimeout {
+		v.oldIdentityLeader = g.loop.oldIdentityLeader
 	}
 	g.view.Store(v)
 }
--- a/control/pkg/replica/mailbox.go
+++ b/control/pkg/replica/mailbox.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// mailbox hands work from the consensus loop to a goroutine that takes all of it
-// at once. The loop must never wait for a disk, or heartbeats stop; nor may it
-// drop what it hands over. So it isn't bounded by a size of its own but by what
-// the consensus machine lets be uncommitted or in flight.
+// mailbox passes items from the consensus loop to a goroutine that receives all pending
+// items at once. The loop must never wait for a disk, or heartbeats stop, and it must not
+// drop items. Therefore a mailbox has no size limit of its own: the entries that the
+// consensus machine allows to be uncommitted or in flight limit it.
 type mailbox[T any] struct {
 	mu    sync.Mutex
 	items []T
--- a/control/pkg/replica/metrics.go
+++ b/control/pkg/replica/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Reasons for which messages between replicas are dropped or commands refused.
+// Reasons for dropping messages between replicas or for refusing commands.
 const (
 	reasonNotLeader  = "not_leader"
 	reasonOverloaded = "overloaded"
@@ -24,7 +24,7 @@
 type groupMetrics struct {
 	refused     *prometheus.CounterVec
 	dropped     *prometheus.CounterVec
-	elections   prometheus.Counter
+	leaderships prometheus.Counter
 	syncs       prometheus.Counter
 	synced      prometheus.Counter
 	applied     prometheus.Counter
@@ -46,13 +46,13 @@
 	return &groupMetrics{
 		refused:     vector("refused_total", "Proposals, reads and changes refused, by reason.", "reason"),
 		dropped:     vector("messages_dropped_total", "Messages between replicas dropped, by reason.", "reason"),
-		elections:   counter("leaderships_total", "Times this replica became the leader."),
+		leaderships: counter("leaderships_total", "Times this replica became the leader."),
 		syncs:       counter("syncs_total", "Syncs of the log."),
 		synced:      counter("synced_entries_total", "Entries made durable."),
 		applied:     counter("applied_entries_total", "Entries applied."),
 		checkpoints: counter("checkpoints_total", "Checkpoints taken."),
 		snapshots:   vector("snapshots_total", "Snapshots sent and installed, by outcome.", "outcome"),
 		sent:        counter("messages_sent_total", "Messages sent to other replicas."),
-		calls:       counter("calls_total", "Calls to other replicas that carried them."),
+		calls:       counter("calls_total", "Calls to other replicas that carried messages."),
 	}
 }
--- a/control/pkg/replica/cut_test.go
+++ b/control/pkg/replica/partition_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// network can freeze all connections of one address: nothing passes, nothing is
-// closed, new connections seem to work.
+// network can freeze all connections of one address: no data passes, no connection is
+// closed, and new connections seem to work.
 type network struct {
 	mu     sync.Mutex
 	frozen string
@@ -38,7 +38,7 @@
 	close(n.thawed)
 }
 
-// gate is closed, or will be when the ends can talk again.
+// gate returns a channel that is closed once data may pass between the two addresses.
 func (n *network) gate(from, to string) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -50,7 +50,8 @@
 	return open
 }
 
-// client dials through the network for the replica at an address.
+// client returns a constructor of HTTP clients that dial through the network from the
+// address.
 func (n *network) client(from string) func() *http.Client {
 	return func() *http.Client {
 		protocols := new(http.Protocols)
@@ -99,35 +100,35 @@
 	return c.Conn.Close()
 }
 
-// The leader is cut off silently: its connections stay open and say nothing. Its
-// callers get an error soon instead of waiting as long as the cut lasts; the
-// others elect a leader and go on. When the cut ends the old leader follows, and
-// what only it had is gone: nobody was told that it held.
-func TestSilentCut(t *testing.T) {
+// The leader is cut off silently: its connections stay open but carry no data. Its
+// callers get an error soon instead of waiting as long as the cut lasts; the other
+// replicas elect a leader and continue. When the cut ends, the old leader follows, and
+// its unacknowledged commands are dropped.
+func TestLeaderSilentlyCutOff(t *testing.T) {
 	n := newNetwork()
-	f := newFleet(t, 3, func(c *Config) { c.Client = n.client(c.Address) })
-	old := f.leader()
-	f.proposeAll([]string{"before"})
+	cl := newCluster(t, 3, func(c *Config) { c.Client = n.client(c.Address) })
+	old := cl.leader()
+	cl.proposeAll([]string{"before"})
 	n.freeze(old.address)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	_, err := old.group.Propose(ctx, []byte("during"))
 	require.ErrorIs(t, err, ErrUnknown)
 	require.NoError(t, ctx.Err())
 	var notLeader *NotLeaderError
 	require.ErrorAs(t, old.group.Read(ctx), &notLeader)
-	f.propose("after")
-	leader := f.leader()
+	cl.proposeUntilAccepted("after")
+	leader := cl.leader()
 	require.NotEqual(t, old, leader)
 	n.thaw()
-	f.proposeAll([]string{"last"})
-	for _, m := range f.nodes {
-		f.holds(m, []string{"before", "after", "last"})
+	cl.proposeAll([]string{"last"})
+	for _, m := range cl.nodes {
+		cl.waitForCommands(m, []string{"before", "after", "last"})
 	}
 	require.Eventually(t, func() bool {
 		name, _, _ := old.group.Leader()
 		return name == leader.name
-	}, patience, glance)
+	}, waitTimeout, pollInterval)
 	group := old.group
-	require.Never(t, func() bool { return group.Status().GetRole() == "leader" }, 300*time.Millisecond, glance)
+	require.Never(t, func() bool { return group.Status().GetRole() == "leader" }, 300*time.Millisecond, pollInterval)
 }
--- a/control/pkg/replica/repair_test.go
+++ b/control/pkg/replica/repair_test.go
@@ -15,73 +15,73 @@
 	"toucanhinge.example/control/pkg/disk"
 )
 
-// often takes checkpoints often, and keeps little of the log behind them.
-func often(c *Config) {
+// withFrequentCheckpoints takes frequent checkpoints and retains little of the log behind
+// them.
+func withFrequentCheckpoints(c *Config) {
 	c.CheckpointEntries = 20
-	c.KeepEntries = 5
-	c.KeepBytes = 30
+	c.RetainEntries = 5
+	c.RetainBytes = 30
 	c.LogFileBytes = 1000
 }
 
-func (f *fleet) proposeAll(commands []string) {
-	leader := f.leader()
+func (cl *cluster) proposeAll(commands []string) {
+	leader := cl.leader()
 	for _, command := range commands {
 		_, err := leader.group.Propose(context.Background(), []byte(command))
-		require.NoError(f.t, err)
+		require.NoError(cl.t, err)
 	}
 }
 
-// A replica is down while so much happens that its next entries are no longer in
-// the leader's log. It gets the state as a snapshot, and then the rest, and
-// keeps both over a restart.
-func TestLaggingReplicaGetsASnapshot(t *testing.T) {
-	f := newFleet(t, 3, often)
-	leader := f.leader()
-	lagging := f.nodes[0]
+// A replica is down until its next entries are no longer in the leader's log. It receives
+// the state as a snapshot and then the later entries, and retains both over a restart.
+func TestLaggingReplicaInstallsSnapshot(t *testing.T) {
+	cl := newCluster(t, 3, withFrequentCheckpoints)
+	leader := cl.leader()
+	lagging := cl.nodes[0]
 	if lagging == leader {
-		lagging = f.nodes[1]
+		lagging = cl.nodes[1]
 	}
-	f.stop(lagging)
-	commands := numbered("x", 200)
-	f.proposeAll(commands)
-	require.Eventually(t, func() bool { return leader.group.Status().GetFirst() > 100 }, patience, glance)
-	f.start(lagging)
-	f.holds(lagging, commands)
-	f.proposeAll([]string{"more"})
+	cl.stop(lagging)
+	commands := numberedCommands("x", 200)
+	cl.proposeAll(commands)
+	require.Eventually(t, func() bool { return leader.group.Status().GetFirst() > 100 }, waitTimeout, pollInterval)
+	cl.start(lagging)
+	cl.waitForCommands(lagging, commands)
+	cl.proposeAll([]string{"more"})
 	commands = append(commands, "more")
-	f.holds(lagging, commands)
-	f.stop(lagging)
-	f.start(lagging)
-	f.holds(lagging, commands)
+	cl.waitForCommands(lagging, commands)
+	cl.stop(lagging)
+	cl.start(lagging)
+	cl.waitForCommands(lagging, commands)
 }
 
-// All processes are killed at once and come back. The state is the checkpoint's
-// and the log's after it.
-func TestAllRestart(t *testing.T) {
-	f := newFleet(t, 3, often)
-	commands := numbered("x", 90)
-	f.proposeAll(commands)
-	for _, n := range f.nodes {
-		f.stop(n)
+// All processes are killed at once and return. The state is restored from the checkpoint
+// and the log after it.
+func TestStateSurvivesRestartOfAllReplicas(t *testing.T) {
+	cl := newCluster(t, 3, withFrequentCheckpoints)
+	commands := numberedCommands("x", 90)
+	cl.proposeAll(commands)
+	for _, n := range cl.nodes {
+		cl.stop(n)
 	}
-	for _, n := range f.nodes {
-		f.start(n)
+	for _, n := range cl.nodes {
+		cl.start(n)
 	}
-	f.proposeAll([]string{"after"})
-	for _, n := range f.nodes {
-		f.holds(n, append(commands[:90:90], "after"))
+	cl.proposeAll([]string{"after"})
+	for _, n := range cl.nodes {
+		cl.waitForCommands(n, append(commands[:90:90], "after"))
 	}
 }
 
-// A VM loses its disk and comes back empty under its old name. It takes no part:
-// the other two go on, and no acknowledged command is lost. An operator removes
-// the old member, adds the new one as a learner and promotes it. Right after the
-// promotion returned another VM is lost for good; nothing is missing.
-func TestLostDiskIsReplaced(t *testing.T) {
-	f := newFleet(t, 3, often)
-	leader := f.leader()
+// A VM loses its disk and returns empty under its old name. It doesn't take part: the
+// other two continue, and no acknowledged command is lost. An operator removes the old
+// member, adds the new one as a learner and promotes it. Right after the promotion
+// another VM is lost for good, and no command is missing.
+func TestReplicaWithLostDiskIsReplaced(t *testing.T) {
+	cl := newCluster(t, 3, withFrequentCheckpoints)
+	leader := cl.leader()
 	var lost, other *node
-	for _, n := range f.nodes {
+	for _, n := range cl.nodes {
 		switch {
 		case n == leader:
 		case lost == nil:
@@ -90,47 +90,47 @@
 			other = n
 		}
 	}
-	commands := numbered("x", 60)
-	f.proposeAll(commands)
-	f.stop(lost)
-	f.wipe(lost)
-	f.start(lost)
-	f.proposeAll([]string{"alone"})
+	commands := numberedCommands("x", 60)
+	cl.proposeAll(commands)
+	cl.stop(lost)
+	cl.wipeDisk(lost)
+	cl.start(lost)
+	cl.proposeAll([]string{"alone"})
 	commands = append(commands, "alone")
 	group := lost.group
-	require.Never(t, func() bool { return group.Status().GetLast() > 0 }, 500*time.Millisecond, glance)
+	require.Never(t, func() bool { return group.Status().GetLast() > 0 }, 500*time.Millisecond, pollInterval)
 
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	identity, err := Identity(lost.folder)
 	require.NoError(t, err)
-	newcomer := Peer{Name: lost.name, Address: lost.address, Identity: identity}
+	replacement := Peer{Name: lost.name, Address: lost.address, Identity: identity}
 	var refused *RefusedError
-	require.ErrorAs(t, leader.group.AddLearner(ctx, newcomer), &refused)
+	require.ErrorAs(t, leader.group.AddLearner(ctx, replacement), &refused)
 	require.Equal(t, consensus.ReasonMemberExists, refused.Reason)
 	require.NoError(t, leader.group.Remove(ctx, lost.name))
-	require.NoError(t, leader.group.AddLearner(ctx, newcomer))
+	require.NoError(t, leader.group.AddLearner(ctx, replacement))
 	require.NoError(t, leader.group.Promote(ctx, lost.name))
-	f.stop(other)
-	f.proposeAll([]string{"after"})
+	cl.stop(other)
+	cl.proposeAll([]string{"after"})
 	commands = append(commands, "after")
-	f.holds(leader, commands)
-	f.holds(lost, commands)
-	f.stop(leader)
-	f.stop(lost)
-	f.start(leader)
-	f.start(lost)
-	f.holds(f.leader(), commands)
+	cl.waitForCommands(leader, commands)
+	cl.waitForCommands(lost, commands)
+	cl.stop(leader)
+	cl.stop(lost)
+	cl.start(leader)
+	cl.start(lost)
+	cl.waitForCommands(cl.leader(), commands)
 }
 
-// The data folder of the only other replica that holds an acknowledged command
-// is lost, and the third replica lacks that command. If the lost one voted as
-// who it was, the two would elect a leader without it.
-func TestLostDiskHasNoVote(t *testing.T) {
-	f := newFleet(t, 3, nil)
-	leader := f.leader()
+// The data folder of the only other replica with an acknowledged command is lost, and the
+// third replica lacks that command. If the replica with the lost disk voted under its old
+// identity, the two would elect a leader without the command.
+func TestReplicaWithLostDiskDoesNotVote(t *testing.T) {
+	cl := newCluster(t, 3, nil)
+	leader := cl.leader()
 	var lost, lagging *node
-	for _, n := range f.nodes {
+	for _, n := range cl.nodes {
 		switch {
 		case n == leader:
 		case lost == nil:
@@ -139,29 +139,29 @@
 			lagging = n
 		}
 	}
-	f.stop(lagging)
-	f.proposeAll([]string{"held by two"})
-	f.stop(leader)
-	f.stop(lost)
-	f.wipe(lost)
-	f.start(lost)
-	f.start(lagging)
+	cl.stop(lagging)
+	cl.proposeAll([]string{"held by two"})
+	cl.stop(leader)
+	cl.stop(lost)
+	cl.wipeDisk(lost)
+	cl.start(lost)
+	cl.start(lagging)
 	first, second := lost.group, lagging.group
 	require.Never(t, func() bool {
 		_, _, one := first.Leader()
 		_, _, two := second.Leader()
 		return one || two
-	}, 3*time.Second, glance)
-	f.start(leader)
-	f.holds(f.leader(), []string{"held by two"})
-	f.holds(lagging, []string{"held by two"})
+	}, 3*time.Second, pollInterval)
+	cl.start(leader)
+	cl.waitForCommands(cl.leader(), []string{"held by two"})
+	cl.waitForCommands(lagging, []string{"held by two"})
 }
 
-// A sync fails under the leader. It stops at once and acknowledges nothing more,
-// the other two go on with all that was acknowledged.
-func TestFailedSyncStopsTheReplica(t *testing.T) {
+// A sync of the leader fails. It stops at once and acknowledges no further command; the
+// other two continue with all acknowledged commands.
+func TestFailedSyncStopsReplica(t *testing.T) {
 	failing := make(chan struct{})
-	f := newFleet(t, 3, func(c *Config) {
+	cl := newCluster(t, 3, func(c *Config) {
 		if c.Name != "c1" {
 			return
 		}
@@ -174,13 +174,13 @@
 			}
 		}
 	})
-	first := f.nodes[0]
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	first := cl.nodes[0]
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	for f.leader() != first {
-		_ = f.leader().group.Handover(ctx)
+	for cl.leader() != first {
+		_ = cl.leader().group.TransferLeadership(ctx)
 	}
-	f.proposeAll([]string{"before"})
+	cl.proposeAll([]string{"before"})
 	close(failing)
 	_, err := first.group.Propose(ctx, []byte("during"))
 	require.Error(t, err)
@@ -190,22 +190,22 @@
 	_, err = first.group.Propose(ctx, []byte("later"))
 	require.ErrorIs(t, err, ErrStopped)
 	require.Equal(t, roleStopped, first.group.Status().GetRole())
-	f.stop(first)
-	f.propose("after")
-	all := f.leader().journal.all()
+	cl.stop(first)
+	cl.proposeUntilAccepted("after")
+	all := cl.leader().commandLog.all()
 	require.Equal(t, "before", all[0])
 	require.Equal(t, "after", all[len(all)-1])
 }
 
-// A replica is stopped as planned: it hands over first, and no proposal of the
-// callers that go on meanwhile is lost or doubled.
-func TestHandoverLosesNothing(t *testing.T) {
-	f := newFleet(t, 3, nil)
-	old := f.leader()
+// A replica is stopped as planned and transfers its leadership first. Proposals that
+// callers send meanwhile are neither lost nor duplicated.
+func TestLeadershipTransferLosesNoCommand(t *testing.T) {
+	cl := newCluster(t, 3, nil)
+	old := cl.leader()
 	acknowledged := make(chan string, 1000)
 	go func() {
 		defer close(acknowledged)
-		for _, command := range numbered("x", 200) {
+		for _, command := range numberedCommands("x", 200) {
 			_, err := old.group.Propose(context.Background(), []byte(command))
 			var notLeader *NotLeaderError
 			if errors.As(err, &notLeader) {
@@ -216,61 +216,61 @@
 			}
 		}
 	}()
-	require.Eventually(t, func() bool { return len(acknowledged) > 5 }, patience, glance)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	require.Eventually(t, func() bool { return len(acknowledged) > 5 }, waitTimeout, pollInterval)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	require.NoError(t, old.group.Handover(ctx))
+	require.NoError(t, old.group.TransferLeadership(ctx))
 	_, _, self := old.group.Leader()
 	require.False(t, self)
-	leader := f.leader()
+	leader := cl.leader()
 	require.NotEqual(t, old, leader)
 	var commands []string
 	for command := range acknowledged {
 		commands = append(commands, command)
 	}
-	f.holds(leader, commands)
+	cl.waitForCommands(leader, commands)
 }
 
-// Someone deleted the log but left the checkpoint. Votes and entries are gone,
-// so the replica must not start as if it had them.
-func TestCheckpointWithoutLogIsDamage(t *testing.T) {
-	f := newFleet(t, 1, often)
-	f.proposeAll(numbered("x", 50))
-	n := f.nodes[0]
-	require.Eventually(t, func() bool { return n.group.Status().GetFirst() > 1 }, patience, glance)
-	f.stop(n)
+// The log was deleted but the checkpoint remains. Votes and entries are lost, so the
+// replica must not start.
+func TestOpenFailsOnCheckpointWithoutLog(t *testing.T) {
+	cl := newCluster(t, 1, withFrequentCheckpoints)
+	cl.proposeAll(numberedCommands("x", 50))
+	n := cl.nodes[0]
+	require.Eventually(t, func() bool { return n.group.Status().GetFirst() > 1 }, waitTimeout, pollInterval)
+	cl.stop(n)
 	folder := filepath.Join(n.folder, "group-1")
 	require.NoError(t, os.RemoveAll(filepath.Join(folder, "log")))
-	config := Config{Group: 1, Name: n.name, Identity: "any", Folder: folder, Bootstrap: f.peers}
-	_, err := Open(config, (&journal{}).machine())
+	config := Config{Group: 1, Name: n.name, Identity: "any", Folder: folder, Bootstrap: cl.peers}
+	_, err := Open(config, (&commandLog{}).machine())
 	var damage *disk.DamageError
 	require.ErrorAs(t, err, &damage)
 }
 
-func TestStoppedReplicaRefuses(t *testing.T) {
-	f := newFleet(t, 1, nil)
-	n := f.leader()
+func TestStoppedReplicaRefusesCalls(t *testing.T) {
+	cl := newCluster(t, 1, nil)
+	n := cl.leader()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := n.group.Propose(ctx, []byte("x"))
 	require.ErrorIs(t, err, context.Canceled)
 	group := n.group
-	f.stop(n)
+	cl.stop(n)
 	_, err = group.Propose(context.Background(), []byte("x"))
 	require.ErrorIs(t, err, ErrStopped)
 	require.ErrorIs(t, group.Read(context.Background()), ErrStopped)
 }
 
-// A snapshot was taken over and the process died before the log was begun anew:
-// the checkpoint is ahead of the log, or the log holds other entries. The state
-// is the snapshot's, and the log goes on after it.
-func TestCrashAfterSnapshot(t *testing.T) {
+// A process dies after it installed a snapshot and before the log was reset: the
+// checkpoint is ahead of the log, or the log contains other entries. The state must be
+// that of the snapshot, and the log must continue after it.
+func TestCrashBetweenSnapshotAndLogReset(t *testing.T) {
 	scenarios := []struct {
 		name    string
 		entries uint64
 	}{
-		{name: "log ends before it", entries: 3},
-		{name: "log differs from it", entries: 60},
+		{name: "log ends before the snapshot", entries: 3},
+		{name: "log differs from the snapshot", entries: 60},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
@@ -283,17 +283,17 @@
 			}
 			require.NoError(t, l.Append(p))
 			require.NoError(t, l.Close())
-			point := checkpoint{
+			cp := checkpoint{
 				Index: 50, Term: 2, Manifest: []byte(`["from the snapshot"]`),
 				Members: consensus.Members{{Name: "c1", Identity: "one", Voter: true}},
 			}
-			require.NoError(t, point.write(folder))
+			require.NoError(t, cp.write(folder))
 			for range 2 {
-				j := &journal{}
+				j := &commandLog{}
 				g, err := Open(Config{Group: 1, Name: "c1", Identity: "one", Folder: folder, Clock: clock.System()}, j.machine())
 				require.NoError(t, err)
-				require.Eventually(t, func() bool { return g.Read(context.Background()) == nil }, patience, glance)
-				require.Eventually(t, func() bool { return g.Status().GetCommit() > 50 }, patience, glance)
+				require.Eventually(t, func() bool { return g.Read(context.Background()) == nil }, waitTimeout, pollInterval)
+				require.Eventually(t, func() bool { return g.Status().GetCommit() > 50 }, waitTimeout, pollInterval)
 				require.Equal(t, []string{"from the snapshot"}, j.all())
 				require.NoError(t, g.Close())
 			}
--- a/control/pkg/replica/sender.go
+++ b/control/pkg/replica/sender.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// stepBytes bounds the entries of one call, so that a heartbeat behind it
-	// isn't late.
-	stepBytes = 4 << 20
-	stepLimit = 1024
+	// maxStepBytes limits the entries of one call, so that a heartbeat behind them isn't
+	// late.
+	maxStepBytes    = 4 << 20
+	maxStepMessages = 1024
 )
 
-// sender carries the messages for one peer: one call at a time, each with all
-// that waits. So calls grow with the load instead of their number.
+// sender sends the messages for one peer: one call at a time, each with all pending
+// messages. Under load, calls get larger instead of more frequent.
 type sender struct {
 	group   *Group
 	name    string
@@ -53,8 +53,8 @@
 	return s
 }
 
-// newClient makes calls without compression: answers are empty, and making a
-// compressor ready for each costs more than the call.
+// newClient returns a client without compression: responses are empty, and preparing a
+// compressor for each costs more than the call.
 func newClient(client *http.Client, address string) toucanhingev1connect.ReplicaServiceClient {
 	return toucanhingev1connect.NewReplicaServiceClient(client, "http://"+address,
 		connect.WithAcceptCompression("gzip", nil, nil))
@@ -67,15 +67,15 @@
 		case <-ctx.Done():
 			return
 		case m := <-s.ring.Items():
-			s.call(ctx, s.gather(m))
+			s.call(ctx, s.collect(m))
 		}
 	}
 }
 
-func (s *sender) gather(first consensus.Message) []*toucanhingev1.ReplicaMessage {
+func (s *sender) collect(first consensus.Message) []*toucanhingev1.ReplicaMessage {
 	messages := []*toucanhingev1.ReplicaMessage{toWire(s.group.config.Group, first)}
 	bytes := size(first)
-	for len(messages) < stepLimit && bytes < stepBytes {
+	for len(messages) < maxStepMessages && bytes < maxStepBytes {
 		next := s.ring.Drain(1)
 		if len(next) == 0 {
 			break
@@ -94,9 +94,10 @@
 	return bytes
 }
 
-// call drops the messages when it fails: consensus sends again what matters, and
-// by then something newer may be true. The connection goes too, since calls over
-// one that was cut silently would hang until it is noticed.
+// call sends messages and drops them if the call fails: consensus resends those that
+// still matter, and by then newer information may be available. The connection is closed
+// too, since calls over a connection that was cut silently would hang until the cut is
+// detected.
 func (s *sender) call(ctx context.Context, messages []*toucanhingev1.ReplicaMessage) {
 	config := s.group.config
 	ctx, cancel := context.WithTimeout(ctx, max(2*config.ElectionTimeout.Duration(), time.Second))
--- a/control/pkg/replica/server.go
+++ b/control/pkg/replica/server.go
@@ -12,24 +12,24 @@
 )
 
 var (
-	errUnknownGroup = errors.New("no such group here")
-	errNoHead       = errors.New("the snapshot has no first chunk")
+	errUnknownGroup = errors.New("no replica of this group in this process")
+	errNoFirstChunk = errors.New("snapshot stream has no first chunk")
 )
 
-// Server hands the calls of other replicas to the groups of this process.
+// Server passes the calls of other replicas to the groups of this process.
 type Server struct {
 	groups map[uint32]*Group
 }
 
 var _ toucanhingev1connect.ReplicaServiceHandler = (*Server)(nil)
 
-// NewServer serves these groups, by their number.
+// NewServer returns a server for the groups, which are given by their number.
 func NewServer(groups map[uint32]*Group) *Server {
 	return &Server{groups: groups}
 }
 
-// Step takes messages over. What doesn't fit is dropped and counted; consensus
-// sends again what matters.
+// Step enqueues messages for the group. Messages that don't fit into the queue are
+// dropped and counted; consensus resends those that still matter.
 func (s *Server) Step(_ context.Context, r *connect.Request[toucanhingev1.StepRequest]) (*connect.Response[toucanhingev1.StepResponse], error) {
 	for _, m := range r.Msg.GetMessages() {
 		g := s.groups[m.GetGroup()]
@@ -41,17 +41,17 @@
 	return connect.NewResponse(&toucanhingev1.StepResponse{}), nil
 }
 
-// InstallSnapshot takes over a whole state.
+// InstallSnapshot receives a snapshot and installs it.
 func (s *Server) InstallSnapshot(ctx context.Context, stream *connect.ClientStream[toucanhingev1.SnapshotChunk]) (*connect.Response[toucanhingev1.InstallSnapshotResponse], error) {
 	if !stream.Receive() {
-		return nil, connect.NewError(connect.CodeInvalidArgument, errNoHead)
+		return nil, connect.NewError(connect.CodeInvalidArgument, errNoFirstChunk)
 	}
-	head := stream.Msg()
-	g := s.groups[head.GetGroup()]
+	header := stream.Msg()
+	g := s.groups[header.GetGroup()]
 	if g == nil {
 		return nil, connect.NewError(connect.CodeNotFound, errUnknownGroup)
 	}
-	if err := g.receiveSnapshot(ctx, head, stream); err != nil {
+	if err := g.receiveSnapshot(ctx, header, stream); err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, fmt.Errorf("install snapshot: %w", err))
 	}
 	return connect.NewResponse(&toucanhingev1.InstallSnapshotResponse{Installed: true}), nil
--- a/control/pkg/replica/snapshot.go
+++ b/control/pkg/replica/snapshot.go
@@ -20,11 +20,11 @@
 const (
 	chunkBytes   = 256 << 10
 	spoolPattern = "snapshot-*"
-	// chunkTimeout is the longest silence within a snapshot.
+	// chunkTimeout is the longest time between two chunks of a snapshot.
 	chunkTimeout = 10 * time.Second
-	// snapshotRetry is the pause after a failed snapshot: a peer that can't take
-	// it would else be sent one after another.
-	snapshotRetry = time.Second
+	// snapshotRetryDelay is the delay after a failed snapshot. Otherwise a peer that
+	// can't install it would be sent one snapshot after another.
+	snapshotRetryDelay = time.Second
 
 	outcomeSent      = "sent"
 	outcomeFailed    = "failed"
@@ -33,15 +33,15 @@
 )
 
 var (
-	errCut      = errors.New("the snapshot ended early")
-	errNoImport = errors.New("the peer didn't install the snapshot")
+	errTruncated    = errors.New("snapshot stream ended before its last chunk")
+	errNotInstalled = errors.New("peer did not install the snapshot")
 )
 
-// sendSnapshot sends the latest checkpoint in a goroutine of its own and tells
-// the machine how it ended.
+// sendSnapshot sends the latest checkpoint in a goroutine of its own and reports the
+// result to the machine.
 func (g *Group) sendSnapshot(to consensus.Member) {
 	address := g.addressOf(to.Name)
-	term := g.loop.core.Status().Term
+	term := g.loop.consensus.Status().Term
 	g.done.Add(1)
 	go func() {
 		defer g.done.Done()
@@ -50,7 +50,7 @@
 		if err != nil {
 			outcome = outcomeFailed
 			_ = level.Warn(g.logger).Log("event", "snapshot_failed", "peer", to.Name, "index", index, "error", err)
-			g.pause(snapshotRetry)
+			g.sleep(snapshotRetryDelay)
 		}
 		g.metrics.snapshots.WithLabelValues(outcome).Inc()
 		_ = g.events.Put(g.ctx, consensus.SnapshotSent{
@@ -59,38 +59,38 @@
 	}()
 }
 
-// exportTo sends the latest checkpoint. No other one is taken meanwhile, so its
-// files stay, and so does the log after it.
+// exportTo sends the latest checkpoint and returns its index. No other checkpoint is
+// taken meanwhile, so its files remain, and so does the log after it.
 func (g *Group) exportTo(address string, term uint64) (uint64, error) {
-	g.applier.exporting.RLock()
-	defer g.applier.exporting.RUnlock()
-	point := g.applier.lastPoint()
-	return point.Index, g.streamSnapshot(address, term, point)
+	g.applier.exportMu.RLock()
+	defer g.applier.exportMu.RUnlock()
+	cp := g.applier.latestCheckpoint()
+	return cp.Index, g.streamSnapshot(address, term, cp)
 }
 
-func (g *Group) pause(span time.Duration) {
+func (g *Group) sleep(duration time.Duration) {
 	select {
 	case <-g.ctx.Done():
-	case <-time.After(span):
+	case <-time.After(duration):
 	}
 }
 
-func (g *Group) streamSnapshot(address string, term uint64, point checkpoint) error {
+func (g *Group) streamSnapshot(address string, term uint64, cp checkpoint) error {
 	ctx, cancel := context.WithCancel(g.ctx)
 	defer cancel()
 	httpClient := g.config.Client()
 	defer httpClient.CloseIdleConnections()
 	stream := newClient(httpClient, address).InstallSnapshot(ctx)
 	w := &chunkWriter{
-		stream: stream, stalled: time.AfterFunc(chunkTimeout, cancel),
-		head: &toucanhingev1.SnapshotChunk{
+		stream: stream, stallTimer: time.AfterFunc(chunkTimeout, cancel),
+		header: &toucanhingev1.SnapshotChunk{
 			From: g.config.Name, Group: g.config.Group, Term: term,
-			Index: point.Index, IndexTerm: point.Term, Members: point.Members.Encode(),
+			Index: cp.Index, IndexTerm: cp.Term, Members: cp.Members.Encode(),
 		},
 	}
-	defer w.stalled.Stop()
+	defer w.stallTimer.Stop()
 	buffered := bufio.NewWriterSize(w, chunkBytes)
-	err := g.machine.Export(point.Manifest, buffered)
+	err := g.machine.Export(cp.Manifest, buffered)
 	if err == nil {
 		err = buffered.Flush()
 	}
@@ -99,24 +99,24 @@
 	}
 	if err != nil {
 		cancel()
-		return fmt.Errorf("export: %w", err)
+		return fmt.Errorf("export snapshot: %w", err)
 	}
-	w.stalled.Stop()
-	answer, err := stream.CloseAndReceive()
+	w.stallTimer.Stop()
+	response, err := stream.CloseAndReceive()
 	if err != nil {
-		return fmt.Errorf("answer: %w", err)
+		return fmt.Errorf("receive response: %w", err)
 	}
-	if !answer.Msg.GetInstalled() {
-		return errNoImport
+	if !response.Msg.GetInstalled() {
+		return errNotInstalled
 	}
 	return nil
 }
 
-// chunkWriter sends what an export writes. The first chunk carries the head.
+// chunkWriter sends the output of an export. The first chunk carries the header.
 type chunkWriter struct {
-	stream  *connect.ClientStreamForClient[toucanhingev1.SnapshotChunk, toucanhingev1.InstallSnapshotResponse]
-	head    *toucanhingev1.SnapshotChunk
-	stalled *time.Timer
+	stream     *connect.ClientStreamForClient[toucanhingev1.SnapshotChunk, toucanhingev1.InstallSnapshotResponse]
+	header     *toucanhingev1.SnapshotChunk
+	stallTimer *time.Timer
 }
 
 // Write sends data in chunks.
@@ -133,9 +133,9 @@
 }
 
 func (w *chunkWriter) send(data []byte, last bool) error {
-	w.stalled.Reset(chunkTimeout)
-	chunk := w.head
-	w.head = &toucanhingev1.SnapshotChunk{}
+	w.stallTimer.Reset(chunkTimeout)
+	chunk := w.header
+	w.header = &toucanhingev1.SnapshotChunk{}
 	chunk.Data, chunk.Last = data, last
 	if err := w.stream.Send(chunk); err != nil {
 		return fmt.Errorf("send chunk: %w", err)
@@ -143,42 +143,42 @@
 	return nil
 }
 
-// install is a whole snapshot that waits in a file for the applier.
-type install struct {
-	path string
-	head *toucanhingev1.SnapshotChunk
-	done chan error
+// spooledSnapshot is a complete snapshot in a file that waits for the applier.
+type spooledSnapshot struct {
+	path   string
+	header *toucanhingev1.SnapshotChunk
+	done   chan error
 }
 
-// receiveSnapshot spools a snapshot to a file first: the state must not depend
-// on a stream that may end early, and applying goes on meanwhile.
-func (g *Group) receiveSnapshot(ctx context.Context, head *toucanhingev1.SnapshotChunk, stream *connect.ClientStream[toucanhingev1.SnapshotChunk]) error {
+// receiveSnapshot first spools a snapshot to a file: the state must not depend on a
+// stream that may end early, and the applier continues meanwhile.
+func (g *Group) receiveSnapshot(ctx context.Context, header *toucanhingev1.SnapshotChunk, stream *connect.ClientStream[toucanhingev1.SnapshotChunk]) error {
 	file, err := os.CreateTemp(g.config.Folder, spoolPattern)
 	if err != nil {
-		return fmt.Errorf("make snapshot file: %w", err)
+		return fmt.Errorf("create snapshot file: %w", err)
 	}
 	defer func() { _ = os.Remove(file.Name()) }()
-	err = spool(file, head, stream)
+	err = spool(file, header, stream)
 	if closeErr := file.Close(); err == nil {
 		err = closeErr
 	}
 	if err != nil {
 		return fmt.Errorf("spool snapshot: %w", err)
 	}
-	item := &install{path: file.Name(), head: head, done: make(chan error, 1)}
-	g.committed.put(applyItem{install: item})
+	item := &spooledSnapshot{path: file.Name(), header: header, done: make(chan error, 1)}
+	g.committed.put(applyItem{snapshot: item})
 	select {
 	case err := <-item.done:
 		return err
 	case <-ctx.Done():
-		return fmt.Errorf("wait for the state to be taken over: %w", ctx.Err())
+		return fmt.Errorf("wait for snapshot installation: %w", ctx.Err())
 	case <-g.ctx.Done():
 		return ErrStopped
 	}
 }
 
-// removeSpooled clears away what a crash left behind.
-func removeSpooled(folder string) error {
+// removeSpooledSnapshots removes files that a crash left behind.
+func removeSpooledSnapshots(folder string) error {
 	paths, err := filepath.Glob(filepath.Join(folder, spoolPattern))
 	if err != nil {
 		return fmt.Errorf("find spooled snapshots: %w", err)
@@ -191,8 +191,8 @@
 	return nil
 }
 
-func spool(w io.Writer, head *toucanhingev1.SnapshotChunk, stream *connect.ClientStream[toucanhingev1.SnapshotChunk]) error {
-	chunk := head
+func spool(w io.Writer, header *toucanhingev1.SnapshotChunk, stream *connect.ClientStream[toucanhingev1.SnapshotChunk]) error {
+	chunk := header
 	for {
 		if _, err := w.Write(chunk.GetData()); err != nil {
 			return fmt.Errorf("write: %w", err)
@@ -204,44 +204,44 @@
 			if err := stream.Err(); err != nil {
 				return fmt.Errorf("receive: %w", err)
 			}
-			return errCut
+			return errTruncated
 		}
 		chunk = stream.Msg()
 	}
 }
 
-// installSnapshot takes a spooled snapshot over, in the applier's goroutine. The
-// order matters: first the state is durable, then the checkpoint names it, then
-// the log begins anew. A crash in between is put right by matchLog.
-func (g *Group) installSnapshot(item *install) {
+// installSnapshot installs a spooled snapshot, in the applier goroutine. The order
+// matters: first the state is durable, then the checkpoint refers to it, then the log is
+// reset. After a crash in between, alignLog repairs the log.
+func (g *Group) installSnapshot(item *spooledSnapshot) {
 	a := &g.applier
-	if item.head.GetIndex() <= a.index {
+	if item.header.GetIndex() <= a.index {
 		item.done <- nil
 		return
 	}
-	point, err := g.importSnapshot(item)
+	cp, err := g.importSnapshot(item)
 	if err != nil {
 		g.metrics.snapshots.WithLabelValues(outcomeRejected).Inc()
 		item.done <- err
 		return
 	}
-	if err := g.keepCheckpoint(point); err != nil {
+	if err := g.storeCheckpoint(cp); err != nil {
 		g.fail(err)
 		return
 	}
-	a.index, a.term, a.members = point.Index, point.Term, point.Members
-	g.waiting.giveUp(point.Index)
-	g.waiting.advance(point.Index)
+	a.index, a.term, a.members = cp.Index, cp.Term, cp.Members
+	g.waiters.failUpTo(cp.Index)
+	g.waiters.advance(cp.Index)
 	g.metrics.snapshots.WithLabelValues(outcomeInstalled).Inc()
-	_ = level.Info(g.logger).Log("event", "snapshot_installed", "index", point.Index, "from", item.head.GetFrom())
-	item.done <- g.events.Put(g.ctx, consensus.SnapshotInstalled{Index: point.Index, Term: point.Term, Members: point.Members})
+	_ = level.Info(g.logger).Log("event", "snapshot_installed", "index", cp.Index, "from", item.header.GetFrom())
+	item.done <- g.events.Put(g.ctx, consensus.SnapshotInstalled{Index: cp.Index, Term: cp.Term, Members: cp.Members})
 }
 
-func (g *Group) importSnapshot(item *install) (checkpoint, error) {
-	head := item.head
-	members, err := consensus.DecodeMembers(head.GetMembers())
+func (g *Group) importSnapshot(item *spooledSnapshot) (checkpoint, error) {
+	header := item.header
+	members, err := consensus.DecodeMembers(header.GetMembers())
 	if err != nil {
-		return checkpoint{}, fmt.Errorf("snapshot: %w", err)
+		return checkpoint{}, fmt.Errorf("read snapshot header: %w", err)
 	}
 	file, err := os.Open(filepath.Clean(item.path))
 	if err != nil {
@@ -252,5 +252,5 @@
 	if err != nil {
 		return checkpoint{}, fmt.Errorf("import snapshot: %w", err)
 	}
-	return checkpoint{Index: head.GetIndex(), Term: head.GetIndexTerm(), Members: members, Manifest: manifest}, nil
+	return checkpoint{Index: header.GetIndex(), Term: header.GetIndexTerm(), Members: members, Manifest: manifest}, nil
 }
--- a/control/pkg/replica/writer.go
+++ b/control/pkg/replica/writer.go
@@ -6,15 +6,15 @@
 	"toucanhinge.example/control/pkg/consensus"
 )
 
-// write is the duty of the disk: all that waits goes into one write and one
-// sync. While a sync runs the next batch gathers.
-func (g *Group) write() {
+// runWriter writes the log: all pending Persists go into one write and one sync. While a
+// sync runs, the next batch accumulates.
+func (g *Group) runWriter() {
 	for {
 		select {
 		case <-g.ctx.Done():
 			return
 		case <-g.dropBefore.wake:
-			g.drop()
+			g.dropLogFiles()
 		case <-g.persists.wake:
 			persists := g.persists.take()
 			if len(persists) == 0 {
@@ -38,8 +38,8 @@
 	}
 }
 
-// drop removes old log files. A failure costs disk space only.
-func (g *Group) drop() {
+// dropLogFiles removes old log files. A failure only costs disk space.
+func (g *Group) dropLogFiles() {
 	for _, index := range g.dropBefore.take() {
 		if err := g.log.DropBefore(index); err != nil {
 			_ = level.Warn(g.logger).Log("event", "log_not_dropped", "error", err)
