--- a/control/pkg/core/core.go
+++ b/control/pkg/core/core.go
@@ -60,14 +60,14 @@
 	Address    string
 	DataCentre string
 	Folder     string
-	// Founders are the addresses of the VMs that form the group when the system
+	// FoundingMembers are the addresses of the VMs that form the group when the system
 	// starts for the first time; empty at every other start.
-	Founders []string
+	FoundingMembers []string
 	// Losses is how many VMs may be lost at the same time.
 	Losses int
-	// LeaveBound is how long after the directory shows that a runner leaves requests may still be
+	// DrainNoticeLimit is how long after the directory shows that a runner leaves requests may still be
 	// sent there, a span; 0 if that isn't told.
-	LeaveBound clock.Millis
+	DrainNoticeLimit clock.Millis
 
 	Clock      clock.Clock
 	Logger     log.Logger
@@ -139,7 +139,7 @@
 		Metrics: batchrun.NewMetrics(config.Registerer),
 	})
 	var founders []replica.Peer
-	for _, address := range config.Founders {
+	for _, address := range config.FoundingMembers {
 		founders = append(founders, replica.Peer{Name: address, Address: address, Voter: true})
 	}
 	c.group, err = replica.Open(replica.Config{
@@ -157,8 +157,8 @@
 	return c, nil
 }
 
-// Replicas hands the calls of other VMs to the replica.
-func (c *Core) Replicas() *replica.Server {
+// ReplicaServer hands the calls of other VMs to the replica.
+func (c *Core) ReplicaServer() *replica.Server {
 	return replica.NewServer(map[uint32]*replica.Group{Group: c.group})
 }
 
@@ -200,8 +200,8 @@
 	c.machine.Close()
 }
 
-// HeardDigest tells that another daemon's load changed.
-func (c *Core) HeardDigest(uint64) { c.driver.Wake() }
+// DigestReceived tells that another daemon's load changed.
+func (c *Core) DigestReceived(uint64) { c.driver.Wake() }
 
 // Version is the routing table in force here.
 func (c *Core) Version() uint64 {
