--- a/control/pkg/core/core.go
+++ b/control/pkg/core/core.go
@@ -146,8 +146,8 @@
 	c.group, err = replica.Open(replica.Config{
 		Group: Group, Name: config.Address, Identity: identity, Address: config.Address, Folder: folder,
 		Bootstrap: foundingMembers, Clock: config.Clock, Logger: config.Logger, Registerer: config.Registerer,
-		HeartbeatEvery: heartbeatInterval, ElectionTimeout: electionTimeout,
-		CheckpointBytes: checkpointBytes, KeepBytes: retainBytes, LogFileBytes: logFileBytes, RingSize: ringSize,
+		HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout,
+		CheckpointBytes: checkpointBytes, RetainBytes: retainBytes, LogFileBytes: logFileBytes, RingSize: ringSize,
 	}, replica.Machine{
 		Apply: c.machine.Apply, Checkpoint: c.machine.Checkpoint, Load: c.machine.Load,
 		Export: c.machine.Export, Import: c.machine.Import,
@@ -190,7 +190,7 @@
 // Stop transfers the leadership, stops the background tasks and closes the replica.
 func (c *Core) Stop(ctx context.Context) {
 	if _, _, leads := c.group.Leader(); leads {
-		if err := c.group.Handover(ctx); err != nil {
+		if err := c.group.TransferLeadership(ctx); err != nil {
 			level.Warn(c.config.Logger).Log(logs.KeyEvent, "handover-failed", logs.KeyError, err)
 		}
 	}
--- a/control/pkg/core/service.go
+++ b/control/pkg/core/service.go
@@ -194,7 +194,7 @@
 	if known := c.config.Core.Known(Group); known != "" && known != c.config.Address {
 		return known
 	}
-	return c.group.Named()
+	return c.group.OldIdentityLeader()
 }
 
 // NameLeader returns the last known leader without waiting.
