--- /dev/null
+++ b/control/pkg/batchrun/crash_report.go
@@ -0,0 +1,63 @@
+package batchrun
+
+import (
+	"context"
+
+	"github.com/go-kit/log/level"
+
+	"toucanhinge.example/common/pkg/clock"
+	"toucanhinge.example/common/pkg/crashes"
+	"toucanhinge.example/common/pkg/logs"
+	"toucanhinge.example/common/pkg/runner"
+)
+
+// maxQuarantineBackoff is the longest delay until a quarantined item is checked again: it may have been
+// cleared in the meantime.
+const maxQuarantineBackoff clock.Millis = 5_000
+
+// quarantinedUntil returns the time until which the item must not run because it is suspected of crashing
+// runners, or 0 if it may run. A quarantined item isn't failed before it expires, since the platform owes
+// the caller every accepted item until then.
+func (r *run) quarantinedUntil(call runner.Call) clock.Millis {
+	x := r.driver.config.Exchange
+	if !x.Suspects() {
+		return 0
+	}
+	verdict := x.Standing(fingerprintOf(call))
+	if verdict.Standing == crashes.Sound {
+		return 0
+	}
+	return verdict.Until
+}
+
+// reportCrash reports a crash if the call broke off because its runner crashed.
+func (r *run) reportCrash(ctx context.Context, call runner.Call, startedAt clock.Millis) {
+	config := r.driver.config
+	if config.Client.Refuses == nil || ctx.Err() != nil || !config.Client.Refuses(ctx, call.Runner) {
+		return
+	}
+	elapsed, running := config.Clock.Now()-startedAt, clock.Millis(-1)
+	if r.progress.lastEvent() > call.After {
+		// Gateways buffer events, so the time of the first event is unknown. Items start only in free
+		// slots, so the item has run since the call was sent.
+		running = elapsed
+	}
+	sign := crashes.SignOf(running, elapsed, true)
+	level.Info(config.Logger).Log(logs.KeyEvent, logs.EventRunnerCrashed, logs.KeyJob, r.key.Job, "index", r.key.Index,
+		logs.KeyItem, call.Request, logs.KeyContent, fingerprintOf(call), "runner", call.Runner.GetId(), "running-ms", running)
+	if sign == crashes.Late {
+		config.Exchange.Survived(fingerprintOf(call))
+	}
+	config.Exchange.Crashed(call.Runner, fingerprintOf(call), sign)
+}
+
+// clearSuspicion clears a suspected item that ran without crashing its runner.
+func (r *run) clearSuspicion(call runner.Call) {
+	if x := r.driver.config.Exchange; x.Suspects() {
+		x.Survived(fingerprintOf(call))
+	}
+}
+
+func fingerprintOf(call runner.Call) crashes.Content {
+	return crashes.ContentOf(call.Method, call.Host, call.Target, call.Body)
+}
--- a/control/pkg/batchrun/crash_test.go
+++ b/control/pkg/batchrun/crash_report_test.go
@@ -10,34 +10,33 @@
 	"toucanhinge.example/control/pkg/systemstate"
 )
 
-// An item crashes each runner that begins to run it, and the runner takes the streams of
-// eight callers along. The driver ran it again a tenth of a second later, for as long as
-// the job was open. After three crashes it waits, and is neither run nor given up: an accepted
-// item is owed until its time is up.
-func TestAnItemThatCrashesRunnersWaits(t *testing.T) {
-	f := start(t, func(int, runner.Call) (*runner.Answer, error) { return ok(cut("")) })
+// An item crashes every runner that starts it, and each crash also ends the streams of eight callers. The
+// driver used to retry such an item after 100 ms for as long as its job was open. After three crashes the
+// item must wait, and must neither run nor fail: the platform owes the caller an accepted item until it
+// expires.
+func TestItemThatCrashesRunnersIsQuarantined(t *testing.T) {
+	f := start(t, func(int, runner.Call) (*runner.Answer, error) { return ok(brokenBody("")) })
 	f.refuses = true
 	f.exchange.SetRunners(12)
 	f.submit(1)
 	f.run()
 	require.Eventually(t, func() bool { return f.exchange.Quarantined() == 1 }, 10*time.Second, 10*time.Millisecond)
-	ran := len(f.sent())
-	require.Equal(t, 3, ran)
+	calls := len(f.sent())
+	require.Equal(t, 3, calls)
 	time.Sleep(time.Second)
-	require.Len(t, f.sent(), ran)
+	require.Len(t, f.sent(), calls)
 	f.machine.View(func(s *systemstate.State) { require.False(t, s.Job("j").Items[0].Done) })
 }
 
-// An item's runner crashes in the middle of its text, five times, for other reasons. Each
-// run had gone on long enough to show that the item isn't the cause; it goes on at once, and
-// its text is whole.
-func TestAnItemIsNotBlamedForItsRunnersCrash(t *testing.T) {
+// An item's runner crashes five times in the middle of the stream for other reasons. Each time the item had
+// run long enough to show that it isn't the cause, so it must resume at once and its text must be complete.
+func TestItemIsNotSuspectedAfterLongRuns(t *testing.T) {
 	f := start(t, func(n int, call runner.Call) (*runner.Answer, error) {
 		if n == 5 {
-			return ok(whole(events(int(call.After)+1, 6)))
+			return ok(completeBody(events(int(call.After)+1, 6)))
 		}
 		time.Sleep(600 * time.Millisecond)
-		return ok(cut(events(int(call.After)+1, int(call.After)+1)))
+		return ok(brokenBody(events(int(call.After)+1, int(call.After)+1)))
 	})
 	f.refuses = true
 	f.submit(1)
--- a/control/pkg/batchrun/driver.go
+++ b/control/pkg/batchrun/driver.go
@@ -1,5 +1,5 @@
-// Package batchrun runs the items of batch jobs at the runners, as package
-// dispatch decides, while this process leads the core.
+// Package batchrun runs the items of batch jobs on runners while this process leads the core. Package
+// dispatch decides which items start, yield or fail.
 package batchrun
 
 import (
@@ -22,51 +22,49 @@
 )
 
 const (
-	// stepEvery is the longest time between two decisions; changes of the load
-	// are decided on at once.
-	stepEvery = 50 * time.Millisecond
-	// stepGap is the shortest time between two. Behind 89 gateways the load changes hundreds
-	// of times a second, and a decision among 3,000 waiting items takes 0.15 ms
-	// (BenchmarkStep). An online request waits for an item's place 2 ms longer.
-	stepGap = 5 * time.Millisecond
-	// refusedPause keeps items off a runner that was full when we thought it
-	// wasn't: about the time in which one of its places becomes free.
-	refusedPause clock.Millis = 100
-	// unreachablePause keeps items off a runner that can't be reached.
-	unreachablePause clock.Millis = 1_000
-	// untakenPause is how long an item waits that no gateway took. A new leader hears of the
-	// first gateways within some 100 ms.
-	untakenPause clock.Millis = 300
-	// expirySlack is added to the time after which an item may be given up: the
-	// time of acceptance was taken by another VM's clock.
+	// stepInterval is the longest time between two steps. A change of the load triggers a step at once.
+	stepInterval = 50 * time.Millisecond
+	// minStepGap is the shortest time between two steps. With 89 gateways the load changes hundreds of
+	// times a second, and a decision among 3,000 waiting items takes 0.15 ms (BenchmarkStep). The gap
+	// makes an online request wait 2 ms longer for an item's slot.
+	minStepGap = 5 * time.Millisecond
+	// refusedBackoff is how long a runner that refused an item for lack of slots is blocked. One of its
+	// slots becomes free within about that time.
+	refusedBackoff clock.Millis = 100
+	// unreachableBackoff is how long an unreachable runner is blocked.
+	unreachableBackoff clock.Millis = 1_000
+	// notAcceptedBackoff is how long an item waits after no gateway accepted its call. A new leader
+	// learns of the first gateways within about 100 ms.
+	notAcceptedBackoff clock.Millis = 300
+	// expirySlack is added to an item's expiry, since the acceptance time was read from another VM's clock.
 	expirySlack clock.Millis = 5_000
-	// keepEvery is how often the progress of running items is logged: what a
-	// change of leader costs at most. The bytes are logged in any case.
-	keepEvery clock.Millis = 1_000
-	// keepGap and keepBytes spread that over the second: logged at once, the progress of 500
-	// items is a megabyte to each member, and heartbeats wait behind it.
-	keepGap   clock.Millis = 50
-	keepBytes              = 64 << 10
+	// progressLogInterval is how often the progress of a running item is logged. A change of leader loses
+	// at most that much of its work. A shorter interval logs the same bytes in more commands.
+	progressLogInterval clock.Millis = 1_000
+	// minProgressLogGap and maxProgressLogBytes spread progress commands over the interval. Logged at
+	// once, the progress of 500 items is a megabyte for each member and delays heartbeats.
+	minProgressLogGap   clock.Millis = 50
+	maxProgressLogBytes              = 64 << 10
 )
 
-// Config describes a driver.
+// Config holds the dependencies and settings of a Driver.
 type Config struct {
 	Machine *systemstate.Machine
-	// Propose logs steps and returns once they are applied.
+	// Propose logs steps and returns their results once they are applied.
 	Propose  func(ctx context.Context, steps ...*toucanhingev1.SystemStep) ([]any, error)
 	Client   runner.Client
 	Exchange *digest.Exchange
-	// Runners lists the running instances as far as known.
+	// Runners returns the known runners.
 	Runners    func() []*toucanhingev1.Runner
 	DataCentre string
-	// Late is told how late this process is with its decisions, a span; may be nil.
-	Late    func(lag clock.Millis)
+	// OnLag is called with the delay of each decision, if it isn't nil.
+	OnLag   func(lag clock.Millis)
 	Clock   clock.Clock
 	Logger  log.Logger
 	Metrics *Metrics
 }
 
-// Driver keeps the items of all open jobs going.
+// Driver runs the items of all open jobs.
 type Driver struct {
 	config Config
 	wake   chan struct{}
@@ -75,26 +73,26 @@
 	changes []systemstate.Change
 	ended   []outcome
 
-	// The rest belongs to Run.
-	machine  *dispatch.Machine
-	runs     map[dispatch.Key]*run
-	progress map[dispatch.Key]*progress
-	routes   *routes
-	limiter  *startLimiter
-	loads    *occupancy.Cache[dispatch.Load]
-	pace     pace
-	commits  *groupCommit
-	keptAt   clock.Millis
-	keeping  atomic.Bool
-	active   sync.WaitGroup
+	// The fields below are used by the goroutine of Run only, except where they synchronize themselves.
+	machine          *dispatch.Machine
+	runs             map[dispatch.Key]*run
+	progress         map[dispatch.Key]*progress
+	routes           *routeCache
+	limiter          *startLimiter
+	loads            *occupancy.Cache[dispatch.Load]
+	pacer            decisionPacer
+	commits          *groupCommit
+	progressLoggedAt clock.Millis
+	loggingProgress  atomic.Bool
+	active           sync.WaitGroup
 }
 
-// New makes a driver.
+// New returns a driver that does nothing until Run is called.
 func New(config Config) *Driver {
 	return &Driver{config: config, wake: make(chan struct{}, 1), commits: &groupCommit{propose: config.Propose}}
 }
 
-// Notify tells a change of the state; it never blocks.
+// Notify queues a change of the state. It never blocks.
 func (d *Driver) Notify(change systemstate.Change) {
 	d.mu.Lock()
 	d.changes = append(d.changes, change)
@@ -102,7 +100,7 @@
 	d.Wake()
 }
 
-// Wake asks for a decision: the load has changed.
+// Wake requests a step because the load has changed.
 func (d *Driver) Wake() {
 	select {
 	case d.wake <- struct{}{}:
@@ -110,22 +108,22 @@
 	}
 }
 
-// Run drives the items until the context ends, and then breaks all calls off.
+// Run runs items until the context ends, and then cancels all calls.
 func (d *Driver) Run(ctx context.Context) {
 	d.machine = dispatch.New()
 	d.runs = map[dispatch.Key]*run{}
 	d.progress = map[dispatch.Key]*progress{}
-	d.routes = newRoutes(d.config.Machine)
+	d.routes = newRouteCache(d.config.Machine)
 	d.limiter = newStartLimiter()
-	d.loads, d.pace = &occupancy.Cache[dispatch.Load]{Read: loadAt}, pace{}
-	d.takeChanges()
-	d.takeEnded()
+	d.loads, d.pacer = &occupancy.Cache[dispatch.Load]{Read: externalLoad}, decisionPacer{}
+	d.drainChanges()
+	d.drainEnded()
 	d.reload()
 	defer d.active.Wait()
-	timer := time.NewTimer(stepEvery)
+	timer := time.NewTimer(stepInterval)
 	defer timer.Stop()
 	for {
-		began := time.Now()
+		startedAt := time.Now()
 		timer.Reset(d.step(ctx))
 		select {
 		case <-ctx.Done():
@@ -133,43 +131,44 @@
 		case <-d.wake:
 		case <-timer.C:
 		}
-		d.rest(began)
+		d.waitStepGap(startedAt)
 	}
 }
 
-// rest keeps the gap between two decisions: a change after a quiet moment is decided on at
-// once, those of a busy one together. How late it returns tells how busy this process is.
-func (d *Driver) rest(began time.Time) {
-	early := stepGap - time.Since(began)
-	if early <= 0 {
+// waitStepGap sleeps until minStepGap has passed since the step started. A change after an idle period is
+// handled at once, and changes that come close together are handled by one step. The delay of
+// the wake-up measures how busy this process is.
+func (d *Driver) waitStepGap(startedAt time.Time) {
+	remaining := minStepGap - time.Since(startedAt)
+	if remaining <= 0 {
 		return
 	}
 	before := time.Now()
-	time.Sleep(early)
-	lag := clock.Millis((time.Since(before) - early).Milliseconds())
-	d.limiter.note(lag)
-	if d.config.Late != nil {
-		d.config.Late(lag)
+	time.Sleep(remaining)
+	lag := clock.Millis((time.Since(before) - remaining).Milliseconds())
+	d.limiter.recordLag(lag)
+	if d.config.OnLag != nil {
+		d.config.OnLag(lag)
 	}
 }
 
-func (d *Driver) takeChanges() []systemstate.Change {
+func (d *Driver) drainChanges() []systemstate.Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	taken := d.changes
+	changes := d.changes
 	d.changes = nil
-	return taken
+	return changes
 }
 
-func (d *Driver) takeEnded() []outcome {
+func (d *Driver) drainEnded() []outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	taken := d.ended
+	ended := d.ended
 	d.ended = nil
-	return taken
+	return ended
 }
 
-// reload takes in all that is open, at the start and after a snapshot.
+// reload adds the items of all open jobs, at the start and after a snapshot was applied.
 func (d *Driver) reload() {
 	d.config.Machine.View(func(s *systemstate.State) {
 		for _, j := range s.OpenJobs() {
@@ -179,62 +178,62 @@
 }
 
 func (d *Driver) addJob(s *systemstate.State, j *systemstate.Job) {
-	due, expires, rank := j.Accepted, j.Accepted+expirySlack, uint32(0)
+	deadline, expires, priority := j.Accepted, j.Accepted+expirySlack, uint32(0)
 	if route, found := s.Route(j); found {
-		rank = s.Rank(j, route)
-		due += clock.Millis(route.CompletionMs)
+		priority = s.Rank(j, route)
+		deadline += clock.Millis(route.CompletionMs)
 		expires += clock.Millis(route.RetentionMs)
 	}
 	for i := range j.Items {
 		if !j.Items[i].Done {
 			d.machine.Add(dispatch.Item{
-				Key: dispatch.Key{Job: j.Name, Index: uint32(i)}, Due: due, Expires: expires, Tokens: j.Items[i].Tokens,
-				Team: j.Team, Rank: rank,
+				Key: dispatch.Key{Job: j.Name, Index: uint32(i)}, Due: deadline, Expires: expires, Tokens: j.Items[i].Tokens,
+				Team: j.Team, Rank: priority,
 			})
 		}
 	}
 }
 
-// step takes up what happened and decides, and returns the longest time until the next step.
+// step applies pending changes and call outcomes, decides, and returns the longest time until the next step.
 func (d *Driver) step(ctx context.Context) time.Duration {
 	now := d.config.Clock.Now()
-	for _, change := range d.takeChanges() {
-		d.follow(change)
+	for _, change := range d.drainChanges() {
+		d.applyChange(change)
 	}
-	for _, o := range d.takeEnded() {
-		d.settle(ctx, now, o)
+	for _, o := range d.drainEnded() {
+		d.handleOutcome(ctx, now, o)
 	}
 	d.routes.refresh()
-	d.giveUpLostRoutes(ctx, now)
-	d.keepProgress(ctx, now)
+	d.failItemsWithoutRoute(ctx, now)
+	d.logProgress(ctx, now)
 	return d.decide(ctx, now)
 }
 
-// decide makes a whole decision if one is due. Else it only lets items give way, where
-// something changed.
+// decide makes a full decision if the pacer allows one. Otherwise it only preempts items on runners whose
+// load changed.
 func (d *Driver) decide(ctx context.Context, now clock.Millis) (next time.Duration) {
-	began := time.Now()
+	startedAt := time.Now()
 	runners := d.config.Runners()
 	var changed []*toucanhingev1.Runner
 	d.config.Exchange.View(func(t *occupancy.Table) { changed = d.loads.Refresh(now, runners, t) })
-	around := d.surroundings(runners)
-	if left := d.pace.left(began); left > 0 {
-		d.act(ctx, d.machine.Yield(now, changed, around))
-		return left
+	input := d.dispatchInput(runners)
+	if remaining := d.pacer.untilNext(startedAt); remaining > 0 {
+		d.execute(ctx, d.machine.Yield(now, changed, input))
+		return remaining
 	}
 	allowed := d.limiter.allowed(now)
-	around.MostStarts = &allowed
-	actions := d.machine.Step(now, around)
-	d.pace.took(began, time.Now())
-	d.limiter.spent(len(actions.Start))
-	d.act(ctx, actions)
+	input.MostStarts = &allowed
+	actions := d.machine.Step(now, input)
+	d.pacer.record(startedAt, time.Now())
+	d.limiter.spend(len(actions.Start))
+	d.execute(ctx, actions)
 	waiting, running := d.machine.Counts()
 	d.config.Metrics.Waiting.Set(float64(waiting))
 	d.config.Metrics.Running.Set(float64(running))
-	return stepEvery
+	return stepInterval
 }
 
-func (d *Driver) follow(change systemstate.Change) {
+func (d *Driver) applyChange(change systemstate.Change) {
 	switch change.Kind {
 	case systemstate.JobAccepted:
 		d.config.Machine.View(func(s *systemstate.State) {
@@ -263,7 +262,7 @@
 	}
 }
 
-// stop forgets an item and breaks its call off.
+// stop removes an item and cancels its call.
 func (d *Driver) stop(key dispatch.Key) {
 	d.machine.Drop(key)
 	delete(d.progress, key)
@@ -272,15 +271,15 @@
 	}
 }
 
-// loadAt is what other daemons have under way at a runner.
-func loadAt(now clock.Millis, id string, t *occupancy.Table) dispatch.Load {
+// externalLoad returns the load on a runner apart from the batch items of this daemon.
+func externalLoad(now clock.Millis, id string, t *occupancy.Table) dispatch.Load {
 	total, own := t.Load(id), t.Own(id)
 	return dispatch.Load{
 		Online: total.Online, Batch: total.Batch - own.Batch, Foreign: t.Foreign(now, id), Silent: t.Silent(now, id),
 	}
 }
 
-func (d *Driver) surroundings(runners []*toucanhingev1.Runner) dispatch.Surroundings {
+func (d *Driver) dispatchInput(runners []*toucanhingev1.Runner) dispatch.Surroundings {
 	return dispatch.Surroundings{
 		Runners:  runners,
 		Load:     d.loads.At,
@@ -289,12 +288,12 @@
 	}
 }
 
-func (d *Driver) act(ctx context.Context, actions dispatch.Actions) {
+func (d *Driver) execute(ctx context.Context, actions dispatch.Actions) {
 	for _, key := range actions.GiveUp {
 		if r := d.runs[key]; r != nil {
 			r.halt()
 		}
-		d.fail(ctx, key, "expired")
+		d.failItem(ctx, key, "expired")
 	}
 	for _, key := range actions.Pause {
 		d.config.Metrics.Paused.Inc()
@@ -311,13 +310,13 @@
 func (d *Driver) start(ctx context.Context, start dispatch.Start) {
 	p := d.progress[start.Key]
 	if p == nil {
-		p = d.load(start.Key)
+		p = d.loadProgress(start.Key)
 		d.progress[start.Key] = p
 	}
 	runCtx, cancel := context.WithCancel(ctx)
 	r := &run{
 		driver: d, key: start.Key, target: start.Runner, progress: p,
-		before: d.runs[start.Key], cancel: cancel, done: make(chan struct{}),
+		previous: d.runs[start.Key], cancel: cancel, done: make(chan struct{}),
 	}
 	d.runs[start.Key] = r
 	d.config.Exchange.Add(start.Runner.GetId(), occupancy.Load{Batch: 1})
--- a/control/pkg/batchrun/driver_test.go
+++ b/control/pkg/batchrun/driver_test.go
@@ -26,7 +26,7 @@
 
 var errWire = errors.New("connection reset")
 
-// fixture is a driver over a state without a group, before scripted runners.
+// fixture is a driver with a local state machine, without a consensus group, and scripted runners.
 type fixture struct {
 	t        *testing.T
 	machine  *systemstate.Machine
@@ -36,9 +36,9 @@
 	mu      sync.Mutex
 	applied int64
 	calls   []runner.Call
-	// refuses says that runners refuse connections after a call that broke off.
+	// refuses is true if runners refuse connections after a call that broke off.
 	refuses bool
-	// answer says what a runner does with the nth call, from 0.
+	// answer returns a runner's answer to the nth call, from 0.
 	answer func(n int, call runner.Call) (*runner.Answer, error)
 }
 
@@ -59,18 +59,18 @@
 		DataCentre: "here", Clock: clock.System(), Logger: log.NewNopLogger(), Metrics: NewMetrics(prometheus.NewRegistry()),
 	})
 	require.NoError(t, f.machine.Load(nil))
-	f.do(&toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_ReplaceTable{ReplaceTable: table(1, "/j/")}})
+	f.apply(&toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_ReplaceTable{ReplaceTable: table(1, "/j/")}})
 	return f
 }
 
-// runners start again after each call, if they crash.
+// runners lists two runners. If f.refuses is set, their start time changes with each call, as after a crash.
 func (f *fixture) runners() []*toucanhingev1.Runner {
-	born := int64(0)
+	startedAt := int64(0)
 	if f.refuses {
-		born = int64(len(f.sent()))
+		startedAt = int64(len(f.sent()))
 	}
 	return []*toucanhingev1.Runner{
-		{Id: "a", Service: "llm", DataCentre: "here", Slots: 1, BornMs: born}, {Id: "b", Service: "llm", DataCentre: "here", Slots: 1, BornMs: born},
+		{Id: "a", Service: "llm", DataCentre: "here", Slots: 1, BornMs: startedAt}, {Id: "b", Service: "llm", DataCentre: "here", Slots: 1, BornMs: startedAt},
 	}
 }
 
@@ -100,17 +100,17 @@
 }
 
 func (f *fixture) propose(_ context.Context, steps ...*toucanhingev1.SystemStep) ([]any, error) {
-	return f.do(steps...), nil
+	return f.apply(steps...), nil
 }
 
-func (f *fixture) do(steps ...*toucanhingev1.SystemStep) []any {
+func (f *fixture) apply(steps ...*toucanhingev1.SystemStep) []any {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.applied++
 	data, err := proto.Marshal(&toucanhingev1.SystemCommand{AtMs: int64(clock.System().Now()), Steps: steps})
 	require.NoError(f.t, err)
-	answers, _ := f.machine.Apply(uint64(f.applied), data).([]any)
-	return answers
+	results, _ := f.machine.Apply(uint64(f.applied), data).([]any)
+	return results
 }
 
 func (f *fixture) submit(items int) {
@@ -119,7 +119,7 @@
 	for i := range items {
 		job.Items = append(job.Items, &toucanhingev1.JobItem{Id: fmt.Sprintf("%s-%d", id, i), Target: "/j/y", Body: []byte("b")})
 	}
-	f.do(&toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_AcceptJob{AcceptJob: &toucanhingev1.AcceptJobStep{Job: job}}})
+	f.apply(&toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_AcceptJob{AcceptJob: &toucanhingev1.AcceptJobStep{Job: job}}})
 }
 
 func (f *fixture) open(ctx context.Context, call runner.Call) (*runner.Answer, error) {
@@ -129,7 +129,7 @@
 	f.mu.Unlock()
 	answer, err := f.answer(n, call)
 	if answer != nil {
-		if b, ok := answer.Body.(*hanging); ok {
+		if b, ok := answer.Body.(*hangingBody); ok {
 			b.ctx = ctx
 		}
 	}
@@ -142,7 +142,7 @@
 	return append([]runner.Call(nil), f.calls...)
 }
 
-// result of the first item, once it is listed.
+// result waits for the result of the first item and returns it.
 func (f *fixture) result() (completed bool, text string) {
 	f.t.Helper()
 	var item systemstate.Item
@@ -171,23 +171,23 @@
 	return b.String()
 }
 
-func whole(text string) io.ReadCloser { return io.NopCloser(strings.NewReader(text)) }
+func completeBody(text string) io.ReadCloser { return io.NopCloser(strings.NewReader(text)) }
 
-func cut(text string) io.ReadCloser {
-	return io.NopCloser(io.MultiReader(strings.NewReader(text), failing{}))
+func brokenBody(text string) io.ReadCloser {
+	return io.NopCloser(io.MultiReader(strings.NewReader(text), failingReader{}))
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// hanging sends its text and then nothing, until the call is broken off.
-type hanging struct {
+// hangingBody is a body that returns the text of source and then blocks until the call is cancelled.
+type hangingBody struct {
 	source io.Reader
 	ctx    context.Context
 }
 
-func (h *hanging) Read(p []byte) (int, error) {
+func (h *hangingBody) Read(p []byte) (int, error) {
 	n, err := h.source.Read(p)
 	if !errors.Is(err, io.EOF) {
 		return n, err
@@ -196,12 +196,11 @@
 	return n, h.ctx.Err()
 }
 
-func (h *hanging) Close() error { return nil }
+func (h *hangingBody) Close() error { return nil }
 
-// TestFaultsOfRunners says what an item's result is after each fault. Whatever
-// happens, a completed text is the whole output once, and an item is given up
-// only when it can't be done or failed as often as its route allows.
-func TestFaultsOfRunners(t *testing.T) {
+// After each kind of runner fault, the text of a completed item must be the whole output exactly once. An
+// item may fail only if it is impossible or has failed as often as its route allows.
+func TestItemResultAfterRunnerFaults(t *testing.T) {
 	const text = "x1\nx2\nx3\nx4"
 	for _, c := range []struct {
 		name      string
@@ -210,36 +209,36 @@
 		text      string
 		calls     int
 	}{
-		{"all is well", func(int, runner.Call) (*runner.Answer, error) { return ok(whole(events(1, 4))) }, true, text, 1},
-		{"cut, goes on after its last event", func(n int, call runner.Call) (*runner.Answer, error) {
+		{"no fault", func(int, runner.Call) (*runner.Answer, error) { return ok(completeBody(events(1, 4))) }, true, text, 1},
+		{"cut within an event: resumes after the last event", func(n int, call runner.Call) (*runner.Answer, error) {
 			if n == 0 {
-				return ok(cut(events(1, 2) + "id: 3\nda"))
+				return ok(brokenBody(events(1, 2) + "id: 3\nda"))
 			}
-			return ok(whole(events(int(call.After)+1, 4)))
+			return ok(completeBody(events(int(call.After)+1, 4)))
 		}, true, text, 2},
 		{"cut right after the last event", func(n int, _ runner.Call) (*runner.Answer, error) {
 			if n == 0 {
-				return ok(cut(events(1, 4)))
+				return ok(brokenBody(events(1, 4)))
 			}
-			return ok(whole(""))
+			return ok(completeBody(""))
 		}, true, text, 2},
-		{"a gap", func(n int, call runner.Call) (*runner.Answer, error) {
+		{"skipped event", func(n int, call runner.Call) (*runner.Answer, error) {
 			if n == 0 {
-				return ok(whole(events(1, 2) + events(4, 4)))
+				return ok(completeBody(events(1, 2) + events(4, 4)))
 			}
-			return ok(whole(events(int(call.After)+1, 4)))
+			return ok(completeBody(events(int(call.After)+1, 4)))
 		}, true, text, 2},
-		{"begun anew though asked to go on", func(n int, call runner.Call) (*runner.Answer, error) {
+		{"restarted from the first event instead of resumed", func(n int, call runner.Call) (*runner.Answer, error) {
 			switch n {
 			case 0:
-				return ok(cut(events(1, 2)))
+				return ok(brokenBody(events(1, 2)))
 			case 1:
-				return ok(whole(events(1, 4)))
+				return ok(completeBody(events(1, 4)))
 			default:
-				return ok(whole(events(int(call.After)+1, 4)))
+				return ok(completeBody(events(int(call.After)+1, 4)))
 			}
 		}, true, text, 3},
-		{"refused, unreachable, broken off, another instance", func(n int, call runner.Call) (*runner.Answer, error) {
+		{"refused, unreachable, broken, another instance", func(n int, call runner.Call) (*runner.Answer, error) {
 			switch n {
 			case 0:
 				return status(http.StatusServiceUnavailable, true)
@@ -248,25 +247,25 @@
 			case 2:
 				return nil, &runner.BrokenError{Runner: call.Runner.GetId(), Err: errWire}
 			case 3:
-				return &runner.Answer{Status: http.StatusMisdirectedRequest, Other: true, Body: whole("")}, nil
+				return &runner.Answer{Status: http.StatusMisdirectedRequest, Other: true, Body: completeBody("")}, nil
 			default:
-				return ok(whole(events(1, 4)))
+				return ok(completeBody(events(1, 4)))
 			}
 		}, true, text, 5},
-		{"can never be done", func(int, runner.Call) (*runner.Answer, error) {
+		{"impossible", func(int, runner.Call) (*runner.Answer, error) {
 			return status(http.StatusUnprocessableEntity, false)
 		}, false, "", 1},
-		{"fails at each run", func(int, runner.Call) (*runner.Answer, error) {
+		{"fails at each attempt", func(int, runner.Call) (*runner.Answer, error) {
 			return status(http.StatusInternalServerError, false)
 		}, false, "", 3},
-		{"fails once, after it had begun", func(n int, call runner.Call) (*runner.Answer, error) {
+		{"fails once after a partial stream", func(n int, call runner.Call) (*runner.Answer, error) {
 			switch n {
 			case 0:
-				return ok(cut(events(1, 2)))
+				return ok(brokenBody(events(1, 2)))
 			case 1:
 				return status(http.StatusInternalServerError, false)
 			default:
-				return ok(whole(events(int(call.After)+1, 4)))
+				return ok(completeBody(events(int(call.After)+1, 4)))
 			}
 		}, true, text, 3},
 	} {
@@ -282,14 +281,14 @@
 	}
 }
 
-// Online requests fill a runner where an item is under way. The item gives its
-// place up at once, and goes on from its last event when a place is free.
-func TestAnItemGivesWayAndGoesOn(t *testing.T) {
+// Online requests fill the runner of a running item. The item must release its slot at once, and resume after
+// its last event when a slot is free.
+func TestItemYieldsToOnlineRequestsAndResumes(t *testing.T) {
 	f := start(t, func(n int, call runner.Call) (*runner.Answer, error) {
 		if n == 0 {
-			return ok(&hanging{source: strings.NewReader(events(1, 2))})
+			return ok(&hangingBody{source: strings.NewReader(events(1, 2))})
 		}
-		return ok(whole(events(int(call.After)+1, 4)))
+		return ok(completeBody(events(int(call.After)+1, 4)))
 	})
 	f.run()
 	f.submit(1)
@@ -313,14 +312,14 @@
 	require.Equal(t, uint64(2), f.sent()[1].After)
 }
 
-// The leader logs an item's progress and loses its place. Its successor goes on
-// from the logged event instead of running the item again.
-func TestTheNextLeaderGoesOn(t *testing.T) {
+// The leader logs an item's progress and loses its leadership. Its successor must resume the item after the
+// logged event instead of running it again.
+func TestNextLeaderResumesFromLoggedProgress(t *testing.T) {
 	f := start(t, func(n int, call runner.Call) (*runner.Answer, error) {
 		if n == 0 {
-			return ok(&hanging{source: strings.NewReader(events(1, 3))})
+			return ok(&hangingBody{source: strings.NewReader(events(1, 3))})
 		}
-		return ok(whole(events(int(call.After)+1, 4)))
+		return ok(completeBody(events(int(call.After)+1, 4)))
 	})
 	stop := f.run()
 	f.submit(1)
@@ -337,78 +336,78 @@
 	require.Equal(t, uint64(3), f.sent()[1].After)
 }
 
-// A caller ends its job. The calls under way are broken off and no other begins.
-func TestAnEndedJobStops(t *testing.T) {
+// A caller ends its job. Calls in flight must be cancelled, and no further item may start.
+func TestEndedJobCancelsCalls(t *testing.T) {
 	f := start(t, func(int, runner.Call) (*runner.Answer, error) {
-		return ok(&hanging{source: strings.NewReader(events(1, 1))})
+		return ok(&hangingBody{source: strings.NewReader(events(1, 1))})
 	})
 	f.run()
 	f.submit(5)
 	require.Eventually(t, func() bool { return len(f.sent()) == 2 }, time.Second, time.Millisecond)
-	f.do(&toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_EndJob{EndJob: &toucanhingev1.EndJobStep{Job: "j"}}})
+	f.apply(&toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_EndJob{EndJob: &toucanhingev1.EndJobStep{Job: "j"}}})
 	require.Eventually(t, func() bool {
 		batch := 0
 		f.exchange.View(func(table *occupancy.Table) { batch = table.Load("a").Batch + table.Load("b").Batch })
 		return batch == 0
 	}, time.Second, time.Millisecond)
-	time.Sleep(3 * stepEvery)
+	time.Sleep(3 * stepInterval)
 	require.Len(t, f.sent(), 2)
 }
 
-// A runner stands still in the middle of an item, and its connection stays open.
-func TestASilentRunnerIsLeft(t *testing.T) {
+// A runner stops sending in the middle of an item while its connection stays open. The item must resume
+// elsewhere.
+func TestItemLeavesUnresponsiveRunner(t *testing.T) {
 	f := start(t, func(n int, call runner.Call) (*runner.Answer, error) {
 		if n == 0 {
-			return ok(&hanging{source: strings.NewReader(events(1, 2))})
+			return ok(&hangingBody{source: strings.NewReader(events(1, 2))})
 		}
-		return ok(whole(events(int(call.After)+1, 4)))
+		return ok(completeBody(events(int(call.After)+1, 4)))
 	})
 	f.run()
 	f.submit(1)
-	began := time.Now()
+	startedAt := time.Now()
 	completed, text := f.result()
 	require.True(t, completed)
 	require.Equal(t, "x1\nx2\nx3\nx4", text)
-	require.Less(t, time.Since(began), silence+time.Second)
+	require.Less(t, time.Since(startedAt), eventTimeout+time.Second)
 }
 
-// The operator removes the route of a job. Its items may then be given up, but
-// not before the operator's next change had the time to bring the route back.
-func TestItemsWhoseRouteIsGoneAreGivenUp(t *testing.T) {
+// An operator removes the route of a job. Its items must fail, but not before the operator had time to restore
+// the route.
+func TestItemsFailAfterRouteIsRemoved(t *testing.T) {
 	f := start(t, func(int, runner.Call) (*runner.Answer, error) {
-		return ok(&hanging{source: strings.NewReader(events(1, 1))})
+		return ok(&hangingBody{source: strings.NewReader(events(1, 1))})
 	})
 	now := clock.Millis(1_000_000)
 	f.driver.config.Clock = clock.Of(func() clock.Millis { f.mu.Lock(); defer f.mu.Unlock(); return now })
 	f.run()
 	f.submit(1)
-	f.do(&toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_ReplaceTable{ReplaceTable: table(2, "/other/")}})
-	time.Sleep(3 * stepEvery)
+	f.apply(&toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_ReplaceTable{ReplaceTable: table(2, "/other/")}})
+	time.Sleep(3 * stepInterval)
 	f.machine.View(func(s *systemstate.State) { require.False(t, s.Job("j").Items[0].Done) })
 	f.mu.Lock()
-	now += routeGrace
+	now += routeGracePeriod
 	f.mu.Unlock()
 	completed, _ := f.result()
 	require.False(t, completed)
 }
 
-// A runner's word on an item crosses with a burst: the item gives way, and has begun
-// elsewhere before the answer is there. Thrown away with the call, the answer didn't count,
-// and an item that can never be done was run five times.
-func TestWhatARunnerSaidCountsAfterTheItemGaveWay(t *testing.T) {
+// An item is preempted and starts elsewhere before its first runner answers. When that answer was discarded
+// with the preempted call, an impossible item ran five times.
+func TestRunnerVerdictCountsAfterPreemption(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
 		counts func(*systemstate.Item) bool
 	}{
-		{"can never be done", http.StatusUnprocessableEntity, func(i *systemstate.Item) bool { return i.Done && !i.Completed }},
+		{"impossible", http.StatusUnprocessableEntity, func(i *systemstate.Item) bool { return i.Done && !i.Completed }},
 		{"failed", http.StatusInternalServerError, func(i *systemstate.Item) bool { return i.Failures == 1 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			proceed := make(chan struct{})
 			f := start(t, func(n int, _ runner.Call) (*runner.Answer, error) {
 				if n > 0 {
-					return ok(&hanging{source: strings.NewReader(events(1, 2))})
+					return ok(&hangingBody{source: strings.NewReader(events(1, 2))})
 				}
 				<-proceed
 				return status(c.status, false)
@@ -421,7 +420,7 @@
 					f.exchange.Add(id, occupancy.Load{Online: online})
 				}
 				f.driver.Wake()
-				time.Sleep(4 * stepGap)
+				time.Sleep(4 * minStepGap)
 			}
 			load(1)
 			load(-1)
--- a/control/pkg/batchrun/metrics.go
+++ b/control/pkg/batchrun/metrics.go
@@ -5,30 +5,30 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Metrics counts what becomes of items.
+// Metrics holds the metrics of items and of their calls.
 type Metrics struct {
 	Waiting prometheus.Gauge
 	Running prometheus.Gauge
 	Paused  prometheus.Counter
-	// Ended counts calls by their outcome, Listed results by their reason.
+	// Ended counts calls by outcome, and Listed counts results by reason.
 	Ended  *prometheus.CounterVec
 	Listed *prometheus.CounterVec
 }
 
-// NewMetrics registers them.
+// NewMetrics returns metrics that are registered with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	factory := promauto.With(r)
 	return &Metrics{
-		Waiting: factory.NewGauge(prometheus.GaugeOpts{Name: "toucanhinge_items_waiting", Help: "Items that wait for a place."}),
-		Running: factory.NewGauge(prometheus.GaugeOpts{Name: "toucanhinge_items_running", Help: "Items under way at runners."}),
+		Waiting: factory.NewGauge(prometheus.GaugeOpts{Name: "toucanhinge_items_waiting", Help: "Items that wait for a slot."}),
+		Running: factory.NewGauge(prometheus.GaugeOpts{Name: "toucanhinge_items_running", Help: "Items running on runners."}),
 		Paused: factory.NewCounter(prometheus.CounterOpts{
-			Name: "toucanhinge_items_paused_total", Help: "Items that gave their place to online work.",
+			Name: "toucanhinge_items_paused_total", Help: "Items preempted by online requests.",
 		}),
 		Ended: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "toucanhinge_item_calls_total", Help: "Calls of items by their outcome.",
+			Name: "toucanhinge_item_calls_total", Help: "Item calls by outcome.",
 		}, []string{"outcome"}),
 		Listed: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "toucanhinge_items_listed_total", Help: "Results of items by their reason.",
+			Name: "toucanhinge_items_listed_total", Help: "Item results by reason.",
 		}, []string{"reason"}),
 	}
 }
--- a/control/pkg/batchrun/settle.go
+++ b/control/pkg/batchrun/outcome.go
@@ -9,8 +9,8 @@
 	"toucanhinge.example/common/pkg/logs"
 )
 
-// settle takes up how a call ended.
-func (d *Driver) settle(ctx context.Context, now clock.Millis, o outcome) {
+// handleOutcome applies the outcome of a call.
+func (d *Driver) handleOutcome(ctx context.Context, now clock.Millis, o outcome) {
 	key, id := o.run.key, o.run.target.GetId()
 	current := d.runs[key] == o.run
 	if current {
@@ -20,50 +20,50 @@
 	level.Info(d.config.Logger).Log(logs.KeyEvent, logs.EventItemEnded, logs.KeyJob, key.Job, "index", key.Index,
 		"item", o.run.item, "runner", id, "outcome", o.kind, "events", o.run.progress.lastEvent(), "late-ms", d.machine.Lateness(now, key), "left-ms", d.machine.Left(now, key), logs.KeyError, o.err)
 	if !current {
-		d.settleEarlier(ctx, o)
+		d.handleStaleOutcome(ctx, o)
 		return
 	}
 	switch o.kind {
 	case finished:
 		d.machine.Finished(now, key)
 		delete(d.progress, key)
-		d.complete(ctx, key, o.run.progress)
+		d.completeItem(ctx, key, o.run.progress)
 	case impossible:
 		d.stop(key)
-		d.fail(ctx, key, "impossible")
+		d.failItem(ctx, key, "impossible")
 	case failed:
-		d.machine.Stopped(now, key, refusedPause)
+		d.machine.Stopped(now, key, refusedBackoff)
 		d.countFailure(ctx, key)
 	case refused:
-		d.machine.Block(id, now+refusedPause)
+		d.machine.Block(id, now+refusedBackoff)
 		d.machine.Stopped(now, key, 0)
 	case unreachable:
-		d.machine.Block(id, now+unreachablePause)
+		d.machine.Block(id, now+unreachableBackoff)
 		d.machine.Stopped(now, key, 0)
-	case untaken:
-		d.machine.Stopped(now, key, untakenPause)
+	case notAccepted:
+		d.machine.Stopped(now, key, notAcceptedBackoff)
 	case broken:
-		d.machine.Stopped(now, key, refusedPause)
-	case withheld:
-		d.machine.Stopped(now, key, min(max(o.until-now, 0), withheldPause))
+		d.machine.Stopped(now, key, refusedBackoff)
+	case quarantined:
+		d.machine.Stopped(now, key, min(max(o.until-now, 0), maxQuarantineBackoff))
 	case paused:
 	}
 }
 
-// settleEarlier takes up how a call ended whose item gave way and has begun elsewhere
-// meanwhile. Only what the runner said of the item itself still counts.
-func (d *Driver) settleEarlier(ctx context.Context, o outcome) {
+// handleStaleOutcome applies the outcome of a call whose item was preempted and has started elsewhere in
+// the meantime. Only the runner's verdict on the item itself still counts.
+func (d *Driver) handleStaleOutcome(ctx context.Context, o outcome) {
 	key := o.run.key
-	if !o.kind.runnerSaid() || !d.machine.Has(key) {
+	if !o.kind.isVerdict() || !d.machine.Has(key) {
 		return
 	}
 	switch o.kind {
 	case finished:
 		d.stop(key)
-		d.complete(ctx, key, o.run.progress)
+		d.completeItem(ctx, key, o.run.progress)
 	case impossible:
 		d.stop(key)
-		d.fail(ctx, key, "impossible")
+		d.failItem(ctx, key, "impossible")
 	case failed:
 		d.countFailure(ctx, key)
 	default:
--- a/control/pkg/batchrun/keep_progress.go
+++ b/control/pkg/batchrun/progress_log.go
@@ -12,8 +12,8 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// load takes up the progress that an earlier leader logged.
-func (d *Driver) load(key dispatch.Key) *progress {
+// loadProgress returns the progress of an item that an earlier leader logged.
+func (d *Driver) loadProgress(key dispatch.Key) *progress {
 	var item systemstate.Item
 	d.config.Machine.View(func(s *systemstate.State) {
 		if j := s.Job(key.Job); j != nil && int(key.Index) < len(j.Items) {
@@ -25,29 +25,29 @@
 		level.Error(d.config.Logger).Log(logs.KeyEvent, "progress-unread", logs.KeyJob, key.Job, "index", key.Index, logs.KeyError, err)
 		return &progress{}
 	}
-	return &progress{last: item.Last, text: text, kept: item.Last, keptBytes: len(text)}
+	return &progress{last: item.Last, text: text, loggedLast: item.Last, loggedBytes: len(text)}
 }
 
-// keepProgress logs what running items have made, so that they go on from there
-// under the next leader: each item's once in keepEvery. One command carries that of some; the
-// next waits for it.
-func (d *Driver) keepProgress(ctx context.Context, now clock.Millis) {
-	if now-d.keptAt < keepGap || !d.keeping.CompareAndSwap(false, true) {
+// logProgress logs the output of running items, so that the next leader can resume them. The progress of
+// each item is logged once per progressLogInterval. A command holds the progress of several items, and only
+// one command is in flight at a time.
+func (d *Driver) logProgress(ctx context.Context, now clock.Millis) {
+	if now-d.progressLoggedAt < minProgressLogGap || !d.loggingProgress.CompareAndSwap(false, true) {
 		return
 	}
-	d.keptAt = now
+	d.progressLoggedAt = now
 	var steps []*toucanhingev1.SystemStep
-	var noted []func()
+	var onLogged []func()
 	bytes := 0
 	for key, p := range d.progress {
-		if now-p.keptAt < keepEvery {
+		if now-p.proposedAt < progressLogInterval {
 			continue
 		}
-		if bytes >= keepBytes {
+		if bytes >= maxProgressLogBytes {
 			break
 		}
-		after, last, text := p.unkept()
-		p.keptAt = now
+		after, last, text := p.unlogged()
+		p.proposedAt = now
 		if last == after {
 			continue
 		}
@@ -55,20 +55,20 @@
 		steps = append(steps, &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_KeepProgress{
 			KeepProgress: &toucanhingev1.KeepProgressStep{Job: key.Job, Item: key.Index, After: after, Last: last, Text: text},
 		}})
-		noted = append(noted, func() { p.keep(last, len(text)) })
+		onLogged = append(onLogged, func() { p.markLogged(last, len(text)) })
 	}
 	if len(steps) == 0 {
-		d.keeping.Store(false)
+		d.loggingProgress.Store(false)
 		return
 	}
 	d.background(func() {
-		defer d.keeping.Store(false)
+		defer d.loggingProgress.Store(false)
 		if _, err := d.config.Propose(ctx, steps...); err != nil {
 			level.Warn(d.config.Logger).Log(logs.KeyEvent, "progress-unlogged", "items", len(steps), logs.KeyError, err)
 			return
 		}
-		for _, note := range noted {
-			note()
+		for _, mark := range onLogged {
+			mark()
 		}
 	})
 }
--- a/control/pkg/batchrun/results.go
+++ b/control/pkg/batchrun/results.go
@@ -14,8 +14,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// countFailure notes a failed attempt durably, so that an item that fails at
-// every runner ends at its limit even if the leader changes in between.
+// countFailure logs a failed attempt, so that the attempt limit of an item holds across changes of leader.
 func (d *Driver) countFailure(ctx context.Context, key dispatch.Key) {
 	attempts, limit := uint32(1), uint32(1)
 	d.config.Machine.View(func(s *systemstate.State) {
@@ -30,19 +29,19 @@
 	})
 	if attempts >= limit {
 		d.stop(key)
-		d.fail(ctx, key, "attempts")
+		d.failItem(ctx, key, "attempts")
 		return
 	}
 	d.background(func() {
-		d.insist(ctx, &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_CountFailure{
+		d.logWithRetry(ctx, &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_CountFailure{
 			CountFailure: &toucanhingev1.CountFailureStep{Job: key.Job, Item: key.Index},
 		}})
 	})
 }
 
-// complete lists an item's text. Only what isn't logged yet travels, unless the
-// log holds another progress than we believe.
-func (d *Driver) complete(ctx context.Context, key dispatch.Key, p *progress) {
+// completeItem logs an item's text as its result. Only the unlogged part is sent, unless the logged progress
+// differs from the progress that this driver recorded.
+func (d *Driver) completeItem(ctx context.Context, key dispatch.Key, p *progress) {
 	d.config.Metrics.Listed.WithLabelValues("finished").Inc()
 	finish := func(after uint64, text []byte) *toucanhingev1.SystemStep {
 		return &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_FinishItem{FinishItem: &toucanhingev1.FinishItemStep{
@@ -50,19 +49,19 @@
 		}}}
 	}
 	d.background(func() {
-		after, _, rest := p.unkept()
-		if listed, ok := d.insist(ctx, finish(after, rest)).(bool); ok && !listed {
-			d.insist(ctx, finish(0, p.whole()))
+		after, _, text := p.unlogged()
+		if listed, ok := d.logWithRetry(ctx, finish(after, text)).(bool); ok && !listed {
+			d.logWithRetry(ctx, finish(0, p.fullText()))
 		}
 	})
 }
 
-// fail lists an item that is given up.
-func (d *Driver) fail(ctx context.Context, key dispatch.Key, reason string) {
+// failItem logs an item as failed.
+func (d *Driver) failItem(ctx context.Context, key dispatch.Key, reason string) {
 	d.config.Metrics.Listed.WithLabelValues(reason).Inc()
 	level.Info(d.config.Logger).Log(logs.KeyEvent, "item-given-up", logs.KeyJob, key.Job, "index", key.Index, "reason", reason)
 	d.background(func() {
-		d.insist(ctx, &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_FinishItem{
+		d.logWithRetry(ctx, &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_FinishItem{
 			FinishItem: &toucanhingev1.FinishItemStep{Job: key.Job, Item: key.Index},
 		}})
 	})
@@ -76,32 +75,31 @@
 	}()
 }
 
-// insist logs a step, again and again while this process leads, and returns its
-// outcome: a result that was made must not be made once more because the disk was
-// slow.
-func (d *Driver) insist(ctx context.Context, step *toucanhingev1.SystemStep) any {
+// logWithRetry logs a step and returns its result. It retries while this process leads, so that a slow disk
+// doesn't cause an item to run again.
+func (d *Driver) logWithRetry(ctx context.Context, step *toucanhingev1.SystemStep) any {
 	for ctx.Err() == nil {
-		answer, err := d.commits.log(ctx, step)
+		result, err := d.commits.log(ctx, step)
 		if err == nil {
-			return answer
+			return result
 		}
 		level.Warn(d.config.Logger).Log(logs.KeyEvent, "item-step-unlogged", logs.KeyError, err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(stepEvery + time.Duration(rand.Int64N(int64(stepEvery)))):
+		case <-time.After(stepInterval + time.Duration(rand.Int64N(int64(stepInterval)))):
 		}
 	}
 	return nil
 }
 
-// giveUpLostRoutes lists the items of jobs whose route is gone as failed.
-func (d *Driver) giveUpLostRoutes(ctx context.Context, now clock.Millis) {
-	for job, items := range d.routes.gone(now, d.machine.Jobs) {
+// failItemsWithoutRoute fails the items of jobs whose route was removed.
+func (d *Driver) failItemsWithoutRoute(ctx context.Context, now clock.Millis) {
+	for job, items := range d.routes.expired(now, d.machine.Jobs) {
 		for i := range items {
 			key := dispatch.Key{Job: job, Index: uint32(i)}
 			if d.machine.Has(key) {
 				d.stop(key)
-				d.fail(ctx, key, "route-gone")
+				d.failItem(ctx, key, "route-gone")
 			}
 		}
 	}
--- a/control/pkg/batchrun/run.go
+++ b/control/pkg/batchrun/run.go
@@ -21,84 +21,83 @@
 )
 
 const (
-	// silence is the longest pause between events before an item goes on
-	// elsewhere. Runners make an event every 20 ms, 80 when slow; one that says
-	// nothing for a second is dark, or cut off without a reset.
-	silence = time.Second
-	// releaseTime is how long a call that is to end may still pass on what was made: some
-	// milliseconds as a rule.
-	releaseTime = 150 * time.Millisecond
-	// readBuffer holds a few events of some 100 bytes.
-	readBuffer = 2 << 10
+	// eventTimeout is the longest gap between events before an item moves to another runner. Runners send
+	// an event every 20 ms, or every 80 ms when slow. A runner that sends nothing for a second has lost
+	// power, or was disconnected without a reset.
+	eventTimeout = time.Second
+	// releaseTimeout is how long a released call may still return partial output. It usually takes a few
+	// milliseconds.
+	releaseTimeout = 150 * time.Millisecond
+	// readBufferSize fits several events of about 100 bytes.
+	readBufferSize = 2 << 10
 )
 
 var (
-	errGone    = errors.New("the item is gone")
-	errGap     = errors.New("an event of the stream is missing")
-	errStatus  = errors.New("unexpected status")
-	errUnasked = errors.New("the stream didn't go on where asked")
+	errItemGone   = errors.New("the item doesn't exist any more")
+	errEventGap   = errors.New("the stream skipped an event")
+	errStatus     = errors.New("unexpected status")
+	errWrongEvent = errors.New("the stream doesn't continue after the requested event")
 )
 
-// outcomeKind says how a call of an item ended.
+// outcomeKind is how a call of an item ended. The values are used as metric labels and in logs.
 type outcomeKind string
 
 const (
-	// finished: the text is whole.
+	// finished: the text is complete.
 	finished outcomeKind = "finished"
-	// impossible: the item can never be done.
+	// impossible: the runner rejected the item for good.
 	impossible outcomeKind = "impossible"
-	// failed: the runner ran it and failed.
+	// failed: the runner ran the item and failed.
 	failed outcomeKind = "failed"
-	// refused: the runner didn't run it.
+	// refused: the runner didn't run the item.
 	refused outcomeKind = "refused"
-	// unreachable: nothing was sent.
+	// unreachable: the runner couldn't be reached, and nothing was sent.
 	unreachable outcomeKind = "unreachable"
-	// untaken: nobody could make the call, and nothing was sent.
-	untaken outcomeKind = "untaken"
-	// broken: the stream ended early; it goes on after its last event.
+	// notAccepted: no gateway accepted the call, and nothing was sent.
+	notAccepted outcomeKind = "untaken"
+	// broken: the stream ended early. The item resumes after its last event.
 	broken outcomeKind = "broken"
-	// paused: we broke it off.
+	// paused: the driver stopped the call.
 	paused outcomeKind = "paused"
-	// withheld: it is kept from all runners, since it crashes them.
-	withheld outcomeKind = "withheld"
+	// quarantined: the item is suspected of crashing runners and was not sent.
+	quarantined outcomeKind = "withheld"
 )
 
-// runnerSaid says whether the outcome is the runner's word on the item, which counts even
-// if the item was to give way meanwhile. An item that can never be done was run five times
-// because its runners' answers crossed with bursts.
-func (k outcomeKind) runnerSaid() bool { return k == finished || k == impossible || k == failed }
+// isVerdict reports whether the outcome is the runner's verdict on the item itself. A verdict counts even if
+// the item was preempted before it arrived: an impossible item once ran five times because its verdicts
+// coincided with preemptions.
+func (k outcomeKind) isVerdict() bool { return k == finished || k == impossible || k == failed }
 
 type outcome struct {
 	run  *run
 	kind outcomeKind
 	err  error
-	// until is when an item that is withheld may be looked at again.
+	// until is the end of the quarantine if kind is quarantined.
 	until clock.Millis
 }
 
-// progress is what an item's calls have made so far. The call under way appends
-// to it while the driver reads it.
+// progress is the output of an item's calls so far. The current call appends to it while the driver reads it.
 type progress struct {
 	mu   sync.Mutex
 	last uint64
 	text []byte
-	// kept is the last event that is logged, and keptBytes the length of its text.
-	kept      uint64
-	keptBytes int
-	// keptAt is when that was asked for; it belongs to the driver.
-	keptAt clock.Millis
+	// loggedLast is the last logged event, and loggedBytes is the length of the logged text.
+	loggedLast  uint64
+	loggedBytes int
+	// proposedAt is when the driver last proposed to log progress. Only the goroutine of Driver.Run uses it.
+	proposedAt clock.Millis
 }
 
-// add appends an event, and refuses one that doesn't follow the last: a text put
-// together around a gap, or from another stream, would look whole.
+// add appends an event. It returns an error if the event doesn't follow the last one, since a text with a
+// gap or from another stream would look complete.
 func (p *progress) add(event sse.Event) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !event.Numbered || event.ID <= p.last {
-		return errUnasked
+		return errWrongEvent
 	}
 	if p.last > 0 && event.ID != p.last+1 {
-		return errGap
+		return errEventGap
 	}
 	if p.last > 0 {
 		p.text = append(p.text, '\n')
@@ -114,23 +113,23 @@
 	return p.last
 }
 
-// unkept is what isn't logged yet.
-func (p *progress) unkept() (after, last uint64, text []byte) {
+// unlogged returns the text that isn't logged yet, with the last logged event and the last event.
+func (p *progress) unlogged() (after, last uint64, text []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.kept, p.last, slices.Clone(p.text[p.keptBytes:])
+	return p.loggedLast, p.last, slices.Clone(p.text[p.loggedBytes:])
 }
 
-// keep notes that all up to an event, of some bytes more, is logged.
-func (p *progress) keep(last uint64, bytes int) {
+// markLogged records that the text up to an event is logged, which is some bytes more than before.
+func (p *progress) markLogged(last uint64, bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.kept = last
-	p.keptBytes += bytes
+	p.loggedLast = last
+	p.loggedBytes += bytes
 }
 
-// whole is the text from the first event on.
-func (p *progress) whole() []byte {
+// fullText returns the text from the first event on.
+func (p *progress) fullText() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.text)
@@ -143,20 +142,19 @@
 	target   *toucanhingev1.Runner
 	progress *progress
 	item     string
-	// before is the item's call before, which may not have ended yet.
-	before *run
-	cancel context.CancelFunc
-	done   chan struct{}
+	// previous is the item's previous call, which may not have ended yet.
+	previous *run
+	cancel   context.CancelFunc
+	done     chan struct{}
 
 	mu sync.Mutex
-	// halted says that the item is to give way, and release asks for an end of the call
-	// that keeps what has been made.
+	// halted reports whether the call must end. release ends it early and keeps its partial answer.
 	halted  bool
 	release func()
 }
 
-// halt ends the call: the item gives way, or needs no result any more. What the runner has
-// made so far still comes, if whoever passes it on answers soon.
+// halt ends the call because the item is preempted or needs no result any more. A gateway that proxies the
+// call has releaseTimeout to send the partial output that it buffers.
 func (r *run) halt() {
 	r.mu.Lock()
 	r.halted = true
@@ -167,47 +165,47 @@
 		return
 	}
 	release()
-	time.AfterFunc(releaseTime, r.cancel)
+	time.AfterFunc(releaseTimeout, r.cancel)
 }
 
-// open notes how the call can be ended, and says whether it goes on.
-func (r *run) open(release func()) bool {
+// setRelease sets the function that ends the call early. It reports whether the call may continue.
+func (r *run) setRelease(release func()) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.release = release
 	return !r.halted
 }
 
-func (r *run) gaveWay() bool {
+func (r *run) isHalted() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.halted
 }
 
 func (r *run) run(ctx context.Context) outcome {
-	if r.before != nil {
-		<-r.before.done
-		r.before = nil
+	if r.previous != nil {
+		<-r.previous.done
+		r.previous = nil
 	}
-	asked, err := r.driver.request(r.key)
+	req, err := r.driver.itemRequest(r.key)
 	if err != nil {
 		return outcome{run: r, kind: broken, err: err}
 	}
-	r.item = asked.item.GetId()
-	call := r.describe(asked)
-	if until := r.withheld(call); until > 0 {
-		return outcome{run: r, kind: withheld, until: until}
+	r.item = req.item.GetId()
+	call := r.runnerCall(req)
+	if until := r.quarantinedUntil(call); until > 0 {
+		return outcome{run: r, kind: quarantined, until: until}
 	}
-	began := r.driver.config.Clock.Now()
+	startedAt := r.driver.config.Clock.Now()
 	kind, err := r.call(ctx, call)
 	switch kind {
 	case finished:
-		r.survived(call)
+		r.clearSuspicion(call)
 	case broken:
-		r.sightCrash(ctx, call, began)
+		r.reportCrash(ctx, call, startedAt)
 	default:
 	}
-	if (ctx.Err() != nil || r.gaveWay()) && !kind.runnerSaid() {
+	if (ctx.Err() != nil || r.isHalted()) && !kind.isVerdict() {
 		kind = paused
 	}
 	return outcome{run: r, kind: kind, err: err}
@@ -216,8 +214,8 @@
 func (r *run) call(ctx context.Context, call runner.Call) (outcomeKind, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A daemon that makes the call in our place tells of its end, and of the runner's silence.
-	watchdog := time.AfterFunc(2*silence, cancel)
+	// A gateway that proxies the call reports its end and whether the runner is unresponsive.
+	watchdog := time.AfterFunc(2*eventTimeout, cancel)
 	defer watchdog.Stop()
 	answer, err := r.driver.config.Client.Open(ctx, call)
 	if err != nil {
@@ -226,7 +224,7 @@
 		case errors.As(err, &unsent):
 			return unreachable, err
 		case errors.Is(err, carrier.ErrNobody):
-			return untaken, err
+			return notAccepted, err
 		default:
 			return broken, err
 		}
@@ -235,40 +233,41 @@
 	if answer.Held != nil && !answer.Other && answer.Release == nil {
 		r.driver.config.Exchange.Observe(r.target.GetId(), answer.Held.All())
 	}
-	if kind, done := judge(answer); done {
+	if kind, done := classifyAnswer(answer); done {
 		return kind, fmt.Errorf("%w %d", errStatus, answer.Status)
 	}
-	if !r.open(answer.Release) {
+	if !r.setRelease(answer.Release) {
 		return paused, nil
 	}
 	if answer.Release != nil {
-		// The daemon that passes the answer on watches the runner.
+		// The gateway that proxies the call watches the runner.
 		watchdog.Stop()
-		return r.read(answer.Body, func() {})
+		return r.readStream(answer.Body, func() {})
 	}
 	watch := r.driver.config.Exchange.Watch(r.target, 0)
 	defer watch.Stop()
-	watchdog.Reset(silence)
-	return r.read(answer.Body, func() {
-		watchdog.Reset(silence)
+	watchdog.Reset(eventTimeout)
+	return r.readStream(answer.Body, func() {
+		watchdog.Reset(eventTimeout)
 		watch.Heard()
 	})
 }
 
-func (r *run) describe(asked request) runner.Call {
-	item := asked.item
+func (r *run) runnerCall(req itemRequest) runner.Call {
+	item := req.item
 	header := http.Header{}
 	for _, f := range item.GetHeaders() {
 		header.Add(f.GetName(), f.GetValue())
 	}
 	return runner.Call{
-		Runner: r.target, Request: item.GetId(), Method: http.MethodPost, Target: item.GetTarget(), Host: asked.host, Team: asked.team,
+		Runner: r.target, Request: item.GetId(), Method: http.MethodPost, Target: item.GetTarget(), Host: req.host, Team: req.team,
 		Header: header, Body: item.GetBody(), Resume: r.progress.lastEvent() > 0, After: r.progress.lastEvent(),
 	}
 }
 
-// judge looks at the status of an answer; done is false for a stream to read.
-func judge(answer *runner.Answer) (kind outcomeKind, done bool) {
+// classifyAnswer returns the outcome that follows from the answer's status. done is false if the answer is a
+// stream to read.
+func classifyAnswer(answer *runner.Answer) (kind outcomeKind, done bool) {
 	switch {
 	case answer.NotRun, answer.Other:
 		return refused, true
@@ -283,9 +282,9 @@
 	}
 }
 
-// read appends the stream's events.
-func (r *run) read(body io.Reader, heard func()) (outcomeKind, error) {
-	reader := sse.NewReader(body, readBuffer)
+// readStream appends the stream's events to the progress, and calls onEvent for each.
+func (r *run) readStream(body io.Reader, onEvent func()) (outcomeKind, error) {
+	reader := sse.NewReader(body, readBufferSize)
 	for {
 		event, err := reader.Next()
 		if errors.Is(err, io.EOF) && r.progress.lastEvent() > 0 {
@@ -294,35 +293,35 @@
 		if err != nil {
 			return broken, err
 		}
-		heard()
+		onEvent()
 		if err := r.progress.add(event); err != nil {
 			return broken, err
 		}
 	}
 }
 
-// request is what an item asks for, with the host of its job and the team that handed it in.
-type request struct {
+// itemRequest is the request of an item with the host and team of its job.
+type itemRequest struct {
 	item *toucanhingev1.JobItem
 	host string
 	team string
 }
 
-func (d *Driver) request(key dispatch.Key) (request, error) {
-	ref, found, asked := systemstate.Item{}, false, request{}
+func (d *Driver) itemRequest(key dispatch.Key) (itemRequest, error) {
+	ref, found, req := systemstate.Item{}, false, itemRequest{}
 	d.config.Machine.View(func(s *systemstate.State) {
 		if j := s.Job(key.Job); j != nil && int(key.Index) < len(j.Items) {
 			ref, found = j.Items[key.Index], true
-			asked.host, asked.team = j.Host, j.Team
+			req.host, req.team = j.Host, j.Team
 		}
 	})
 	if !found {
-		return request{}, errGone
+		return itemRequest{}, errItemGone
 	}
 	item, err := d.config.Machine.Item(ref.Request)
 	if err != nil {
-		return request{}, fmt.Errorf("read an item: %w", err)
+		return itemRequest{}, fmt.Errorf("read the request of a batch item: %w", err)
 	}
-	asked.item = item
-	return asked, nil
+	req.item = item
+	return req, nil
 }
--- a/control/pkg/batchrun/start_limiter.go
+++ b/control/pkg/batchrun/start_limiter.go
@@ -3,51 +3,52 @@
 import "toucanhinge.example/common/pkg/clock"
 
 const (
-	// mostStarts and leastStarts bound the rate at which items begin, a second. When a burst
-	// of online requests ebbs, hundreds of places are free at once; 4,000 a second fill a
-	// thousand within 250 ms. The least still begins each of a fleet's items within seconds.
-	mostStarts  = 4_000.0
-	leastStarts = 100.0
-	// slowLag is how late a decision may begin before the rate is lowered. The leader
-	// sends heartbeats every 75 ms; when hundreds of items began at once it sent them too
-	// late, another VM led, and all items began anew there.
-	slowLag clock.Millis = 20
-	// slower and faster change the rate at each decision that was late or in time.
-	slower = 0.7
-	faster = 1.05
-	// gatherStarts is the span for which starts that weren't used are kept.
-	gatherStarts = 0.05
+	// maxStartRate and minStartRate limit the number of items that start per second. After a burst of
+	// online requests hundreds of slots become free at once, and 4,000 starts a second fill a thousand
+	// slots within 250 ms. At the minimum rate all slots of a fleet are still filled within seconds.
+	maxStartRate = 4_000.0
+	minStartRate = 100.0
+	// lagThreshold is the delay of a decision above which the rate is lowered. The leader sends heartbeats
+	// every 75 ms. When hundreds of items started at once, heartbeats were late, another VM became leader,
+	// and all items started again there.
+	lagThreshold clock.Millis = 20
+	// decreaseFactor and increaseFactor multiply the rate after each decision that was late or in time.
+	decreaseFactor = 0.7
+	increaseFactor = 1.05
+	// burstSeconds limits unused starts to those of this many seconds.
+	burstSeconds = 0.05
 )
 
-// startLimiter decides how many items may begin, by how late this process's own decisions are: the
-// VM that decides also leads, and work that it can't keep up with must show as items that
-// begin later, not as a change of leader. It holds no clock.
+// startLimiter is a token bucket that limits how many items may start. Its rate follows the delay of this
+// process's decisions: the VM that decides also leads the core, and overload must delay items instead of
+// causing a change of leader. It doesn't read the clock.
 type startLimiter struct {
-	rate   float64
-	tokens float64
-	at     clock.Millis
+	rate       float64
+	tokens     float64
+	refilledAt clock.Millis
 }
 
-func newStartLimiter() *startLimiter { return &startLimiter{rate: mostStarts} }
+func newStartLimiter() *startLimiter { return &startLimiter{rate: maxStartRate} }
 
-// note takes up how late a decision began, a span.
-func (p *startLimiter) note(lag clock.Millis) {
-	if lag > slowLag {
-		p.rate = max(p.rate*slower, leastStarts)
+// recordLag adjusts the rate to the delay of a decision.
+func (l *startLimiter) recordLag(lag clock.Millis) {
+	if lag > lagThreshold {
+		l.rate = max(l.rate*decreaseFactor, minStartRate)
 		return
 	}
-	p.rate = min(p.rate*faster, mostStarts)
+	l.rate = min(l.rate*increaseFactor, maxStartRate)
 }
 
-// allowed is how many items may begin now, one at least now and then.
-func (p *startLimiter) allowed(now clock.Millis) int {
-	if p.at > 0 {
-		p.tokens += p.rate * float64(now-p.at) / 1_000
+// allowed returns how many items may start now. The bucket holds at least one start, so that items start at
+// any rate.
+func (l *startLimiter) allowed(now clock.Millis) int {
+	if l.refilledAt > 0 {
+		l.tokens += l.rate * float64(now-l.refilledAt) / 1_000
 	}
-	p.at = now
-	p.tokens = min(p.tokens, max(p.rate*gatherStarts, 1))
-	return int(p.tokens)
+	l.refilledAt = now
+	l.tokens = min(l.tokens, max(l.rate*burstSeconds, 1))
+	return int(l.tokens)
 }
 
-// spent notes that items began.
-func (p *startLimiter) spent(starts int) { p.tokens -= float64(starts) }
+// spend records started items.
+func (l *startLimiter) spend(starts int) { l.tokens -= float64(starts) }
--- a/control/pkg/batchrun/start_limiter_test.go
+++ b/control/pkg/batchrun/start_limiter_test.go
@@ -8,38 +8,38 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// A burst ebbs, and 600 places are free. On a VM that keeps up all items begin within a
-// quarter of a second. On one whose decisions come late fewer begin at a time, so that it
-// still leads; when it keeps up again, so does the pace.
-func TestItemsBeginNoFasterThanTheLeaderCanBear(t *testing.T) {
-	p := newStartLimiter()
-	p.allowed(1)
-	begun := 0
+// A burst ends and 600 slots become free. If decisions are in time, 600 items must start within 250 ms. If
+// decisions are late, the rate must fall to the minimum, so that the VM doesn't lose its leadership. It must
+// recover once decisions are in time again.
+func TestStartLimiterFollowsLag(t *testing.T) {
+	l := newStartLimiter()
+	l.allowed(1)
+	started := 0
 	for now := clock.Millis(6); now <= 251; now += 5 {
-		p.note(1)
-		n := min(p.allowed(now), 600-begun)
-		p.spent(n)
-		begun += n
+		l.recordLag(1)
+		n := min(l.allowed(now), 600-started)
+		l.spend(n)
+		started += n
 	}
-	require.Equal(t, 600, begun)
+	require.Equal(t, 600, started)
 
 	for range 20 {
-		p.note(slowLag + 1)
+		l.recordLag(lagThreshold + 1)
 	}
-	require.InDelta(t, leastStarts, p.rate, 0)
+	require.InDelta(t, minStartRate, l.rate, 0)
 	now := clock.Millis(1_000)
-	p.allowed(now)
-	p.spent(int(p.tokens))
-	begun = 0
+	l.allowed(now)
+	l.spend(int(l.tokens))
+	started = 0
 	for range 200 {
 		now += 5
-		n := p.allowed(now)
-		p.spent(n)
-		begun += n
+		n := l.allowed(now)
+		l.spend(n)
+		started += n
 	}
-	require.InDelta(t, leastStarts, begun, 5, "items still begin")
+	require.InDelta(t, minStartRate, started, 5, "items start at the minimum rate")
 	for range 100 {
-		p.note(0)
+		l.recordLag(0)
 	}
-	require.InDelta(t, mostStarts, p.rate, 0)
+	require.InDelta(t, maxStartRate, l.rate, 0)
 }
