--- a/control/pkg/carrier/client.go
+++ b/control/pkg/carrier/client.go
@@ -1,5 +1,5 @@
-// Package carrier calls runners through gateways, which end the calls if this VM
-// vanishes; by itself a runner would go on for seconds.
+// Package carrier makes calls to runners through gateways. A gateway ends the calls that it proxies if this VM
+// fails, whereas the runner of a direct call would go on for seconds.
 package carrier
 
 import (
@@ -23,120 +23,120 @@
 )
 
 const (
-	// takeTime is how long a gateway may need to take a call: a millisecond as a
-	// rule, 50 on a slow VM. It has lost power, or is frozen, if it takes longer. The time
-	// runs on while this process itself waits for the processor: with 150 ms, a busy leader
-	// accused sound gateways by the dozen, called runners itself, and was busier still.
-	takeTime = 500 * time.Millisecond
-	// mostGateways bounds the gateways that are asked to take one call.
-	mostGateways = 2
-	// forgetEvery is how often connections to gateways that are gone are looked for.
-	forgetEvery clock.Millis = 1_000
-	// numberBits leaves room for a million calls in a millisecond between two starts.
+	// acceptTimeout is how long a gateway may take to accept a call. It usually takes a millisecond, or 50 on
+	// a slow VM; a gateway that takes longer has lost power or is frozen. The timeout also runs while
+	// this process waits for a CPU: with 150 ms, a busy leader blocked dozens of healthy gateways and called
+	// runners itself, which made it busier still.
+	acceptTimeout = 500 * time.Millisecond
+	// maxGatewayAttempts limits the gateways that are tried for one call.
+	maxGatewayAttempts = 2
+	// cleanupInterval is how often sessions with gateways that are gone are closed.
+	cleanupInterval clock.Millis = 1_000
+	// numberBits is the number of low bits of a call number. They allow a million calls per millisecond since
+	// the start of the process before the numbers of two starts could overlap.
 	numberBits = 20
 )
 
-// mostSelf is the number of gateways from which on this VM makes no calls itself.
-const mostSelf = 4
+// directCallCutoff is the number of gateways from which on this VM makes no direct calls.
+const directCallCutoff = 4
 
-// desertedAfter is how long there must be no gateway before this VM calls runners itself. A
-// new leader that did so at once began hundreds of items with as many connections of its
-// own, of which most timed out.
-const desertedAfter clock.Millis = 3_000
+// directCallDelay is how long there must be no gateway before this VM calls runners directly. A new leader that
+// did so at once started hundreds of items over as many new connections, most of which timed out.
+const directCallDelay clock.Millis = 3_000
 
-// ErrNobody tells that no gateway took a call; nothing of it was sent.
-var ErrNobody = errors.New("no gateway takes calls")
+// ErrNoGateway is returned if no gateway accepted a call. Nothing of the call was sent to a runner.
+var ErrNoGateway = errors.New("no gateway accepted the call")
 
-var errGone = errors.New("the gateway is gone")
+var errGatewayGone = errors.New("the gateway is gone")
 
-var errNotTaken = errors.New("the gateway didn't take the call")
+var errNotAccepted = errors.New("the gateway didn't accept the call")
 
-// Config describes a carrier.
+// Config holds the dependencies and settings of a Client.
 type Config struct {
-	// Source names this daemon, as its load digests do.
+	// Source is the name of this daemon in its load digests.
 	Source string
-	// Gateways lists those that are there.
+	// Gateways returns the available gateways.
 	Gateways func() []Gateway
-	// Direct calls runners from here, if no gateway takes a call.
+	// Direct calls runners from this VM if no gateway accepts a call.
 	Direct runner.Client
-	// HTTP makes a client for one gateway.
+	// HTTP returns a new client for one gateway.
 	HTTP   func() *http.Client
 	Clock  clock.Clock
 	Logger log.Logger
-	// Registerer takes the counters.
+	// Registerer registers the counters.
 	Registerer prometheus.Registerer
 }
 
-// Carrier calls runners through gateways.
-type Carrier struct {
+// Client makes calls to runners through gateways.
+type Client struct {
 	config Config
-	// calls counts who made the calls.
+	// calls counts calls by the process that made them.
 	calls *prometheus.CounterVec
 
-	mu        sync.Mutex
-	gathering gathering
-	// gather is the span that sessions tell gateways.
-	gather   atomic.Int64
-	chooser  *chooser
-	sessions map[string]*session
-	// number is that of the last call.
+	mu         sync.Mutex
+	flushTuner flushTuner
+	// flushInterval is the interval that sessions send to gateways, in milliseconds.
+	flushInterval atomic.Int64
+	selector      *gatewaySelector
+	sessions      map[string]*session
+	// number is the number of the last call.
 	number uint64
-	// known is the list of gateways by which sessions were forgotten last, at forgotAt.
-	known    []Gateway
-	forgotAt clock.Millis
-	// emptySince is since when there is no gateway, 0 if there is one; askedAt is when it was
-	// asked last.
-	emptySince, askedAt clock.Millis
+	// cleanedFor is the list of gateways for which sessions were last cleaned up, at cleanedAt.
+	cleanedFor []Gateway
+	cleanedAt  clock.Millis
+	// noGatewaySince is the time since which there is no gateway, or 0 if there is one. It was last checked
+	// at checkedAt.
+	noGatewaySince, checkedAt clock.Millis
 }
 
-// New makes a carrier.
-func New(config Config) *Carrier {
-	c := &Carrier{
-		// The numbers of an earlier start of this daemon are smaller.
+// New returns a client without sessions.
+func New(config Config) *Client {
+	c := &Client{
+		// Numbers from an earlier start of this daemon are smaller.
 		number: uint64(config.Clock.Now()) << numberBits,
-		config: config, chooser: newChooser(), sessions: map[string]*session{},
+		config: config, selector: newGatewaySelector(), sessions: map[string]*session{},
 		calls: promauto.With(config.Registerer).NewCounterVec(prometheus.CounterOpts{
-			Name: "toucanhinge_items_carried_total", Help: "Items' calls by who made them, and those that a gateway didn't take.",
+			Name: "toucanhinge_items_carried_total", Help: "Item calls by the process that made them, and calls that a gateway didn't accept.",
 		}, []string{"by"}),
 	}
 	return c
 }
 
-// Late takes up how late this process was with its own work, a span: the later, the longer
-// gateways hold events back.
-func (c *Carrier) Late(lag clock.Millis) {
+// ReportLag adjusts the flush interval to the lag of this process. With more lag, gateways buffer events for longer.
+func (c *Client) ReportLag(lag clock.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gathering.note(lag)
-	c.adjust()
+	c.flushTuner.recordLag(lag)
+	c.updateFlushInterval()
 }
 
-// adjust follows the number of gateways at work; the caller holds the lock.
-func (c *Carrier) adjust() {
-	before, now := float64(c.gather.Load()), float64(c.gathering.span(len(c.sessions)))
-	if before > 0 && now < before*noticeable && now*noticeable > before {
+// updateFlushInterval recomputes the flush interval and sends it to the gateways if it has changed enough. The
+// caller holds the lock.
+func (c *Client) updateFlushInterval() {
+	before, after := float64(c.flushInterval.Load()), float64(c.flushTuner.interval(len(c.sessions)))
+	if before > 0 && after < before*minFlushChange && after*minFlushChange > before {
 		return
 	}
-	c.gather.Store(int64(now))
+	c.flushInterval.Store(int64(after))
 	for _, s := range c.sessions {
-		s.stir()
+		s.notifySender()
 	}
 }
 
-// Calls is the carrier as a client of runners.
-func (c *Carrier) Calls() runner.Client {
+// RunnerClient returns a runner client that makes its calls through c.
+func (c *Client) RunnerClient() runner.Client {
 	return runner.Client{Open: c.open, Refuses: c.config.Direct.Refuses}
 }
 
-func (c *Carrier) open(ctx context.Context, call runner.Call) (*runner.Answer, error) {
+func (c *Client) open(ctx context.Context, call runner.Call) (*runner.Answer, error) {
 	var last error
-	for range mostGateways {
-		address, found := c.choose(call.Runner.GetDataCentre())
+	for range maxGatewayAttempts {
+		address, found := c.acquireGateway(call.Runner.GetDataCentre())
 		if !found {
 			break
 		}
-		answer, err := c.carry(ctx, address, call)
-		if !errors.Is(err, errNotTaken) || ctx.Err() != nil {
+		answer, err := c.proxy(ctx, address, call)
+		if !errors.Is(err, errNotAccepted) || ctx.Err() != nil {
 			c.calls.WithLabelValues("gateway").Inc()
 			return answer, err
 		}
@@ -144,125 +144,125 @@
 		c.calls.WithLabelValues("not-taken").Inc()
 		level.Info(c.config.Logger).Log(logs.KeyEvent, "call-not-taken", "gateway", address, logs.KeyRequest, call.Request, logs.KeyError, err)
 	}
-	if gateways := len(c.config.Gateways()); gateways >= mostSelf || !c.deserted(gateways) {
-		// With so many there, calls that none takes are a sign of this VM's own trouble, and
-		// making them itself would add to it. The item waits.
+	if gateways := len(c.config.Gateways()); gateways >= directCallCutoff || !c.mayCallDirectly(gateways) {
+		// With that many gateways, calls that none of them accepts are a sign that this VM is overloaded, and
+		// direct calls would add to its load. The item waits.
 		c.calls.WithLabelValues("nobody").Inc()
-		return nil, errors.WithMessagef(ErrNobody, "%d gateways, the last: %s", gateways, errorText(last))
+		return nil, errors.WithMessagef(ErrNoGateway, "%d gateways, last error: %s", gateways, errorText(last))
 	}
 	c.calls.WithLabelValues("self").Inc()
 	return c.config.Direct.Open(ctx, call)
 }
 
-// deserted says whether there has been no gateway for long. One that has just begun to lead
-// hears of them within a second.
-func (c *Carrier) deserted(gateways int) bool {
+// mayCallDirectly reports whether direct calls are allowed: there are gateways, but too few of them, or there
+// has been no gateway for directCallDelay. A new leader learns of the gateways within a second.
+func (c *Client) mayCallDirectly(gateways int) bool {
 	now := c.config.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case gateways > 0:
-		c.emptySince = 0
+		c.noGatewaySince = 0
 		return true
-	case c.emptySince == 0 || now-c.askedAt > desertedAfter:
-		c.emptySince = now
+	case c.noGatewaySince == 0 || now-c.checkedAt > directCallDelay:
+		c.noGatewaySince = now
 	}
-	c.askedAt = now
-	return now-c.emptySince >= desertedAfter
+	c.checkedAt = now
+	return now-c.noGatewaySince >= directCallDelay
 }
 
-// choose takes a place at a gateway; leave gives it back.
-func (c *Carrier) choose(dataCentre string) (address string, found bool) {
+// acquireGateway selects a gateway for a call and counts the call, until releaseGateway is called.
+func (c *Client) acquireGateway(dataCentre string) (address string, found bool) {
 	gateways := c.config.Gateways()
 	now := c.config.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now-c.forgotAt >= forgetEvery || !sameList(gateways, c.known) {
-		c.forgotAt, c.known = now, gateways
-		c.forget(gateways)
+	if now-c.cleanedAt >= cleanupInterval || !sameSlice(gateways, c.cleanedFor) {
+		c.cleanedAt, c.cleanedFor = now, gateways
+		c.closeStaleSessions(gateways)
 	}
-	return c.chooser.choose(now, gateways, dataCentre, rand.IntN(max(len(gateways), 1)))
+	return c.selector.acquire(now, gateways, dataCentre, rand.IntN(max(len(gateways), 1)))
 }
 
-// sameList says whether two lists are one in memory: the list is made anew when it changes.
-func sameList(a, b []Gateway) bool {
+// sameSlice reports whether two lists share their memory. The list is reallocated whenever it changes.
+func sameSlice(a, b []Gateway) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// forget drops the connections to gateways that are gone; addresses change with each
-// replaced VM. The caller holds the lock.
-func (c *Carrier) forget(present []Gateway) {
+// closeStaleSessions closes idle sessions with gateways that are gone, since addresses change with each replaced VM.
+// The caller holds the lock.
+func (c *Client) closeStaleSessions(present []Gateway) {
 	known := make(map[string]bool, len(present))
 	for _, g := range present {
 		known[g.Address] = true
 	}
-	for address, l := range c.sessions {
-		if !known[address] && !l.busy() {
+	for address, s := range c.sessions {
+		if !known[address] && !s.hasCalls() {
 			delete(c.sessions, address)
-			go l.fail(errGone)
+			go s.fail(errGatewayGone)
 		}
 	}
 }
 
-func (c *Carrier) leave(address string) {
+func (c *Client) releaseGateway(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.chooser.leave(address)
+	c.selector.release(address)
 }
 
-// accuse passes a gateway over for a while.
-func (c *Carrier) accuse(address string) {
+// blockGateway excludes a gateway for blockDuration.
+func (c *Client) blockGateway(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.chooser.accuse(c.config.Clock.Now(), address)
+	c.selector.block(c.config.Clock.Now(), address)
 }
 
-// session is the one with a gateway, a new one if there is none that works.
-func (c *Carrier) session(address string) *session {
+// session returns the session with a gateway. It opens one if there is none.
+func (c *Client) session(address string) *session {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l, found := c.sessions[address]
+	s, found := c.sessions[address]
 	if !found {
-		l = newSession(c.config.Source, address, c.config.HTTP(), &c.gather, func(l *session) { c.broken(address, l) })
-		c.sessions[address] = l
-		c.adjust()
+		s = newSession(c.config.Source, address, c.config.HTTP(), &c.flushInterval, func(s *session) { c.removeSession(address, s) })
+		c.sessions[address] = s
+		c.updateFlushInterval()
 	}
-	return l
+	return s
 }
 
-// broken forgets a session that ended.
-func (c *Carrier) broken(address string, l *session) {
+// removeSession removes a broken session.
+func (c *Client) removeSession(address string, s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sessions[address] == l {
+	if c.sessions[address] == s {
 		delete(c.sessions, address)
 	}
 }
 
-// carry lets one gateway call the runner.
-func (c *Carrier) carry(ctx context.Context, address string, call runner.Call) (*runner.Answer, error) {
+// proxy makes a call through one gateway.
+func (c *Client) proxy(ctx context.Context, address string, call runner.Call) (*runner.Answer, error) {
 	request := c.request(call)
-	l := c.session(address)
-	b := &body{
-		session: l, number: request.GetCall(), runner: call.Runner.GetId(), ctx: ctx, leave: func() { c.leave(address) },
-		news: make(chan struct{}, 1),
+	s := c.session(address)
+	p := &proxiedCall{
+		session: s, number: request.GetCall(), runner: call.Runner.GetId(), ctx: ctx, releaseGateway: func() { c.releaseGateway(address) },
+		updated: make(chan struct{}, 1),
 	}
-	l.start(b, request)
-	if err := b.await(); err != nil {
-		_ = b.Close()
+	s.startCall(p, request)
+	if err := p.awaitAccepted(); err != nil {
+		_ = p.Close()
 		if ctx.Err() == nil {
-			c.accuse(address)
+			c.blockGateway(address)
 		}
 		return nil, err
 	}
-	head, err := b.head()
+	head, err := p.awaitHead()
 	if err != nil {
-		_ = b.Close()
+		_ = p.Close()
 		return nil, err
 	}
 	answer := &runner.Answer{
-		Status: int(head.GetStatus()), Header: http.Header{}, Length: -1, NotRun: head.GetNotRun(), Other: head.GetOther(), Body: b,
-		Release: b.release,
+		Status: int(head.GetStatus()), Header: http.Header{}, Length: -1, NotRun: head.GetNotRun(), Other: head.GetOther(), Body: p,
+		Release: p.release,
 	}
 	if head.Running != nil {
 		answer.Held = &runner.Held{Running: int(head.GetRunning()), Waiting: int(head.GetWaiting())}
@@ -270,7 +270,7 @@
 	return answer, nil
 }
 
-func (c *Carrier) request(call runner.Call) *toucanhingev1.CarryRequest {
+func (c *Client) request(call runner.Call) *toucanhingev1.CarryRequest {
 	c.mu.Lock()
 	c.number++
 	number := c.number
@@ -293,7 +293,7 @@
 
 func errorText(err error) string {
 	if err == nil {
-		return "too late"
+		return "none"
 	}
 	return err.Error()
 }
--- a/control/pkg/carrier/client_test.go
+++ b/control/pkg/carrier/client_test.go
@@ -26,31 +26,30 @@
 
 type stream = connect.BidiStream[toucanhingev1.CarryCommands, toucanhingev1.CarryEvents]
 
-// teller sends what becomes of one call.
-type teller func(events ...*toucanhingev1.CarryEvent) error
+// eventSender sends events of one call.
+type eventSender func(events ...*toucanhingev1.CarryEvent) error
 
-// gateway is a scripted one.
+// gateway is a scripted gateway.
 type gateway struct {
 	address string
 	mu      sync.Mutex
-	asked   []*toucanhingev1.CarryRequest
+	starts  []*toucanhingev1.CarryRequest
 	source  string
-	// commands counts the messages that came, released has the numbers of the calls to end.
+	// commands is the number of received messages, and released the numbers of released calls.
 	commands int
 	released []uint64
-	answer   func(ctx context.Context, tell teller) error
+	answer   func(ctx context.Context, send eventSender) error
 }
 
-// Carry answers each call in a goroutine of its own, as the script says; an error of the script
-// breaks the session.
+// Carry answers each call by the script, in a goroutine of its own. An error of the script breaks the session.
 func (g *gateway) Carry(ctx context.Context, s *stream) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var sending sync.Mutex
-	over := false
+	ended := false
 	defer func() {
 		sending.Lock()
-		over = true
+		ended = true
 		sending.Unlock()
 	}()
 	broken := make(chan error, 16)
@@ -61,13 +60,13 @@
 				broken <- err
 				return
 			}
-			g.take(m)
+			g.record(m)
 			for _, start := range m.GetStarts() {
 				go func() {
-					tell := func(events ...*toucanhingev1.CarryEvent) error {
+					send := func(events ...*toucanhingev1.CarryEvent) error {
 						sending.Lock()
 						defer sending.Unlock()
-						if over {
+						if ended {
 							return errScript
 						}
 						for _, e := range events {
@@ -78,7 +77,7 @@
 						}
 						return nil
 					}
-					if err := g.answer(ctx, tell); err != nil {
+					if err := g.answer(ctx, send); err != nil {
 						broken <- err
 					}
 				}()
@@ -88,28 +87,28 @@
 	return <-broken
 }
 
-func (g *gateway) take(m *toucanhingev1.CarryCommands) {
+func (g *gateway) record(m *toucanhingev1.CarryCommands) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.commands++
 	g.source = m.GetSource()
-	g.asked = append(g.asked, m.GetStarts()...)
+	g.starts = append(g.starts, m.GetStarts()...)
 	g.released = append(g.released, m.GetReleases()...)
 }
 
-func (g *gateway) count() int {
+func (g *gateway) startCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.asked)
+	return len(g.starts)
 }
 
-func (g *gateway) releases() int {
+func (g *gateway) releaseCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.released)
 }
 
-func startGateway(t *testing.T, answer func(ctx context.Context, tell teller) error) *gateway {
+func startGateway(t *testing.T, answer func(ctx context.Context, send eventSender) error) *gateway {
 	t.Helper()
 	g := &gateway{answer: answer}
 	mux := http.NewServeMux()
@@ -118,85 +117,85 @@
 	require.NoError(t, err)
 	go func() { _ = listener.Serve() }()
 	t.Cleanup(func() {
-		over, done := context.WithCancel(context.Background())
-		done()
-		_ = listener.Shutdown(over)
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		_ = listener.Shutdown(ctx)
 	})
 	g.address = listener.Address()
 	return g
 }
 
-// play tells events one after the other.
-func play(list ...*toucanhingev1.CarryEvent) func(context.Context, teller) error {
-	return func(_ context.Context, tell teller) error { return tell(list...) }
+// play returns a script that sends events in order.
+func play(list ...*toucanhingev1.CarryEvent) func(context.Context, eventSender) error {
+	return func(_ context.Context, send eventSender) error { return send(list...) }
 }
 
 var errScript = connect.NewError(connect.CodeInternal, errors.New("the script ends"))
 
-// cut tells events, and then breaks the session.
-func cut(list ...*toucanhingev1.CarryEvent) func(context.Context, teller) error {
-	return func(_ context.Context, tell teller) error {
-		if err := tell(list...); err != nil {
+// playAndBreak returns a script that sends events and then breaks the session.
+func playAndBreak(list ...*toucanhingev1.CarryEvent) func(context.Context, eventSender) error {
+	return func(_ context.Context, send eventSender) error {
+		if err := send(list...); err != nil {
 			return err
 		}
 		return errScript
 	}
 }
 
-func head() *toucanhingev1.CarryEvent {
+func headEvent() *toucanhingev1.CarryEvent {
 	running := uint32(4)
 	return &toucanhingev1.CarryEvent{Head: &toucanhingev1.CarryHead{Status: http.StatusOK, Running: &running, Waiting: 2}}
 }
 
-func data(text string) *toucanhingev1.CarryEvent {
+func dataEvent(text string) *toucanhingev1.CarryEvent {
 	return &toucanhingev1.CarryEvent{Data: []byte(text)}
 }
 
-func end(failure string, notSent bool) *toucanhingev1.CarryEvent {
+func endEvent(failure string, notSent bool) *toucanhingev1.CarryEvent {
 	return &toucanhingev1.CarryEvent{End: &toucanhingev1.CarryEnd{Failure: failure, NotSent: notSent}}
 }
 
-func notTaken() *toucanhingev1.CarryEvent {
+func notAcceptedEvent() *toucanhingev1.CarryEvent {
 	return &toucanhingev1.CarryEvent{End: &toucanhingev1.CarryEnd{Failure: "leaving", NotSent: true, NotTaken: true}}
 }
 
-var taken = &toucanhingev1.CarryEvent{}
+var accepted = &toucanhingev1.CarryEvent{}
 
-func carrierOf(gateways ...Gateway) *Carrier {
+func newClient(gateways ...Gateway) *Client {
 	return New(Config{
 		Source: "leader", Gateways: func() []Gateway { return gateways }, HTTP: web.NewClient, Clock: clock.System(), Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry(),
 		Direct: runner.Client{Open: func(context.Context, runner.Call) (*runner.Answer, error) { return nil, errDirect }},
 	})
 }
 
-func callOf(dataCentre string) runner.Call {
+func newCall(dataCentre string) runner.Call {
 	return runner.Call{
 		Runner: &toucanhingev1.Runner{Id: "r", DataCentre: dataCentre}, Request: "q", Method: http.MethodPost, Target: "/a", Host: "h",
 		Header: http.Header{"X-Model": {"m"}}, Body: []byte("body"), Team: "a", Resume: true, After: 7,
 	}
 }
 
-// TestAnswers says what the driver of items gets for what a gateway sends. A text is
-// whole only if the gateway said so.
-func TestAnswers(t *testing.T) {
+// For each sequence of gateway events the client must return the right answer or error. A text is complete only if
+// the gateway reported its end without a failure.
+func TestOpenReturnsGatewayAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		answer  func(context.Context, teller) error
+		answer  func(context.Context, eventSender) error
 		text    string
 		whole   bool
 		notSent bool
 		broken  bool
 	}{
-		{"whole", play(taken, head(), data("ab"), data("c"), end("", false)), "abc", true, false, false},
-		{"cut by the runner", play(taken, head(), data("ab"), end("reset", false)), "ab", false, false, false},
-		{"cut by the gateway", cut(taken, head(), data("ab")), "ab", false, false, false},
-		{"not sent", play(taken, end("refused", true)), "", false, true, false},
-		{"broken before the head", play(taken, end("reset", false)), "", false, false, true},
-		{"nothing after it was taken", cut(taken), "", false, false, true},
+		{"complete", play(accepted, headEvent(), dataEvent("ab"), dataEvent("c"), endEvent("", false)), "abc", true, false, false},
+		{"cut by the runner", play(accepted, headEvent(), dataEvent("ab"), endEvent("reset", false)), "ab", false, false, false},
+		{"cut by the gateway", playAndBreak(accepted, headEvent(), dataEvent("ab")), "ab", false, false, false},
+		{"not sent", play(accepted, endEvent("refused", true)), "", false, true, false},
+		{"broken before the head", play(accepted, endEvent("reset", false)), "", false, false, true},
+		{"session broken after the call was accepted", playAndBreak(accepted), "", false, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := startGateway(t, c.answer)
-			answer, err := carrierOf(Gateway{Address: g.address}).Calls().Open(context.Background(), callOf(""))
+			answer, err := newClient(Gateway{Address: g.address}).RunnerClient().Open(context.Background(), newCall(""))
 			var unsent *runner.NotSentError
 			var broken *runner.BrokenError
 			require.Equal(t, c.notSent, errors.As(err, &unsent), "%v", err)
@@ -213,12 +212,12 @@
 	}
 }
 
-func TestTheCallIsPassedOnWhole(t *testing.T) {
-	g := startGateway(t, play(taken, head(), end("", false)))
-	answer, err := carrierOf(Gateway{Address: g.address}).Calls().Open(context.Background(), callOf(""))
+func TestGatewayReceivesWholeCall(t *testing.T) {
+	g := startGateway(t, play(accepted, headEvent(), endEvent("", false)))
+	answer, err := newClient(Gateway{Address: g.address}).RunnerClient().Open(context.Background(), newCall(""))
 	require.NoError(t, err)
 	require.NoError(t, answer.Body.Close())
-	m := g.asked[0]
+	m := g.starts[0]
 	require.Equal(t, "leader", g.source)
 	require.Equal(t, "r", m.GetRunner().GetId())
 	require.Equal(t, "body", string(m.GetBody()))
@@ -228,76 +227,74 @@
 	require.NotNil(t, m.After)
 }
 
-// A gateway has lost power: it takes the connection's bytes and says nothing. Another
-// one takes the call after a moment, and the silent one isn't asked again for a while.
-func TestASilentGatewayIsPassedOver(t *testing.T) {
-	silent := startGateway(t, func(ctx context.Context, _ teller) error {
+// A gateway has lost power: its connection stays open and it sends nothing. Another gateway must get the call after
+// the accept timeout, and the unresponsive gateway must be blocked.
+func TestUnresponsiveGatewayIsBlocked(t *testing.T) {
+	unresponsive := startGateway(t, func(ctx context.Context, _ eventSender) error {
 		<-ctx.Done()
 		return ctx.Err()
 	})
-	sound := startGateway(t, play(taken, head(), end("", false)))
-	c := carrierOf(Gateway{silent.address, "here"}, Gateway{sound.address, "there"})
+	healthy := startGateway(t, play(accepted, headEvent(), endEvent("", false)))
+	c := newClient(Gateway{unresponsive.address, "here"}, Gateway{healthy.address, "there"})
 	for range 3 {
-		began := time.Now()
-		answer, err := c.Calls().Open(context.Background(), callOf("here"))
+		startedAt := time.Now()
+		answer, err := c.RunnerClient().Open(context.Background(), newCall("here"))
 		require.NoError(t, err)
 		require.NoError(t, answer.Body.Close())
-		require.Less(t, time.Since(began), 2*takeTime+time.Second)
+		require.Less(t, time.Since(startedAt), 2*acceptTimeout+time.Second)
 	}
 	require.InDelta(t, 1, testutil.ToFloat64(c.calls.WithLabelValues("not-taken")), 0)
-	require.Equal(t, 1, silent.count())
-	require.Equal(t, 3, sound.count())
+	require.Equal(t, 1, unresponsive.startCount())
+	require.Equal(t, 3, healthy.startCount())
 }
 
-// A new leader knows no gateway yet, and would begin hundreds of items by itself; so their
-// calls wait. Where there is none for seconds, or the few that are there refuse, the runner is
-// called directly.
-func TestWithoutAGatewayTheRunnerIsCalledDirectly(t *testing.T) {
-	refusing := startGateway(t, func(_ context.Context, tell teller) error { return tell(notTaken()) })
-	_, err := carrierOf(Gateway{Address: refusing.address}).Calls().Open(context.Background(), callOf(""))
+// A new leader knows no gateway yet, and would start hundreds of items by direct calls, so these calls must fail. If
+// there is no gateway for seconds, or a few gateways refuse, the runner must be called directly.
+func TestRunnerIsCalledDirectlyWithoutGateways(t *testing.T) {
+	refusing := startGateway(t, func(_ context.Context, send eventSender) error { return send(notAcceptedEvent()) })
+	_, err := newClient(Gateway{Address: refusing.address}).RunnerClient().Open(context.Background(), newCall(""))
 	require.ErrorIs(t, err, errDirect)
 
 	now := clock.Millis(1_000)
-	c := carrierOf()
+	c := newClient()
 	c.config.Clock = clock.Of(func() clock.Millis { return now })
 	for range 3 {
-		_, err = c.Calls().Open(context.Background(), callOf(""))
-		require.ErrorIs(t, err, ErrNobody)
-		now += desertedAfter / 4
+		_, err = c.RunnerClient().Open(context.Background(), newCall(""))
+		require.ErrorIs(t, err, ErrNoGateway)
+		now += directCallDelay / 4
 	}
-	now += desertedAfter / 2
-	_, err = c.Calls().Open(context.Background(), callOf(""))
+	now += directCallDelay / 2
+	_, err = c.RunnerClient().Open(context.Background(), newCall(""))
 	require.ErrorIs(t, err, errDirect)
 }
 
-// Four gateways are there and none takes a call: it is this VM that is slow. Were it to call
-// the runner itself, it would be slower still.
-func TestASlowLeaderMakesNoCallsItself(t *testing.T) {
-	refuse := func(_ context.Context, tell teller) error { return tell(notTaken()) }
+// There are four gateways and none accepts a call, which means that this VM is overloaded. It must not call the
+// runner directly, since that would add to its load.
+func TestOverloadedLeaderMakesNoDirectCalls(t *testing.T) {
+	refuse := func(_ context.Context, send eventSender) error { return send(notAcceptedEvent()) }
 	var gateways []Gateway
-	for range mostSelf {
+	for range directCallCutoff {
 		gateways = append(gateways, Gateway{Address: startGateway(t, refuse).address})
 	}
-	_, err := carrierOf(gateways...).Calls().Open(context.Background(), callOf(""))
-	require.ErrorIs(t, err, ErrNobody)
+	_, err := newClient(gateways...).RunnerClient().Open(context.Background(), newCall(""))
+	require.ErrorIs(t, err, ErrNoGateway)
 }
 
-// An item gives its place to online work: its call must end at the gateway too, or
-// the runner would go on.
-func TestClosingEndsTheGatewaysCall(t *testing.T) {
+// An item is preempted by an online request. The gateway must end its call too, since the runner would go on otherwise.
+func TestClosingAnswerEndsGatewayCall(t *testing.T) {
 	ended := make(chan struct{})
 	var g *gateway
-	g = startGateway(t, func(ctx context.Context, tell teller) error {
-		if err := play(taken, head(), data("x"))(ctx, tell); err != nil {
+	g = startGateway(t, func(ctx context.Context, send eventSender) error {
+		if err := play(accepted, headEvent(), dataEvent("x"))(ctx, send); err != nil {
 			return err
 		}
-		for ctx.Err() == nil && g.releases() == 0 {
+		for ctx.Err() == nil && g.releaseCount() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		close(ended)
 		return ctx.Err()
 	})
-	answer, err := carrierOf(Gateway{Address: g.address}).Calls().Open(context.Background(), callOf(""))
+	answer, err := newClient(Gateway{Address: g.address}).RunnerClient().Open(context.Background(), newCall(""))
 	require.NoError(t, err)
 	_, err = answer.Body.Read(make([]byte, 1))
 	require.NoError(t, err)
@@ -305,20 +302,20 @@
 	select {
 	case <-ended:
 	case <-time.After(time.Second):
-		t.Fatal("the gateway's call goes on")
+		t.Fatal("the gateway didn't end the call")
 	}
 }
 
-// Gateways are replaced by others at new addresses, a hundred a day at the size that
-// we design for. What is kept of those that are gone must not grow.
-func TestGatewaysThatAreGoneAreForgotten(t *testing.T) {
-	first, second := startGateway(t, play(taken, head(), end("", false))), startGateway(t, play(taken, head(), end("", false)))
+// Gateways are replaced by others with new addresses, a hundred a day at the size that the system is designed for.
+// Sessions with gateways that are gone must not pile up.
+func TestSessionsOfRemovedGatewaysAreClosed(t *testing.T) {
+	first, second := startGateway(t, play(accepted, headEvent(), endEvent("", false))), startGateway(t, play(accepted, headEvent(), endEvent("", false)))
 	present := Gateway{Address: first.address}
-	c := carrierOf()
+	c := newClient()
 	c.config.Gateways = func() []Gateway { return []Gateway{present} }
 	for _, g := range []*gateway{first, second} {
 		present.Address = g.address
-		answer, err := c.Calls().Open(context.Background(), callOf(""))
+		answer, err := c.RunnerClient().Open(context.Background(), newCall(""))
 		require.NoError(t, err)
 		require.NoError(t, answer.Body.Close())
 	}
@@ -328,26 +325,26 @@
 	require.Contains(t, c.sessions, second.address)
 }
 
-// Items give way. The gateway is asked to end just their calls, all with one message, and
-// what it still passes on is read.
-func TestReleasedCallsStillBringWhatTheyHold(t *testing.T) {
+// Two items are preempted. Exactly their calls must be released, and the output that the gateway still
+// sends must be read.
+func TestReleasedCallsReturnBufferedOutput(t *testing.T) {
 	var g *gateway
-	g = startGateway(t, func(ctx context.Context, tell teller) error {
-		if err := play(taken, head())(ctx, tell); err != nil {
+	g = startGateway(t, func(ctx context.Context, send eventSender) error {
+		if err := play(accepted, headEvent())(ctx, send); err != nil {
 			return err
 		}
 		for ctx.Err() == nil {
-			if g.releases() > 0 {
-				return play(data("held back"), end("released", false))(ctx, tell)
+			if g.releaseCount() > 0 {
+				return play(dataEvent("buffered"), endEvent("released", false))(ctx, send)
 			}
 			time.Sleep(time.Millisecond)
 		}
 		return ctx.Err()
 	})
-	c := carrierOf(Gateway{Address: g.address})
+	c := newClient(Gateway{Address: g.address})
 	var answers []*runner.Answer
 	for range 2 {
-		answer, err := c.Calls().Open(context.Background(), callOf(""))
+		answer, err := c.RunnerClient().Open(context.Background(), newCall(""))
 		require.NoError(t, err)
 		answers = append(answers, answer)
 	}
@@ -356,45 +353,44 @@
 	}
 	for _, answer := range answers {
 		text, err := io.ReadAll(answer.Body)
-		require.ErrorIs(t, err, errCalled, "a released answer is not whole")
-		require.Equal(t, "held back", string(text))
+		require.ErrorIs(t, err, errCallFailed, "a released answer must not look complete")
+		require.Equal(t, "buffered", string(text))
 		require.NoError(t, answer.Body.Close())
 	}
-	require.Equal(t, []uint64{g.asked[0].GetCall(), g.asked[1].GetCall()}, g.released)
+	require.Equal(t, []uint64{g.starts[0].GetCall(), g.starts[1].GetCall()}, g.released)
 	require.NotEqual(t, g.released[0], g.released[1])
 }
 
-// A gateway takes a call and then loses power: the connection stays open, and no frame
-// comes any more. The item has to go on elsewhere, not to wait for it.
-func TestAGatewayThatFallsSilentIsLeft(t *testing.T) {
-	g := startGateway(t, func(ctx context.Context, tell teller) error {
-		if err := play(taken, head(), data("x"))(ctx, tell); err != nil {
+// A gateway accepts a call and then loses power: the connection stays open, and no message arrives any more. The call
+// must fail after the message timeout, so that the item resumes elsewhere.
+func TestCallFailsWhenGatewayStopsSending(t *testing.T) {
+	g := startGateway(t, func(ctx context.Context, send eventSender) error {
+		if err := play(accepted, headEvent(), dataEvent("x"))(ctx, send); err != nil {
 			return err
 		}
 		<-ctx.Done()
 		return ctx.Err()
 	})
-	answer, err := carrierOf(Gateway{Address: g.address}).Calls().Open(context.Background(), callOf(""))
+	answer, err := newClient(Gateway{Address: g.address}).RunnerClient().Open(context.Background(), newCall(""))
 	require.NoError(t, err)
-	began := time.Now()
+	startedAt := time.Now()
 	text, err := io.ReadAll(answer.Body)
 	require.Error(t, err)
 	require.Equal(t, "x", string(text))
-	require.InDelta(t, frameTime.Seconds(), time.Since(began).Seconds(), 0.5)
+	require.InDelta(t, messageTimeout.Seconds(), time.Since(startedAt).Seconds(), 0.5)
 	require.NoError(t, answer.Body.Close())
 }
 
-// A burst begins, and all items give way at once. Whatever their number, the gateway gets a
-// few messages, not one for each.
-func TestCommandsThatComeTogetherGoTogether(t *testing.T) {
-	g := startGateway(t, play(taken, head()))
-	c := carrierOf(Gateway{Address: g.address})
+// A burst of online requests preempts all items at once. The gateway must receive fewer messages than there are items.
+func TestConcurrentReleasesShareMessages(t *testing.T) {
+	g := startGateway(t, play(accepted, headEvent()))
+	c := newClient(Gateway{Address: g.address})
 	const calls = 200
 	var answers []*runner.Answer
 	for len(answers) < calls {
-		answer, err := c.Calls().Open(context.Background(), callOf(""))
+		answer, err := c.RunnerClient().Open(context.Background(), newCall(""))
 		if errors.Is(err, errDirect) {
-			// This process stood still for longer than a gateway may need to take a call.
+			// This process was stalled for longer than acceptTimeout.
 			continue
 		}
 		require.NoError(t, err)
@@ -406,27 +402,27 @@
 	for _, answer := range answers {
 		answer.Release()
 	}
-	require.Eventually(t, func() bool { return g.releases()-released >= calls }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return g.releaseCount()-released >= calls }, 10*time.Second, time.Millisecond)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	require.Less(t, g.commands-before, calls/2)
 }
 
-// The session to a gateway breaks under several calls. All of them end, none looks whole, and the
-// next call gets a new session.
-func TestABrokenSessionEndsItsCalls(t *testing.T) {
+// The session with a gateway breaks during several calls. All of them must end, none may look complete, and the next
+// call must open a new session.
+func TestBrokenSessionEndsCalls(t *testing.T) {
 	proceed := make(chan struct{})
-	g := startGateway(t, func(_ context.Context, tell teller) error {
-		if err := tell(taken, head(), data("x")); err != nil {
+	g := startGateway(t, func(_ context.Context, send eventSender) error {
+		if err := send(accepted, headEvent(), dataEvent("x")); err != nil {
 			return err
 		}
 		<-proceed
 		return errScript
 	})
-	c := carrierOf(Gateway{Address: g.address})
+	c := newClient(Gateway{Address: g.address})
 	var answers []*runner.Answer
 	for range 3 {
-		answer, err := c.Calls().Open(context.Background(), callOf(""))
+		answer, err := c.RunnerClient().Open(context.Background(), newCall(""))
 		require.NoError(t, err)
 		answers = append(answers, answer)
 	}
@@ -437,7 +433,7 @@
 		require.Equal(t, "x", string(text))
 	}
 	require.Eventually(t, func() bool {
-		answer, err := c.Calls().Open(context.Background(), callOf(""))
+		answer, err := c.RunnerClient().Open(context.Background(), newCall(""))
 		return err == nil && answer.Status == http.StatusOK
 	}, 5*time.Second, 10*time.Millisecond)
 }
--- a/control/pkg/carrier/flush_tuner.go
+++ b/control/pkg/carrier/flush_tuner.go
@@ -3,42 +3,42 @@
 import "toucanhinge.example/common/pkg/clock"
 
 const (
-	// shortGather and longGather bound how long gateways hold items' events back. What is held
-	// back is lost with the gateway's VM, or with the leader's.
-	shortGather clock.Millis = 50
-	longGather  clock.Millis = 500
-	// messageRate is the number of messages a second, of all gateways together, that a leader
-	// in time takes: some 50 us of processor time each.
-	messageRate = 400.0
-	// busier and calmer change what it takes, each time that this process was late or in time.
-	busier = 1.4
-	calmer = 0.97
-	// mostBusy bounds the factor, so that a calm leader is back at once.
-	mostBusy = 10.0
-	// noticeable is the change of the span that gateways are told without another reason.
-	noticeable = 1.3
+	// minFlushInterval and maxFlushInterval limit how long gateways buffer the events of items. Buffered
+	// events are lost if the gateway's or the leader's VM fails.
+	minFlushInterval clock.Millis = 50
+	maxFlushInterval clock.Millis = 500
+	// maxMessageRate is the number of messages per second, from all gateways together, that a leader without
+	// lag handles. Each takes some 50 us of CPU time.
+	maxMessageRate = 400.0
+	// loadIncrease and loadDecrease multiply the load factor whenever this process was late or in time.
+	loadIncrease = 1.4
+	loadDecrease = 0.97
+	// maxLoadFactor limits the load factor, so that it falls quickly once the leader is in time again.
+	maxLoadFactor = 10.0
+	// minFlushChange is the factor by which the flush interval must change before gateways are informed.
+	minFlushChange = 1.3
 )
 
-// lateLag is how late this process may be until it counts as busy, a span.
-const lateLag clock.Millis = 20
+// lagThreshold is the lag above which this process counts as overloaded.
+const lagThreshold clock.Millis = 20
 
-// gathering decides how long gateways hold items' events back. Passed on every 50 ms, the events
-// of hundreds of items are more messages than a busy leader can take, and it loses its lead;
-// held back for half a second, every loss of a VM costs each of its items as much. So it
-// follows the number of gateways and how late this process is. It holds no clock.
-type gathering struct{ busy float64 }
+// flushTuner decides how long gateways buffer the events of items. Flushed every 50 ms, the events of hundreds of
+// items are more messages than a busy leader can handle, and it loses its leadership. Buffered for half a
+// second, each loss of a VM costs half a second of work of each of its items. So the interval follows the
+// number of gateways and the lag of this process. It doesn't read the clock.
+type flushTuner struct{ loadFactor float64 }
 
-// note takes up how late this process was, a span.
-func (g *gathering) note(lag clock.Millis) {
-	if lag > lateLag {
-		g.busy = min(max(g.busy, 1)*busier, mostBusy)
+// recordLag adjusts the load factor to the lag of this process.
+func (t *flushTuner) recordLag(lag clock.Millis) {
+	if lag > lagThreshold {
+		t.loadFactor = min(max(t.loadFactor, 1)*loadIncrease, maxLoadFactor)
 		return
 	}
-	g.busy = max(g.busy*calmer, 1)
+	t.loadFactor = max(t.loadFactor*loadDecrease, 1)
 }
 
-// span is how long events are held back with so many gateways at work.
-func (g *gathering) span(gateways int) clock.Millis {
-	wanted := clock.Millis(1_000 * float64(gateways) / messageRate * max(g.busy, 1))
-	return min(max(wanted, shortGather), longGather)
+// interval returns how long each of the active gateways should buffer events.
+func (t *flushTuner) interval(gateways int) clock.Millis {
+	interval := clock.Millis(1_000 * float64(gateways) / maxMessageRate * max(t.loadFactor, 1))
+	return min(max(interval, minFlushInterval), maxFlushInterval)
 }
--- a/control/pkg/carrier/gateway_selector.go
+++ b/control/pkg/carrier/gateway_selector.go
@@ -6,54 +6,54 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// suspectTime is how long a gateway that didn't take a call is passed over. A killed
-// process is back within two seconds.
-const suspectTime clock.Millis = 2_000
+// blockDuration is how long a gateway that didn't accept a call is excluded. A killed process restarts within
+// two seconds.
+const blockDuration clock.Millis = 2_000
 
-// Gateway is one that may carry calls.
+// Gateway is a gateway that may proxy calls.
 type Gateway struct {
-	// Address is where it takes calls of own daemons, IP:port.
+	// Address is the IP:port on which the gateway accepts calls from other daemons of the system.
 	Address    string
 	DataCentre string
 }
 
-// chooser decides which gateway carries a call: one near the runner, so that the way
-// is no longer than a call of our own, and of those the one that carries least, so
-// that the loss of a gateway costs little. It holds no goroutine, socket or clock.
-type chooser struct {
-	calls    map[string]int
-	suspects map[string]clock.Millis
+// gatewaySelector selects the gateway that proxies a call. It prefers a gateway in the runner's data centre, so
+// that the path is no longer than that of a direct call, and among these the one with the fewest calls, so that the
+// loss of a gateway costs little. It uses no goroutine, socket or clock.
+type gatewaySelector struct {
+	calls        map[string]int
+	blockedUntil map[string]clock.Millis
 }
 
-func newChooser() *chooser {
-	return &chooser{calls: map[string]int{}, suspects: map[string]clock.Millis{}}
+func newGatewaySelector() *gatewaySelector {
+	return &gatewaySelector{calls: map[string]int{}, blockedUntil: map[string]clock.Millis{}}
 }
 
-// choose takes a place at one of the gateways; leave gives it back. Of equal ones the
-// first from an offset on is taken.
-func (c *chooser) choose(now clock.Millis, gateways []Gateway, dataCentre string, offset int) (address string, found bool) {
+// acquire selects a gateway and counts a call for it, until release is called. Among equal gateways it selects the
+// first one from offset on.
+func (s *gatewaySelector) acquire(now clock.Millis, gateways []Gateway, dataCentre string, offset int) (address string, found bool) {
 	best := -1
 	for n := range gateways {
 		i := (n + offset) % len(gateways)
 		g := gateways[i]
-		if c.suspects[g.Address] > now {
+		if s.blockedUntil[g.Address] > now {
 			continue
 		}
-		if best < 0 || c.compare(dataCentre, g, gateways[best]) < 0 {
+		if best < 0 || s.compare(dataCentre, g, gateways[best]) < 0 {
 			best = i
 		}
 	}
 	if best < 0 {
 		return "", false
 	}
-	c.calls[gateways[best].Address]++
+	s.calls[gateways[best].Address]++
 	return gateways[best].Address, true
 }
 
-func (c *chooser) compare(dataCentre string, a, b Gateway) int {
+func (s *gatewaySelector) compare(dataCentre string, a, b Gateway) int {
 	return cmp.Or(
 		cmp.Compare(distance(dataCentre, a), distance(dataCentre, b)),
-		cmp.Compare(c.calls[a.Address], c.calls[b.Address]),
+		cmp.Compare(s.calls[a.Address], s.calls[b.Address]),
 	)
 }
 
@@ -64,19 +64,19 @@
 	return 1
 }
 
-func (c *chooser) leave(address string) {
-	c.calls[address]--
-	if c.calls[address] == 0 {
-		delete(c.calls, address)
+func (s *gatewaySelector) release(address string) {
+	s.calls[address]--
+	if s.calls[address] == 0 {
+		delete(s.calls, address)
 	}
 }
 
-// accuse passes a gateway over for a while.
-func (c *chooser) accuse(now clock.Millis, address string) {
-	for other, until := range c.suspects {
+// block excludes a gateway for blockDuration.
+func (s *gatewaySelector) block(now clock.Millis, address string) {
+	for other, until := range s.blockedUntil {
 		if until <= now {
-			delete(c.suspects, other)
+			delete(s.blockedUntil, other)
 		}
 	}
-	c.suspects[address] = now + suspectTime
+	s.blockedUntil[address] = now + blockDuration
 }
--- a/control/pkg/carrier/gateway_selector_test.go
+++ b/control/pkg/carrier/gateway_selector_test.go
@@ -6,48 +6,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestChoose(t *testing.T) {
+func TestGatewaySelector(t *testing.T) {
 	near, alsoNear, far := Gateway{"a", "here"}, Gateway{"b", "here"}, Gateway{"c", "there"}
 	for _, c := range []struct {
 		name     string
 		gateways []Gateway
-		prepare  func(*chooser)
+		prepare  func(*gatewaySelector)
 		want     string
 	}{
-		{"a near one", []Gateway{far, near}, nil, "a"},
-		{"a far one if there is no other", []Gateway{far}, nil, "c"},
-		{"the one that carries less", []Gateway{near, alsoNear}, func(c *chooser) { c.calls["a"] = 3 }, "b"},
-		{"a near one that carries more before a far one", []Gateway{far, near}, func(c *chooser) { c.calls["a"] = 3 }, "a"},
-		{"not one that didn't take a call", []Gateway{near, far}, func(c *chooser) { c.accuse(9, "a") }, "c"},
-		{"but later again", []Gateway{near, far}, func(c *chooser) { c.accuse(10-suspectTime, "a") }, "a"},
-		{"none", nil, nil, ""},
-		{"none that takes calls", []Gateway{near}, func(c *chooser) { c.accuse(9, "a") }, ""},
+		{"same data centre first", []Gateway{far, near}, nil, "a"},
+		{"other data centre as fallback", []Gateway{far}, nil, "c"},
+		{"fewest calls first", []Gateway{near, alsoNear}, func(s *gatewaySelector) { s.calls["a"] = 3 }, "b"},
+		{"same data centre before fewest calls", []Gateway{far, near}, func(s *gatewaySelector) { s.calls["a"] = 3 }, "a"},
+		{"blocked gateway excluded", []Gateway{near, far}, func(s *gatewaySelector) { s.block(9, "a") }, "c"},
+		{"block expired", []Gateway{near, far}, func(s *gatewaySelector) { s.block(10-blockDuration, "a") }, "a"},
+		{"no gateway", nil, nil, ""},
+		{"all gateways blocked", []Gateway{near}, func(s *gatewaySelector) { s.block(9, "a") }, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := newChooser()
+			s := newGatewaySelector()
 			if c.prepare != nil {
-				c.prepare(m)
+				c.prepare(s)
 			}
-			address, found := m.choose(10, c.gateways, "here", 0)
+			address, found := s.acquire(10, c.gateways, "here", 0)
 			require.Equal(t, c.want, address)
 			require.Equal(t, c.want != "", found)
 		})
 	}
 }
 
-// A gateway's loss breaks off what it carries, so no gateway carries much more than
-// the others near it.
-func TestCallsAreSpreadAndGivenBack(t *testing.T) {
-	m := newChooser()
+// The loss of a gateway breaks all calls that it proxies, so calls must be spread evenly over the gateways of a
+// data centre.
+func TestGatewaySelectorSpreadsAndReleasesCalls(t *testing.T) {
+	s := newGatewaySelector()
 	gateways := []Gateway{{"a", "here"}, {"b", "here"}, {"c", "there"}}
 	for range 6 {
-		_, found := m.choose(0, gateways, "here", 0)
+		_, found := s.acquire(0, gateways, "here", 0)
 		require.True(t, found)
 	}
-	require.Equal(t, map[string]int{"a": 3, "b": 3}, m.calls)
+	require.Equal(t, map[string]int{"a": 3, "b": 3}, s.calls)
 	for range 3 {
-		m.leave("a")
-		m.leave("b")
+		s.release("a")
+		s.release("b")
 	}
-	require.Empty(t, m.calls)
+	require.Empty(t, s.calls)
 }
--- a/control/pkg/carrier/proxied_call.go
+++ b/control/pkg/carrier/proxied_call.go
@@ -13,160 +13,160 @@
 )
 
 var (
-	errCut    = errors.New("the gateway ended the call early")
-	errCalled = errors.New("the gateway's call failed")
+	errSessionBroken = errors.New("the session with the gateway broke")
+	errCallFailed    = errors.New("the gateway's call to the runner failed")
 )
 
-// body is one call that a gateway makes, and the body of its answer. Closing it before its
-// end makes the gateway break its call off.
-type body struct {
+// proxiedCall is a call that a gateway makes, and also the body of its answer. Closing it early makes the gateway
+// cancel its call to the runner.
+type proxiedCall struct {
 	session *session
 	number  uint64
 	runner  string
 	ctx     context.Context
-	// leave gives the gateway's place back.
-	leave func()
-	// news has room for one: something has come.
-	news chan struct{}
-
-	mu    sync.Mutex
-	taken bool
-	first *toucanhingev1.CarryHead
-	rest  []byte
-	end   *toucanhingev1.CarryEnd
-	err   error
-
-	closing sync.Once
+	// releaseGateway ends the call's count in the gateway selector.
+	releaseGateway func()
+	// updated signals that the fields below have changed. It has capacity one.
+	updated chan struct{}
+
+	mu         sync.Mutex
+	accepted   bool
+	answerHead *toucanhingev1.CarryHead
+	unread     []byte
+	end        *toucanhingev1.CarryEnd
+	err        error
+
+	closeOnce sync.Once
 }
 
-// push takes up what the gateway told of the call.
-func (b *body) push(event *toucanhingev1.CarryEvent) {
-	b.mu.Lock()
-	b.taken = true
+// handleEvent records an event that the gateway sent for the call.
+func (c *proxiedCall) handleEvent(event *toucanhingev1.CarryEvent) {
+	c.mu.Lock()
+	c.accepted = true
 	if event.GetHead() != nil {
-		b.first = event.GetHead()
+		c.answerHead = event.GetHead()
 	}
-	b.rest = append(b.rest, event.GetData()...)
+	c.unread = append(c.unread, event.GetData()...)
 	if event.GetEnd() != nil {
-		b.end = event.GetEnd()
+		c.end = event.GetEnd()
 	}
-	b.mu.Unlock()
-	b.wake()
+	c.mu.Unlock()
+	c.notify()
 }
 
-// fail ends the call: the session is gone.
-func (b *body) fail(err error) {
-	b.mu.Lock()
-	if b.err == nil && b.end == nil {
-		b.err = err
+// fail ends the call because its session broke.
+func (c *proxiedCall) fail(err error) {
+	c.mu.Lock()
+	if c.err == nil && c.end == nil {
+		c.err = err
 	}
-	b.mu.Unlock()
-	b.wake()
+	c.mu.Unlock()
+	c.notify()
 }
 
-func (b *body) wake() {
+func (c *proxiedCall) notify() {
 	select {
-	case b.news <- struct{}{}:
+	case c.updated <- struct{}{}:
 	default:
 	}
 }
 
-// wait waits for news of the call, or for the context or the timer.
-func (b *body) wait(late <-chan time.Time) error {
+// waitUpdate waits until the call changes, the context ends or the timeout fires.
+func (c *proxiedCall) waitUpdate(timeout <-chan time.Time) error {
 	select {
-	case <-b.news:
+	case <-c.updated:
 		return nil
-	case <-late:
-		return errNotTaken
-	case <-b.ctx.Done():
-		return b.ctx.Err()
+	case <-timeout:
+		return errNotAccepted
+	case <-c.ctx.Done():
+		return c.ctx.Err()
 	}
 }
 
-// await waits until the gateway has taken the call.
-func (b *body) await() error {
-	timer := time.NewTimer(takeTime)
+// awaitAccepted waits until the gateway has accepted the call.
+func (c *proxiedCall) awaitAccepted() error {
+	timer := time.NewTimer(acceptTimeout)
 	defer timer.Stop()
 	for {
-		b.mu.Lock()
-		taken, end, err := b.taken, b.end, b.err
-		b.mu.Unlock()
+		c.mu.Lock()
+		accepted, end, err := c.accepted, c.end, c.err
+		c.mu.Unlock()
 		switch {
 		case end.GetNotTaken():
-			return errors.WithMessage(errNotTaken, end.GetFailure())
-		case taken:
+			return errors.WithMessage(errNotAccepted, end.GetFailure())
+		case accepted:
 			return nil
 		case err != nil:
-			return errors.WithMessage(errNotTaken, err.Error())
+			return errors.WithMessage(errNotAccepted, err.Error())
 		}
-		if err := b.wait(timer.C); err != nil {
-			return errors.WithMessage(errNotTaken, err.Error())
+		if err := c.waitUpdate(timer.C); err != nil {
+			return errors.WithMessage(errNotAccepted, err.Error())
 		}
 	}
 }
 
-// head waits for the head of the runner's answer.
-func (b *body) head() (*toucanhingev1.CarryHead, error) {
+// awaitHead waits for the head of the runner's answer.
+func (c *proxiedCall) awaitHead() (*toucanhingev1.CarryHead, error) {
 	for {
-		b.mu.Lock()
-		first, end, err := b.first, b.end, b.err
-		b.mu.Unlock()
+		c.mu.Lock()
+		head, end, err := c.answerHead, c.end, c.err
+		c.mu.Unlock()
 		switch {
-		case first != nil:
-			return first, nil
+		case head != nil:
+			return head, nil
 		case end != nil:
-			failure := errors.WithMessage(errCalled, end.GetFailure())
+			failure := errors.WithMessage(errCallFailed, end.GetFailure())
 			if end.GetNotSent() {
-				return nil, &runner.NotSentError{Runner: b.runner, Err: failure}
+				return nil, &runner.NotSentError{Runner: c.runner, Err: failure}
 			}
-			return nil, &runner.BrokenError{Runner: b.runner, Err: failure}
+			return nil, &runner.BrokenError{Runner: c.runner, Err: failure}
 		case err != nil:
-			return nil, &runner.BrokenError{Runner: b.runner, Err: err}
+			return nil, &runner.BrokenError{Runner: c.runner, Err: err}
 		}
-		if err := b.wait(nil); err != nil {
-			return nil, &runner.BrokenError{Runner: b.runner, Err: err}
+		if err := c.waitUpdate(nil); err != nil {
+			return nil, &runner.BrokenError{Runner: c.runner, Err: err}
 		}
 	}
 }
 
-// Read implements io.Reader; it returns io.EOF only if the runner's answer is whole.
-func (b *body) Read(p []byte) (int, error) {
+// Read implements io.Reader. It returns io.EOF only if the runner's answer is complete.
+func (c *proxiedCall) Read(p []byte) (int, error) {
 	for {
-		b.mu.Lock()
-		n := copy(p, b.rest)
-		b.rest = b.rest[n:]
-		end, err := b.end, b.err
-		b.mu.Unlock()
+		c.mu.Lock()
+		n := copy(p, c.unread)
+		c.unread = c.unread[n:]
+		end, err := c.end, c.err
+		c.mu.Unlock()
 		switch {
 		case n > 0:
 			return n, nil
 		case end != nil && end.GetFailure() == "":
 			return 0, io.EOF
 		case end != nil:
-			return 0, errors.WithMessage(errCalled, end.GetFailure())
+			return 0, errors.WithMessage(errCallFailed, end.GetFailure())
 		case err != nil:
 			return 0, err
 		}
-		if err := b.wait(nil); err != nil {
+		if err := c.waitUpdate(nil); err != nil {
 			return 0, err
 		}
 	}
 }
 
-// release asks for the call's end; what the gateway holds still comes.
-func (b *body) release() { b.session.release(b.number) }
+// release ends the call early. Output that the gateway buffers still arrives.
+func (c *proxiedCall) release() { c.session.releaseCall(c.number) }
 
 // Close implements io.Closer.
-func (b *body) Close() error {
-	b.closing.Do(func() {
-		b.mu.Lock()
-		ended := b.end != nil || b.err != nil
-		b.mu.Unlock()
+func (c *proxiedCall) Close() error {
+	c.closeOnce.Do(func() {
+		c.mu.Lock()
+		ended := c.end != nil || c.err != nil
+		c.mu.Unlock()
 		if !ended {
-			b.session.release(b.number)
+			c.session.releaseCall(c.number)
 		}
-		b.session.drop(b.number)
-		b.leave()
+		c.session.remove(c.number)
+		c.releaseGateway()
 	})
 	return nil
 }
--- a/control/pkg/carrier/session.go
+++ b/control/pkg/carrier/session.go
@@ -14,147 +14,147 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
-// frameTime is the longest pause between a gateway's messages while it makes calls: twice the
-// time that events gather there, with some for a slow VM. It has lost power, or is cut off, if
-// it takes longer.
-const frameTime = 1_200 * time.Millisecond
+// messageTimeout is the longest gap between a gateway's messages while it makes calls: twice the longest time that
+// a gateway buffers events, and some slack for a slow VM. A gateway that sends nothing for longer has lost
+// power or is disconnected.
+const messageTimeout = 1_200 * time.Millisecond
 
-var errSilent = errors.New("nothing comes from the gateway")
+var errGatewayUnresponsive = errors.New("the gateway is unresponsive")
 
-// session is the stream shared with one gateway, over which it takes all calls and passes all
-// answers on. With a stream for each call, and another call to end it, hundreds of items that
-// give way when a burst begins are as many exchanges with headers; so commands and events that
-// come together go together.
+// session is the stream to one gateway that carries the commands and answers of all calls. With a stream for each call
+// and another request to end it, preempting hundreds of items at the start of a burst takes as many
+// requests with headers. On a shared stream, commands and events that arrive together share a message.
 type session struct {
 	source string
-	// gather is how long the gateway may hold events back, a span in milliseconds.
-	gather *atomic.Int64
-	http   *http.Client
-	cancel context.CancelFunc
-	// wake has room for one: there are commands to send.
-	wake chan struct{}
-	// alive runs out when the gateway says nothing for too long.
-	alive *time.Timer
+	// flushInterval is how long the gateway may buffer events, in milliseconds.
+	flushInterval *atomic.Int64
+	http          *http.Client
+	cancel        context.CancelFunc
+	// commandsReady signals that there are commands to send. It has capacity one.
+	commandsReady chan struct{}
+	// watchdog fires when the gateway has sent nothing for messageTimeout.
+	watchdog *time.Timer
 
 	mu       sync.Mutex
-	calls    map[uint64]*body
+	calls    map[uint64]*proxiedCall
 	starts   []*toucanhingev1.CarryRequest
 	releases []uint64
 	err      error
 }
 
-func newSession(source, address string, client *http.Client, gather *atomic.Int64, broken func(*session)) *session {
+func newSession(source, address string, client *http.Client, flushInterval *atomic.Int64, onBroken func(*session)) *session {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &session{source: source, gather: gather, http: client, cancel: cancel, wake: make(chan struct{}, 1), calls: map[uint64]*body{}}
-	s.alive = time.AfterFunc(frameTime, func() { s.checkAlive(broken) })
+	s := &session{source: source, flushInterval: flushInterval, http: client, cancel: cancel, commandsReady: make(chan struct{}, 1), calls: map[uint64]*proxiedCall{}}
+	s.watchdog = time.AfterFunc(messageTimeout, func() { s.handleTimeout(onBroken) })
 	stream := toucanhingev1connect.NewCarryServiceClient(
 		client, "http://"+address, connect.WithAcceptCompression("gzip", nil, nil)).Carry(ctx)
 	go func() {
 		if err := s.send(ctx, stream); err != nil {
 			s.fail(err)
-			broken(s)
+			onBroken(s)
 		}
 	}()
 	go func() {
 		s.fail(s.receive(stream))
-		broken(s)
+		onBroken(s)
 	}()
 	return s
 }
 
 type commandStream = connect.BidiStreamForClient[toucanhingev1.CarryCommands, toucanhingev1.CarryEvents]
 
-// send sends commands, all that wait with one message.
+// send sends pending commands, all in one message, until the context ends.
 func (s *session) send(ctx context.Context, out *commandStream) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.wake:
+		case <-s.commandsReady:
 		}
 		s.mu.Lock()
-		commands := &toucanhingev1.CarryCommands{Source: s.source, Starts: s.starts, Releases: s.releases, GatherMs: uint32(s.gather.Load())}
+		commands := &toucanhingev1.CarryCommands{Source: s.source, Starts: s.starts, Releases: s.releases, GatherMs: uint32(s.flushInterval.Load())}
 		s.starts, s.releases = nil, nil
 		s.mu.Unlock()
 		if err := out.Send(commands); err != nil {
-			return errors.WithMessage(errCut, err.Error())
+			return errors.WithMessage(errSessionBroken, err.Error())
 		}
 	}
 }
 
-// receive hands out what the gateway tells, until the session breaks.
+// receive dispatches the gateway's events to their calls until the session breaks.
 func (s *session) receive(in *commandStream) error {
 	for {
 		m, err := in.Receive()
 		if err != nil {
-			return errors.WithMessage(errCut, err.Error())
+			return errors.WithMessage(errSessionBroken, err.Error())
 		}
-		s.alive.Reset(frameTime)
+		s.watchdog.Reset(messageTimeout)
 		s.mu.Lock()
-		bodies := make([]*body, len(m.GetEvents()))
+		calls := make([]*proxiedCall, len(m.GetEvents()))
 		for i, event := range m.GetEvents() {
-			bodies[i] = s.calls[event.GetCall()]
+			calls[i] = s.calls[event.GetCall()]
 		}
 		s.mu.Unlock()
 		for i, event := range m.GetEvents() {
-			if bodies[i] != nil {
-				bodies[i].push(event)
+			if calls[i] != nil {
+				calls[i].handleEvent(event)
 			}
 		}
 	}
 }
 
-// checkAlive runs when nothing has come for too long. Without calls nothing has to.
-func (s *session) checkAlive(broken func(*session)) {
+// handleTimeout ends the session if the gateway sent nothing for messageTimeout. A gateway without calls sends
+// no messages.
+func (s *session) handleTimeout(onBroken func(*session)) {
 	s.mu.Lock()
 	calls := len(s.calls)
 	s.mu.Unlock()
 	if calls == 0 {
 		return
 	}
-	s.fail(errSilent)
-	broken(s)
+	s.fail(errGatewayUnresponsive)
+	onBroken(s)
 }
 
-// start hands a call to the gateway.
-func (s *session) start(b *body, m *toucanhingev1.CarryRequest) {
+// startCall sends a call to the gateway.
+func (s *session) startCall(c *proxiedCall, m *toucanhingev1.CarryRequest) {
 	s.mu.Lock()
 	if err := s.err; err != nil {
 		s.mu.Unlock()
-		b.fail(err)
+		c.fail(err)
 		return
 	}
 	if len(s.calls) == 0 {
-		s.alive.Reset(frameTime)
+		s.watchdog.Reset(messageTimeout)
 	}
-	s.calls[b.number] = b
+	s.calls[c.number] = c
 	s.starts = append(s.starts, m)
 	s.mu.Unlock()
-	s.stir()
+	s.notifySender()
 }
 
-func (s *session) release(number uint64) {
+func (s *session) releaseCall(number uint64) {
 	s.mu.Lock()
 	s.releases = append(s.releases, number)
 	s.mu.Unlock()
-	s.stir()
+	s.notifySender()
 }
 
-func (s *session) stir() {
+func (s *session) notifySender() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.commandsReady <- struct{}{}:
 	default:
 	}
 }
 
-// drop forgets a call.
-func (s *session) drop(number uint64) {
+// remove removes a call from the session.
+func (s *session) remove(number uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.calls, number)
 }
 
-func (s *session) busy() bool {
+func (s *session) hasCalls() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.calls) > 0
@@ -167,12 +167,12 @@
 		s.err = err
 	}
 	calls := s.calls
-	s.calls = map[uint64]*body{}
+	s.calls = map[uint64]*proxiedCall{}
 	s.mu.Unlock()
-	s.alive.Stop()
+	s.watchdog.Stop()
 	s.cancel()
-	for _, b := range calls {
-		b.fail(err)
+	for _, c := range calls {
+		c.fail(err)
 	}
 	s.http.CloseIdleConnections()
 }
--- a/control/pkg/core/core.go
+++ b/control/pkg/core/core.go
@@ -134,7 +134,7 @@
 		Registerer: config.Registerer,
 	})
 	c.driver = batchrun.New(batchrun.Config{
-		Machine: c.machine, Propose: c.propose, Client: carries.Calls(), OnLag: carries.Late, Exchange: config.Exchange,
+		Machine: c.machine, Propose: c.propose, Client: carries.RunnerClient(), OnLag: carries.ReportLag, Exchange: config.Exchange,
 		Runners: c.fleet.list, DataCentre: config.DataCentre, Clock: config.Clock, Logger: config.Logger,
 		Metrics: batchrun.NewMetrics(config.Registerer),
 	})
