--- a/gateway/pkg/carry/call.go
+++ b/gateway/pkg/carry/call.go
@@ -16,46 +16,45 @@
 )
 
 const (
-	// silence is the longest pause between events before a call is ended. Runners make an
-	// event every 20 ms, 80 when slow; one that says nothing for a second is dark, or cut
-	// off without a reset.
-	silence = time.Second
-	// readBytes holds some events of about 100 bytes.
-	readBytes = 4 << 10
-	// mostGathered bounds what is held back: some seconds of a fast runner's events.
-	mostGathered = 64 << 10
+	// eventTimeout is the longest gap between events before a call is ended. Runners send an event every 20 ms,
+	// or every 80 ms when slow. A runner that sends nothing for a second has lost power, or was disconnected
+	// without a reset.
+	eventTimeout = time.Second
+	// readBufferSize fits several events of about 100 bytes.
+	readBufferSize = 4 << 10
+	// maxBufferedBytes limits the buffered output of a call: some seconds of a fast runner's events.
+	maxBufferedBytes = 64 << 10
 )
 
-var errSilent = errors.New("nothing comes from the runner")
+var errRunnerUnresponsive = errors.New("the runner is unresponsive")
 
-// call is one call on its way. A goroutine of its own reads the runner's answer; the session
-// takes what has gathered.
+// call is a proxied call. Its own goroutine reads the runner's answer, and the session collects the buffered events.
 type call struct {
-	source string
-	number uint64
-	began  clock.Millis
-	cancel context.CancelCauseFunc
-	// wake asks the session to pass something on soon.
+	source    string
+	number    uint64
+	startedAt clock.Millis
+	cancel    context.CancelCauseFunc
+	// wake requests the session to send urgent events.
 	wake func()
-	// ended says that the call was broken off here; it belongs to the session's lock.
+	// ended is true if this gateway has ended the call. It is guarded by the session's lock.
 	ended bool
 
-	mu     sync.Mutex
-	taken  bool
-	head   *toucanhingev1.CarryHead
-	text   []byte
-	urgent bool
-	end    *toucanhingev1.CarryEnd
+	mu       sync.Mutex
+	accepted bool
+	head     *toucanhingev1.CarryHead
+	text     []byte
+	urgent   bool
+	end      *toucanhingev1.CarryEnd
 }
 
-// read calls the runner and reads its answer to the end.
-func (c *call) read(ctx context.Context, client runner.Client, exchange *digest.Exchange, m *toucanhingev1.CarryRequest) {
+// run calls the runner and reads its answer to the end.
+func (c *call) run(ctx context.Context, client runner.Client, exchange *digest.Exchange, m *toucanhingev1.CarryRequest) {
 	watch := exchange.Watch(m.GetRunner(), 0)
 	defer watch.Stop()
-	watchdog := time.AfterFunc(silence, func() { c.cancel(errSilent) })
+	watchdog := time.AfterFunc(eventTimeout, func() { c.cancel(errRunnerUnresponsive) })
 	defer watchdog.Stop()
 	err := c.readAnswer(ctx, client, m, exchange, func() {
-		watchdog.Reset(silence)
+		watchdog.Reset(eventTimeout)
 		watch.Heard()
 	})
 	var unsent *runner.NotSentError
@@ -77,9 +76,9 @@
 }
 
 func (c *call) readAnswer(
-	ctx context.Context, client runner.Client, m *toucanhingev1.CarryRequest, exchange *digest.Exchange, heard func(),
+	ctx context.Context, client runner.Client, m *toucanhingev1.CarryRequest, exchange *digest.Exchange, onData func(),
 ) error {
-	answer, err := client.Open(ctx, callOf(m))
+	answer, err := client.Open(ctx, newRunnerCall(m))
 	if err != nil {
 		return err
 	}
@@ -88,29 +87,29 @@
 		exchange.Observe(m.GetRunner().GetId(), answer.Held.All())
 	}
 	c.mu.Lock()
-	c.head = headOf(answer)
+	c.head = newCarryHead(answer)
 	c.mu.Unlock()
-	buffer := make([]byte, readBytes)
+	buffer := make([]byte, readBufferSize)
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
-			heard()
+			onData()
 			c.add(buffer[:n])
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("read an answer: %w", err)
+			return fmt.Errorf("read the runner's answer: %w", err)
 		}
 	}
 }
 
-// add gathers bytes of the answer.
+// add buffers bytes of the answer.
 func (c *call) add(data []byte) {
 	c.mu.Lock()
 	c.text = append(c.text, data...)
-	full := len(c.text) >= mostGathered
+	full := len(c.text) >= maxBufferedBytes
 	c.urgent = c.urgent || full
 	c.mu.Unlock()
 	if full {
@@ -118,16 +117,16 @@
 	}
 }
 
-// take returns what has become of the call, nil if there is nothing to pass on. What has
-// gathered waits for the others unless it is urgent, or all is to be passed on. A call is
-// told of at once when it was taken.
-func (c *call) take(all bool) *toucanhingev1.CarryEvent {
+// collect returns the buffered part of the call as an event, or nil if there is nothing to send. Buffered output stays
+// unless it is urgent or all is set. The first event, which reports that the call was accepted, is always
+// returned.
+func (c *call) collect(all bool) *toucanhingev1.CarryEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.taken && !c.urgent && (!all || c.head == nil && len(c.text) == 0) {
+	if c.accepted && !c.urgent && (!all || c.head == nil && len(c.text) == 0) {
 		return nil
 	}
 	event := &toucanhingev1.CarryEvent{Call: c.number, Head: c.head, Data: c.text, End: c.end}
-	c.taken, c.urgent, c.head, c.text = true, false, nil, nil
+	c.accepted, c.urgent, c.head, c.text = true, false, nil, nil
 	return event
 }
--- a/gateway/pkg/carry/server.go
+++ b/gateway/pkg/carry/server.go
@@ -1,9 +1,7 @@
-// Package carry calls runners for the leader of the core and passes the answers on
-// to it. The load that it answers: batch items hold half of the fleet when the
-// leader's VM vanishes. Runners don't notice, since no connection is reset, and go on
-// for seconds with items that nobody waits for, while online requests wait behind
-// them. A gateway that carries an item's call does notice, and closes the call's
-// connection; then the runner stops.
+// Package carry proxies calls to runners for the leader of the core. It handles the case that the leader's VM fails
+// while batch items hold half of the fleet's slots. Runners can't detect the failure, since no connection is reset: they
+// would go on for seconds with items whose results are lost, while online requests wait. A gateway that proxies an
+// item's call detects the failure and closes the call's connection, and the runner stops.
 package carry
 
 import (
@@ -28,63 +26,63 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
-// lookEvery is the interval at which silent daemons are looked for; the silence
-// that ends calls is six times as long.
-const lookEvery = 50 * time.Millisecond
+// orphanCheckInterval is the interval of checks for unresponsive daemons. The timeout that ends their calls is six
+// times as long.
+const orphanCheckInterval = 50 * time.Millisecond
 
-// Reasons for which calls are ended here.
+// Reasons for which this gateway ends calls, as metric labels.
 const (
-	reasonSilent  = "daemon-silent"
-	reasonLeaving = "leaving"
-	reasonRelease = "released"
+	reasonUnresponsive = "daemon-silent"
+	reasonDraining     = "leaving"
+	reasonReleased     = "released"
 )
 
 var (
-	errLeaving = errors.New("this gateway is leaving")
-	errGone    = errors.New("the daemon that asked is gone")
-	errRelease = errors.New("the daemon that asked wants no more")
+	errDraining           = errors.New("this gateway is shutting down")
+	errDaemonUnresponsive = errors.New("the calling daemon is unresponsive")
+	errReleased           = errors.New("the calling daemon released the call")
 )
 
-// Config describes a server.
+// Config holds the dependencies and settings of a Server.
 type Config struct {
 	Client runner.Client
-	// Exchange is told of runners that fall silent.
+	// Exchange receives the load of runners and reports of unresponsive ones.
 	Exchange *digest.Exchange
-	// Overdue says whether a daemon has kept silent for too long, or, if it never
-	// told anything, since a moment.
-	Overdue func(daemon string, since clock.Millis) bool
-	Clock   clock.Clock
-	Logger  log.Logger
-	// Registerer takes the counters.
+	// Unresponsive reports whether a daemon has sent no load digest for too long. For a daemon that never sent one, the
+	// time is counted from since.
+	Unresponsive func(daemon string, since clock.Millis) bool
+	Clock        clock.Clock
+	Logger       log.Logger
+	// Registerer registers the counters.
 	Registerer prometheus.Registerer
 }
 
-// Server carries calls.
+// Server serves sessions and proxies their calls.
 type Server struct {
 	config Config
-	// ended counts the calls that were ended here, by reason.
+	// ended counts the calls that this gateway ended early, by reason.
 	ended *prometheus.CounterVec
 
 	mu       sync.Mutex
-	leaving  bool
+	draining bool
 	sessions map[*session]bool
 }
 
 var _ toucanhingev1connect.CarryServiceHandler = (*Server)(nil)
 
-// New makes a server without calls.
+// New returns a server without sessions.
 func New(config Config) *Server {
 	return &Server{
 		config: config, sessions: map[*session]bool{},
 		ended: promauto.With(config.Registerer).NewCounterVec(prometheus.CounterOpts{
-			Name: "toucanhinge_carried_calls_ended_total", Help: "Items' calls that this gateway ended early, by reason.",
+			Name: "toucanhinge_carried_calls_ended_total", Help: "Item calls that this gateway ended early, by reason.",
 		}, []string{"reason"}),
 	}
 }
 
-// Run ends the calls of daemons that fell silent, until the context ends.
+// Run ends the calls of unresponsive daemons until the context ends.
 func (s *Server) Run(ctx context.Context) {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(orphanCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -99,60 +97,59 @@
 func (s *Server) endOrphans() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for l := range s.sessions {
+	for session := range s.sessions {
 		source := ""
-		ended := l.endIf(errGone, s.ended.WithLabelValues(reasonSilent), func(c *call) bool {
+		ended := session.cancelMatching(errDaemonUnresponsive, s.ended.WithLabelValues(reasonUnresponsive), func(c *call) bool {
 			source = c.source
-			return s.config.Overdue(c.source, c.began)
+			return s.config.Unresponsive(c.source, c.startedAt)
 		})
 		if ended > 0 {
-			level.Warn(s.config.Logger).Log(logs.KeyEvent, "carried-calls-ended", "for", source, "calls", ended, "reason", reasonSilent)
+			level.Warn(s.config.Logger).Log(logs.KeyEvent, "carried-calls-ended", "for", source, "calls", ended, "reason", reasonUnresponsive)
 		}
 	}
 }
 
-// Leave takes no more calls and ends those under way: the daemon that asked lets
-// them go on from their last event elsewhere, at once.
-func (s *Server) Leave() {
+// Drain ends all calls and makes the server reject new ones. The calling daemons resume the items elsewhere at once,
+// after their last event.
+func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
-	for l := range s.sessions {
-		l.endIf(errLeaving, s.ended.WithLabelValues(reasonLeaving), func(*call) bool { return true })
+	s.draining = true
+	for session := range s.sessions {
+		session.cancelMatching(errDraining, s.ended.WithLabelValues(reasonDraining), func(*call) bool { return true })
 	}
 }
 
-func (s *Server) isLeaving() bool {
+func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.leaving
+	return s.draining
 }
 
-func (s *Server) enter(l *session) {
+func (s *Server) addSession(session *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sessions[l] = true
+	s.sessions[session] = true
 }
 
-func (s *Server) exit(l *session) {
+func (s *Server) removeSession(session *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.sessions, l)
+	delete(s.sessions, session)
 }
 
-// Carry makes the calls that a daemon asks for, and passes their answers on, until the session
-// or the context ends.
+// Carry makes the calls that a daemon requests and sends their events, until the session or the context ends.
 func (s *Server) Carry(ctx context.Context, commands *stream) error {
-	l := newSession()
-	s.enter(l)
-	defer s.exit(l)
+	session := newSession()
+	s.addSession(session)
+	defer s.removeSession(session)
 	ctx, cancel := context.WithCancel(ctx)
-	var duties sync.WaitGroup
-	defer duties.Wait()
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
 	defer cancel()
-	duties.Go(func() {
+	tasks.Go(func() {
 		defer cancel()
-		if err := l.pass(ctx, commands); err != nil {
+		if err := session.sendEvents(ctx, commands); err != nil {
 			level.Info(s.config.Logger).Log(logs.KeyEvent, "carry-session-broken", logs.KeyError, err)
 		}
 	})
@@ -162,36 +159,36 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("take commands: %w", err)
+			return fmt.Errorf("receive commands: %w", err)
 		}
-		l.hold(time.Duration(m.GetGatherMs()) * time.Millisecond)
+		session.setFlushInterval(time.Duration(m.GetGatherMs()) * time.Millisecond)
 		for _, request := range m.GetStarts() {
-			s.begin(ctx, l, m.GetSource(), request, &duties)
+			s.startCall(ctx, session, m.GetSource(), request, &tasks)
 		}
-		released := l.end(errRelease, m.GetReleases()...)
-		s.ended.WithLabelValues(reasonRelease).Add(float64(released))
+		released := session.release(errReleased, m.GetReleases()...)
+		s.ended.WithLabelValues(reasonReleased).Add(float64(released))
 	}
 }
 
-// begin makes one call. Its context ends with the session's; ended for another reason, it still
-// passes on what it has gathered.
-func (s *Server) begin(ctx context.Context, l *session, source string, m *toucanhingev1.CarryRequest, duties *sync.WaitGroup) {
+// startCall starts one call. Its context ends with that of the session. A call that is ended for another reason
+// still sends its buffered events.
+func (s *Server) startCall(ctx context.Context, session *session, source string, m *toucanhingev1.CarryRequest, tasks *sync.WaitGroup) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	c := &call{source: source, number: m.GetCall(), began: s.config.Clock.Now(), cancel: cancel, wake: l.wake}
-	l.add(c)
-	if s.isLeaving() {
-		cancel(errLeaving)
-		c.finish(&toucanhingev1.CarryEnd{Failure: errLeaving.Error(), NotSent: true, NotTaken: true})
+	c := &call{source: source, number: m.GetCall(), startedAt: s.config.Clock.Now(), cancel: cancel, wake: session.wake}
+	session.add(c)
+	if s.isDraining() {
+		cancel(errDraining)
+		c.finish(&toucanhingev1.CarryEnd{Failure: errDraining.Error(), NotSent: true, NotTaken: true})
 		return
 	}
-	l.wake()
-	duties.Go(func() {
+	session.wake()
+	tasks.Go(func() {
 		defer cancel(nil)
-		c.read(ctx, s.config.Client, s.config.Exchange, m)
+		c.run(ctx, s.config.Client, s.config.Exchange, m)
 	})
 }
 
-func callOf(m *toucanhingev1.CarryRequest) runner.Call {
+func newRunnerCall(m *toucanhingev1.CarryRequest) runner.Call {
 	header := http.Header{}
 	for _, f := range m.GetHeaders() {
 		header.Add(f.GetName(), f.GetValue())
@@ -202,7 +199,7 @@
 	}
 }
 
-func headOf(answer *runner.Answer) *toucanhingev1.CarryHead {
+func newCarryHead(answer *runner.Answer) *toucanhingev1.CarryHead {
 	head := &toucanhingev1.CarryHead{Status: uint32(answer.Status), NotRun: answer.NotRun, Other: answer.Other}
 	if answer.Held != nil {
 		running := uint32(answer.Held.Running)
--- a/gateway/pkg/carry/server_test.go
+++ b/gateway/pkg/carry/server_test.go
@@ -26,12 +26,12 @@
 
 var errWire = errors.New("connection reset")
 
-// fixture is a server before a scripted runner.
+// fixture is a server with a scripted runner.
 type fixture struct {
-	server  *Server
-	calls   toucanhingev1connect.CarryServiceClient
-	overdue atomic.Bool
-	// ended is closed when the runner sees its call broken off.
+	server       *Server
+	client       toucanhingev1connect.CarryServiceClient
+	unresponsive atomic.Bool
+	// ended is closed when the call to the runner is cancelled.
 	ended chan struct{}
 }
 
@@ -48,8 +48,8 @@
 			context.AfterFunc(ctx, func() { close(f.ended) })
 			return open(ctx, call)
 		}},
-		Overdue: func(string, clock.Millis) bool { return f.overdue.Load() },
-		Clock:   clock.System(), Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry(),
+		Unresponsive: func(string, clock.Millis) bool { return f.unresponsive.Load() },
+		Clock:        clock.System(), Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry(),
 	})
 	mux := http.NewServeMux()
 	mux.Handle(toucanhingev1connect.NewCarryServiceHandler(f.server))
@@ -58,39 +58,39 @@
 	go func() { _ = listener.Serve() }()
 	ctx, cancel := context.WithCancel(context.Background())
 	go f.server.Run(ctx)
-	f.calls = toucanhingev1connect.NewCarryServiceClient(web.NewClient(), "http://"+listener.Address())
+	f.client = toucanhingev1connect.NewCarryServiceClient(web.NewClient(), "http://"+listener.Address())
 	t.Cleanup(func() {
 		cancel()
-		over, done := context.WithCancel(context.Background())
-		done()
-		_ = listener.Shutdown(over)
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		_ = listener.Shutdown(ctx)
 	})
 	return f
 }
 
-// carried is what came of a call.
-type carried struct {
+// callResult is the result of a proxied call.
+type callResult struct {
 	head *toucanhingev1.CarryHead
 	text string
 	end  *toucanhingev1.CarryEnd
 	err  error
 }
 
-func (f *fixture) carry(request *toucanhingev1.CarryRequest) carried {
-	c, _ := f.begin("leader", request)
+func (f *fixture) call(request *toucanhingev1.CarryRequest) callResult {
+	c, _ := f.startCall("leader", request)
 	return c()
 }
 
-// begin starts one call over a session of its own. Wait returns what came of it, release asks for
-// the end of some calls over another session.
-func (f *fixture) begin(source string, request *toucanhingev1.CarryRequest) (wait func() carried, release func(calls ...uint64)) {
+// startCall starts one call over a session of its own. wait returns its result, and release releases calls over the same
+// session.
+func (f *fixture) startCall(source string, request *toucanhingev1.CarryRequest) (wait func() callResult, release func(calls ...uint64)) {
 	ctx, cancel := context.WithCancel(context.Background())
-	session := f.calls.Carry(ctx)
-	sent := session.Send(&toucanhingev1.CarryCommands{Source: source, Starts: []*toucanhingev1.CarryRequest{request}})
-	wait = func() (c carried) {
+	session := f.client.Carry(ctx)
+	sendErr := session.Send(&toucanhingev1.CarryCommands{Source: source, Starts: []*toucanhingev1.CarryRequest{request}})
+	wait = func() (c callResult) {
 		defer cancel()
-		if sent != nil {
-			return carried{err: sent}
+		if sendErr != nil {
+			return callResult{err: sendErr}
 		}
 		for {
 			m, err := session.Receive()
@@ -112,33 +112,33 @@
 	return wait, func(calls ...uint64) { _ = session.Send(&toucanhingev1.CarryCommands{Source: source, Releases: calls}) }
 }
 
-// under lists the calls that are under way.
-func (f *fixture) under() []*call {
+// activeCalls returns the calls of all sessions.
+func (f *fixture) activeCalls() []*call {
 	f.server.mu.Lock()
 	defer f.server.mu.Unlock()
 	var calls []*call
-	for l := range f.server.sessions {
-		l.mu.Lock()
-		for _, c := range l.calls {
+	for session := range f.server.sessions {
+		session.mu.Lock()
+		for _, c := range session.calls {
 			calls = append(calls, c)
 		}
-		l.mu.Unlock()
+		session.mu.Unlock()
 	}
 	return calls
 }
 
-func answerOf(body io.Reader) *runner.Answer {
+func newAnswer(body io.Reader) *runner.Answer {
 	return &runner.Answer{Status: http.StatusOK, Held: &runner.Held{Running: 3, Waiting: 1}, Body: io.NopCloser(body)}
 }
 
-func TestACallIsPassedOnAsItIs(t *testing.T) {
+func TestCallIsProxiedUnchanged(t *testing.T) {
 	var got runner.Call
 	f := start(t, func(_ context.Context, call runner.Call) (*runner.Answer, error) {
 		got = call
-		return answerOf(strings.NewReader("id: 8\ndata: x\n\n")), nil
+		return newAnswer(strings.NewReader("id: 8\ndata: x\n\n")), nil
 	})
 	after := uint64(7)
-	c := f.carry(&toucanhingev1.CarryRequest{
+	c := f.call(&toucanhingev1.CarryRequest{
 		Runner: &toucanhingev1.Runner{Id: "r"}, Request: "q", Method: http.MethodPost, Target: "/a?b", Host: "h",
 		Headers: []*toucanhingev1.HeaderField{{Name: "X-Model", Value: "m"}}, Body: []byte("body"), After: &after, Team: "a",
 	})
@@ -155,9 +155,9 @@
 	require.Empty(t, c.end.GetFailure())
 }
 
-// Whatever a runner does, the one that asked learns whether its request may have run,
-// and takes no cut answer for a whole one.
-func TestFaultsOfRunners(t *testing.T) {
+// After each kind of runner fault, the calling daemon must learn whether its request may have run, and an incomplete
+// answer must not look complete.
+func TestRunnerFaultsAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		answer  *runner.Answer
@@ -166,11 +166,11 @@
 	}{
 		{"unreachable", nil, &runner.NotSentError{Runner: "r", Err: errWire}, true},
 		{"broken before the head", nil, &runner.BrokenError{Runner: "r", Err: errWire}, false},
-		{"broken in the body", answerOf(io.MultiReader(strings.NewReader("id"), failing{})), nil, false},
+		{"broken in the body", newAnswer(io.MultiReader(strings.NewReader("id"), failingReader{})), nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := start(t, func(context.Context, runner.Call) (*runner.Answer, error) { return c.answer, c.err })
-			got := f.carry(&toucanhingev1.CarryRequest{Call: 1})
+			got := f.call(&toucanhingev1.CarryRequest{Call: 1})
 			require.NoError(t, got.err)
 			require.NotEmpty(t, got.end.GetFailure())
 			require.Equal(t, c.notSent, got.end.GetNotSent())
@@ -178,135 +178,134 @@
 	}
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, errWire }
+func (failingReader) Read([]byte) (int, error) { return 0, errWire }
 
-// hanging is a runner that goes on for ever, and notices when its connection closes.
-func hanging(ctx context.Context, _ runner.Call) (*runner.Answer, error) {
+// hangingRunner answers with a body that blocks until its context ends.
+func hangingRunner(ctx context.Context, _ runner.Call) (*runner.Answer, error) {
 	source, sink := io.Pipe()
 	context.AfterFunc(ctx, func() { _ = sink.CloseWithError(ctx.Err()) })
-	return answerOf(source), nil
+	return newAnswer(source), nil
 }
 
-// The leader's VM loses power while a gateway carries its item. The connection stays
-// open and nothing comes on it, as on a quiet day; only the digests are missing. The
-// gateway closes the call's connection, so that the runner's place is free.
-func TestTheCallOfASilentDaemonIsEnded(t *testing.T) {
-	f := start(t, hanging)
-	go f.carry(&toucanhingev1.CarryRequest{Call: 1})
+// The leader's VM loses power while a gateway proxies a call for it. The session's connection stays open and idle, and
+// only the load digests are missing. The gateway must close the connection of the call, so that the runner's slot
+// becomes free.
+func TestCallOfUnresponsiveDaemonIsEnded(t *testing.T) {
+	f := start(t, hangingRunner)
+	go f.call(&toucanhingev1.CarryRequest{Call: 1})
 	select {
 	case <-f.ended:
-		t.Fatal("ended while the leader is there")
-	case <-time.After(5 * lookEvery):
+		t.Fatal("the call ended although the leader is alive")
+	case <-time.After(5 * orphanCheckInterval):
 	}
-	f.overdue.Store(true)
+	f.unresponsive.Store(true)
 	select {
 	case <-f.ended:
 	case <-time.After(time.Second):
-		t.Fatal("the runner goes on")
+		t.Fatal("the call to the runner didn't end")
 	}
-	require.InDelta(t, 1, testutil.ToFloat64(f.server.ended.WithLabelValues(reasonSilent)), 0)
+	require.InDelta(t, 1, testutil.ToFloat64(f.server.ended.WithLabelValues(reasonUnresponsive)), 0)
 }
 
-// The gateway is stopped. The leader learns at once that its item must go on
-// elsewhere, and no new call is taken.
-func TestALeavingGatewayHandsItsCallsBack(t *testing.T) {
-	f := start(t, hanging)
-	ended := make(chan carried, 1)
-	go func() { ended <- f.carry(&toucanhingev1.CarryRequest{Call: 1}) }()
-	require.Eventually(t, func() bool { return len(f.under()) == 1 }, time.Second, time.Millisecond)
-	f.server.Leave()
+// The gateway shuts down. The leader must learn at once that the call has ended, so that its item resumes
+// elsewhere, and new calls must be rejected.
+func TestDrainEndsAndRejectsCalls(t *testing.T) {
+	f := start(t, hangingRunner)
+	ended := make(chan callResult, 1)
+	go func() { ended <- f.call(&toucanhingev1.CarryRequest{Call: 1}) }()
+	require.Eventually(t, func() bool { return len(f.activeCalls()) == 1 }, time.Second, time.Millisecond)
+	f.server.Drain()
 	select {
 	case c := <-ended:
 		require.NotEmpty(t, c.end.GetFailure())
 	case <-time.After(time.Second):
-		t.Fatal("the call goes on")
+		t.Fatal("the call didn't end")
 	}
-	c := f.carry(&toucanhingev1.CarryRequest{Call: 1})
+	c := f.call(&toucanhingev1.CarryRequest{Call: 1})
 	require.True(t, c.end.GetNotTaken())
 	require.True(t, c.end.GetNotSent())
 }
 
-// An item gives way while its gateway holds back half a second of its events. The runner's
-// place is free at once, and the events still reach the one that asked: made again, they
-// would cost a tenth of the fleet's time in bursts.
-func TestAReleasedCallPassesOnWhatItHolds(t *testing.T) {
+// An item is preempted while its gateway buffers half a second of its events. The runner's slot must become free at
+// once, and the events must still reach the calling daemon: making them again would take a tenth of the fleet's
+// time in bursts.
+func TestReleasedCallSendsBufferedEvents(t *testing.T) {
 	f := start(t, func(ctx context.Context, _ runner.Call) (*runner.Answer, error) {
 		source, sink := io.Pipe()
 		context.AfterFunc(ctx, func() { _ = sink.CloseWithError(ctx.Err()) })
-		// After the head has gone out.
+		// The delay lets the head be sent first.
 		time.AfterFunc(20*time.Millisecond, func() { _, _ = sink.Write([]byte("id: 1\ndata: x\n\n")) })
-		return answerOf(source), nil
+		return newAnswer(source), nil
 	})
-	wait, release := f.begin("leader", &toucanhingev1.CarryRequest{Call: 7})
-	ended := make(chan carried, 1)
+	wait, release := f.startCall("leader", &toucanhingev1.CarryRequest{Call: 7})
+	ended := make(chan callResult, 1)
 	go func() { ended <- wait() }()
 	require.Eventually(t, func() bool {
-		for _, c := range f.under() {
+		for _, c := range f.activeCalls() {
 			c.mu.Lock()
-			held := len(c.text) > 0
+			buffered := len(c.text) > 0
 			c.mu.Unlock()
-			return held
+			return buffered
 		}
 		return false
 	}, time.Second, time.Millisecond)
 	release(8)
 	select {
 	case <-f.ended:
-		t.Fatal("ended for another call's sake")
+		t.Fatal("the release of another call ended this one")
 	case <-time.After(50 * time.Millisecond):
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	release(7)
 	<-f.ended
 	c := <-ended
-	require.Less(t, time.Since(began), firstGather)
+	require.Less(t, time.Since(startedAt), defaultFlushInterval)
 	require.Equal(t, "id: 1\ndata: x\n\n", c.text)
 	require.NotEmpty(t, c.end.GetFailure())
 }
 
-// The leader's process is killed: its session is reset. The runners of all calls over it must
-// stop.
-func TestTheEndOfASessionEndsItsCalls(t *testing.T) {
-	f := start(t, hanging)
+// The leader's process is killed, which resets its session. All calls of the session must end.
+func TestClosedSessionEndsItsCalls(t *testing.T) {
+	f := start(t, hangingRunner)
 	ctx, cancel := context.WithCancel(context.Background())
-	session := f.calls.Carry(ctx)
+	session := f.client.Carry(ctx)
 	require.NoError(t, session.Send(&toucanhingev1.CarryCommands{Source: "leader", Starts: []*toucanhingev1.CarryRequest{{Call: 1}}}))
-	require.Eventually(t, func() bool { return len(f.under()) == 1 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(f.activeCalls()) == 1 }, time.Second, time.Millisecond)
 	cancel()
 	select {
 	case <-f.ended:
 	case <-time.After(time.Second):
-		t.Fatal("the runner goes on")
+		t.Fatal("the call to the runner didn't end")
 	}
 }
 
-// A runner goes dark under an item. The one that asked hears of it after a second, and all
-// daemons sooner, so that nobody sends more work there.
-func TestASilentRunnerIsTold(t *testing.T) {
-	f := start(t, hanging)
-	began := time.Now()
-	ended := make(chan carried, 1)
+// A runner loses power during a call. The calling daemon must get an error after a second, and the digest exchange
+// must mark the runner as unresponsive sooner, so that no daemon sends more requests to it.
+func TestUnresponsiveRunnerIsReported(t *testing.T) {
+	f := start(t, hangingRunner)
+	startedAt := time.Now()
+	ended := make(chan callResult, 1)
 	go func() {
-		ended <- f.carry(&toucanhingev1.CarryRequest{Runner: &toucanhingev1.Runner{Id: "r", Slots: 8}})
+		ended <- f.call(&toucanhingev1.CarryRequest{Runner: &toucanhingev1.Runner{Id: "r", Slots: 8}})
 	}()
 	require.Eventually(t, func() bool {
-		silent := false
-		f.server.config.Exchange.View(func(table *occupancy.Table) { silent = table.Silent(clock.System().Now(), "r") })
-		return silent
-	}, silence/2, time.Millisecond)
+		unresponsive := false
+		f.server.config.Exchange.View(func(table *occupancy.Table) { unresponsive = table.Silent(clock.System().Now(), "r") })
+		return unresponsive
+	}, eventTimeout/2, time.Millisecond)
 	c := <-ended
-	require.Contains(t, c.end.GetFailure(), errSilent.Error())
-	require.InDelta(t, silence.Seconds(), time.Since(began).Seconds(), 0.4)
+	require.Contains(t, c.end.GetFailure(), errRunnerUnresponsive.Error())
+	require.InDelta(t, eventTimeout.Seconds(), time.Since(startedAt).Seconds(), 0.4)
 }
 
-// The leader isn't busy, and asks for events soon: what a gateway holds back when it ends, or
-// when the leader does, is made again.
-func TestEventsAreHeldBackAsLongAsTheLeaderSays(t *testing.T) {
+// An idle leader requests a short flush interval, since buffered events are lost if the gateway or the leader fails.
+// The gateway must send events within that interval.
+func TestEventsAreFlushedAtRequestedInterval(t *testing.T) {
 	source, out := io.Pipe()
-	f := start(t, func(context.Context, runner.Call) (*runner.Answer, error) { return answerOf(source), nil })
-	stream := f.calls.Carry(t.Context())
+	f := start(t, func(context.Context, runner.Call) (*runner.Answer, error) { return newAnswer(source), nil })
+	stream := f.client.Carry(t.Context())
 	require.NoError(t, stream.Send(&toucanhingev1.CarryCommands{
 		Source: "leader", GatherMs: 20, Starts: []*toucanhingev1.CarryRequest{{Call: 1, Runner: &toucanhingev1.Runner{Id: "r"}}},
 	}))
@@ -322,12 +321,12 @@
 		}
 	}
 	for n := range 5 {
-		began := time.Now()
+		startedAt := time.Now()
 		_, err := io.WriteString(out, "event\n\n")
 		require.NoError(t, err)
 		require.Equal(t, "event\n\n", receive())
 		if n > 0 {
-			require.Less(t, time.Since(began), firstGather/2)
+			require.Less(t, time.Since(startedAt), defaultFlushInterval/2)
 		}
 	}
 	require.NoError(t, out.Close())
--- a/gateway/pkg/carry/session.go
+++ b/gateway/pkg/carry/session.go
@@ -13,54 +13,54 @@
 )
 
 const (
-	// firstGather is how long events wait for others until the daemon that asked says so. Nobody
-	// waits for single events of an item, and each message costs both ends some 50 us of
-	// processor time; what is gathered is lost with the VM of either.
-	firstGather = 500 * time.Millisecond
-	// settle is how long what is urgent waits for others of its kind: when a burst begins,
-	// all items here give way within some milliseconds.
-	settle = 3 * time.Millisecond
+	// defaultFlushInterval is how long events are buffered until the calling daemon requests another interval. No
+	// caller waits for single events of an item, and each message costs both ends some 50 us of CPU time. Buffered
+	// events are lost if the VM of either end fails.
+	defaultFlushInterval = 500 * time.Millisecond
+	// urgentDelay is how long urgent events wait for others: when a burst begins, all items of this gateway are
+	// preempted within some milliseconds.
+	urgentDelay = 3 * time.Millisecond
 )
 
 type stream = connect.BidiStream[toucanhingev1.CarryCommands, toucanhingev1.CarryEvents]
 
-// session is one daemon's session to this gateway, with the calls that it asked for.
+// session is a daemon's session with this gateway and the calls that it requested.
 type session struct {
-	// news has room for one: there is something to pass on soon.
-	news chan struct{}
+	// urgent signals that there are urgent events to send. It has capacity one.
+	urgent chan struct{}
 
-	// gathers has room for one: events are to be held back for another span.
-	gathers chan time.Duration
+	// intervals holds a new flush interval. It has capacity one.
+	intervals chan time.Duration
 
 	mu    sync.Mutex
 	calls map[uint64]*call
-	// gather is how long events are held back now.
-	gather time.Duration
+	// flushInterval is how long events are buffered.
+	flushInterval time.Duration
 }
 
 func newSession() *session {
-	return &session{news: make(chan struct{}, 1), gathers: make(chan time.Duration, 1), calls: map[uint64]*call{}, gather: firstGather}
+	return &session{urgent: make(chan struct{}, 1), intervals: make(chan time.Duration, 1), calls: map[uint64]*call{}, flushInterval: defaultFlushInterval}
 }
 
-// hold takes up how long events may be held back from now on; 0 leaves it as it is.
-func (s *session) hold(span time.Duration) {
+// setFlushInterval sets how long events are buffered. A zero interval leaves it unchanged.
+func (s *session) setFlushInterval(interval time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if span == 0 || span == s.gather {
+	if interval == 0 || interval == s.flushInterval {
 		return
 	}
-	s.gather = span
-	// What wasn't taken up yet is overtaken.
+	s.flushInterval = interval
+	// The new interval replaces one that wasn't applied yet.
 	select {
-	case <-s.gathers:
+	case <-s.intervals:
 	default:
 	}
-	s.gathers <- span
+	s.intervals <- interval
 }
 
 func (s *session) wake() {
 	select {
-	case s.news <- struct{}{}:
+	case s.urgent <- struct{}{}:
 	default:
 	}
 }
@@ -71,8 +71,8 @@
 	s.calls[c.number] = c
 }
 
-// end ends calls early.
-func (s *session) end(cause error, numbers ...uint64) (ended int) {
+// release ends the given calls early.
+func (s *session) release(cause error, numbers ...uint64) (ended int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, number := range numbers {
@@ -84,17 +84,18 @@
 	return ended
 }
 
-// endIf ends the calls for which a test holds, and counts each once.
-func (s *session) endIf(cause error, count prometheus.Counter, test func(c *call) bool) (ended int) {
+// cancelMatching ends the calls that match a predicate, and counts each call once.
+func (s *session) cancelMatching(cause error, count prometheus.Counter, match func(c *call) bool) (ended int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.calls {
-		// A call that was ended stays listed until its end is passed on.
-		if c.ended || !test(c) {
+		// An ended call stays in the map until its end was sent.
+		if c.ended || !match(c) {
 			continue
 		}
 		c.ended = true
-		// Counted first: whoever sees the runner's connection closed finds it in the metrics.
+		// The counter is increased first, so that the metrics include the call once the runner sees its connection
+		// closed.
 		count.Inc()
 		c.cancel(cause)
 		ended++
@@ -102,14 +103,13 @@
 	return ended
 }
 
-// take lists what has become of the calls, and how many are under way. Calls that have
-// ended are forgotten.
-func (s *session) take(all bool) (events []*toucanhingev1.CarryEvent, calls int) {
+// collect returns the events to send and the number of calls. It removes ended calls.
+func (s *session) collect(all bool) (events []*toucanhingev1.CarryEvent, calls int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	calls = len(s.calls)
 	for number, c := range s.calls {
-		event := c.take(all)
+		event := c.collect(all)
 		if event == nil {
 			continue
 		}
@@ -121,31 +121,30 @@
 	return events, calls
 }
 
-// pass passes on what becomes of the calls, until the context ends. An empty message goes
-// out when nothing has become of calls under way for some time: it says that this gateway is
-// there.
-func (s *session) pass(ctx context.Context, out *stream) error {
-	ticker := time.NewTicker(firstGather)
+// sendEvents sends the events of calls until the context ends. If there are calls without events, it sends empty
+// messages as keepalives.
+func (s *session) sendEvents(ctx context.Context, out *stream) error {
+	ticker := time.NewTicker(defaultFlushInterval)
 	defer ticker.Stop()
 	for {
 		all := false
 		select {
 		case <-ctx.Done():
 			return nil
-		case span := <-s.gathers:
-			ticker.Reset(span)
+		case interval := <-s.intervals:
+			ticker.Reset(interval)
 			continue
-		case <-s.news:
-			time.Sleep(settle)
+		case <-s.urgent:
+			time.Sleep(urgentDelay)
 		case <-ticker.C:
 			all = true
 		}
-		events, calls := s.take(all)
+		events, calls := s.collect(all)
 		if len(events) == 0 && (!all || calls == 0) {
 			continue
 		}
 		if err := out.Send(&toucanhingev1.CarryEvents{Events: events}); err != nil {
-			return fmt.Errorf("pass answers on: %w", err)
+			return fmt.Errorf("send call events: %w", err)
 		}
 	}
 }
