--- a/gateway/pkg/forward/choose.go
+++ b/gateway/pkg/forward/choose.go
@@ -36,12 +36,12 @@
 
 // look chooses a runner as things are now.
 func (e *exchange) look() (place.Choice, admission.Ask, bool) {
-	choice, found := e.server.choose(place.Ask{Service: e.service, Tried: e.tried})
+	choice, found := e.server.choose(place.Request{Service: e.service, Tried: e.tried})
 	e.wait = choice.Wait
 	hold, crowded := e.server.conditions(e.service, e.entry.Team.GetName())
 	return choice, admission.Ask{
 		Arrived: e.request.Arrived, Ends: e.ends, Objective: e.route.Objective(), Returned: e.returned,
-		Expected: choice.Wait, Turn: choice.Turn, Places: int(choice.Runner.GetSlots()), Hold: hold,
+		Expected: choice.Wait, Turn: choice.QueuePosition, Places: int(choice.Runner.GetSlots()), Hold: hold,
 		Gap: clock.Millis(e.route.GapObjectiveMs), Crowded: crowded && !e.inRoom, Ran: e.ran > 0,
 	}, found
 }
--- a/gateway/pkg/forward/server.go
+++ b/gateway/pkg/forward/server.go
@@ -208,8 +208,8 @@
 }
 
 // choose takes a place for a call.
-func (s *Server) choose(ask place.Ask) (place.Choice, bool) {
-	ask.Tie, ask.Draw, ask.Age = rand.Float64(), rand.Float64(), s.config.Exchange.Age()
+func (s *Server) choose(ask place.Request) (place.Choice, bool) {
+	ask.TieBreak, ask.Draw, ask.Age = rand.Float64(), rand.Float64(), s.config.Exchange.Age()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var choice place.Choice
@@ -217,7 +217,7 @@
 	s.config.Exchange.View(func(t *occupancy.Table) {
 		now := s.config.Clock.Now()
 		s.loads.Refresh(now, s.runners, t)
-		choice, ok = s.places.Choose(now, ask, s.loads.At)
+		choice, ok = s.places.Select(now, ask, s.loads.At)
 	})
 	return choice, ok
 }
@@ -226,7 +226,7 @@
 func loadAt(now clock.Millis, id string, t *occupancy.Table) place.Load {
 	l := t.Load(id)
 	return place.Load{
-		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Silent: t.Silent(now, id),
+		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Silent(now, id),
 	}
 }
 
@@ -235,8 +235,8 @@
 func (s *Server) conditions(service, team string) (hold clock.Millis, crowded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	places := s.places.Places(s.config.Clock.Now(), service)
-	return clock.Millis(s.places.Hold(service)), s.room.Full(places, s.gateways, team)
+	places := s.places.Slots(s.config.Clock.Now(), service)
+	return clock.Millis(s.places.MeanHold(service)), s.room.Full(places, s.gateways, team)
 }
 
 // LoadChanged tells that places may have become free somewhere.
--- a/gateway/pkg/place/candidates.go
+++ b/gateway/pkg/place/candidates.go
@@ -8,100 +8,101 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// offer is one place at a runner, or one turn in its queue.
-type offer struct {
-	runner *toucanhingev1.Runner
-	turn   int
-	wait   float64
-	cost   float64
-	// order is the offer's number among all; of equal ones the first is taken.
+// candidate is a free slot of a runner, or a position in its queue.
+type candidate struct {
+	runner   *toucanhingev1.Runner
+	position int
+	wait     float64
+	cost     float64
+	// order is the number of the candidate. It breaks ties between equal costs.
 	order int
 }
 
-func (o offer) before(other offer) bool {
-	if o.cost != other.cost {
-		return o.cost < other.cost
+func (c candidate) before(other candidate) bool {
+	if c.cost != other.cost {
+		return c.cost < other.cost
 	}
-	return o.order < other.order
+	return c.order < other.order
 }
 
-// best keeps the best offers, with the last of them on top of a heap: a request looks at all
-// runners, and with hundreds of them to put all their places in order took longer than a small
-// VM has between two requests of a burst.
-type best struct {
-	list []offer
-	most int
+// topCandidates is a heap of the best candidates with the worst of them on top. Each request considers all
+// runners: with hundreds of them, sorting all their slots took a small VM longer than the time between two requests
+// of a burst.
+type topCandidates struct {
+	list  []candidate
+	limit int
 }
 
 // Len implements heap.Interface.
-func (b *best) Len() int { return len(b.list) }
+func (t *topCandidates) Len() int { return len(t.list) }
 
 // Less implements heap.Interface.
-func (b *best) Less(i, j int) bool { return b.list[j].before(b.list[i]) }
+func (t *topCandidates) Less(i, j int) bool { return t.list[j].before(t.list[i]) }
 
 // Swap implements heap.Interface.
-func (b *best) Swap(i, j int) { b.list[i], b.list[j] = b.list[j], b.list[i] }
+func (t *topCandidates) Swap(i, j int) { t.list[i], t.list[j] = t.list[j], t.list[i] }
 
 // Push implements heap.Interface.
-func (b *best) Push(x any) {
-	if o, ok := x.(offer); ok {
-		b.list = append(b.list, o)
+func (t *topCandidates) Push(x any) {
+	if c, ok := x.(candidate); ok {
+		t.list = append(t.list, c)
 	}
 }
 
 // Pop implements heap.Interface.
-func (b *best) Pop() any {
-	last := len(b.list) - 1
-	o := b.list[last]
-	b.list = b.list[:last]
-	return o
+func (t *topCandidates) Pop() any {
+	last := len(t.list) - 1
+	c := t.list[last]
+	t.list = t.list[:last]
+	return c
 }
 
-// take takes an offer in if it is among the best, and says whether it is.
-func (b *best) take(o offer) bool {
-	if len(b.list) < b.most {
-		b.list = append(b.list, o)
-		if len(b.list) == b.most {
-			heap.Init(b)
+// add adds a candidate if it is among the best, and reports whether it is.
+func (t *topCandidates) add(c candidate) bool {
+	if len(t.list) < t.limit {
+		t.list = append(t.list, c)
+		if len(t.list) == t.limit {
+			heap.Init(t)
 		}
 		return true
 	}
-	if !o.before(b.list[0]) {
+	if !c.before(t.list[0]) {
 		return false
 	}
-	b.list[0] = o
-	heap.Fix(b, 0)
+	t.list[0] = c
+	heap.Fix(t, 0)
 	return true
 }
 
-// offers lists the best places, as many as requests are being placed at this moment.
-func (m *Machine) offers(now clock.Millis, able []*toucanhingev1.Runner, ask Ask, hold float64, load func(runner string) Load) []offer {
-	loads := make([]Load, len(able))
+// candidates returns the best candidates in order. Their number grows with the number of requests that other gateways
+// have probably placed without being visible here yet.
+func (m *Machine) candidates(now clock.Millis, runners []*toucanhingev1.Runner, req Request, hold float64, load func(runner string) Load) []candidate {
+	loads := make([]Load, len(runners))
 	others := 0
-	for i, r := range able {
+	for i, r := range runners {
 		loads[i] = load(r.GetId())
 		others += loads[i].Online - loads[i].Own
 	}
-	// As many requests arrive in a span as are under way, each for a hold.
-	wanted := 1 + int(spread*float64(others)*float64(ask.Age)/hold+0.5)
-	offset := int(ask.Tie * float64(len(able)))
-	each := min(wanted, mostOffers)
-	top := best{most: wanted, list: make([]offer, 0, min(wanted, len(able)*each))}
-	for i := range able {
-		at := (i + offset) % len(able)
-		r, l := able[at], loads[at]
-		fixed := m.fixed(now, r, l)
-		for n := range each {
-			turn := turnAt(r, l)
-			wait := float64(turn) * hold / float64(r.GetSlots())
-			if !top.take(offer{runner: r, turn: turn, wait: wait, cost: wait + fixed + crowd(r, l), order: i*each + n}) {
-				// The further places of a runner are no better.
+	// By Little's law, others/hold requests arrive per unit of time.
+	limit := 1 + int(spreadFactor*float64(others)*float64(req.Age)/hold+0.5)
+	offset := int(req.TieBreak * float64(len(runners)))
+	perRunner := min(limit, maxCandidatesPerRunner)
+	top := topCandidates{limit: limit, list: make([]candidate, 0, min(limit, len(runners)*perRunner))}
+	for i := range runners {
+		at := (i + offset) % len(runners)
+		r, l := runners[at], loads[at]
+		fixed := m.fixedCost(now, r, l)
+		for n := range perRunner {
+			position := queuePosition(r, l)
+			wait := float64(position) * hold / float64(r.GetSlots())
+			if !top.add(candidate{runner: r, position: position, wait: wait, cost: wait + fixed + loadCost(r, l), order: i*perRunner + n}) {
+				// Further candidates of the same runner cost at least as much.
 				break
 			}
 			l.Online++
 		}
 	}
-	slices.SortFunc(top.list, func(a, b offer) int {
+	slices.SortFunc(top.list, func(a, b candidate) int {
 		if a.before(b) {
 			return -1
 		}
--- a/gateway/pkg/place/candidates_test.go
+++ b/gateway/pkg/place/candidates_test.go
@@ -13,31 +13,31 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// sortedOffers puts all places of all runners in order, and takes the first.
-func sortedOffers(m *Machine, able []*toucanhingev1.Runner, ask Ask, hold float64, load func(string) Load) []offer {
+// sortedCandidates computes the result of Machine.candidates by sorting all candidates of all runners.
+func sortedCandidates(m *Machine, runners []*toucanhingev1.Runner, req Request, hold float64, load func(string) Load) []candidate {
 	others := 0
-	for _, r := range able {
+	for _, r := range runners {
 		others += load(r.GetId()).Online - load(r.GetId()).Own
 	}
-	wanted := 1 + int(spread*float64(others)*float64(ask.Age)/hold+0.5)
-	offset := int(ask.Tie * float64(len(able)))
-	var list []offer
-	for i := range able {
-		r := able[(i+offset)%len(able)]
+	limit := 1 + int(spreadFactor*float64(others)*float64(req.Age)/hold+0.5)
+	offset := int(req.TieBreak * float64(len(runners)))
+	var list []candidate
+	for i := range runners {
+		r := runners[(i+offset)%len(runners)]
 		l := load(r.GetId())
-		for range min(wanted, mostOffers) {
-			turn := turnAt(r, l)
-			wait := float64(turn) * hold / float64(r.GetSlots())
-			list = append(list, offer{runner: r, turn: turn, wait: wait, cost: wait + m.fixed(0, r, l) + crowd(r, l), order: len(list)})
+		for range min(limit, maxCandidatesPerRunner) {
+			position := queuePosition(r, l)
+			wait := float64(position) * hold / float64(r.GetSlots())
+			list = append(list, candidate{runner: r, position: position, wait: wait, cost: wait + m.fixedCost(0, r, l) + loadCost(r, l), order: len(list)})
 			l.Online++
 		}
 	}
-	slices.SortStableFunc(list, func(a, b offer) int { return cmp.Compare(a.cost, b.cost) })
-	return list[:min(wanted, len(list))]
+	slices.SortStableFunc(list, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
+	return list[:min(limit, len(list))]
 }
 
-// The best places are the same ones as if all were put in order.
-func TestRapidTheBestPlacesAreFound(t *testing.T) {
+// The heap must return the same candidates as sorting all of them.
+func TestRapidCandidatesMatchSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var runners []*toucanhingev1.Runner
 		loads := map[string]Load{}
@@ -47,11 +47,11 @@
 			own := rapid.IntRange(0, 2).Draw(t, "own")
 			loads[r.Id] = Load{
 				Own: own, Online: own + rapid.IntRange(0, 9).Draw(t, "online"), Batch: rapid.IntRange(0, 3).Draw(t, "batch"),
-				Foreign: rapid.IntRange(0, 1).Draw(t, "foreign"), Silent: rapid.Bool().Draw(t, "silent"),
+				Foreign: rapid.IntRange(0, 1).Draw(t, "foreign"), Unresponsive: rapid.Bool().Draw(t, "silent"),
 			}
 		}
-		m := machineOf(runners...)
-		ask := Ask{Service: "llm", Tie: rapid.Float64Range(0, 0.99).Draw(t, "tie"), Age: clock.Millis(rapid.IntRange(0, 400).Draw(t, "age"))}
-		require.Equal(t, sortedOffers(m, runners, ask, firstHold, from(loads)), m.offers(0, runners, ask, firstHold, from(loads)))
+		m := newMachine(runners...)
+		req := Request{Service: "llm", TieBreak: rapid.Float64Range(0, 0.99).Draw(t, "tie"), Age: clock.Millis(rapid.IntRange(0, 400).Draw(t, "age"))}
+		require.Equal(t, sortedCandidates(m, runners, req, initialHold, loadsFrom(loads)), m.candidates(0, runners, req, initialHold, loadsFrom(loads)))
 	})
 }
--- a/gateway/pkg/place/machine.go
+++ b/gateway/pkg/place/machine.go
@@ -1,9 +1,7 @@
-// Package place chooses the runner for an online request. The load that it
-// answers: bursts that need nearly every place of the fleet for some seconds,
-// sent through many gateways at once, while batch items hold the places that
-// were free. So it counts what all daemons have under way, not what runners
-// reported; takes a free place before one that an item must give back; and
-// knows when no place will be free in time. It holds no goroutine, socket or
+// Package place selects the runner for an online request. It is designed for bursts that need nearly every slot of
+// the fleet for some seconds and arrive through many gateways at once, while batch items hold the slots that were
+// free. It therefore counts the calls of all daemons instead of relying on reports of runners, prefers a free slot to
+// one that an item must yield, and estimates the wait for a slot if none is free. It uses no goroutine, socket or
 // clock.
 package place
 
@@ -14,201 +12,200 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Costs of a choice in milliseconds until the first event, estimated.
+// Costs are estimates of the milliseconds until the first event. Other constants tune the estimates.
 const (
-	// yieldCost is what it takes for an item to give its place back: the digest
-	// travels 1 to 6 ms, closing the item's call another one.
+	// yieldCost is the time until an item yields its slot: the load digest takes 1 to 6 ms, and closing the
+	// item's call takes another millisecond.
 	yieldCost = 6.0
-	// farCost is two ways between data centres, and the price of the bytes.
-	farCost = 3.0
-	// fullCost is how much slower a full runner is than an empty one.
-	fullCost = 1.0
-	// leastHold is the least time that a request is taken to hold its place.
-	leastHold = 50.0
-	// holdWeight is the weight of the newest request in the mean.
+	// remoteCost is a round trip between data centres and the cost of the traffic.
+	remoteCost = 3.0
+	// fullRunnerCost is how much slower a full runner is than an empty one.
+	fullRunnerCost = 1.0
+	// minHold is the lower bound of the mean time for which a request holds its slot.
+	minHold = 50.0
+	// holdWeight is the weight of the newest request in the moving average.
 	holdWeight = 0.05
-	// firstHold is taken until requests have been measured.
-	firstHold = 700.0
-	// spread is how many places are drawn from for each request that is probably being
-	// placed unseen. What ends isn't seen either, and drawing isn't dealing out: with one
-	// for one two requests often meet.
-	spread = 3
-	// mostOffers bounds the places of one runner that are weighed.
-	mostOffers = 4
-	// doubtCost is added to a runner that has just failed a call.
-	doubtCost = 100.0
+	// initialHold is the mean before any request was measured.
+	initialHold = 700.0
+	// spreadFactor is the number of candidates for each request that other gateways have probably placed without being
+	// visible here yet. Ended requests aren't visible either, and gateways draw independently, so with a
+	// factor of one two requests often get the same slot.
+	spreadFactor = 3
+	// maxCandidatesPerRunner limits the candidates of one runner.
+	maxCandidatesPerRunner = 4
+	// deprioritizedCost is added for a runner that has recently failed a call.
+	deprioritizedCost = 100.0
 )
 
-// Load is what all daemons have under way at a runner.
+// Load is the load that all daemons have on a runner.
 type Load struct {
 	Online int
 	// Own is the part of Online that this gateway sent.
 	Own   int
 	Batch int
-	// Foreign work is nobody's here, so nobody can make it give way.
+	// Foreign is the number of calls that no daemon of this system made, so none of them can be preempted.
 	Foreign int
-	// Silent says that a daemon with calls there has heard nothing for too long.
-	Silent bool
+	// Unresponsive reports whether a daemon with calls on the runner has received nothing from it for too long.
+	Unresponsive bool
 }
 
-// Ask describes a request that needs a runner.
-type Ask struct {
+// Request describes a request that needs a runner.
+type Request struct {
 	Service string
-	// Tried runners are taken only if there is no other.
+	// Tried lists runners that are selected only if there is no other.
 	Tried []string
-	// Tie is from 0 to below 1, and spreads equal choices over the gateways.
-	Tie float64
-	// Draw is from 0 to below 1, and spreads requests that other gateways place at the
-	// same time.
+	// TieBreak is a random number in [0, 1) that spreads requests over equal runners.
+	TieBreak float64
+	// Draw is a random number in [0, 1) that selects among the best candidates, so that gateways which place
+	// requests at the same time select different slots.
 	Draw float64
-	// Age is how old the picture of what other gateways have under way is, a span.
+	// Age is the age of the known load of other gateways.
 	Age clock.Millis
 }
 
-// Choice is a runner, and how long the request will probably wait there for a
-// place.
+// Choice is the selected runner with the expected wait for a slot.
 type Choice struct {
 	Runner *toucanhingev1.Runner
-	// Wait is the expected span.
+	// Wait is the expected time until the request gets a slot.
 	Wait clock.Millis
-	// Turn is how many of the requests that hold a place there must end before this one
-	// begins, 0 if a place is free.
-	Turn int
+	// QueuePosition is the number of requests on the runner that must end before this one starts, or 0 if a slot
+	// is free.
+	QueuePosition int
 }
 
-// Config describes a machine.
+// Config holds the settings of a Machine.
 type Config struct {
-	// DataCentre is the gateway's own.
+	// DataCentre is the data centre of the gateway.
 	DataCentre string
 }
 
-// Machine keeps what this gateway has learnt of the runners.
+// Machine holds the known runners and what this gateway has observed of them.
 type Machine struct {
-	config  Config
-	runners []*toucanhingev1.Runner
-	blocked map[string]clock.Millis
-	doubted map[string]clock.Millis
-	hold    map[string]float64
+	config        Config
+	runners       []*toucanhingev1.Runner
+	blocked       map[string]clock.Millis
+	deprioritized map[string]clock.Millis
+	hold          map[string]float64
 }
 
-// New makes a machine that knows no runner.
+// New returns a machine without runners.
 func New(config Config) *Machine {
 	return &Machine{
-		config: config, blocked: map[string]clock.Millis{}, doubted: map[string]clock.Millis{}, hold: map[string]float64{},
+		config: config, blocked: map[string]clock.Millis{}, deprioritized: map[string]clock.Millis{}, hold: map[string]float64{},
 	}
 }
 
-// SetRunners replaces the known runners. What was learnt of one that is gone, or that
-// started again under its id, is forgotten.
+// SetRunners replaces the known runners. Blocks and lowered preferences of a runner end when it is removed or
+// restarted under the same id.
 func (m *Machine) SetRunners(runners []*toucanhingev1.Runner) {
-	born := make(map[string]int64, len(runners))
+	startedAt := make(map[string]int64, len(runners))
 	for _, r := range runners {
-		born[r.GetId()] = r.GetBornMs()
+		startedAt[r.GetId()] = r.GetBornMs()
 	}
 	for _, r := range m.runners {
-		if now, known := born[r.GetId()]; !known || now != r.GetBornMs() {
+		if now, known := startedAt[r.GetId()]; !known || now != r.GetBornMs() {
 			delete(m.blocked, r.GetId())
-			delete(m.doubted, r.GetId())
+			delete(m.deprioritized, r.GetId())
 		}
 	}
 	m.runners = runners
 }
 
-// Block keeps requests off a runner until a time: it refused one, or can't be
-// reached.
+// Block excludes a runner until the given time because it refused a request or is unreachable.
 func (m *Machine) Block(id string, until clock.Millis) {
 	m.blocked[id] = max(m.blocked[id], until)
 }
 
-// Doubt makes a runner a last choice until a time: a call to it broke off.
-func (m *Machine) Doubt(id string, until clock.Millis) {
-	m.doubted[id] = max(m.doubted[id], until)
+// Deprioritize lowers the preference of a runner until the given time because a call to it broke off.
+func (m *Machine) Deprioritize(id string, until clock.Millis) {
+	m.deprioritized[id] = max(m.deprioritized[id], until)
 }
 
-// Held notes how long a request held its place, a span.
-func (m *Machine) Held(service string, span clock.Millis) {
+// RecordHold records how long a request held its slot.
+func (m *Machine) RecordHold(service string, duration clock.Millis) {
 	if m.hold[service] == 0 {
-		m.hold[service] = firstHold
+		m.hold[service] = initialHold
 	}
-	m.hold[service] += holdWeight * (float64(span) - m.hold[service])
+	m.hold[service] += holdWeight * (float64(duration) - m.hold[service])
 }
 
-// Hold is the mean time that a request of a service holds its place.
-func (m *Machine) Hold(service string) float64 {
+// MeanHold returns the mean time in milliseconds for which a request of a service holds its slot.
+func (m *Machine) MeanHold(service string) float64 {
 	if m.hold[service] == 0 {
-		return firstHold
+		return initialHold
 	}
-	return max(m.hold[service], leastHold)
+	return max(m.hold[service], minHold)
 }
 
-// Choose picks a runner; ok is false if the service has none that takes work. The
-// picture of the load is some milliseconds old, and other gateways, with the same
-// picture, choose meanwhile. If each took the place with the least cost, all would take
-// the same one, and requests would queue there with places free elsewhere. So it draws
-// among the best places, as many as requests are probably being placed unseen.
-func (m *Machine) Choose(now clock.Millis, ask Ask, load func(runner string) Load) (choice Choice, ok bool) {
-	able := m.able(now, ask)
-	if len(able) == 0 {
+// Select selects a runner. ok is false if the service has no eligible runner. The known load is some milliseconds old,
+// and other gateways with the same knowledge place requests at the same time. If each selected the candidate with the
+// least cost, all would select the same slot, and requests would queue there while other slots are free. So Select
+// draws from the best candidates. Their number grows with the number of requests that are probably not visible yet.
+func (m *Machine) Select(now clock.Millis, req Request, load func(runner string) Load) (choice Choice, ok bool) {
+	eligible := m.eligible(now, req)
+	if len(eligible) == 0 {
 		return Choice{}, false
 	}
-	hold := m.Hold(ask.Service)
-	offers := m.offers(now, able, ask, hold, load)
-	best := offers[int(ask.Draw*float64(len(offers)))]
-	return Choice{Runner: best.runner, Wait: clock.Millis(best.wait), Turn: best.turn}, true
+	hold := m.MeanHold(req.Service)
+	candidates := m.candidates(now, eligible, req, hold, load)
+	selected := candidates[int(req.Draw*float64(len(candidates)))]
+	return Choice{Runner: selected.runner, Wait: clock.Millis(selected.wait), QueuePosition: selected.position}, true
 }
 
-func (m *Machine) able(now clock.Millis, ask Ask) []*toucanhingev1.Runner {
-	able := make([]*toucanhingev1.Runner, 0, len(m.runners))
+// eligible returns the runners of the service that accept requests. Runners that were tried before are returned only
+// if there is no other.
+func (m *Machine) eligible(now clock.Millis, req Request) []*toucanhingev1.Runner {
+	eligible := make([]*toucanhingev1.Runner, 0, len(m.runners))
 	var tried []*toucanhingev1.Runner
 	for _, r := range m.runners {
 		switch {
-		case r.GetService() != ask.Service || r.GetLeaving() || len(m.blocked) > 0 && m.blocked[r.GetId()] > now:
-		case slices.Contains(ask.Tried, r.GetId()):
+		case r.GetService() != req.Service || r.GetLeaving() || len(m.blocked) > 0 && m.blocked[r.GetId()] > now:
+		case slices.Contains(req.Tried, r.GetId()):
 			tried = append(tried, r)
 		default:
-			able = append(able, r)
+			eligible = append(eligible, r)
 		}
 	}
-	if len(able) == 0 {
+	if len(eligible) == 0 {
 		return tried
 	}
-	return able
+	return eligible
 }
 
-// turnAt counts the requests that must end before another one begins. An item gives
-// its place back at once. Requests begin and end at any time, so with all places taken
-// by them one ends after a hold divided by the places.
-func turnAt(r *toucanhingev1.Runner, load Load) int {
+// queuePosition returns the number of requests that must end before another one starts. Batch items don't count, since
+// they yield at once. Requests start at independent times, so if they hold all slots, on average one of them ends per
+// mean hold divided by the number of slots.
+func queuePosition(r *toucanhingev1.Runner, load Load) int {
 	return max(load.Online+load.Foreign-int(r.GetSlots())+1, 0)
 }
 
-// fixed is what a runner costs whatever it has under way.
-func (m *Machine) fixed(now clock.Millis, r *toucanhingev1.Runner, load Load) float64 {
+// fixedCost returns the part of a runner's cost that doesn't depend on the number of its calls.
+func (m *Machine) fixedCost(now clock.Millis, r *toucanhingev1.Runner, load Load) float64 {
 	cost := 0.0
 	if r.GetDataCentre() != m.config.DataCentre {
-		cost += farCost
+		cost += remoteCost
 	}
-	if load.Silent || len(m.doubted) > 0 && m.doubted[r.GetId()] > now {
-		cost += doubtCost
+	if load.Unresponsive || len(m.deprioritized) > 0 && m.deprioritized[r.GetId()] > now {
+		cost += deprioritizedCost
 	}
 	return cost
 }
 
-// crowd is what the work under way at a runner costs.
-func crowd(r *toucanhingev1.Runner, load Load) float64 {
-	held := load.Online + load.Batch + load.Foreign
-	cost := fullCost * float64(held) / float64(r.GetSlots())
-	if held >= int(r.GetSlots()) {
+// loadCost returns the part of a runner's cost that depends on the number of its calls.
+func loadCost(r *toucanhingev1.Runner, load Load) float64 {
+	calls := load.Online + load.Batch + load.Foreign
+	cost := fullRunnerCost * float64(calls) / float64(r.GetSlots())
+	if calls >= int(r.GetSlots()) {
 		cost += yieldCost
 	}
 	return cost
 }
 
-// Places counts the places of a service at runners that take work.
-func (m *Machine) Places(now clock.Millis, service string) int {
-	places := 0
-	for _, r := range m.able(now, Ask{Service: service}) {
-		places += int(r.GetSlots())
+// Slots returns the number of slots on the eligible runners of a service.
+func (m *Machine) Slots(now clock.Millis, service string) int {
+	slots := 0
+	for _, r := range m.eligible(now, Request{Service: service}) {
+		slots += int(r.GetSlots())
 	}
-	return places
+	return slots
 }
--- a/gateway/pkg/place/machine_bench_test.go
+++ b/gateway/pkg/place/machine_bench_test.go
@@ -8,9 +8,9 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// BenchmarkChoose places a request on fleets of today's and of the planned size, in a
-// burst with nine places in ten taken.
-func BenchmarkChoose(b *testing.B) {
+// BenchmarkSelect places a request on fleets of the current and the planned size, during a burst that holds nine slots
+// in ten.
+func BenchmarkSelect(b *testing.B) {
 	for _, runners := range []int{9, 54, 600} {
 		b.Run(fmt.Sprint(runners), func(b *testing.B) {
 			var list []*toucanhingev1.Runner
@@ -21,9 +21,9 @@
 				list = append(list, r)
 				loads[r.GetId()] = Load{Online: 5 + random.IntN(3)}
 			}
-			m := machineOf(list...)
+			m := newMachine(list...)
 			for b.Loop() {
-				m.Choose(0, Ask{Service: "llm", Tie: random.Float64(), Draw: random.Float64(), Age: 14}, from(loads))
+				m.Select(0, Request{Service: "llm", TieBreak: random.Float64(), Draw: random.Float64(), Age: 14}, loadsFrom(loads))
 			}
 		})
 	}
--- a/gateway/pkg/place/machine_test.go
+++ b/gateway/pkg/place/machine_test.go
@@ -13,153 +13,152 @@
 
 func TestMain(m *testing.M) { seed.Main(m, 32) }
 
-func runnerAt(id, dataCentre string) *toucanhingev1.Runner {
+func newRunner(id, dataCentre string) *toucanhingev1.Runner {
 	return &toucanhingev1.Runner{Id: id, Service: "llm", DataCentre: dataCentre, Slots: 4}
 }
 
-func machineOf(runners ...*toucanhingev1.Runner) *Machine {
+func newMachine(runners ...*toucanhingev1.Runner) *Machine {
 	m := New(Config{DataCentre: "here"})
 	m.SetRunners(runners)
 	return m
 }
 
-func from(loads map[string]Load) func(string) Load {
+func loadsFrom(loads map[string]Load) func(string) Load {
 	return func(id string) Load { return loads[id] }
 }
 
-func TestChoose(t *testing.T) {
-	a, b, far := runnerAt("a", "here"), runnerAt("b", "here"), runnerAt("far", "there")
-	leaving := runnerAt("leaving", "here")
-	leaving.Leaving = true
-	other := runnerAt("other", "here")
+func TestSelect(t *testing.T) {
+	a, b, far := newRunner("a", "here"), newRunner("b", "here"), newRunner("far", "there")
+	draining := newRunner("draining", "here")
+	draining.Leaving = true
+	other := newRunner("other", "here")
 	other.Service = "other"
 	for _, c := range []struct {
 		name    string
 		runners []*toucanhingev1.Runner
 		loads   map[string]Load
 		prepare func(*Machine)
-		ask     Ask
+		req     Request
 		want    string
 		wait    clock.Millis
 	}{
-		{"the emptier one", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 2}}, nil, Ask{}, "b", 0},
-		{"a near one before an emptier far one", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 3}}, nil, Ask{}, "a", 0},
-		{"a free far one before a full near one", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 4}}, nil, Ask{}, "far", 0},
-		{"a free place before an item's", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 1, Batch: 3}}, nil, Ask{}, "far", 0},
-		{"an item's place before a wait", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 4}, "b": {Online: 3, Batch: 1}}, nil, Ask{}, "b", 0},
-		{"the shortest wait", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 6}, "b": {Online: 4}}, nil, Ask{}, "b", 175},
-		{"items don't add to a wait", []*toucanhingev1.Runner{a}, map[string]Load{"a": {Online: 4, Batch: 2}}, nil, Ask{}, "a", 175},
-		{"foreign work fills places", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 1, Foreign: 3}}, nil, Ask{}, "far", 0},
-		{"foreign work doesn't give way", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 2, Foreign: 2}, "b": {Online: 3, Batch: 1}}, nil, Ask{}, "b", 0},
-		{"foreign work is waited for", []*toucanhingev1.Runner{a}, map[string]Load{"a": {Online: 1, Foreign: 4}}, nil, Ask{}, "a", 350},
-		{"not one that leaves", []*toucanhingev1.Runner{leaving, far}, nil, nil, Ask{}, "far", 0},
-		{"not one of another service", []*toucanhingev1.Runner{other, far}, nil, nil, Ask{}, "far", 0},
-		{"not one that was tried", []*toucanhingev1.Runner{a, far}, nil, nil, Ask{Tried: []string{"a"}}, "far", 0},
-		{"one that was tried if there is no other", []*toucanhingev1.Runner{a, leaving}, nil, nil, Ask{Tried: []string{"a"}}, "a", 0},
-		{"not a blocked one", []*toucanhingev1.Runner{a, far}, nil, func(m *Machine) { m.Block("a", 11) }, Ask{}, "far", 0},
-		{"one that is blocked no longer", []*toucanhingev1.Runner{a, far}, nil, func(m *Machine) { m.Block("a", 10) }, Ask{}, "a", 0},
-		{"a doubted one last", []*toucanhingev1.Runner{a, far}, map[string]Load{"far": {Online: 3}}, func(m *Machine) { m.Doubt("a", 11) }, Ask{}, "far", 0},
+		{"lowest load first", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 2}}, nil, Request{}, "b", 0},
+		{"own data centre before lowest load", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 3}}, nil, Request{}, "a", 0},
+		{"free slot in another data centre before a full runner", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 4}}, nil, Request{}, "far", 0},
+		{"free slot before an item's slot", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 1, Batch: 3}}, nil, Request{}, "far", 0},
+		{"item's slot before a wait", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 4}, "b": {Online: 3, Batch: 1}}, nil, Request{}, "b", 0},
+		{"shortest wait", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 6}, "b": {Online: 4}}, nil, Request{}, "b", 175},
+		{"items don't add to the wait", []*toucanhingev1.Runner{a}, map[string]Load{"a": {Online: 4, Batch: 2}}, nil, Request{}, "a", 175},
+		{"foreign calls hold slots", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 1, Foreign: 3}}, nil, Request{}, "far", 0},
+		{"foreign calls aren't preempted", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 2, Foreign: 2}, "b": {Online: 3, Batch: 1}}, nil, Request{}, "b", 0},
+		{"foreign calls add to the wait", []*toucanhingev1.Runner{a}, map[string]Load{"a": {Online: 1, Foreign: 4}}, nil, Request{}, "a", 350},
+		{"draining runner excluded", []*toucanhingev1.Runner{draining, far}, nil, nil, Request{}, "far", 0},
+		{"runner of another service excluded", []*toucanhingev1.Runner{other, far}, nil, nil, Request{}, "far", 0},
+		{"tried runner excluded", []*toucanhingev1.Runner{a, far}, nil, nil, Request{Tried: []string{"a"}}, "far", 0},
+		{"tried runner as fallback", []*toucanhingev1.Runner{a, draining}, nil, nil, Request{Tried: []string{"a"}}, "a", 0},
+		{"blocked runner excluded", []*toucanhingev1.Runner{a, far}, nil, func(m *Machine) { m.Block("a", 11) }, Request{}, "far", 0},
+		{"block expired", []*toucanhingev1.Runner{a, far}, nil, func(m *Machine) { m.Block("a", 10) }, Request{}, "a", 0},
+		{"deprioritized runner last", []*toucanhingev1.Runner{a, far}, map[string]Load{"far": {Online: 3}}, func(m *Machine) { m.Deprioritize("a", 11) }, Request{}, "far", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := machineOf(c.runners...)
+			m := newMachine(c.runners...)
 			if c.prepare != nil {
 				c.prepare(m)
 			}
-			c.ask.Service = "llm"
-			choice, found := m.Choose(10, c.ask, from(c.loads))
+			c.req.Service = "llm"
+			choice, found := m.Select(10, c.req, loadsFrom(c.loads))
 			require.True(t, found)
 			require.Equal(t, c.want, choice.Runner.GetId())
 			require.Equal(t, c.wait, choice.Wait)
 		})
 	}
-	_, found := machineOf(leaving, other).Choose(0, Ask{Service: "llm"}, from(nil))
+	_, found := newMachine(draining, other).Select(0, Request{Service: "llm"}, loadsFrom(nil))
 	require.False(t, found)
 }
 
-func TestEqualRunnersShareTheRequests(t *testing.T) {
-	m := machineOf(runnerAt("a", "here"), runnerAt("b", "here"), runnerAt("c", "here"), runnerAt("d", "here"))
+func TestSelectSpreadsRequestsOverEqualRunners(t *testing.T) {
+	m := newMachine(newRunner("a", "here"), newRunner("b", "here"), newRunner("c", "here"), newRunner("d", "here"))
 	counts := map[string]int{}
 	for i := range 100 {
-		choice, _ := m.Choose(0, Ask{Service: "llm", Tie: float64(i) / 100}, from(nil))
+		choice, _ := m.Select(0, Request{Service: "llm", TieBreak: float64(i) / 100}, loadsFrom(nil))
 		counts[choice.Runner.GetId()]++
 	}
 	require.Equal(t, map[string]int{"a": 25, "b": 25, "c": 25, "d": 25}, counts)
 }
 
-// Two gateways' callers come at the same moment, in a burst, and one place is free in
-// the whole fleet. Each gateway sees it, and not what the other one does. If both took it
-// one request would wait for a place there while the queues elsewhere are shorter.
-func TestRequestsAreSpreadOverWhatOthersTakeUnseen(t *testing.T) {
+// During a burst two gateways place requests at the same time, and one slot is free in the whole fleet. Neither gateway
+// sees the other's request. If both select that slot, one request waits there although queues elsewhere are shorter.
+// So the requests must be spread over more runners the older the known load is.
+func TestSelectSpreadsRequestsByLoadAge(t *testing.T) {
 	var runners []*toucanhingev1.Runner
 	loads := map[string]Load{}
 	for i := range 8 {
 		id := string(rune('a' + i))
-		runners = append(runners, runnerAt(id, "here"))
+		runners = append(runners, newRunner(id, "here"))
 		loads[id] = Load{Online: 4, Own: 1}
 	}
 	loads["a"] = Load{Online: 3, Own: 1}
-	m := machineOf(runners...)
+	m := newMachine(runners...)
 	for _, c := range []struct {
-		name  string
-		age   clock.Millis
-		least int
-		most  int
+		name       string
+		age        clock.Millis
+		minRunners int
+		maxRunners int
 	}{
-		{"what others do is seen at once", 0, 1, 1},
-		{"23 requests of others are under way for 700 ms each, so about one is placed unseen", 35, 3, 4},
-		{"the picture is old", 300, 8, 8},
+		{"current load: one runner", 0, 1, 1},
+		{"23 requests of others that hold a slot for 700 ms: about one isn't visible", 35, 3, 4},
+		{"old load: all runners", 300, 8, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			taken := map[string]bool{}
+			selected := map[string]bool{}
 			for i := range 100 {
-				choice, _ := m.Choose(0, Ask{Service: "llm", Draw: float64(i) / 100, Age: c.age}, from(loads))
-				taken[choice.Runner.GetId()] = true
+				choice, _ := m.Select(0, Request{Service: "llm", Draw: float64(i) / 100, Age: c.age}, loadsFrom(loads))
+				selected[choice.Runner.GetId()] = true
 			}
-			require.True(t, taken["a"])
-			require.GreaterOrEqual(t, len(taken), c.least)
-			require.LessOrEqual(t, len(taken), c.most)
+			require.True(t, selected["a"])
+			require.GreaterOrEqual(t, len(selected), c.minRunners)
+			require.LessOrEqual(t, len(selected), c.maxRunners)
 		})
 	}
 	for id, l := range loads {
 		l.Own = l.Online
 		loads[id] = l
 	}
-	choice, _ := m.Choose(0, Ask{Service: "llm", Draw: 0.99, Age: 300}, from(loads))
-	require.Equal(t, "a", choice.Runner.GetId(), "a gateway that is alone sees all")
+	choice, _ := m.Select(0, Request{Service: "llm", Draw: 0.99, Age: 300}, loadsFrom(loads))
+	require.Equal(t, "a", choice.Runner.GetId(), "without other gateways all requests are visible")
 }
 
-func TestTheWaitFollowsMeasuredHolds(t *testing.T) {
-	m := machineOf(runnerAt("a", "here"))
-	full := from(map[string]Load{"a": {Online: 4}})
+func TestWaitFollowsRecordedHolds(t *testing.T) {
+	m := newMachine(newRunner("a", "here"))
+	full := loadsFrom(map[string]Load{"a": {Online: 4}})
 	for range 200 {
-		m.Held("llm", 2_000)
+		m.RecordHold("llm", 2_000)
 	}
-	choice, _ := m.Choose(0, Ask{Service: "llm"}, full)
+	choice, _ := m.Select(0, Request{Service: "llm"}, full)
 	require.InDelta(t, 500, float64(choice.Wait), 5)
-	require.Equal(t, 4, m.Places(0, "llm"))
+	require.Equal(t, 4, m.Slots(0, "llm"))
 }
 
-// TestRapidNoWorseRunnerIsChosen compares each choice with all others: none that
-// takes work has a shorter wait, and one that waits is taken only if all do.
-func TestRapidNoWorseRunnerIsChosen(t *testing.T) {
+// No eligible runner may have a shorter wait than the selected one, and a draining runner must never be selected.
+func TestRapidSelectMinimizesWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var runners []*toucanhingev1.Runner
 		loads := map[string]Load{}
 		for i := range rapid.IntRange(1, 6).Draw(t, "runners") {
 			id := string(rune('a' + i))
-			r := runnerAt(id, rapid.SampledFrom([]string{"here", "there"}).Draw(t, "data centre"))
+			r := newRunner(id, rapid.SampledFrom([]string{"here", "there"}).Draw(t, "data centre"))
 			r.Leaving = rapid.Bool().Draw(t, "leaving")
 			runners = append(runners, r)
 			loads[id] = Load{Online: rapid.IntRange(0, 8).Draw(t, "online"), Batch: rapid.IntRange(0, 4).Draw(t, "batch")}
 		}
-		m := machineOf(runners...)
-		choice, found := m.Choose(0, Ask{Service: "llm", Tie: rapid.Float64Range(0, 0.99).Draw(t, "tie")}, from(loads))
+		m := newMachine(runners...)
+		choice, found := m.Select(0, Request{Service: "llm", TieBreak: rapid.Float64Range(0, 0.99).Draw(t, "tie")}, loadsFrom(loads))
 		for _, r := range runners {
 			if r.GetLeaving() {
 				continue
 			}
 			require.True(t, found)
-			wait := clock.Millis(float64(turnAt(r, loads[r.GetId()])) * firstHold / float64(r.GetSlots()))
+			wait := clock.Millis(float64(queuePosition(r, loads[r.GetId()])) * initialHold / float64(r.GetSlots()))
 			require.LessOrEqual(t, choice.Wait, wait)
 		}
 		if found {
@@ -168,27 +167,27 @@
 	})
 }
 
-// A runner failed calls, so it is avoided; then it crashes and starts again under its id. It
-// is another one, and may be as good as any.
-func TestWhatWasLearntOfARunnerEndsWithIt(t *testing.T) {
+// A runner that failed calls is blocked and deprioritized, then crashes and restarts under the same id. Both must end
+// with the restart.
+func TestRestartedRunnerIsEligibleAgain(t *testing.T) {
 	m := New(Config{DataCentre: "here"})
-	runners := func(born int64) []*toucanhingev1.Runner {
+	runners := func(startedAt int64) []*toucanhingev1.Runner {
 		return []*toucanhingev1.Runner{
-			{Id: "a", Service: "llm", Slots: 8, DataCentre: "here", BornMs: born},
+			{Id: "a", Service: "llm", Slots: 8, DataCentre: "here", BornMs: startedAt},
 			{Id: "b", Service: "llm", Slots: 8, DataCentre: "there", BornMs: 5},
 		}
 	}
-	choose := func() string {
-		choice, ok := m.Choose(10, Ask{Service: "llm"}, func(string) Load { return Load{} })
+	selected := func() string {
+		choice, ok := m.Select(10, Request{Service: "llm"}, func(string) Load { return Load{} })
 		require.True(t, ok)
 		return choice.Runner.GetId()
 	}
 	m.SetRunners(runners(1))
-	m.Doubt("a", 1_000)
+	m.Deprioritize("a", 1_000)
 	m.Block("a", 1_000)
-	require.Equal(t, "b", choose())
+	require.Equal(t, "b", selected())
 	m.SetRunners(runners(1))
-	require.Equal(t, "b", choose())
+	require.Equal(t, "b", selected())
 	m.SetRunners(runners(2))
-	require.Equal(t, "a", choose())
+	require.Equal(t, "a", selected())
 }
--- a/lab/pkg/replay/play.go
+++ b/lab/pkg/replay/play.go
@@ -88,12 +88,12 @@
 
 func (w *world) look(r *request) (place.Choice, admission.Ask) {
 	g := w.gateways[r.gateway]
-	choice, _ := g.place.Choose(w.now, place.Ask{
-		Service: service, Tie: w.random.Float64(), Draw: w.random.Float64(), Age: w.config.DigestDelay + tellEvery,
+	choice, _ := g.place.Select(w.now, place.Request{
+		Service: service, TieBreak: w.random.Float64(), Draw: w.random.Float64(), Age: w.config.DigestDelay + tellEvery,
 	}, w.picture(g))
 	return choice, admission.Ask{
 		Arrived: r.arrived, Ends: r.ends, Objective: w.config.Objective, Returned: r.again,
-		Expected: choice.Wait, Turn: choice.Turn, Places: w.config.Slots, Hold: w.config.Hold, Crowded: len(g.room) >= w.config.Runners*w.config.Slots/2/len(w.gateways),
+		Expected: choice.Wait, Turn: choice.QueuePosition, Places: w.config.Slots, Hold: w.config.Hold, Crowded: len(g.room) >= w.config.Runners*w.config.Slots/2/len(w.gateways),
 	}
 }
 
--- a/lab/pkg/replay/world.go
+++ b/lab/pkg/replay/world.go
@@ -165,7 +165,7 @@
 		g := &gateway{table: occupancy.New(), place: place.New(place.Config{})}
 		g.place.SetRunners(w.runners)
 		for range 100 {
-			g.place.Held(service, config.Hold)
+			g.place.RecordHold(service, config.Hold)
 		}
 		w.gateways = append(w.gateways, g)
 	}
