--- a/gateway/pkg/admission/admission.go
+++ b/gateway/pkg/admission/admission.go
@@ -1,15 +1,12 @@
-// Package admission decides whether an online request goes on, waits or is
-// turned away. The load that it answers: bursts that ask for two or three times
-// the places of the fleet for some seconds, with nearly idle seconds in between,
-// from callers that come back once if they are told when.
+// Package admission decides whether an online request is admitted, waits or is refused. It is designed for bursts that
+// need two or three times the slots of the fleet for some seconds, with nearly idle seconds in between, from callers
+// that retry once if they are told when.
 //
-// A request that can't begin in time is turned away at once: begun late it would
-// take the place from one that still can be in time, and with a queue in front
-// of every place all would be late. It is told to come back at some moment in
-// the third of its time that callers wait for. One that came back isn't turned
-// away again as long as it can be served at all: it waits for a place that is
-// really free, behind those that can be in time, and is served as soon as the
-// burst ebbs. It holds no goroutine, socket or clock.
+// A request that can't start in time is refused at once: started late, it would hold a slot that another request could
+// still use in time, and with a queue for every slot all requests would be late. The caller is told to retry at a
+// random time within a third of its remaining time. A retry isn't refused as long as it can be served at all: it
+// waits for a slot that is really free, behind requests that can be in time, and is served once the burst ends. The
+// package uses no goroutine, socket or clock.
 package admission
 
 import (
@@ -19,169 +16,166 @@
 )
 
 const (
-	// firstEvent is kept of the objective for the first event itself: reading the
-	// prompt and making it takes some 40 ms, the way to the caller up to ten.
-	firstEvent clock.Millis = 60
-	// leastChance is the least chance to be in time with which a request goes on to a
-	// queue. A queue two deep at every runner takes up hardly more requests than one of
-	// one, once for each burst, but all those that pass it wait twice as long.
-	leastChance = 0.75
-	// leastRetry is the shortest time after which to come back.
-	leastRetry clock.Millis = 200
-	// retrySpread is the least span over which those who are turned away
-	// together come back.
-	retrySpread clock.Millis = 200
-	// retryPart is the part of its time left that a caller waits at most.
-	retryPart = 3
-	// finishSlack is kept for a request that waits: what is begun must end before
-	// its caller leaves.
+	// firstEventReserve is the part of the objective that is reserved for the first event itself: reading the
+	// prompt and making the event takes some 40 ms, and sending it to the caller up to 10 ms.
+	firstEventReserve clock.Millis = 60
+	// minOnTimeProbability is the lowest probability of being in time with which a request is sent to a runner's
+	// queue. Queues of length two at every runner absorb hardly more requests of a burst than queues of length
+	// one, but double the wait of all requests that pass them.
+	minOnTimeProbability = 0.75
+	// minRetryAfter is the shortest time after which a caller is told to retry.
+	minRetryAfter clock.Millis = 200
+	// minRetrySpread is the shortest interval over which the retries of callers that were refused together are
+	// spread.
+	minRetrySpread clock.Millis = 200
+	// retryDivisor limits the retry delay to the caller's remaining time divided by it.
+	retryDivisor = 3
+	// finishSlack is reserved when a request may wait, since a started request must end before its deadline.
 	finishSlack clock.Millis = 150
-	// waitPart is the part of its time that a request waits at most. Callers whose
-	// request is given up must learn it while they can still do something else.
-	waitPart = 2
-	// leastSign, signObjectives and signGaps say after how long without an event
-	// callers leave a stream: the longest of the first, a few objectives and a few
-	// of the longest pauses. signSlack is kept before that.
-	leastSign      clock.Millis = 2_000
-	signObjectives              = 4
-	signGaps                    = 8
-	signSlack      clock.Millis = 300
-	// roomPart is the part of the fleet's places for which requests wait, over all
-	// gateways. Held a second each, that many are served within two seconds if the
-	// burst ebbs; of more, most would wait in vain.
-	roomPart = 2
-	// callerSlack is how much less patience than the longest one seen tells that
-	// a request came back.
-	callerSlack clock.Millis = 50
+	// waitDivisor limits the wait of a request to its total time divided by it. A caller whose request is refused
+	// after a wait must learn that while it can still do something else.
+	waitDivisor = 2
+	// minCallerTimeout, timeoutObjectives and timeoutGaps estimate after how long without an event callers close a
+	// stream: the maximum of minCallerTimeout, timeoutObjectives times the objective and timeoutGaps times the
+	// longest gap that is in time. timeoutSlack is subtracted from the estimate.
+	minCallerTimeout  clock.Millis = 2_000
+	timeoutObjectives              = 4
+	timeoutGaps                    = 8
+	timeoutSlack      clock.Millis = 300
+	// queueDivisor limits the waiting requests of all gateways together to the fleet's slots divided by it. If
+	// each request holds its slot for a second, that many are served within two seconds after a burst. Of more
+	// requests, most would wait in vain.
+	queueDivisor = 2
+	// retrySlack is how much shorter than the longest timeout seen the timeout of a retry is at least.
+	retrySlack clock.Millis = 50
 )
 
-// Verdict is the kind of a decision.
+// Verdict is a decision on a request.
 type Verdict int
 
 const (
-	// Go sends it to the runner that was chosen.
-	Go Verdict = iota
-	// Wait keeps it until a place is free.
+	// Admit sends the request to the selected runner.
+	Admit Verdict = iota
+	// Wait keeps the request in the wait queue until a slot is free.
 	Wait
-	// Refuse turns it away at once.
+	// Refuse refuses the request at once.
 	Refuse
 )
 
-// Ask describes a request for which a runner was chosen.
-type Ask struct {
+// Request describes a request for which a runner was selected.
+type Request struct {
 	Arrived clock.Millis
-	// Ends is when its caller leaves or its route's time is up.
-	Ends clock.Millis
-	// Objective is the span from its arrival that earns full credit, 0 for none.
+	// Deadline is the earlier of the times at which the caller gives up and the route's time limit ends.
+	Deadline clock.Millis
+	// Objective is the time from the arrival within which the request earns full credit, or 0 if there is none.
 	Objective clock.Millis
-	// Returned says that it was turned away before.
-	Returned bool
-	// Expected is the expected wait for a place at the chosen runner, a span.
-	Expected clock.Millis
-	// Turn is how many of the requests that hold its Places must end before this one
-	// begins, 0 if a place is free.
-	Turn, Places int
-	// Hold is how long such a request holds its place, a span.
+	// Retry reports whether the request was refused before.
+	Retry bool
+	// ExpectedWait is the expected wait for a slot on the selected runner.
+	ExpectedWait clock.Millis
+	// QueuePosition is the number of requests that must end before this one starts, or 0 if a slot is free. Slots
+	// is the number of slots of the selected runner.
+	QueuePosition, Slots int
+	// Hold is the time for which such a request holds its slot.
 	Hold clock.Millis
-	// Gap is the longest pause between events that is in time, 0 for none.
+	// Gap is the longest gap between events that is in time, or 0 if there is none.
 	Gap clock.Millis
-	// Crowded says that too many wait already.
-	Crowded bool
-	// Ran says that a runner may have run it: it can't be told truthfully that it wasn't.
-	Ran bool
+	// QueueFull reports whether the wait queue of the gateway is full.
+	QueueFull bool
+	// MayHaveRun reports whether a runner may have run the request. A refusal, which says that the request
+	// didn't run, could be wrong then.
+	MayHaveRun bool
 }
 
-// longestWait is how long the request may wait for a place, from its arrival.
-func (a Ask) longestWait() clock.Millis {
-	sign := max(leastSign, signObjectives*a.Objective, signGaps*a.Gap) - signSlack
-	return min((a.Ends-a.Arrived)/waitPart, sign)
+// maxWait returns how long the request may wait for a slot, from its arrival.
+func (r Request) maxWait() clock.Millis {
+	callerTimeout := max(minCallerTimeout, timeoutObjectives*r.Objective, timeoutGaps*r.Gap) - timeoutSlack
+	return min((r.Deadline-r.Arrived)/waitDivisor, callerTimeout)
 }
 
-// chance is the probability that the request's turn comes within a span. The requests
-// that hold the places began at any time, and each holds its place for about as long: in
-// each whole hold all of them end once, and in the rest of the span each ends with the same
-// chance.
-func (a Ask) chance(span clock.Millis) float64 {
-	if a.Hold <= 0 {
+// startProbability returns the probability that the request gets a slot within a duration. The requests that hold the
+// slots started at independent times, and each holds its slot for about Hold. So in each full Hold all of them end
+// once, and in the rest of the duration each ends with the same probability.
+func (r Request) startProbability(duration clock.Millis) float64 {
+	if r.Hold <= 0 {
 		return 1
 	}
-	span = max(span, 0)
-	missing := a.Turn - int(span/a.Hold)*a.Places
-	ends := float64(span%a.Hold) / float64(a.Hold)
+	duration = max(duration, 0)
+	missing := r.QueuePosition - int(duration/r.Hold)*r.Slots
+	endProbability := float64(duration%r.Hold) / float64(r.Hold)
 	fewer := 0.0
-	exactly := math.Pow(1-ends, float64(a.Places))
+	exactly := math.Pow(1-endProbability, float64(r.Slots))
 	for n := range max(missing, 0) {
 		fewer += exactly
-		exactly *= float64(a.Places-n) / float64(n+1) * ends / (1 - ends)
+		exactly *= float64(r.Slots-n) / float64(n+1) * endProbability / (1 - endProbability)
 	}
 	return 1 - fewer
 }
 
-// Decide says what becomes of a request.
-func Decide(now clock.Millis, a Ask) Verdict {
+// Decide returns the decision on a request.
+func Decide(now clock.Millis, r Request) Verdict {
 	switch {
-	case a.Turn == 0:
-		return Go
-	case a.Ran && now+a.Expected+a.Hold+finishSlack <= a.Ends:
-		// Late is better than not at all. Given up, one request in a hundred and fifty
-		// failed in the bursts of a large fleet that had lost a tenth of its runners.
-		return Go
-	case a.Objective > 0 && a.chance(a.Arrived+a.Objective-now-firstEvent) >= leastChance:
-		return Go
-	case a.Objective == 0 && now+a.Expected+a.Hold <= a.Ends:
-		return Go
-	case a.Returned && !a.Crowded && now+a.Hold+finishSlack <= a.Ends && now-a.Arrived < a.longestWait():
+	case r.QueuePosition == 0:
+		return Admit
+	case r.MayHaveRun && now+r.ExpectedWait+r.Hold+finishSlack <= r.Deadline:
+		// A late answer is better than none. When these requests were refused, one request in 150 failed
+		// during bursts on a large fleet that had lost a tenth of its runners.
+		return Admit
+	case r.Objective > 0 && r.startProbability(r.Arrived+r.Objective-now-firstEventReserve) >= minOnTimeProbability:
+		return Admit
+	case r.Objective == 0 && now+r.ExpectedWait+r.Hold <= r.Deadline:
+		return Admit
+	case r.Retry && !r.QueueFull && now+r.Hold+finishSlack <= r.Deadline && now-r.Arrived < r.maxWait():
 		return Wait
 	default:
 		return Refuse
 	}
 }
 
-// startWait and longestStartWait bound the wait at a gateway that doesn't know its
-// routes yet. Most gateways know them 50 ms after they start. If all machines have
-// lost power it takes the core's election, half a second or more: a new request is then
-// told when to come back, and is early at its second attempt; one that came back would
-// be lost for good, since callers come back only once.
+// startupWait and maxStartupWait limit the wait of first attempts and retries at a gateway that hasn't received its
+// routes yet. Most gateways receive them within 50 ms of their start. If all VMs have lost power, the core must elect a
+// leader first, which takes half a second or more. A first attempt is then refused and its retry is in time. A refused
+// retry would be lost, since callers retry only once.
 const (
-	startWait        clock.Millis = 60
-	longestStartWait clock.Millis = 1_500
+	startupWait    clock.Millis = 60
+	maxStartupWait clock.Millis = 1_500
 )
 
-// StartWait is how long a request waits at a gateway that doesn't know its routes yet.
-// Patience is a span, 0 if the caller doesn't tell it.
-func StartWait(patience clock.Millis, returned bool) clock.Millis {
-	if !returned {
-		return startWait
+// StartupWait returns how long a request waits at a gateway that hasn't received its routes yet. timeout is the
+// caller's timeout, or 0 if the caller didn't send one.
+func StartupWait(timeout clock.Millis, retry bool) clock.Millis {
+	if !retry {
+		return startupWait
 	}
-	return min(patience/waitPart, longestStartWait)
+	return min(timeout/waitDivisor, maxStartupWait)
 }
 
-// RetryAfter tells a refused caller when to come back: not before a place may be free
-// and the overload is probably over, and spread, so that those who were refused together
-// don't return together. Draw is from 0 to below 1.
-func RetryAfter(now clock.Millis, a Ask, spells *Spells, draw float64) clock.Millis {
-	first := max(a.Expected, leastRetry)
-	last := max((a.Ends-now)/retryPart, first+retrySpread)
-	latest := min(clock.Millis(latePart*float64(last)), last-retrySpread)
-	if left, known := spells.Left(now); known {
-		latest = min(latest, left)
+// RetryAfter returns the time after which a refused caller should retry: not before a slot may be free and the
+// overload period has probably ended, and spread randomly so that callers that were refused together don't retry
+// together. draw is a random number in [0, 1).
+func RetryAfter(now clock.Millis, r Request, overload *OverloadTracker, draw float64) clock.Millis {
+	first := max(r.ExpectedWait, minRetryAfter)
+	last := max((r.Deadline-now)/retryDivisor, first+minRetrySpread)
+	earliest := min(clock.Millis(unknownLengthDelay*float64(last)), last-minRetrySpread)
+	if remaining, known := overload.Remaining(now); known {
+		earliest = min(earliest, remaining)
 	}
-	first = max(first, latest)
+	first = max(first, earliest)
 	return first + clock.Millis(draw*float64(last-first))
 }
 
-// Patience finds requests that came back, by their callers' patience: a first
-// attempt has all of it, a later one what is left.
-type Patience struct {
+// RetryDetector detects retries by the timeouts of their callers: a first attempt has the caller's whole timeout, and a
+// retry has only the rest of it.
+type RetryDetector struct {
 	longest map[string]clock.Millis
 }
 
-// NewPatience makes one that has seen no caller.
-func NewPatience() *Patience { return &Patience{longest: map[string]clock.Millis{}} }
+// NewRetryDetector returns a detector that has seen no request.
+func NewRetryDetector() *RetryDetector { return &RetryDetector{longest: map[string]clock.Millis{}} }
 
-// Returned says whether a request of a route with this patience, a span, came
-// back. A caller that doesn't tell its patience counts as new.
-func (p *Patience) Returned(route string, patience clock.Millis) bool {
-	p.longest[route] = max(p.longest[route], patience)
-	return patience > 0 && patience < p.longest[route]-callerSlack
+// IsRetry reports whether a request of a route with this timeout is a retry. A request without a timeout counts as a
+// first attempt.
+func (d *RetryDetector) IsRetry(route string, timeout clock.Millis) bool {
+	d.longest[route] = max(d.longest[route], timeout)
+	return timeout > 0 && timeout < d.longest[route]-retrySlack
 }
--- a/gateway/pkg/admission/admission_test.go
+++ b/gateway/pkg/admission/admission_test.go
@@ -14,186 +14,185 @@
 func TestMain(m *testing.M) { seed.Main(m, 31) }
 
 func TestDecide(t *testing.T) {
-	ask := func(change func(*Ask)) Ask {
-		a := Ask{Arrived: 1_000, Ends: 6_000, Objective: 300, Hold: 800, Places: 8}
-		change(&a)
-		return a
+	request := func(change func(*Request)) Request {
+		r := Request{Arrived: 1_000, Deadline: 6_000, Objective: 300, Hold: 800, Slots: 8}
+		change(&r)
+		return r
 	}
 	for _, c := range []struct {
 		name string
 		now  clock.Millis
-		ask  Ask
+		req  Request
 		want Verdict
 	}{
-		{"a place is free", 1_000, ask(func(*Ask) {}), Go},
-		{"a place is free, too late for the objective", 4_000, ask(func(*Ask) {}), Go},
-		{"next in the queue: in time, most likely", 1_000, ask(func(a *Ask) { a.Turn, a.Expected = 1, 100 }), Go},
-		{"the one after: late too often", 1_000, ask(func(a *Ask) { a.Turn, a.Expected = 2, 200 }), Refuse},
-		{"the one after: in time before shorter requests", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Hold = 2, 150, 600 }), Go},
-		{"next in the queue, in time no longer", 1_150, ask(func(a *Ask) { a.Turn, a.Expected = 1, 100 }), Refuse},
-		{"all before it end in time", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Hold = 8, 200, 200 }), Go},
-		{"those before it must end twice", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Hold = 16, 400, 200 }), Refuse},
-		{"came back", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned = 4, 400, true }), Wait},
-		{"came back, its caller would leave", 2_700, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned = 4, 400, true }), Refuse},
-		{"came back, its caller would stay", 2_700, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned, a.Gap = 4, 400, true, 300 }), Wait},
-		{"came back, too many wait", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned, a.Crowded = 4, 400, true, true }), Refuse},
-		{"came back, half of its time is left", 3_499, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned, a.Gap = 4, 400, true, 900 }), Wait},
-		{"came back, waited long enough", 3_500, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned, a.Gap = 4, 400, true, 900 }), Refuse},
-		{"came back, could just be served", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned, a.Hold = 4, 400, true, 4_850 }), Wait},
-		{"came back, can't be served any more", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned, a.Hold = 4, 400, true, 4_851 }), Refuse},
-		{"may have run, can be served late", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Ran = 40, 4_000, true }), Go},
-		{"may have run, can't be served", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Ran = 41, 4_100, true }), Refuse},
-		{"no objective", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Objective = 42, 4_200, 0 }), Go},
-		{"no objective, can't end in time", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Objective = 42, 4_201, 0 }), Refuse},
+		{"free slot", 1_000, request(func(*Request) {}), Admit},
+		{"free slot, too late for the objective", 4_000, request(func(*Request) {}), Admit},
+		{"first in the queue: probably in time", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait = 1, 100 }), Admit},
+		{"second in the queue: late too often", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait = 2, 200 }), Refuse},
+		{"second in the queue: in time behind short requests", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Hold = 2, 150, 600 }), Admit},
+		{"first in the queue, in time no longer", 1_150, request(func(r *Request) { r.QueuePosition, r.ExpectedWait = 1, 100 }), Refuse},
+		{"all requests ahead end in time", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Hold = 8, 200, 200 }), Admit},
+		{"all slots must be released twice", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Hold = 16, 400, 200 }), Refuse},
+		{"retry", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Retry = 4, 400, true }), Wait},
+		{"retry, caller would give up", 2_700, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Retry = 4, 400, true }), Refuse},
+		{"retry, caller would wait longer", 2_700, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Retry, r.Gap = 4, 400, true, 300 }), Wait},
+		{"retry, queue full", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Retry, r.QueueFull = 4, 400, true, true }), Refuse},
+		{"retry, half of its time left", 3_499, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Retry, r.Gap = 4, 400, true, 900 }), Wait},
+		{"retry, max wait reached", 3_500, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Retry, r.Gap = 4, 400, true, 900 }), Refuse},
+		{"retry, just enough time to finish", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Retry, r.Hold = 4, 400, true, 4_850 }), Wait},
+		{"retry, too little time to finish", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Retry, r.Hold = 4, 400, true, 4_851 }), Refuse},
+		{"may have run, can finish late", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.MayHaveRun = 40, 4_000, true }), Admit},
+		{"may have run, can't finish", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.MayHaveRun = 41, 4_100, true }), Refuse},
+		{"no objective", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Objective = 42, 4_200, 0 }), Admit},
+		{"no objective, can't finish", 1_000, request(func(r *Request) { r.QueuePosition, r.ExpectedWait, r.Objective = 42, 4_201, 0 }), Refuse},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			require.Equal(t, c.want, Decide(c.now, c.ask))
+			require.Equal(t, c.want, Decide(c.now, c.req))
 		})
 	}
 }
 
-// TestRapidNoRequestThatCanBeInTimeIsRefused, and none waits or goes on that can't
-// end before its caller leaves, unless a place is free for it.
-func TestRapidNoRequestThatCanBeInTimeIsRefused(t *testing.T) {
+// A request that can be in time must not be refused, a retry must not be refused while it can still be served, and a
+// request may wait only if it is a retry that can end before its deadline.
+func TestRapidDecideRefusesNoRequestInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		span := rapid.Int64Range(0, 6_000)
-		a := Ask{
-			Ends: clock.Millis(span.Draw(t, "ends")), Objective: clock.Millis(span.Draw(t, "objective")),
-			Expected: clock.Millis(span.Draw(t, "expected")), Hold: clock.Millis(span.Draw(t, "hold")),
-			Returned: rapid.Bool().Draw(t, "returned"),
-			Turn:     rapid.IntRange(0, 20).Draw(t, "turn"), Places: rapid.IntRange(1, 9).Draw(t, "places"),
+		millis := rapid.Int64Range(0, 6_000)
+		r := Request{
+			Deadline: clock.Millis(millis.Draw(t, "deadline")), Objective: clock.Millis(millis.Draw(t, "objective")),
+			ExpectedWait: clock.Millis(millis.Draw(t, "expected wait")), Hold: clock.Millis(millis.Draw(t, "hold")),
+			Retry:         rapid.Bool().Draw(t, "retry"),
+			QueuePosition: rapid.IntRange(0, 20).Draw(t, "queue position"), Slots: rapid.IntRange(1, 9).Draw(t, "slots"),
 		}
-		now := clock.Millis(span.Draw(t, "now"))
-		switch Decide(now, a) {
+		now := clock.Millis(millis.Draw(t, "now"))
+		switch Decide(now, r) {
 		case Refuse:
-			require.Positive(t, a.Turn)
-			require.Less(t, a.chance(a.Objective-now-firstEvent), leastChance)
-			require.False(t, a.Returned && now+a.Hold+finishSlack <= a.Ends && now < a.longestWait())
+			require.Positive(t, r.QueuePosition)
+			require.Less(t, r.startProbability(r.Objective-now-firstEventReserve), minOnTimeProbability)
+			require.False(t, r.Retry && now+r.Hold+finishSlack <= r.Deadline && now < r.maxWait())
 		case Wait:
-			require.True(t, a.Returned)
-			require.LessOrEqual(t, now+a.Hold, a.Ends)
-		case Go:
+			require.True(t, r.Retry)
+			require.LessOrEqual(t, now+r.Hold, r.Deadline)
+		case Admit:
 		}
 	})
 }
 
-// TestRapidTheChanceIsThatOfAQueue compares the chance to be in time with queues that
-// are played out.
-func TestRapidTheChanceIsThatOfAQueue(t *testing.T) {
+// The computed probability must match the share of simulated queues in which the request starts in time.
+func TestRapidStartProbabilityMatchesSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const plays = 4_000
-		a := Ask{
-			Hold: 1_000, Places: rapid.IntRange(1, 9).Draw(t, "places"), Turn: rapid.IntRange(1, 20).Draw(t, "turn"),
+		const simulations = 4_000
+		r := Request{
+			Hold: 1_000, Slots: rapid.IntRange(1, 9).Draw(t, "slots"), QueuePosition: rapid.IntRange(1, 20).Draw(t, "queue position"),
 		}
-		span := clock.Millis(rapid.Int64Range(-100, 3_500).Draw(t, "span"))
+		duration := clock.Millis(rapid.Int64Range(-100, 3_500).Draw(t, "duration"))
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		inTime := 0
-		for range plays {
+		for range simulations {
 			ended := 0
-			for range a.Places {
-				for end := clock.Millis(random.Int64N(int64(a.Hold))); end < span; end += a.Hold {
+			for range r.Slots {
+				for end := clock.Millis(random.Int64N(int64(r.Hold))); end < duration; end += r.Hold {
 					ended++
 				}
 			}
-			if ended >= a.Turn {
+			if ended >= r.QueuePosition {
 				inTime++
 			}
 		}
-		require.InDelta(t, float64(inTime)/plays, a.chance(span), 0.04)
+		require.InDelta(t, float64(inTime)/simulations, r.startProbability(duration), 0.04)
 	})
 }
 
-func TestRapidCallersComeBackSpreadAndInTime(t *testing.T) {
+func TestRapidRetryAfterIsSpreadAndInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := Ask{Ends: clock.Millis(rapid.Int64Range(900, 9_000).Draw(t, "ends")), Expected: clock.Millis(rapid.Int64Range(0, 250).Draw(t, "expected"))}
-		spells := spellsOf(clock.Millis(rapid.Int64Range(0, 5_000).Draw(t, "spell")))
-		first, last := RetryAfter(0, a, spells, 0), RetryAfter(0, a, spells, 0.999)
-		require.GreaterOrEqual(t, first, max(a.Expected, leastRetry))
-		require.GreaterOrEqual(t, last-first, retrySpread-2)
-		if a.Ends/retryPart >= first+retrySpread {
-			require.LessOrEqual(t, last, a.Ends/retryPart)
+		r := Request{Deadline: clock.Millis(rapid.Int64Range(900, 9_000).Draw(t, "deadline")), ExpectedWait: clock.Millis(rapid.Int64Range(0, 250).Draw(t, "expected wait"))}
+		overload := trackerWithPeriod(clock.Millis(rapid.Int64Range(0, 5_000).Draw(t, "overload period")))
+		first, last := RetryAfter(0, r, overload, 0), RetryAfter(0, r, overload, 0.999)
+		require.GreaterOrEqual(t, first, max(r.ExpectedWait, minRetryAfter))
+		require.GreaterOrEqual(t, last-first, minRetrySpread-2)
+		if r.Deadline/retryDivisor >= first+minRetrySpread {
+			require.LessOrEqual(t, last, r.Deadline/retryDivisor)
 		}
 	})
 }
 
-func TestRequestsThatCameBackAreKnownByTheirPatience(t *testing.T) {
-	p := NewPatience()
-	require.False(t, p.Returned("a", 5_000))
-	require.False(t, p.Returned("a", 4_990))
-	require.True(t, p.Returned("a", 4_700))
-	require.False(t, p.Returned("a", 0), "it doesn't say")
-	require.False(t, p.Returned("b", 4_700), "another route")
-	require.False(t, p.Returned("a", 8_000))
-	require.True(t, p.Returned("a", 5_000))
+func TestRetryDetector(t *testing.T) {
+	d := NewRetryDetector()
+	require.False(t, d.IsRetry("a", 5_000))
+	require.False(t, d.IsRetry("a", 4_990))
+	require.True(t, d.IsRetry("a", 4_700))
+	require.False(t, d.IsRetry("a", 0), "no timeout")
+	require.False(t, d.IsRetry("b", 4_700), "another route")
+	require.False(t, d.IsRetry("a", 8_000))
+	require.True(t, d.IsRetry("a", 5_000))
 }
 
-func TestTheRoomIsOrderedByTime(t *testing.T) {
-	r := &Room{}
-	late, early, same := r.Enter(Waiter{Ends: 900}), r.Enter(Waiter{Ends: 500}), r.Enter(Waiter{Ends: 500})
-	require.True(t, r.First(early))
-	r.Leave(early)
-	require.True(t, r.First(same))
-	r.Leave(same)
-	require.True(t, r.First(late))
-	r.Leave(late)
-	require.Zero(t, r.Len())
-	require.False(t, r.Full(96, 8, ""))
+func TestWaitQueueIsOrderedByDeadline(t *testing.T) {
+	q := &WaitQueue{}
+	late, early, same := q.Enqueue(Waiter{Deadline: 900}), q.Enqueue(Waiter{Deadline: 500}), q.Enqueue(Waiter{Deadline: 500})
+	require.True(t, q.IsFirst(early))
+	q.Remove(early)
+	require.True(t, q.IsFirst(same))
+	q.Remove(same)
+	require.True(t, q.IsFirst(late))
+	q.Remove(late)
+	require.Zero(t, q.Len())
+	require.False(t, q.Full(96, 8, ""))
 	for range 6 {
-		r.Enter(Waiter{Ends: 1})
+		q.Enqueue(Waiter{Deadline: 1})
 	}
-	require.True(t, r.Full(96, 8, ""))
-	require.False(t, r.Full(96, 6, ""))
-	for r.Len() > 0 {
-		r.Leave(r.waiters[0].ID)
+	require.True(t, q.Full(96, 8, ""))
+	require.False(t, q.Full(96, 6, ""))
+	for q.Len() > 0 {
+		q.Remove(q.waiters[0].ID)
 	}
-	require.False(t, r.First(late))
+	require.False(t, q.IsFirst(late))
 }
 
-func TestStartWait(t *testing.T) {
+func TestStartupWait(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		patience clock.Millis
-		returned bool
-		want     clock.Millis
+		name    string
+		timeout clock.Millis
+		retry   bool
+		want    clock.Millis
 	}{
-		{"new: until it may still be early elsewhere", 5_000, false, 60},
-		{"new, and doesn't tell its patience", 0, false, 60},
-		{"came back: half of its time", 2_000, true, 1_000},
-		{"came back with much time: as long as an election takes", 60_000, true, 1_500},
+		{"first attempt: short wait, so that its retry is in time", 5_000, false, 60},
+		{"first attempt without a timeout", 0, false, 60},
+		{"retry: half of its time", 2_000, true, 1_000},
+		{"retry with a long timeout: duration of an election", 60_000, true, 1_500},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			require.Equal(t, c.want, StartWait(c.patience, c.returned))
+			require.Equal(t, c.want, StartupWait(c.timeout, c.retry))
 		})
 	}
 }
 
-// A team of a high rank never pauses. One of a low rank is overtaken by what came a moment
-// later, and not by more.
-func TestUrgentTeamsGoFirstAndStarveNobody(t *testing.T) {
-	r := &Room{}
-	low := r.Enter(Waiter{Ends: 1_000, Rank: 1, Team: "low"})
-	high := r.Enter(Waiter{Ends: 1_399, Team: "high"})
-	require.True(t, r.First(high))
-	r.Leave(high)
-	for ends := clock.Millis(1_401); ends < 2_000; ends += 100 {
-		r.Enter(Waiter{Ends: ends, Team: "high"})
+// A team of high priority sends without a pause. A waiter of low priority may be overtaken only by requests whose
+// deadline is up to one priorityPenalty later.
+func TestWaitQueuePrioritiesDoNotStarveTeams(t *testing.T) {
+	q := &WaitQueue{}
+	low := q.Enqueue(Waiter{Deadline: 1_000, Priority: 1, Team: "low"})
+	high := q.Enqueue(Waiter{Deadline: 1_399, Team: "high"})
+	require.True(t, q.IsFirst(high))
+	q.Remove(high)
+	for deadline := clock.Millis(1_401); deadline < 2_000; deadline += 100 {
+		q.Enqueue(Waiter{Deadline: deadline, Team: "high"})
 	}
-	require.True(t, r.First(low))
+	require.True(t, q.IsFirst(low))
 }
 
-// One team's callers come back by the dozen; others' still find room.
-func TestATeamTakesHalfOfTheRoom(t *testing.T) {
-	r := &Room{}
-	taken := 0
-	for !r.Full(96, 8, "many") {
-		r.Enter(Waiter{Ends: 1, Team: "many"})
-		taken++
+// One team sends many retries. It may use half of the wait queue, so that other teams can still enqueue requests.
+func TestWaitQueueLimitsShareOfTeam(t *testing.T) {
+	q := &WaitQueue{}
+	enqueued := 0
+	for !q.Full(96, 8, "many") {
+		q.Enqueue(Waiter{Deadline: 1, Team: "many"})
+		enqueued++
 	}
-	require.Equal(t, 3, taken)
-	require.False(t, r.Full(96, 8, "other"))
-	r.Enter(Waiter{Ends: 1, Team: "other"})
-	require.False(t, r.Full(96, 8, "third"))
-	r.Enter(Waiter{Ends: 1, Team: "third"})
-	r.Enter(Waiter{Ends: 1, Team: "fourth"})
-	require.True(t, r.Full(96, 8, "fifth"))
+	require.Equal(t, 3, enqueued)
+	require.False(t, q.Full(96, 8, "other"))
+	q.Enqueue(Waiter{Deadline: 1, Team: "other"})
+	require.False(t, q.Full(96, 8, "third"))
+	q.Enqueue(Waiter{Deadline: 1, Team: "third"})
+	q.Enqueue(Waiter{Deadline: 1, Team: "fourth"})
+	require.True(t, q.Full(96, 8, "fifth"))
 }
--- a/gateway/pkg/admission/overload_tracker.go
+++ b/gateway/pkg/admission/overload_tracker.go
@@ -3,54 +3,54 @@
 import "toucanhinge.example/common/pkg/clock"
 
 const (
-	// calmAfter is the span without a refusal that ends a spell of overload. Within a
-	// burst a gateway refuses several times a second.
-	calmAfter clock.Millis = 1_500
-	// spellWeight is the weight of the newest spell in the mean: the last three or so.
-	spellWeight = 0.3
-	// spellSlack is how much longer than the mean a spell is still taken for a usual one.
-	spellSlack = 1.25
-	// latePart is the earliest part of the span in which callers come back that is told to
-	// those who meet an overload of unknown length.
-	latePart = 0.7
+	// overloadEndGap is the time without a refusal that ends an overload period. During a burst a gateway refuses
+	// several requests a second.
+	overloadEndGap clock.Millis = 1_500
+	// periodWeight is the weight of the newest overload period in the moving average, which covers about the last
+	// three periods.
+	periodWeight = 0.3
+	// maxUsualLength is the longest length of a usual overload period, as a multiple of the mean.
+	maxUsualLength = 1.25
+	// unknownLengthDelay is the earliest retry time in an overload period of unknown length, as a fraction of the
+	// latest retry time.
+	unknownLengthDelay = 0.7
 )
 
-// Spells learns how long overload lasts, from the refusals of this gateway. Bursts come
-// again and again: a caller who is told to come back while one goes on is in the way of
-// new callers, and may be turned away for good. One who is told a later time than needed
-// waits for nothing.
-type Spells struct {
-	began, last clock.Millis
-	mean        float64
+// OverloadTracker estimates how long overload periods last from the refusals of this gateway. Bursts recur: a caller
+// that retries during the same burst competes with new callers and may be refused for good, whereas a caller that
+// retries later than necessary waits in vain.
+type OverloadTracker struct {
+	startedAt, lastRefusal clock.Millis
+	meanLength             float64
 }
 
-// Refused notes a refusal.
-func (s *Spells) Refused(now clock.Millis) {
-	if s.last == 0 || now-s.last > calmAfter {
-		s.end()
-		s.began = now
+// RecordRefusal records a refusal.
+func (t *OverloadTracker) RecordRefusal(now clock.Millis) {
+	if t.lastRefusal == 0 || now-t.lastRefusal > overloadEndGap {
+		t.endPeriod()
+		t.startedAt = now
 	}
-	s.last = now
+	t.lastRefusal = now
 }
 
-// end takes the last spell into the mean.
-func (s *Spells) end() {
-	length := float64(s.last - s.began)
+// endPeriod adds the length of the last overload period to the mean.
+func (t *OverloadTracker) endPeriod() {
+	length := float64(t.lastRefusal - t.startedAt)
 	switch {
 	case length <= 0:
-	case s.mean == 0:
-		s.mean = length
+	case t.meanLength == 0:
+		t.meanLength = length
 	default:
-		s.mean += spellWeight * (length - s.mean)
+		t.meanLength += periodWeight * (length - t.meanLength)
 	}
 }
 
-// Left is how much longer the spell will probably last; known is false if none has been
-// seen to its end, or if this one is longer than usual.
-func (s *Spells) Left(now clock.Millis) (span clock.Millis, known bool) {
-	elapsed := float64(now - s.began)
-	if s.mean == 0 || elapsed > spellSlack*s.mean {
+// Remaining returns how much longer the current overload period will probably last. known is false if no period has
+// ended yet, or if the current one is longer than usual.
+func (t *OverloadTracker) Remaining(now clock.Millis) (remaining clock.Millis, known bool) {
+	elapsed := float64(now - t.startedAt)
+	if t.meanLength == 0 || elapsed > maxUsualLength*t.meanLength {
 		return 0, false
 	}
-	return clock.Millis(max(s.mean-elapsed, 0)), true
+	return clock.Millis(max(t.meanLength-elapsed, 0)), true
 }
--- a/gateway/pkg/admission/overload_tracker_test.go
+++ b/gateway/pkg/admission/overload_tracker_test.go
@@ -8,60 +8,61 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// spellsOf has seen one spell of a length end, and another one begin at 0.
-func spellsOf(length clock.Millis) *Spells {
-	s := &Spells{}
+// trackerWithPeriod returns a tracker that has seen an overload period of the given length end, and another one start at
+// 0.
+func trackerWithPeriod(length clock.Millis) *OverloadTracker {
+	tracker := &OverloadTracker{}
 	if length > 0 {
-		s.Refused(-20_000)
-		s.last = -20_000 + length
+		tracker.RecordRefusal(-20_000)
+		tracker.lastRefusal = -20_000 + length
 	}
-	s.Refused(0)
-	return s
+	tracker.RecordRefusal(0)
+	return tracker
 }
 
-func TestSpells(t *testing.T) {
-	s := &Spells{}
+func TestOverloadTracker(t *testing.T) {
+	tracker := &OverloadTracker{}
 	burst := func(from clock.Millis) {
 		for at := from; at <= from+2_000; at += 200 {
-			s.Refused(at)
+			tracker.RecordRefusal(at)
 		}
 	}
-	_, known := s.Left(0)
-	require.False(t, known, "none was seen")
+	_, known := tracker.Remaining(0)
+	require.False(t, known, "no overload period was seen")
 	burst(1_000)
-	_, known = s.Left(2_000)
-	require.False(t, known, "none was seen to its end")
+	_, known = tracker.Remaining(2_000)
+	require.False(t, known, "no overload period has ended")
 	burst(7_000)
-	s.Refused(13_000)
-	left, known := s.Left(13_500)
+	tracker.RecordRefusal(13_000)
+	remaining, known := tracker.Remaining(13_500)
 	require.True(t, known)
-	require.Equal(t, clock.Millis(1_500), left)
-	left, known = s.Left(15_200)
+	require.Equal(t, clock.Millis(1_500), remaining)
+	remaining, known = tracker.Remaining(15_200)
 	require.True(t, known)
-	require.Zero(t, left)
-	_, known = s.Left(16_000)
+	require.Zero(t, remaining)
+	_, known = tracker.Remaining(16_000)
 	require.False(t, known, "longer than usual")
 }
 
-// Callers are turned away in a burst and told when to come back. Coming back while it goes
-// on they would meet it again, and be turned away for good.
-func TestCallersComeBackAfterTheBurst(t *testing.T) {
+// Callers are refused during a burst and told when to retry. If they retried during the same burst, they would be
+// refused for good.
+func TestRetryAfterFollowsOverloadPeriods(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		spells      *Spells
+		overload    *OverloadTracker
 		now         clock.Millis
 		first, last clock.Millis
 	}{
-		{"nothing is known: late", spellsOf(0), 100, 1_166, 1_666},
-		{"the burst will go on for longer than they wait", spellsOf(4_000), 100, 1_166, 1_666},
-		{"it will be over soon", spellsOf(1_000), 400, 600, 1_666},
-		{"it should be over", spellsOf(1_000), 1_100, 200, 1_666},
-		{"it goes on for longer than usual", spellsOf(1_000), 1_300, 1_166, 1_666},
+		{"no period known: late", trackerWithPeriod(0), 100, 1_166, 1_666},
+		{"period longer than the retry delay: late", trackerWithPeriod(4_000), 100, 1_166, 1_666},
+		{"period ends soon", trackerWithPeriod(1_000), 400, 600, 1_666},
+		{"period should have ended", trackerWithPeriod(1_000), 1_100, 200, 1_666},
+		{"period longer than usual: late", trackerWithPeriod(1_000), 1_300, 1_166, 1_666},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := Ask{Arrived: c.now, Ends: c.now + 5_000}
-			require.Equal(t, c.first, RetryAfter(c.now, a, c.spells, 0))
-			require.InDelta(t, float64(c.last), float64(RetryAfter(c.now, a, c.spells, 0.999)), 2)
+			r := Request{Arrived: c.now, Deadline: c.now + 5_000}
+			require.Equal(t, c.first, RetryAfter(c.now, r, c.overload, 0))
+			require.InDelta(t, float64(c.last), float64(RetryAfter(c.now, r, c.overload, 0.999)), 2)
 		})
 	}
 }
--- a/gateway/pkg/admission/wait_queue.go
+++ b/gateway/pkg/admission/wait_queue.go
@@ -7,67 +7,66 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// rankSpan is how much longer a request waits for each rank below the most urgent, a span. A
-// request of a low rank is overtaken by those that came up to that much later, and by no
-// others: with ranks alone it would wait for ever behind a team that never pauses.
-const rankSpan clock.Millis = 400
+// priorityPenalty is added to a waiter's deadline for each priority level below the most urgent. A request of the next
+// level is overtaken by requests that arrive up to that much later, and by no others. Ordered by priority alone, it
+// would wait forever behind a team that never stops sending.
+const priorityPenalty clock.Millis = 400
 
-// teamPart is the part of a gateway's room that one team may take. A team that sends many times
-// its usual load would else turn all others away that came back.
-const teamPart = 2
+// teamDivisor limits the waiters of one team to the length limit of the queue divided by it. Otherwise the retries of a
+// team that sends many times its usual load would crowd out all others.
+const teamDivisor = 2
 
-// Waiter is a request that waits for a free place.
+// Waiter is a request that waits for a free slot.
 type Waiter struct {
-	ID   uint64
-	Ends clock.Millis
-	// Rank is the request's priority, 0 for the most urgent, and Team whose it is.
-	Rank uint32
-	Team string
+	ID       uint64
+	Deadline clock.Millis
+	// Priority is the request's priority, 0 for the most urgent, and Team the team that sent it.
+	Priority uint32
+	Team     string
 }
 
-// turn is the moment by which waiters are put in order.
-func (w Waiter) turn() clock.Millis { return w.Ends + clock.Millis(w.Rank)*rankSpan }
+// sortKey returns the time by which waiters are ordered.
+func (w Waiter) sortKey() clock.Millis { return w.Deadline + clock.Millis(w.Priority)*priorityPenalty }
 
-// Room holds the waiting requests of a gateway, the one whose time ends first in
-// front, among those of one rank.
-type Room struct {
+// WaitQueue holds the waiting requests of a gateway. Requests of the same priority are ordered by deadline.
+type WaitQueue struct {
 	waiters []Waiter
-	last    uint64
+	lastID  uint64
 }
 
-// Enter adds a request and returns its number here.
-func (r *Room) Enter(w Waiter) uint64 {
-	r.last++
-	w.ID = r.last
-	r.waiters = append(r.waiters, w)
-	slices.SortStableFunc(r.waiters, func(a, b Waiter) int { return cmp.Compare(a.turn(), b.turn()) })
-	return r.last
+// Enqueue adds a request and returns its id in the queue.
+func (q *WaitQueue) Enqueue(w Waiter) uint64 {
+	q.lastID++
+	w.ID = q.lastID
+	q.waiters = append(q.waiters, w)
+	slices.SortStableFunc(q.waiters, func(a, b Waiter) int { return cmp.Compare(a.sortKey(), b.sortKey()) })
+	return q.lastID
 }
 
-// Leave takes a request out.
-func (r *Room) Leave(id uint64) {
-	r.waiters = slices.DeleteFunc(r.waiters, func(w Waiter) bool { return w.ID == id })
+// Remove removes a request.
+func (q *WaitQueue) Remove(id uint64) {
+	q.waiters = slices.DeleteFunc(q.waiters, func(w Waiter) bool { return w.ID == id })
 }
 
-// First says whether a request is the one in front.
-func (r *Room) First(id uint64) bool { return len(r.waiters) > 0 && r.waiters[0].ID == id }
+// IsFirst reports whether a request is at the front of the queue.
+func (q *WaitQueue) IsFirst(id uint64) bool { return len(q.waiters) > 0 && q.waiters[0].ID == id }
 
-// Full says whether no more requests of a team should wait at this gateway, one of several
-// before that many places. A caller without a team counts as one of a team of all of these.
-func (r *Room) Full(places, gateways int, team string) bool {
-	most := max(places/roomPart/max(gateways, 1), 1)
-	if len(r.waiters) >= most {
+// Full reports whether no more requests of a team may wait at this gateway. slots is the number of slots that all
+// gateways share. The team limit doesn't apply to callers without a team.
+func (q *WaitQueue) Full(slots, gateways int, team string) bool {
+	limit := max(slots/queueDivisor/max(gateways, 1), 1)
+	if len(q.waiters) >= limit {
 		return true
 	}
 	own := 0
-	for _, w := range r.waiters {
+	for _, w := range q.waiters {
 		if w.Team == team {
 			own++
 		}
 	}
-	// Where there are no teams, all have the whole room.
-	return team != "" && own >= max(most/teamPart, 1)
+	// Callers without a team may use the whole queue.
+	return team != "" && own >= max(limit/teamDivisor, 1)
 }
 
-// Len is the number of waiting requests.
-func (r *Room) Len() int { return len(r.waiters) }
+// Len returns the number of waiting requests.
+func (q *WaitQueue) Len() int { return len(q.waiters) }
--- a/lab/pkg/replay/world.go
+++ b/lab/pkg/replay/world.go
@@ -56,7 +56,7 @@
 	place *place.Machine
 	room  []*request
 	// spells are the overloads that it saw.
-	spells admission.Spells
+	spells admission.OverloadTracker
 	// changed says that its own counts differ from what it told last.
 	changed bool
 }
