--- a/control/pkg/batchrun/driver.go
+++ b/control/pkg/batchrun/driver.go
@@ -180,15 +180,15 @@
 func (d *Driver) addJob(s *systemstate.State, j *systemstate.Job) {
 	deadline, expires, priority := j.Accepted, j.Accepted+expirySlack, uint32(0)
 	if route, found := s.Route(j); found {
-		priority = s.Rank(j, route)
+		priority = s.Priority(j, route)
 		deadline += clock.Millis(route.CompletionMs)
 		expires += clock.Millis(route.RetentionMs)
 	}
 	for i := range j.Items {
 		if !j.Items[i].Done {
 			d.machine.Add(dispatch.Item{
-				Key: dispatch.Key{Job: j.Name, Index: uint32(i)}, Due: deadline, Expires: expires, Tokens: j.Items[i].Tokens,
-				Team: j.Team, Rank: priority,
+				Key: dispatch.Key{Job: j.Name, Index: uint32(i)}, Deadline: deadline, Expires: expires, Tokens: j.Items[i].Tokens,
+				Team: j.Team, Priority: priority,
 			})
 		}
 	}
@@ -222,7 +222,7 @@
 		return remaining
 	}
 	allowed := d.limiter.allowed(now)
-	input.MostStarts = &allowed
+	input.MaxStarts = &allowed
 	actions := d.machine.Step(now, input)
 	d.pacer.record(startedAt, time.Now())
 	d.limiter.spend(len(actions.Start))
@@ -275,12 +275,12 @@
 func externalLoad(now clock.Millis, id string, t *occupancy.Table) dispatch.Load {
 	total, own := t.Load(id), t.Own(id)
 	return dispatch.Load{
-		Online: total.Online, Batch: total.Batch - own.Batch, Foreign: t.Foreign(now, id), Silent: t.Silent(now, id),
+		Online: total.Online, Batch: total.Batch - own.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Silent(now, id),
 	}
 }
 
-func (d *Driver) dispatchInput(runners []*toucanhingev1.Runner) dispatch.Surroundings {
-	return dispatch.Surroundings{
+func (d *Driver) dispatchInput(runners []*toucanhingev1.Runner) dispatch.Environment {
+	return dispatch.Environment{
 		Runners:  runners,
 		Load:     d.loads.At,
 		Services: d.routes.services,
--- a/control/pkg/batchrun/progress_log.go
+++ b/control/pkg/batchrun/progress_log.go
@@ -25,7 +25,7 @@
 		level.Error(d.config.Logger).Log(logs.KeyEvent, "progress-unread", logs.KeyJob, key.Job, "index", key.Index, logs.KeyError, err)
 		return &progress{}
 	}
-	return &progress{last: item.Last, text: text, loggedLast: item.Last, loggedBytes: len(text)}
+	return &progress{last: item.LastEvent, text: text, loggedLast: item.LastEvent, loggedBytes: len(text)}
 }
 
 // logProgress logs the output of running items, so that the next leader can resume them. The progress of
--- a/lab/pkg/replay/play.go
+++ b/lab/pkg/replay/play.go
@@ -162,12 +162,12 @@
 	if w.config.TeamsUntold {
 		i.Team = ""
 	}
-	w.dispatch.Add(dispatch.Item{Key: key, Due: due, Expires: i.At + 10_000_000, Tokens: int64(i.Run), Team: i.Team, Rank: i.Rank})
+	w.dispatch.Add(dispatch.Item{Key: key, Deadline: due, Expires: i.At + 10_000_000, Tokens: int64(i.Run), Team: i.Team, Priority: i.Rank})
 }
 
 // items starts and pauses batch items.
 func (w *world) items() {
-	actions := w.dispatch.Step(w.now, dispatch.Surroundings{
+	actions := w.dispatch.Step(w.now, dispatch.Environment{
 		Runners: w.runners,
 		Load: func(id string) dispatch.Load {
 			total := w.core.table.Load(id)
