--- a/control/pkg/core/core.go
+++ b/control/pkg/core/core.go
@@ -135,7 +135,7 @@
 		Registerer: config.Registerer,
 	})
 	c.driver = batchrun.New(batchrun.Config{
-		Machine: c.machine, Propose: c.propose, Client: proxy.Calls(), Late: proxy.Late, Exchange: config.Exchange,
+		Machine: c.machine, Propose: c.propose, Client: proxy.RunnerClient(), OnLag: proxy.ReportLag, Exchange: config.Exchange,
 		Runners: c.fleet.currentRunners, DataCentre: config.DataCentre, Clock: config.Clock, Logger: config.Logger,
 		Metrics: batchrun.NewMetrics(config.Registerer),
 	})
--- /dev/null
+++ b/gateway/pkg/place/machine.go
@@ -0,0 +1,211 @@
+// Package place selects the runner for an online request. It is designed for bursts that need nearly every slot of
+// the fleet for some seconds and arrive through many gateways at once, while batch items hold the slots that were
+// free. It therefore counts the calls of all daemons instead of relying on reports of runners, prefers a free slot to
+// one that an item must yield, and estimates the wait for a slot if none is free. It uses no goroutine, socket or
+// clock.
+package place
+
+import (
+	"slices"
+
+	"toucanhinge.example/common/pkg/clock"
+	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
+)
+
+// Costs are estimates of the milliseconds until the first event. Other constants tune the estimates.
+const (
+	// yieldCost is the time until an item yields its slot: the load digest takes 1 to 6 ms, and closing the
+	// item's call takes another millisecond.
+	yieldCost = 6.0
+	// remoteCost is a round trip between data centres and the cost of the traffic.
+	remoteCost = 3.0
+	// fullRunnerCost is how much slower a full runner is than an empty one.
+	fullRunnerCost = 1.0
+	// minHold is the lower bound of the mean time for which a request holds its slot.
+	minHold = 50.0
+	// holdWeight is the weight of the newest request in the moving average.
+	holdWeight = 0.05
+	// initialHold is the mean before any request was measured.
+	initialHold = 700.0
+	// spreadFactor is the number of candidates for each request that other gateways have probably placed without being
+	// visible here yet. Ended requests aren't visible either, and gateways draw independently, so with a
+	// factor of one two requests often get the same slot.
+	spreadFactor = 3
+	// maxCandidatesPerRunner limits the candidates of one runner.
+	maxCandidatesPerRunner = 4
+	// deprioritizedCost is added for a runner that has recently failed a call.
+	deprioritizedCost = 100.0
+)
+
+// Load is the load that all daemons have on a runner.
+type Load struct {
+	Online int
+	// Own is the part of Online that this gateway sent.
+	Own   int
+	Batch int
+	// Foreign is the number of calls that no daemon of this system made, so none of them can be preempted.
+	Foreign int
+	// Unresponsive reports whether a daemon with calls on the runner has received nothing from it for too long.
+	Unresponsive bool
+}
+
+// Request describes a request that needs a runner.
+type Request struct {
+	Service string
+	// Tried lists runners that are selected only if there is no other.
+	Tried []string
+	// TieBreak is a random number in [0, 1) that spreads requests over equal runners.
+	TieBreak float64
+	// Draw is a random number in [0, 1) that selects among the best candidates, so that gateways which place
+	// requests at the same time select different slots.
+	Draw float64
+	// Age is the age of the known load of other gateways.
+	Age clock.Millis
+}
+
+// Choice is the selected runner with the expected wait for a slot.
+type Choice struct {
+	Runner *toucanhingev1.Runner
+	// Wait is the expected time until the request gets a slot.
+	Wait clock.Millis
+	// QueuePosition is the number of requests on the runner that must end before this one starts, or 0 if a slot
+	// is free.
+	QueuePosition int
+}
+
+// Config holds the settings of a Machine.
+type Config struct {
+	// DataCentre is the data centre of the gateway.
+	DataCentre string
+}
+
+// Machine holds the known runners and what this gateway has observed of them.
+type Machine struct {
+	config        Config
+	runners       []*toucanhingev1.Runner
+	blocked       map[string]clock.Millis
+	deprioritized map[string]clock.Millis
+	hold          map[string]float64
+}
+
+// New returns a machine without runners.
+func New(config Config) *Machine {
+	return &Machine{
+		config: config, blocked: map[string]clock.Millis{}, deprioritized: map[string]clock.Millis{}, hold: map[string]float64{},
+	}
+}
+
+// SetRunners replaces the known runners. Blocks and lowered preferences of a runner end when it is removed or
+// restarted under the same id.
+func (m *Machine) SetRunners(runners []*toucanhingev1.Runner) {
+	startedAt := make(map[string]int64, len(runners))
+	for _, r := range runners {
+		startedAt[r.GetId()] = r.GetBornMs()
+	}
+	for _, r := range m.runners {
+		if now, known := startedAt[r.GetId()]; !known || now != r.GetBornMs() {
+			delete(m.blocked, r.GetId())
+			delete(m.deprioritized, r.GetId())
+		}
+	}
+	m.runners = runners
+}
+
+// Block excludes a runner until the given time because it refused a request or is unreachable.
+func (m *Machine) Block(id string, until clock.Millis) {
+	m.blocked[id] = max(m.blocked[id], until)
+}
+
+// Deprioritize lowers the preference of a runner until the given time because a call to it broke off.
+func (m *Machine) Deprioritize(id string, until clock.Millis) {
+	m.deprioritized[id] = max(m.deprioritized[id], until)
+}
+
+// RecordHold records how long a request held its slot.
+func (m *Machine) RecordHold(service string, duration clock.Millis) {
+	if m.hold[service] == 0 {
+		m.hold[service] = initialHold
+	}
+	m.hold[service] += holdWeight * (float64(duration) - m.hold[service])
+}
+
+// MeanHold returns the mean time in milliseconds for which a request of a service holds its slot.
+func (m *Machine) MeanHold(service string) float64 {
+	if m.hold[service] == 0 {
+		return initialHold
+	}
+	return max(m.hold[service], minHold)
+}
+
+// Select selects a runner. ok is false if the service has no eligible runner. The known load is some milliseconds old,
+// and other gateways with the same knowledge place requests at the same time. If each selected the candidate with the
+// least cost, all would select the same slot, and requests would queue there while other slots are free. So Select
+// draws from the best candidates. Their number grows with the number of requests that are probably not visible yet.
+func (m *Machine) Select(now clock.Millis, req Request, load func(runner string) Load) (choice Choice, ok bool) {
+	eligible := m.eligible(now, req)
+	if len(eligible) == 0 {
+		return Choice{}, false
+	}
+	hold := m.MeanHold(req.Service)
+	candidates := m.candidates(now, eligible, req, hold, load)
+	selected := candidates[int(req.Draw*float64(len(candidates)))]
+	return Choice{Runner: selected.runner, Wait: clock.Millis(selected.wait), QueuePosition: selected.position}, true
+}
+
+// eligible returns the runners of the service that accept requests. Runners that were tried before are returned only
+// if there is no other.
+func (m *Machine) eligible(now clock.Millis, req Request) []*toucanhingev1.Runner {
+	eligible := make([]*toucanhingev1.Runner, 0, len(m.runners))
+	var tried []*toucanhingev1.Runner
+	for _, r := range m.runners {
+		switch {
+		case r.GetService() != req.Service || r.GetLeaving() || len(m.blocked) > 0 && m.blocked[r.GetId()] > now:
+		case slices.Contains(req.Tried, r.GetId()):
+			tried = append(tried, r)
+		default:
+			eligible = append(eligible, r)
+		}
+	}
+	if len(eligible) == 0 {
+		return tried
+	}
+	return eligible
+}
+
+// queuePosition returns the number of requests that must end before another one starts. Batch items don't count, since
+// they yield at once. Requests start at independent times, so if they hold all slots, on average one of them ends per
+// mean hold divided by the number of slots.
+func queuePosition(r *toucanhingev1.Runner, load Load) int {
+	return max(load.Online+load.Foreign-int(r.GetSlots())+1, 0)
+}
+
+// fixedCost returns the part of a runner's cost that doesn't depend on the number of its calls.
+func (m *Machine) fixedCost(now clock.Millis, r *toucanhingev1.Runner, load Load) float64 {
+	cost := 0.0
+	if r.GetDataCentre() != m.config.DataCentre {
+		cost += remoteCost
+	}
+	if load.Unresponsive || len(m.deprioritized) > 0 && m.deprioritized[r.GetId()] > now {
+		cost += deprioritizedCost
+	}
+	return cost
+}
+
+// loadCost returns the part of a runner's cost that depends on the number of its calls.
+func loadCost(r *toucanhingev1.Runner, load Load) float64 {
+	calls := load.Online + load.Batch + load.Foreign
+	cost := fullRunnerCost * float64(calls) / float64(r.GetSlots())
+	if calls >= int(r.GetSlots()) {
+		cost += yieldCost
+	}
+	return cost
+}
+
+// Slots returns the number of slots on the eligible runners of a service.
+func (m *Machine) Slots(now clock.Millis, service string) int {
+	slots := 0
+	for _, r := range m.eligible(now, Request{Service: service}) {
+		slots += int(r.GetSlots())
+	}
+	return slots
+}
