--- a/common/pkg/digest/exchange.go
+++ b/common/pkg/digest/exchange.go
@@ -308,7 +308,7 @@
 	loads := x.table.Loads(x.config.Clock.Now())
 	next := x.promise()
 	x.mu.Unlock()
-	untold := x.config.Quota.Awake(x.boot())
+	untold := x.config.Quota.MarkAlive(x.boot())
 	// Nothing under way is told twice, lest one is lost, and then no more.
 	if len(loads) > 0 || untold || guides {
 		x.empty = 0
@@ -321,7 +321,7 @@
 	x.sequence++
 	data, err := proto.Marshal(&toucanhingev1.LoadDigest{
 		Source: x.config.Source, Epoch: x.epoch, Sequence: x.sequence, Version: x.config.Version(), Loads: loads,
-		NextMs: uint32(next), Uses: x.config.Quota.Tell(false), CountingMs: x.counting(),
+		NextMs: uint32(next), Uses: x.config.Quota.Publish(false), CountingMs: x.counting(),
 	})
 	if err != nil {
 		level.Error(x.config.Logger).Log(logs.KeyEvent, "digest-unencodable", logs.KeyError, err)
--- a/common/pkg/digest/pass.go
+++ b/common/pkg/digest/pass.go
@@ -61,7 +61,7 @@
 
 // centreUses lists what other data centres may not know of the teams' requests in this one.
 func (x *Exchange) centreUses() ([]*toucanhingev1.TeamUse, uint32) {
-	return x.config.Quota.Tell(true), x.counting()
+	return x.config.Quota.Publish(true), x.counting()
 }
 
 // take takes over a digest, and lists to whom it must be passed on as it came.
@@ -77,7 +77,7 @@
 	case !d.GetRelays():
 		if x.relay.notice(from, d.GetSource()) {
 			x.table.Digest(now, d)
-			x.config.Quota.Heard(boot, d, false)
+			x.config.Quota.Receive(boot, d, false)
 		}
 		return nil
 	}
@@ -92,7 +92,7 @@
 			// Where data centres tell one another sums, one's own daemons tell nothing of the others.
 			x.hearing.otherAt = boot
 			x.table.Summary(now, summary)
-			x.config.Quota.Heard(boot, summary, true)
+			x.config.Quota.Receive(boot, summary, true)
 		}
 	}
 	return passOn
--- a/common/pkg/digest/uses.go
+++ b/common/pkg/digest/uses.go
@@ -9,12 +9,12 @@
 
 // LetIn counts one request of a team, or refuses it; see package quota.
 func (x *Exchange) LetIn(l quota.Limit) quota.Verdict {
-	now, around := x.boot(), quota.Surroundings{Age: x.Age()}
+	now, around := x.boot(), quota.Peers{Age: x.Age()}
 	x.mu.Lock()
 	around.Gateways = x.gateways
 	around.Isolated = len(x.all) > 0 && x.hearing.isolated(now, x.relay.sums())
 	x.mu.Unlock()
-	verdict := x.config.Quota.Ask(now, l, around)
+	verdict := x.config.Quota.Admit(now, l, around)
 	if verdict.Admitted {
 		x.wake()
 	}
@@ -23,7 +23,7 @@
 
 // GiveBack takes a request back that was let in at a moment, by the boot clock, and never ran.
 func (x *Exchange) GiveBack(at clock.Millis, team string) {
-	x.config.Quota.GiveBack(x.boot(), at, team)
+	x.config.Quota.Release(x.boot(), at, team)
 	x.wake()
 }
 
@@ -47,7 +47,7 @@
 func (x *Exchange) welcome(all map[string]netip.AddrPort) {
 	for address := range all {
 		if _, known := x.all[address]; !known {
-			x.config.Quota.Retell(x.boot())
+			x.config.Quota.Republish(x.boot())
 			return
 		}
 	}
--- a/common/pkg/digest/uses_test.go
+++ b/common/pkg/digest/uses_test.go
@@ -14,12 +14,12 @@
 
 // ask lets a team's requests in at a daemon, as many of some as fit.
 func (f *fleet) ask(d *daemon, l quota.Limit, requests int) (let int) {
-	around := quota.Surroundings{Gateways: len(f.order), Age: 60}
+	around := quota.Peers{Gateways: len(f.order), Age: 60}
 	for range requests {
-		v := d.uses.Ask(f.now, l, around)
+		v := d.uses.Admit(f.now, l, around)
 		for v.Wait > 0 {
 			f.run(v.Wait)
-			v = d.uses.Ask(f.now, l, around)
+			v = d.uses.Admit(f.now, l, around)
 		}
 		if v.Admitted {
 			let++
@@ -124,7 +124,7 @@
 func TestAQuietFleetIsNoIsolation(t *testing.T) {
 	now := clock.System()
 	listen := func(name string, core bool) *Exchange {
-		counter := quota.NewCounter(quota.Config{Window: 5_000, Slack: 16})
+		counter := quota.NewCounter(quota.Config{Window: 5_000, OverrunRequests: 16})
 		counter.Restore(now.Now(), nil, 5_000)
 		x, err := Listen(Config{
 			Address: "127.0.0.1:0", Source: name, Core: core, Clock: now, Boot: now, Logger: log.NewNopLogger(),
--- a/common/pkg/quota/bench_test.go
+++ b/common/pkg/quota/bench_test.go
@@ -8,8 +8,8 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// The size that is designed for: 1,900 teams at 380 gateways in 8 data centres, 11,000 requests a
-// second.
+// The benchmarks use the size that the system is designed for: 1,900 teams, 380 gateways, 8 data
+// centres and 11,000 requests per second.
 const (
 	benchTeams    = 1_900
 	benchGateways = 380
@@ -17,46 +17,46 @@
 )
 
 func benchMachine() (*Machine, []Limit) {
-	m := New(Config{Overage: overage, Slack: slack})
+	m := New(Config{OverrunRatio: overrunRatio, OverrunRequests: overrunRequests})
 	m.Begin(0, replayWindow)
 	var limits []Limit
 	for n := range benchTeams {
 		l := Limit{Team: fmt.Sprintf("team-%d", n), Rate: 10, Burst: 10}
 		limits = append(limits, l)
-		m.Ask(1, l, Surroundings{Gateways: benchGateways, Age: relayedAge})
+		m.Admit(1, l, Peers{Gateways: benchGateways, Age: relayedAge})
 	}
 	return m, limits
 }
 
-// BenchmarkAsk lets a request in.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkAdmit admits one request.
+func BenchmarkAdmit(b *testing.B) {
 	m, limits := benchMachine()
 	now := clock.Millis(1)
 	for n := range b.N {
 		if n%29 == 0 {
 			now += 1_000
 		}
-		m.Ask(now, limits[n%benchTeams], Surroundings{Gateways: benchGateways, Age: relayedAge})
+		m.Admit(now, limits[n%benchTeams], Peers{Gateways: benchGateways, Age: relayedAge})
 	}
 }
 
-// BenchmarkHeardCentre takes over what a data centre tells: 33 counts, a third of which are new.
-func BenchmarkHeardCentre(b *testing.B) {
+// BenchmarkReceiveCentre applies a report of a data centre with 33 counts, a third of them new.
+func BenchmarkReceiveCentre(b *testing.B) {
 	m, limits := benchMachine()
-	const uses = 33
+	const counts = 33
 	now, sequence := clock.Millis(1), uint64(0)
 	for n := range b.N {
 		now++
 		sequence++
-		r := Report{Source: fmt.Sprint(n % benchCentres), Epoch: 1, Sequence: sequence, Counting: now}
-		for i := range uses {
-			r.Uses = append(r.Uses, Use{Team: IDOf(limits[(n/3+i)%benchTeams].Team), Count: int64(n / 3)})
+		r := Report{Source: fmt.Sprint(n % benchCentres), Epoch: 1, Sequence: sequence, CountingFor: now}
+		for i := range counts {
+			r.Usage = append(r.Usage, TeamUsage{Team: IDOf(limits[(n/3+i)%benchTeams].Team), Count: int64(n / 3)})
 		}
-		m.HeardCentre(now, r)
+		m.ReceiveCentre(now, r)
 	}
 }
 
-// BenchmarkMemory reports the bytes that a team takes.
+// BenchmarkMemory measures the memory in use per team.
 func BenchmarkMemory(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/common/pkg/quota/counter.go
+++ b/common/pkg/quota/counter.go
@@ -7,7 +7,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Counter is a machine for several goroutines. A nil counter counts nothing.
+// Counter is a Machine that is safe for concurrent u. A nil Counter counts nothing.
 type Counter struct {
 	config Config
 
@@ -15,12 +15,12 @@
 	machine *Machine
 }
 
-// NewCounter makes a counter that knows nothing yet.
+// NewCounter returns a counter without any counts.
 func NewCounter(config Config) *Counter {
 	return &Counter{config: config, machine: New(config)}
 }
 
-// do runs a step on the machine.
+// do runs a step on the machine while holding the lock.
 func (c *Counter) do(step func(*Machine)) {
 	if c == nil {
 		return
@@ -30,7 +30,7 @@
 	step(c.machine)
 }
 
-// Reset forgets everything; from a point on, the requests of all gateways will be heard.
+// Reset removes all counts. The counts of all gateways will be received from the given time on.
 func (c *Counter) Reset(from clock.Millis) {
 	c.do(func(m *Machine) {
 		*m = *New(c.config)
@@ -38,100 +38,100 @@
 	})
 }
 
-// Begin notes that the requests of all gateways are heard from now on.
+// Begin starts the machine: the counts of all gateways are received from now on.
 func (c *Counter) Begin(now clock.Millis) { c.do(func(m *Machine) { m.Begin(now, 0) }) }
 
-// Ask lets one request of a team in, or says when it fits.
-func (c *Counter) Ask(now clock.Millis, l Limit, around Surroundings) (v Verdict) {
-	c.do(func(m *Machine) { v = m.Ask(now, l, around) })
+// Admit decides on one request of a team.
+func (c *Counter) Admit(now clock.Millis, l Limit, peers Peers) (v Verdict) {
+	c.do(func(m *Machine) { v = m.Admit(now, l, peers) })
 	return v
 }
 
-// GiveBack takes a request back that was let in at a moment and never ran.
-func (c *Counter) GiveBack(now, at clock.Millis, team string) {
-	c.do(func(m *Machine) { m.GiveBack(now, at, team) })
+// Release removes a request that was admitted at the given time and never ran.
+func (c *Counter) Release(now, at clock.Millis, team string) {
+	c.do(func(m *Machine) { m.Release(now, at, team) })
 }
 
-// Retell tells all counts of the last while once more.
-func (c *Counter) Retell(now clock.Millis) { c.do(func(m *Machine) { m.Retell(now) }) }
+// Republish marks all recent counts for publication.
+func (c *Counter) Republish(now clock.Millis) { c.do(func(m *Machine) { m.Republish(now) }) }
 
-// Awake notes that this process runs, and says whether there is anything to tell.
-func (c *Counter) Awake(now clock.Millis) (untold bool) {
+// MarkAlive records that this process runs, and reports whether there are counts to publish.
+func (c *Counter) MarkAlive(now clock.Millis) (unpublished bool) {
 	c.do(func(m *Machine) {
-		m.Awake(now)
-		untold = m.Untold()
+		m.MarkAlive(now)
+		unpublished = m.HasUnpublished()
 	})
-	return untold
+	return unpublished
 }
 
-// Tell lists what other daemons may not know, for the own data centre or the others, as it
-// travels.
-func (c *Counter) Tell(centre bool) (uses []*toucanhingev1.TeamUse) {
-	c.do(func(m *Machine) { uses = wire(m.tell(centre)) })
-	return uses
+// Publish returns the encoded counts that must still be published: those of this gateway for its
+// own data centre, or those of the whole data centre for the others.
+func (c *Counter) Publish(centre bool) (usage []*toucanhingev1.TeamUse) {
+	c.do(func(m *Machine) { usage = toProto(m.publish(centre)) })
+	return usage
 }
 
-// Heard takes over what a digest tells; centre says that it sums up another data centre.
-func (c *Counter) Heard(now clock.Millis, d *toucanhingev1.LoadDigest, centre bool) {
+// Receive applies the counts in a digest. If centre is set, the digest sums up another data centre.
+func (c *Counter) Receive(now clock.Millis, d *toucanhingev1.LoadDigest, centre bool) {
 	c.do(func(m *Machine) {
 		r := Report{
-			Source: d.GetSource(), Epoch: d.GetEpoch(), Sequence: d.GetSequence(), Counting: clock.Millis(d.GetCountingMs()),
-			Uses: unwire(d.GetUses()),
+			Source: d.GetSource(), Epoch: d.GetEpoch(), Sequence: d.GetSequence(), CountingFor: clock.Millis(d.GetCountingMs()),
+			Usage: fromProto(d.GetUses()),
 		}
 		if !centre {
-			m.Heard(now, r)
+			m.Receive(now, r)
 			return
 		}
-		// The relay tells its own requests too, under its name.
+		// The relay publishes its own requests as well, under its own name.
 		r.Source = d.GetDataCentre() + " by " + d.GetSource()
-		m.HeardCentre(now, r)
+		m.ReceiveCentre(now, r)
 	})
 }
 
-// Snapshot lists what is in the windows, and for how long a span all is known.
-func (c *Counter) Snapshot(now clock.Millis) (uses []*toucanhingev1.TeamUse, known clock.Millis) {
+// Snapshot returns the requests in the windows, and for how long before now all requests are known.
+func (c *Counter) Snapshot(now clock.Millis) (usage []*toucanhingev1.TeamUse, known clock.Millis) {
 	c.do(func(m *Machine) {
-		list, span := m.Snapshot(now)
-		uses, known = wire(list), span
+		list, duration := m.Snapshot(now)
+		usage, known = toProto(list), duration
 	})
-	return uses, known
+	return usage, known
 }
 
-// Restore takes over a snapshot, at the start.
-func (c *Counter) Restore(now clock.Millis, uses []*toucanhingev1.TeamUse, known clock.Millis) {
-	c.do(func(m *Machine) { m.Restore(now, unwire(uses), known) })
+// Restore applies a snapshot at the start of the process.
+func (c *Counter) Restore(now clock.Millis, usage []*toucanhingev1.TeamUse, known clock.Millis) {
+	c.do(func(m *Machine) { m.Restore(now, fromProto(usage), known) })
 }
 
-// Used is the number of a team's requests in the window.
+// Used returns the number of a team's requests in the window.
 func (c *Counter) Used(now clock.Millis, team string) (used float64) {
 	c.do(func(m *Machine) { used = m.Used(now, team) })
 	return used
 }
 
-// Refused is the number of a team's requests that were refused anywhere since the start.
+// Refused returns the number of a team's requests that any gateway refused since the start.
 func (c *Counter) Refused(team string) (refused int64) {
 	c.do(func(m *Machine) { refused = m.Refused(team) })
 	return refused
 }
 
-// Window is the length of the windows, a span.
+// Window returns the window length.
 func (c *Counter) Window() (window clock.Millis) {
 	c.do(func(m *Machine) { window = m.config.Window })
 	return window
 }
 
-func wire(uses []Use) []*toucanhingev1.TeamUse {
+func toProto(usage []TeamUsage) []*toucanhingev1.TeamUse {
 	var list []*toucanhingev1.TeamUse
-	for _, use := range uses {
-		list = append(list, &toucanhingev1.TeamUse{Team: uint32(use.Team), Count: use.Count, Refused: use.Refused})
+	for _, u := range usage {
+		list = append(list, &toucanhingev1.TeamUse{Team: uint32(u.Team), Count: u.Count, Refused: u.Refused})
 	}
 	return list
 }
 
-func unwire(list []*toucanhingev1.TeamUse) []Use {
-	var uses []Use
-	for _, use := range list {
-		uses = append(uses, Use{Team: ID(use.GetTeam()), Count: use.GetCount(), Refused: use.GetRefused()})
+func fromProto(list []*toucanhingev1.TeamUse) []TeamUsage {
+	var usage []TeamUsage
+	for _, u := range list {
+		usage = append(usage, TeamUsage{Team: ID(u.GetTeam()), Count: u.GetCount(), Refused: u.GetRefused()})
 	}
-	return uses
+	return usage
 }
--- a/common/pkg/quota/machine.go
+++ b/common/pkg/quota/machine.go
@@ -1,15 +1,15 @@
-// Package quota keeps the requests of each team within its rate at all gateways together.
+// Package quota enforces the request rate of each team across all gateways.
 //
-// The load that it answers: thousands of teams, nearly all of them far below their limit, each
-// with a few callers that keep to one gateway and move to another one when that fails; now
-// and then a team that sends many times its usual, or whose limit an operator lowers. What
-// is within the limit must not be refused, also not while the core elects a leader; what is
-// beyond must not run, however the requests are spread over the gateways, in any window of
-// time. So each gateway decides by itself, from the requests that all gateways let in: they
-// tell one another with their load digests, some milliseconds later. The bound leaves a
-// margin above the limit for what they can't know yet.
+// The expected load is thousands of teams, nearly all of them far below their limit. Each has a
+// few callers that stay with one gateway and move to another one when that fails. Now and then a
+// team sends many times its usual load, or an operator lowers its limit. Requests within the
+// limit must not be refused, not even while the core elects a leader. Requests beyond the limit
+// must not run in any time window, however they are spread over the gateways. Each gateway
+// therefore decides alone, from the admitted requests of all gateways, which the gateways
+// exchange in their load digests some milliseconds later. The overrun margin above the limit
+// covers requests that a gateway can't know of yet.
 //
-// It holds no goroutine, socket or clock.
+// Machine has no goroutine, socket or clock.
 package quota
 
 import (
@@ -19,131 +19,138 @@
 )
 
 const (
-	// defaultWindow is the length of the windows if none is set.
+	// defaultWindow is the window length if the configuration sets none.
 	defaultWindow clock.Millis = 5_000
-	// unknownPart is the part of the margin that may be used while it isn't known what ran before
-	// the start. The rest is left for what is let in at the same moment elsewhere.
-	unknownPart = 0.7
-	// unknownUse is how much of its limit a team is taken to have used before the start: callers
-	// within their quota use less.
-	unknownUse = 0.6
-	// hotRate and hotBurst tell a team that asks for far more than its limit, by its requests
-	// since the start: it did so before, and may have used all of its limit a moment ago.
+	// unknownMarginShare is the share of the margin that may be used while the requests before the
+	// start are unknown. The rest is left for requests that other gateways admit at the same time.
+	unknownMarginShare = 0.7
+	// assumedUsage is the share of its limit that a team is assumed to have used before the start.
+	// Callers within their quota use less.
+	assumedUsage = 0.6
+	// hotRate and hotBurst are the factors of rate and burst above which the requests since the
+	// start mark a team as far above its limit. Such a team was so before the start as well, and
+	// may just have used its whole limit.
 	hotRate  = 1.5
 	hotBurst = 0.5
-	// isolatedGateways is the number of gateways that may be cut off from all others at once,
-	// each with its part of the margin.
+	// isolatedGateways is the number of gateways that may be cut off from all others at the same
+	// time; each may use an equal share of the margin.
 	isolatedGateways = 8
-	// paces is the number of equal parts of a window among which a team at its limit is spread.
-	paces = 10
-	// paceSlack lets such a part hold more than its share: parts that got fewer requests would
-	// else be lost to the team.
+	// paceIntervals is the number of equal intervals of a window over which the requests of a team
+	// at its limit are spread.
+	paceIntervals = 10
+	// paceSlack lets an interval hold more than its share. Otherwise the team would lose the
+	// unused share of intervals with fewer requests.
 	paceSlack = 1.2
-	// roundWait is how long a request waits that must not be let in before others know of those
-	// that were.
+	// roundWait is how long a request waits if it must not be admitted before other gateways know
+	// of the requests admitted in this round.
 	roundWait clock.Millis = 5
-	// frozenAfter is the longest pause between two signs of life of this process; thawSpan is
-	// how long after a longer one the datagrams of before are still being read.
-	frozenAfter clock.Millis = 1_000
-	thawSpan    clock.Millis = 200
-	// forgetAfter is the number of windows after which a team without requests is forgotten.
-	forgetAfter = 3
+	// pauseThreshold is the longest gap between two MarkAlive calls of a running process.
+	// resumePeriod is how long after a longer gap datagrams from before it are still being read.
+	pauseThreshold clock.Millis = 1_000
+	resumePeriod   clock.Millis = 200
+	// expiryWindows is the number of windows after which a team without requests is removed.
+	expiryWindows = 3
 )
 
-// Config sets the windows and their margin.
+// Config sets the window length and the overrun margin.
 type Config struct {
-	// Window is the length of the windows, a span; 0 means five seconds.
+	// Window is the window length; 0 means five seconds.
 	Window clock.Millis
-	// Overage and Slack are the margin between the limit and what may run at most: a part of
-	// the limit, and a number of requests.
-	Overage float64
-	Slack   float64
+	// OverrunRatio and OverrunRequests are the margin by which the admitted requests may exceed
+	// the limit: a fraction of the limit plus a number of requests.
+	OverrunRatio    float64
+	OverrunRequests float64
 }
 
-// Limit is a team's, as the routing table has it.
+// Limit is the request limit of a team in the routing table.
 type Limit struct {
 	Team string
-	// Rate is in requests a second, Burst how many more may come in a window.
+	// Rate is in requests per second. Burst is the number of additional requests per window.
 	Rate, Burst float64
 }
 
-// Surroundings is what a gateway knows of the others.
-type Surroundings struct {
-	// Gateways is how many there are.
+// Peers is the state of the other gateways as one gateway sees it.
+type Peers struct {
+	// Gateways is the number of gateways.
 	Gateways int
-	// Age is how old the newest that is known of them is, a span.
+	// Age is the lag of the counts received from the other gateways.
 	Age clock.Millis
-	// Isolated says that nothing was heard of anybody for too long.
+	// Isolated is set if nothing was received from any peer for too long.
 	Isolated bool
 }
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict struct {
 	Admitted bool
-	// Wait is set if the request must be asked for once more after that span.
+	// Wait, if set, is the delay after which Admit must be called again for the request.
 	Wait clock.Millis
-	// RetryAfter is when a refused request fits, a span.
+	// RetryAfter is the time until a refused request fits.
 	RetryAfter clock.Millis
-	// Used and Limit are what decided: the requests in the window, and how many may be.
+	// Used and Limit are the inputs of the decision: the requests in the window, and the most
+	// that it may hold.
 	Used, Limit float64
 }
 
-// ID names a team in few bytes. Two teams of one ID would share their quota.
+// ID is a short hash of a team's name. Two teams with the same ID would share their quota.
 type ID uint32
 
-// IDOf is a team's.
+// IDOf returns the ID of a team.
 func IDOf(team string) ID {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(team))
 	return ID(h.Sum32())
 }
 
-// Machine counts the requests of all gateways. It is not safe for concurrent use.
+// Machine counts the requests of all gateways and admits those of its own gateway. It is not
+// safe for concurrent use.
 type Machine struct {
 	config Config
-	// since is the point from which on all requests are known, set once started.
-	since   clock.Millis
-	started bool
-	teams   map[ID]*account
-	sources map[string]*source
-	pruned  clock.Millis
-	// awake is when this process was known to run last; thawed when it ran again after a
-	// silence of frozen, a span.
-	awake, thawed, frozen clock.Millis
+	// knownSince is the time from which on all requests are known; valid once started.
+	knownSince clock.Millis
+	started    bool
+	teams      map[ID]*account
+	sources    map[string]*source
+	pruned     clock.Millis
+	// lastAlive is the time of the last MarkAlive call. resumedAt is when the process ran again
+	// after its last long pause, and pausedFor is the length of that pause.
+	lastAlive, resumedAt, pausedFor clock.Millis
 }
 
-// account is what is known of one team.
+// account is the state of one team.
 type account struct {
 	all *window
 	own *window
-	// limit is the one that the counts were scaled to last, 0 before the first.
+	// limit is the limit that the counts were last scaled to, 0 before the first request.
 	limit float64
-	// promised is the point at which the last refused request was told to come back.
-	promised clock.Millis
-	touched  clock.Millis
-	// here counts the requests here since the start, centre those of the whole data centre;
-	// hereLeft and centreLeft say how often each must still be told.
-	here, centre         tally
-	hereLeft, centreLeft int
-	// asked counts the requests since the start, let in or not.
-	asked int
-	// refusedAll counts those that were refused anywhere.
-	refusedAll int64
-	// refused is when the last one was refused, 0 before the first.
-	refused clock.Millis
-	// round is when the present round of requests began, of which others may not know yet;
-	// inRound is how many were let in since, and share how many may be.
-	round   clock.Millis
-	inRound int
-	share   float64
+	// retryAt is the retry time returned for the last refused request.
+	retryAt  clock.Millis
+	lastUsed clock.Millis
+	// local counts the requests at this gateway since the start, and centre those of the whole
+	// data centre. localPending and centrePending are how many times each must still be published.
+	local, centre               tally
+	localPending, centrePending int
+	// requests counts the requests at this gateway since the start, admitted or not.
+	requests int
+	// refusedTotal counts the requests that any gateway refused.
+	refusedTotal int64
+	// lastRefusal is the time of the last refusal at this gateway, 0 before the first.
+	lastRefusal clock.Millis
+	// roundStartStart is the start of the current round. Other gateways may not know yet of the requests
+	// admitted in it. roundAdmitted is the number of those requests, and roundShare the most
+	// allowed.
+	roundStart    clock.Millis
+	roundAdmitted int
+	roundShare    float64
 }
 
-// tally counts requests that were let in and that were refused.
-type tally struct{ let, refused int64 }
+// tally counts admitted and refused requests.
+type tally struct{ admitted, refused int64 }
 
-func (t tally) plus(change tally) tally { return tally{t.let + change.let, t.refused + change.refused} }
+func (t tally) plus(change tally) tally {
+	return tally{t.admitted + change.admitted, t.refused + change.refused}
+}
 
-// New makes a machine that knows nothing yet.
+// New returns a machine without any counts.
 func New(config Config) *Machine {
 	if config.Window == 0 {
 		config.Window = defaultWindow
@@ -151,56 +158,58 @@
 	return &Machine{config: config, teams: map[ID]*account{}, sources: map[string]*source{}}
 }
 
-// Begin notes that from now on the requests of all gateways are heard, and that some of before
-// are known: all of a span.
+// Begin starts a machine that receives the counts of all gateways from now on. All requests of
+// the duration known before now are counted already.
 func (m *Machine) Begin(now, known clock.Millis) {
 	if !m.started {
-		m.since, m.started = now-known, true
+		m.knownSince, m.started = now-known, true
 	}
 }
 
-// Awake notes that this process runs; it is called four times a second at least. A process
-// that was frozen hears at once of all that ran meanwhile.
-func (m *Machine) Awake(now clock.Millis) {
-	if m.awake > 0 && now-m.awake > frozenAfter {
-		m.thawed, m.frozen = now, now-m.awake
+// MarkAlive records that this process runs. It must be called at least four times a second.
+// After a pause, the process receives the counts of the whole pause at once.
+func (m *Machine) MarkAlive(now clock.Millis) {
+	if m.lastAlive > 0 && now-m.lastAlive > pauseThreshold {
+		m.resumedAt, m.pausedFor = now, now-m.lastAlive
 	}
-	m.awake = now
+	m.lastAlive = now
 }
 
-// limitOf is how many requests of a team a window may hold.
+// limitOf returns the number of a team's requests that fit into a window.
 func (m *Machine) limitOf(l Limit) float64 {
 	return l.Rate*float64(m.config.Window)/1_000 + l.Burst
 }
 
-// margin is how many more may run at most.
-func (m *Machine) margin(limit float64) float64 { return limit*m.config.Overage + m.config.Slack }
+// margin returns the number of requests by which a limit may be exceeded.
+func (m *Machine) margin(limit float64) float64 {
+	return limit*m.config.OverrunRatio + m.config.OverrunRequests
+}
 
-// Ask lets one request of a team in, or says when it fits. One that is let in and then
-// certainly doesn't run must be given back.
-func (m *Machine) Ask(now clock.Millis, l Limit, around Surroundings) Verdict {
+// Admit decides on one request of a team. A request that is admitted and then certainly doesn't
+// run must be released.
+func (m *Machine) Admit(now clock.Millis, l Limit, peers Peers) Verdict {
 	limit := m.limitOf(l)
 	a := m.account(now, IDOf(l.Team))
 	a.rescale(limit)
-	a.asked++
-	used, most := a.all.in(now), limit
+	a.requests++
+	used, allowed := a.all.sum(now), limit
 	if unknown := m.unknown(now); unknown > 0 {
-		most += unknownPart * m.margin(limit)
+		allowed += unknownMarginShare * m.margin(limit)
 		if m.hot(now, a, l) {
 			used += limit
 		} else {
-			used += limit * (1 - unknownUse*(1-unknown))
+			used += limit * (1 - assumedUsage*(1-unknown))
 		}
 	}
-	a.begin(now, limit+m.margin(limit)-used, around)
-	verdict := Verdict{Used: used, Limit: most}
+	a.startRound(now, limit+m.margin(limit)-used, peers)
+	verdict := Verdict{Used: used, Limit: allowed}
 	switch {
-	case (around.Isolated || !m.started) && a.own.in(now)+1 > m.margin(limit)/isolatedGateways:
+	case (peers.Isolated || !m.started) && a.own.sum(now)+1 > m.margin(limit)/isolatedGateways:
 		verdict.Limit = m.margin(limit) / isolatedGateways
-		verdict.RetryAfter = m.retryAfter(now, a, l, around, a.own, verdict.Limit)
-	case used+1 > most || m.paced(now, a, limit):
-		verdict.RetryAfter = m.retryAfter(now, a, l, around, a.all, most-(used-a.all.in(now)))
-	case float64(a.inRound+1) > a.share:
+		verdict.RetryAfter = m.retryAfter(now, a, l, peers, a.own, verdict.Limit)
+	case used+1 > allowed || m.paced(now, a, limit):
+		verdict.RetryAfter = m.retryAfter(now, a, l, peers, a.all, allowed-(used-a.all.sum(now)))
+	case float64(a.roundAdmitted+1) > a.roundShare:
 		verdict.Wait = roundWait
 	default:
 		verdict.Admitted = true
@@ -209,43 +218,43 @@
 	return verdict
 }
 
-// GiveBack takes a request back that was let in at a moment and never ran.
-func (m *Machine) GiveBack(now, at clock.Millis, team string) {
+// Release removes a request that was admitted at the given time and never ran.
+func (m *Machine) Release(now, at clock.Millis, team string) {
 	a := m.account(now, IDOf(team))
 	for _, w := range []*window{a.all, a.own} {
 		w.add(now, at, -1)
 	}
-	a.count(tally{let: -1})
+	a.count(tally{admitted: -1})
 }
 
-// Refused is the number of a team's requests that were refused since the start.
+// Refused returns the number of a team's requests refused since the start.
 func (m *Machine) Refused(team string) int64 {
 	if a := m.teams[IDOf(team)]; a != nil {
-		return a.refusedAll
+		return a.refusedTotal
 	}
 	return 0
 }
 
-// Used is the number of a team's requests in the window.
+// Used returns the number of a team's requests in the window.
 func (m *Machine) Used(now clock.Millis, team string) float64 {
 	if a := m.teams[IDOf(team)]; a != nil {
-		return a.all.in(now)
+		return a.all.sum(now)
 	}
 	return 0
 }
 
-// hot says whether a team asks for so much since the start that it must have been refused
-// before.
+// hot reports whether a team has sent so many requests since the start that it must have been
+// refused before.
 func (m *Machine) hot(now clock.Millis, a *account, l Limit) bool {
-	return float64(a.asked) > hotRate*l.Rate*float64(now-m.since)/1_000+hotBurst*l.Burst+unknownPart*m.config.Slack
+	return float64(a.requests) > hotRate*l.Rate*float64(now-m.knownSince)/1_000+hotBurst*l.Burst+unknownMarginShare*m.config.OverrunRequests
 }
 
-// unknown is the part of the window of which isn't known what ran in it.
+// unknown returns the share of the window for which the requests aren't known.
 func (m *Machine) unknown(now clock.Millis) float64 {
 	if !m.started {
 		return 1
 	}
-	return min(max(1-float64(now-m.since)/float64(m.config.Window), 0), 1)
+	return min(max(1-float64(now-m.knownSince)/float64(m.config.Window), 0), 1)
 }
 
 func (m *Machine) account(now clock.Millis, id ID) *account {
@@ -254,32 +263,32 @@
 		a = &account{all: newWindow(m.config.Window), own: newWindow(m.config.Window)}
 		m.teams[id] = a
 	}
-	a.touched = now
+	a.lastUsed = now
 	m.prune(now)
 	return a
 }
 
-// prune forgets teams without requests, and gateways that are gone.
+// prune removes teams without requests, and sources that no longer report.
 func (m *Machine) prune(now clock.Millis) {
 	if now-m.pruned < m.config.Window {
 		return
 	}
 	m.pruned = now
 	for id, a := range m.teams {
-		if now-a.touched > forgetAfter*m.config.Window && a.here == (tally{}) && a.centre == (tally{}) {
+		if now-a.lastUsed > expiryWindows*m.config.Window && a.local == (tally{}) && a.centre == (tally{}) {
 			delete(m.teams, id)
 		}
 	}
 	for name, s := range m.sources {
-		if now-s.heard > 2*forgetAfter*m.config.Window {
+		if now-s.lastSeen > 2*expiryWindows*m.config.Window {
 			delete(m.sources, name)
 		}
 	}
 }
 
-// rescale follows a change of the limit. After a lower one the team's use counts as the same
-// part of the limit as before: counted as it was, a team whose limit drops to a tenth would
-// get nothing for a whole window.
+// rescale applies a changed limit. When the limit drops, the counts are scaled down with it, so
+// that the used share of the limit stays the same. Without that, a team whose limit drops to a
+// tenth would be refused for a whole window.
 func (a *account) rescale(limit float64) {
 	if a.limit > 0 && limit < a.limit {
 		for _, w := range []*window{a.all, a.own} {
@@ -289,50 +298,52 @@
 	a.limit = limit
 }
 
-// paced says whether a team that was refused a moment ago must wait for its turn. Its
-// requests are let in evenly then: let in as soon as the window has room, all of one window
-// would come together at the beginning of the next, again and again, and a gateway that
-// starts couldn't tell how much had been used just before.
+// paced reports whether a request of a recently refused team must be refused, so that the team's
+// requests are admitted at an even pace. If they were admitted as soon as the window permits,
+// the requests of each window would run together at its beginning, and a gateway that starts
+// couldn't know how much had been used just before.
 func (m *Machine) paced(now clock.Millis, a *account, limit float64) bool {
-	if a.refused == 0 || now-a.refused >= m.config.Window/2 {
+	if a.lastRefusal == 0 || now-a.lastRefusal >= m.config.Window/2 {
 		return false
 	}
-	return a.all.last(now, buckets/paces)+1 > max(paceSlack*limit/paces, 1)
+	return a.all.recent(now, buckets/paceIntervals)+1 > max(paceSlack*limit/paceIntervals, 1)
 }
 
-// begin begins a round, if it is time: the span after which the others know of the requests of
-// the last one. All gateways may be letting requests in at the same moment; each may use a
-// part of what is left, by its part of the team's requests so far, or one request.
-func (a *account) begin(now clock.Millis, left float64, around Surroundings) {
-	if a.round > 0 && now-a.round < around.Age {
+// startRound starts a round unless the current one is younger than the lag of the counts: only
+// after that time do the other gateways know of its requests. All gateways may admit requests at
+// the same time. Each may use a share of the remaining limit that corresponds to its share of
+// the team's requests so far, but at least one request.
+func (a *account) startRound(now clock.Millis, remaining float64, peers Peers) {
+	if a.roundStart > 0 && now-a.roundStart < peers.Age {
 		return
 	}
-	part := (a.own.in(now) + 1) / (a.all.in(now) + float64(max(around.Gateways, 1)))
-	a.round, a.inRound, a.share = now, 0, max(left*part, 1)
+	part := (a.own.sum(now) + 1) / (a.all.sum(now) + float64(max(peers.Gateways, 1)))
+	a.roundStart, a.roundAdmitted, a.roundShare = now, 0, max(remaining*part, 1)
 }
 
 func (a *account) admit(now clock.Millis) {
-	a.inRound++
+	a.roundAdmitted++
 	a.all.add(now, now, 1)
 	a.own.add(now, now, 1)
-	a.count(tally{let: 1})
+	a.count(tally{admitted: 1})
 }
 
-// count changes the number that others are told.
+// count changes the counts that are published to other daemons.
 func (a *account) count(change tally) {
-	a.here = a.here.plus(change)
+	a.local = a.local.plus(change)
 	a.centre = a.centre.plus(change)
-	a.refusedAll += change.refused
-	a.hereLeft, a.centreLeft = tells, tells
+	a.refusedTotal += change.refused
+	a.localPending, a.centrePending = publishRepeats, publishRepeats
 }
 
-// retryAfter is when a refused request fits, a span. Those that were refused before it come
-// first, and the other gateways tell theirs the same.
-func (m *Machine) retryAfter(now clock.Millis, a *account, l Limit, around Surroundings, w *window, limit float64) clock.Millis {
-	gap := clock.Millis(1_000 * float64(max(around.Gateways, 1)) / l.Rate)
-	first := now + w.room(now, limit, 1)
-	a.refused = now
+// retryAfter records a refusal and returns the time until the request fits. Consecutive refusals
+// get retry times with a gap between them. The gap grows with the number of gateways, since all
+// of them return retry times in this way.
+func (m *Machine) retryAfter(now clock.Millis, a *account, l Limit, peers Peers, w *window, limit float64) clock.Millis {
+	gap := clock.Millis(1_000 * float64(max(peers.Gateways, 1)) / l.Rate)
+	first := now + w.timeToFit(now, limit, 1)
+	a.lastRefusal = now
 	a.count(tally{refused: 1})
-	a.promised = min(max(first, a.promised+gap), now+m.config.Window)
-	return max(a.promised-now, 1)
+	a.retryAt = min(max(first, a.retryAt+gap), now+m.config.Window)
+	return max(a.retryAt-now, 1)
 }
--- a/common/pkg/quota/machine_test.go
+++ b/common/pkg/quota/machine_test.go
@@ -12,161 +12,161 @@
 
 func TestMain(m *testing.M) { seed.Main(m, 43, seed.Length{Checks: 300}) }
 
-var alone = Surroundings{Gateways: 1, Age: 16}
+var singleGateway = Peers{Gateways: 1, Age: 16}
 
-func begun() *Machine {
-	m := New(Config{Window: 5_000, Overage: 0.1, Slack: 20})
+func startedMachine() *Machine {
+	m := New(Config{Window: 5_000, OverrunRatio: 0.1, OverrunRequests: 20})
 	m.Begin(100_000, 5_000)
 	return m
 }
 
-func TestALimitHoldsInEveryWindow(t *testing.T) {
-	m := begun()
+func TestMachineEnforcesLimitInEveryWindow(t *testing.T) {
+	m := startedMachine()
 	l := Limit{Team: "a", Rate: 2, Burst: 3}
-	let := 0
+	admitted := 0
 	for now := clock.Millis(100_000); now < 100_100; now += 2 {
-		if m.Ask(now, l, alone).Admitted {
-			let++
+		if m.Admit(now, l, singleGateway).Admitted {
+			admitted++
 		}
 	}
-	require.Equal(t, 13, let, "two a second for five seconds, and three more")
-	v := m.Ask(100_200, l, alone)
+	require.Equal(t, 13, admitted, "two per second for five seconds, plus a burst of three")
+	v := m.Admit(100_200, l, singleGateway)
 	require.False(t, v.Admitted)
-	require.InDelta(t, 5_000, float64(v.RetryAfter), 300, "until the first has left the window")
-	require.True(t, m.Ask(105_300, l, alone).Admitted)
-	require.True(t, m.Ask(100_200, Limit{Team: "b", Rate: 2}, alone).Admitted, "another team")
+	require.InDelta(t, 5_000, float64(v.RetryAfter), 300, "until the first request leaves the window")
+	require.True(t, m.Admit(105_300, l, singleGateway).Admitted)
+	require.True(t, m.Admit(100_200, Limit{Team: "b", Rate: 2}, singleGateway).Admitted, "another team")
 }
 
-func TestWhenToComeBackIsTrue(t *testing.T) {
-	m := begun()
+func TestRetryAfterIsExactAndStaggered(t *testing.T) {
+	m := startedMachine()
 	l := Limit{Team: "a", Rate: 2, Burst: 0}
 	now := clock.Millis(100_000)
 	for range 11 {
 		now += 40
-		m.Ask(now, l, alone)
+		m.Admit(now, l, singleGateway)
 	}
-	v := m.Ask(now, l, alone)
+	v := m.Admit(now, l, singleGateway)
 	require.False(t, v.Admitted)
 	now += v.RetryAfter
-	require.True(t, m.Ask(now, l, alone).Admitted)
-	first := m.Ask(now, l, alone)
+	require.True(t, m.Admit(now, l, singleGateway).Admitted)
+	first := m.Admit(now, l, singleGateway)
 	for first.Admitted {
-		first = m.Ask(now, l, alone)
+		first = m.Admit(now, l, singleGateway)
 	}
-	second := m.Ask(now, l, alone)
+	second := m.Admit(now, l, singleGateway)
 	require.False(t, second.Admitted)
-	require.Greater(t, second.RetryAfter, first.RetryAfter+300, "those who are refused together don't come back together")
+	require.Greater(t, second.RetryAfter, first.RetryAfter+300, "requests refused at the same time get different retry times")
 }
 
-func TestWhatNeverRanIsGivenBackOnce(t *testing.T) {
-	m := begun()
+func TestReleaseFreesOneRequest(t *testing.T) {
+	m := startedMachine()
 	l := Limit{Team: "a", Rate: 0.2, Burst: 0}
-	require.True(t, m.Ask(100_000, l, alone).Admitted)
-	require.False(t, m.Ask(100_100, l, alone).Admitted)
-	m.GiveBack(100_200, 100_000, "a")
-	require.True(t, m.Ask(100_300, l, alone).Admitted)
-	require.False(t, m.Ask(100_400, l, alone).Admitted)
+	require.True(t, m.Admit(100_000, l, singleGateway).Admitted)
+	require.False(t, m.Admit(100_100, l, singleGateway).Admitted)
+	m.Release(100_200, 100_000, "a")
+	require.True(t, m.Admit(100_300, l, singleGateway).Admitted)
+	require.False(t, m.Admit(100_400, l, singleGateway).Admitted)
 }
 
-// A gateway hears late, twice and in another order what another one let in, and that this
-// restarted. Each request counts once.
-func TestCountsComeLateTwiceAndInAnotherOrder(t *testing.T) {
-	m := begun()
-	tell := func(epoch, sequence uint64, count int64) {
-		m.Heard(100_000, Report{Source: "g", Epoch: epoch, Sequence: sequence, Counting: 100, Uses: []Use{{Team: IDOf("a"), Count: count}}})
+// Reports of another gateway arrive late, twice and out of order, and that gateway restarts. Each
+// request counts once.
+func TestReceiveLateDuplicateAndReorderedReports(t *testing.T) {
+	m := startedMachine()
+	receive := func(epoch, sequence uint64, count int64) {
+		m.Receive(100_000, Report{Source: "g", Epoch: epoch, Sequence: sequence, CountingFor: 100, Usage: []TeamUsage{{Team: IDOf("a"), Count: count}}})
 	}
-	tell(1, 1, 2)
-	tell(1, 3, 5)
-	tell(1, 2, 3)
-	tell(1, 3, 5)
+	receive(1, 1, 2)
+	receive(1, 3, 5)
+	receive(1, 2, 3)
+	receive(1, 3, 5)
 	require.InDelta(t, 5, m.Used(100_000, "a"), 0.01)
-	tell(1, 4, 4)
-	require.InDelta(t, 4, m.Used(100_000, "a"), 0.01, "one was given back there")
-	tell(2, 1, 1)
-	require.InDelta(t, 5, m.Used(100_000, "a"), 0.01, "it started anew")
-	tell(1, 9, 8)
-	require.InDelta(t, 5, m.Used(100_000, "a"), 0.01, "a datagram of before its restart")
+	receive(1, 4, 4)
+	require.InDelta(t, 4, m.Used(100_000, "a"), 0.01, "one request was released there")
+	receive(2, 1, 1)
+	require.InDelta(t, 5, m.Used(100_000, "a"), 0.01, "the source restarted")
+	receive(1, 9, 8)
+	require.InDelta(t, 5, m.Used(100_000, "a"), 0.01, "a datagram from before its restart")
 }
 
-// A gateway that counted for long is heard for the first time: what it let in before is in the
-// snapshot that was told at the start, or has left the window.
-func TestCountsOfLongAgoDontCount(t *testing.T) {
+// The first report of a gateway that has counted for a long time arrives. Its earlier requests are
+// in the snapshot received at the start, or have left the window.
+func TestReceiveIgnoresRequestsBeforeFirstReport(t *testing.T) {
 	m := New(Config{Window: 5_000})
-	m.Restore(100_000, []Use{{Team: IDOf("a"), Count: 7}}, 5_000)
-	m.Heard(100_010, Report{Source: "g", Epoch: 1, Sequence: 900, Counting: 60_000, Uses: []Use{{Team: IDOf("a"), Count: 512}}})
+	m.Restore(100_000, []TeamUsage{{Team: IDOf("a"), Count: 7}}, 5_000)
+	m.Receive(100_010, Report{Source: "g", Epoch: 1, Sequence: 900, CountingFor: 60_000, Usage: []TeamUsage{{Team: IDOf("a"), Count: 512}}})
 	require.InDelta(t, 8, m.Used(100_010, "a"), 0.01)
-	m.Heard(100_020, Report{Source: "g", Epoch: 1, Sequence: 901, Counting: 60_010, Uses: []Use{{Team: IDOf("a"), Count: 515}}})
+	m.Receive(100_020, Report{Source: "g", Epoch: 1, Sequence: 901, CountingFor: 60_010, Usage: []TeamUsage{{Team: IDOf("a"), Count: 515}}})
 	require.InDelta(t, 11, m.Used(100_020, "a"), 0.01)
 	require.InDelta(t, 0, m.Used(106_000, "a"), 0.01)
 }
 
-// A gateway is frozen for four seconds and hears at once what others let in meanwhile. Counted
-// as of this moment, a team far below its limit would be refused for a whole window.
-func TestAFrozenGatewayDoesntTakeOldRequestsForNewOnes(t *testing.T) {
-	m := begun()
-	m.Awake(100_000)
-	m.Heard(100_000, Report{Source: "g", Epoch: 1, Sequence: 1, Counting: 100, Uses: []Use{{Team: IDOf("a"), Count: 1}}})
-	m.Awake(104_000)
-	m.Heard(104_001, Report{Source: "g", Epoch: 1, Sequence: 2, Counting: 4_100, Uses: []Use{{Team: IDOf("a"), Count: 41}}})
-	require.InDelta(t, 21, m.Used(107_000, "a"), 3, "half of them have left the window")
+// A gateway is paused for four seconds and then receives the requests of that time at once. If
+// they counted as new, a team far below its limit would be refused for a whole window.
+func TestReceiveAfterPauseSpreadsRequests(t *testing.T) {
+	m := startedMachine()
+	m.MarkAlive(100_000)
+	m.Receive(100_000, Report{Source: "g", Epoch: 1, Sequence: 1, CountingFor: 100, Usage: []TeamUsage{{Team: IDOf("a"), Count: 1}}})
+	m.MarkAlive(104_000)
+	m.Receive(104_001, Report{Source: "g", Epoch: 1, Sequence: 2, CountingFor: 4_100, Usage: []TeamUsage{{Team: IDOf("a"), Count: 41}}})
+	require.InDelta(t, 21, m.Used(107_000, "a"), 3, "half of the requests have left the window")
 }
 
-func TestAnIsolatedGatewayKeepsToItsPartOfTheMargin(t *testing.T) {
-	m := begun()
+func TestIsolatedGatewayStaysWithinMarginShare(t *testing.T) {
+	m := startedMachine()
 	l := Limit{Team: "a", Rate: 80, Burst: 80}
-	let := 0
+	admitted := 0
 	for now := clock.Millis(100_000); now < 105_000; now += 5 {
-		if m.Ask(now, l, Surroundings{Gateways: 24, Age: 16, Isolated: true}).Admitted {
-			let++
+		if m.Admit(now, l, Peers{Gateways: 24, Age: 16, Isolated: true}).Admitted {
+			admitted++
 		}
 	}
-	require.Equal(t, 8, let, "an eighth of a tenth of 480, and of twenty")
+	require.Equal(t, 8, admitted, "an eighth of the margin, which is a tenth of 480 plus twenty")
 }
 
-func TestATeamWithoutAMarginIsRefusedInIsolation(t *testing.T) {
+func TestIsolatedGatewayWithoutMarginRefuses(t *testing.T) {
 	m := New(Config{Window: 5_000})
 	m.Begin(100_000, 5_000)
-	require.False(t, m.Ask(100_000, Limit{Team: "a", Rate: 1}, Surroundings{Gateways: 3, Isolated: true}).Admitted)
-	require.True(t, m.Ask(100_000, Limit{Team: "a", Rate: 1}, Surroundings{Gateways: 3}).Admitted)
+	require.False(t, m.Admit(100_000, Limit{Team: "a", Rate: 1}, Peers{Gateways: 3, Isolated: true}).Admitted)
+	require.True(t, m.Admit(100_000, Limit{Team: "a", Rate: 1}, Peers{Gateways: 3}).Admitted)
 }
 
-func TestEachCountIsToldThreeTimes(t *testing.T) {
-	m := begun()
-	m.Ask(100_000, Limit{Team: "a", Rate: 2}, alone)
-	require.True(t, m.Untold())
-	for range tells {
-		require.Equal(t, []Use{{Team: IDOf("a"), Count: 1}}, m.Tell())
+func TestCountsArePublishedThreeTimes(t *testing.T) {
+	m := startedMachine()
+	m.Admit(100_000, Limit{Team: "a", Rate: 2}, singleGateway)
+	require.True(t, m.HasUnpublished())
+	for range publishRepeats {
+		require.Equal(t, []TeamUsage{{Team: IDOf("a"), Count: 1}}, m.Publish())
 	}
-	require.Empty(t, m.Tell())
-	require.False(t, m.Untold())
-	m.Retell(100_500)
-	require.Len(t, m.Tell(), 1, "to a daemon that is new")
+	require.Empty(t, m.Publish())
+	require.False(t, m.HasUnpublished())
+	m.Republish(100_500)
+	require.Len(t, m.Publish(), 1, "for a new daemon")
 }
 
-// TestSumsOfADataCentre: a relay tells what all of its data centre let in, and takes what other
-// data centres tell for theirs alone.
-func TestSumsOfADataCentre(t *testing.T) {
-	m := begun()
-	m.Ask(100_000, Limit{Team: "a", Rate: 2}, alone)
-	m.Heard(100_000, Report{Source: "near", Epoch: 1, Sequence: 1, Counting: 10, Uses: []Use{{Team: IDOf("a"), Count: 4}}})
-	m.HeardCentre(100_000, Report{Source: "far", Epoch: 1, Sequence: 1, Counting: 10, Uses: []Use{{Team: IDOf("a"), Count: 9}}})
-	require.Equal(t, []Use{{Team: IDOf("a"), Count: 5}}, m.TellCentre())
+// A relay publishes the admitted requests of its whole data centre, and none of those received from
+// other data centres.
+func TestPublishCentreSumsOwnDataCentre(t *testing.T) {
+	m := startedMachine()
+	m.Admit(100_000, Limit{Team: "a", Rate: 2}, singleGateway)
+	m.Receive(100_000, Report{Source: "near", Epoch: 1, Sequence: 1, CountingFor: 10, Usage: []TeamUsage{{Team: IDOf("a"), Count: 4}}})
+	m.ReceiveCentre(100_000, Report{Source: "far", Epoch: 1, Sequence: 1, CountingFor: 10, Usage: []TeamUsage{{Team: IDOf("a"), Count: 9}}})
+	require.Equal(t, []TeamUsage{{Team: IDOf("a"), Count: 5}}, m.PublishCentre())
 	require.InDelta(t, 14, m.Used(100_000, "a"), 0.01)
 }
 
-// TestRapidOneGatewayAgreesWithAnExactCount: alone, a gateway lets in what an exact count of the
-// window lets in, but for the part by which its buckets are late.
-func TestRapidOneGatewayAgreesWithAnExactCount(t *testing.T) {
+// A single gateway admits the same requests as an exact count of the window, except for the delay
+// caused by its buckets.
+func TestRapidSingleGatewayMatchesExactCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := begun()
+		m := startedMachine()
 		l := Limit{Team: "a", Rate: rapid.Float64Range(0.2, 40).Draw(t, "rate"), Burst: rapid.Float64Range(0, 40).Draw(t, "burst")}
 		limit := l.Rate*5 + l.Burst
 		now := clock.Millis(100_000)
-		var let []clock.Millis
-		in := func(span clock.Millis) int {
+		var admitted []clock.Millis
+		within := func(duration clock.Millis) int {
 			count := 0
-			for _, at := range let {
-				if at > now-span {
+			for _, at := range admitted {
+				if at > now-duration {
 					count++
 				}
 			}
@@ -175,26 +175,26 @@
 		gap := rapid.Int64Range(0, 900)
 		for range 200 {
 			now += clock.Millis(gap.Draw(t, "gap"))
-			v := m.Ask(now, l, alone)
+			v := m.Admit(now, l, singleGateway)
 			if v.Admitted {
-				let = append(let, now)
+				admitted = append(admitted, now)
 			}
-			require.LessOrEqual(t, float64(in(5_000)), max(limit, 0)+0.01)
+			require.LessOrEqual(t, float64(within(5_000)), max(limit, 0)+0.01)
 			if !v.Admitted && v.Wait == 0 {
-				require.True(t, float64(in(5_200)+1) > limit || float64(in(700)+1) > paceSlack*limit/paces, "refused with room: %d in the window, limit %.2f", in(5_000), limit)
+				require.True(t, float64(within(5_200)+1) > limit || float64(within(700)+1) > paceSlack*limit/paceIntervals, "refused below the limit: %d in the window, limit %.2f", within(5_000), limit)
 			}
 		}
 	})
 }
 
-func TestRefusalsAreToldToo(t *testing.T) {
-	here, there := begun(), begun()
+func TestRefusalsArePublished(t *testing.T) {
+	here, there := startedMachine(), startedMachine()
 	l := Limit{Team: "a", Rate: 0.2}
 	for range 4 {
-		here.Ask(100_000, l, alone)
+		here.Admit(100_000, l, singleGateway)
 	}
 	require.Equal(t, int64(3), here.Refused("a"))
-	there.Heard(100_010, Report{Source: "here", Epoch: 1, Sequence: 1, Counting: 10, Uses: here.Tell()})
+	there.Receive(100_010, Report{Source: "here", Epoch: 1, Sequence: 1, CountingFor: 10, Usage: here.Publish()})
 	require.Equal(t, int64(3), there.Refused("a"))
 	require.InDelta(t, 1, there.Used(100_010, "a"), 0.01)
 }
--- a/common/pkg/quota/replay_test.go
+++ b/common/pkg/quota/replay_test.go
@@ -11,49 +11,49 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// The replay plays a team's requests at many gateways, with the news between them, and
-// compares what was let in with an exact count of every window. Three ways to keep a quota are
-// played: the one in this package; a split of the limit by gateways; and blocks of
-// requests that one leader lends.
+// The replay simulates a team's requests at many gateways, with the load digests between them, and
+// compares the admitted requests with an exact count of every window. It runs three schemes: the
+// counts exchanged in digests by this package, an equal split of the limit among the gateways, and
+// blocks of requests that a leader leases to gateways.
 
 const (
 	replayWindow clock.Millis = 5_000
 	replayAge    clock.Millis = 16
-	// relayedAge is for news that go through relays, replayIsolated the silence after which a
-	// gateway takes itself to be cut off.
+	// relayedAge is the lag of digests that pass through relays. replayIsolated is the time without
+	// digests after which a gateway considers itself cut off.
 	relayedAge     clock.Millis = 60
 	replayIsolated clock.Millis = 400
 
-	overage = 0.1
-	slack   = 20
+	overrunRatio    = 0.1
+	overrunRequests = 20
 )
 
-// way keeps quotas over some gateways.
-type way interface {
-	// ask says whether a request is let in, or how long to wait before it is asked again.
-	ask(now clock.Millis, gateway int, l Limit) (admitted bool, wait clock.Millis)
-	// pass lets a millisecond pass.
-	pass(now clock.Millis)
-	// down ends all processes that keep counts of a gateway, or all if negative.
+// scheme enforces a quota across several gateways.
+type scheme interface {
+	// admit reports whether a request is admitted, or how long to wait before the next attempt.
+	admit(now clock.Millis, gateway int, l Limit) (admitted bool, wait clock.Millis)
+	// advance runs the work of one millisecond.
+	advance(now clock.Millis)
+	// restart restarts a gateway and loses its counts; all gateways if negative.
 	restart(now clock.Millis, gateway int)
-	// cut cuts a gateway off from all others and the leader until a time.
-	cut(gateway int, until clock.Millis)
-	// outage leaves the fleet without a leader until a time.
+	// isolate cuts a gateway off from all others and the leader until the given time.
+	isolate(gateway int, until clock.Millis)
+	// outage leaves the fleet without a leader until the given time.
 	outage(until clock.Millis)
-	giveBack(now clock.Millis, gateway int, l Limit)
+	release(now clock.Millis, gateway int, l Limit)
 }
 
-// told is the way of this package.
-type told struct {
-	machines []*Machine
-	begun    []clock.Millis
-	sequence []uint64
-	cutUntil []clock.Millis
-	heardAt  []clock.Millis
-	wire     []datagram
-	random   *rand.Rand
-	loss     float64
-	// age is how old news may be; those told directly arrive within half of it.
+// exchanged is the scheme of this package: gateways exchange their counts in digests.
+type exchanged struct {
+	machines  []*Machine
+	startedAt []clock.Millis
+	sequence  []uint64
+	cutUntil  []clock.Millis
+	lastSeen  []clock.Millis
+	wire      []datagram
+	random    *rand.Rand
+	loss      float64
+	// age is the greatest lag of a digest; one sent directly arrives within half of it.
 	age clock.Millis
 }
 
@@ -63,36 +63,36 @@
 	report Report
 }
 
-func newTold(gateways int, age clock.Millis, random *rand.Rand) *told {
-	w := &told{random: random, age: age}
+func newExchanged(gateways int, age clock.Millis, random *rand.Rand) *exchanged {
+	w := &exchanged{random: random, age: age}
 	for range gateways {
-		m := New(Config{Window: replayWindow, Overage: overage, Slack: slack})
+		m := New(Config{Window: replayWindow, OverrunRatio: overrunRatio, OverrunRequests: overrunRequests})
 		m.Begin(0, replayWindow)
 		w.machines = append(w.machines, m)
-		w.begun = append(w.begun, 0)
+		w.startedAt = append(w.startedAt, 0)
 		w.sequence = append(w.sequence, 0)
 		w.cutUntil = append(w.cutUntil, 0)
-		w.heardAt = append(w.heardAt, 0)
+		w.lastSeen = append(w.lastSeen, 0)
 	}
 	return w
 }
 
-func (w *told) ask(now clock.Millis, gateway int, l Limit) (bool, clock.Millis) {
-	around := Surroundings{Gateways: len(w.machines), Age: w.age, Isolated: now-w.heardAt[gateway] > replayIsolated}
-	v := w.machines[gateway].Ask(now, l, around)
+func (w *exchanged) admit(now clock.Millis, gateway int, l Limit) (bool, clock.Millis) {
+	peers := Peers{Gateways: len(w.machines), Age: w.age, Isolated: now-w.lastSeen[gateway] > replayIsolated}
+	v := w.machines[gateway].Admit(now, l, peers)
 	return v.Admitted, v.Wait
 }
 
-func (w *told) giveBack(now clock.Millis, gateway int, l Limit) {
-	w.machines[gateway].GiveBack(now, now, l.Team)
+func (w *exchanged) release(now clock.Millis, gateway int, l Limit) {
+	w.machines[gateway].Release(now, now, l.Team)
 }
 
-func (w *told) pass(now clock.Millis) {
+func (w *exchanged) advance(now clock.Millis) {
 	for i, m := range w.machines {
-		m.Awake(now)
-		if now%5 == 0 && m.Untold() {
+		m.MarkAlive(now)
+		if now%5 == 0 && m.HasUnpublished() {
 			w.sequence[i]++
-			r := Report{Source: fmt.Sprint(i), Epoch: uint64(w.begun[i] + 1), Sequence: w.sequence[i], Counting: now - w.begun[i], Uses: m.Tell()}
+			r := Report{Source: fmt.Sprint(i), Epoch: uint64(w.startedAt[i] + 1), Sequence: w.sequence[i], CountingFor: now - w.startedAt[i], Usage: m.Publish()}
 			for to := range w.machines {
 				lost := w.random.Float64() < w.loss || w.cutUntil[i] > now || w.cutUntil[to] > now
 				if to != i && !lost {
@@ -102,10 +102,10 @@
 		}
 	}
 	if now%20 == 0 {
-		// Other teams' requests make digests too, and the leader sends some in any case.
-		for i := range w.heardAt {
+		// The requests of other teams cause digests as well, and the leader always sends some.
+		for i := range w.lastSeen {
 			if w.cutUntil[i] <= now {
-				w.heardAt[i] = now
+				w.lastSeen[i] = now
 			}
 		}
 	}
@@ -113,23 +113,23 @@
 		if d.at > now {
 			return false
 		}
-		w.machines[d.to].Heard(now, d.report)
-		w.heardAt[d.to] = now
+		w.machines[d.to].Receive(now, d.report)
+		w.lastSeen[d.to] = now
 		return true
 	})
 }
 
-func (w *told) restart(now clock.Millis, gateway int) {
+func (w *exchanged) restart(now clock.Millis, gateway int) {
 	for i := range w.machines {
 		if gateway >= 0 && gateway != i {
 			continue
 		}
-		w.machines[i] = New(Config{Window: replayWindow, Overage: overage, Slack: slack})
-		w.begun[i] = now
+		w.machines[i] = New(Config{Window: replayWindow, OverrunRatio: overrunRatio, OverrunRequests: overrunRequests})
+		w.startedAt[i] = now
 		if gateway >= 0 {
-			// The leader hears all, and tells a gateway that starts.
-			uses, known := w.machines[(i+1)%len(w.machines)].Snapshot(now)
-			w.machines[i].Restore(now, uses, known)
+			// The leader receives all counts, and sends a snapshot to a gateway that starts.
+			usage, known := w.machines[(i+1)%len(w.machines)].Snapshot(now)
+			w.machines[i].Restore(now, usage, known)
 		} else {
 			w.machines[i].Begin(now, 0)
 		}
@@ -139,25 +139,25 @@
 	}
 }
 
-func (w *told) cut(gateway int, until clock.Millis) { w.cutUntil[gateway] = until }
-func (w *told) outage(clock.Millis)                 {}
+func (w *exchanged) isolate(gateway int, until clock.Millis) { w.cutUntil[gateway] = until }
+func (w *exchanged) outage(clock.Millis)                     {}
 
-// split gives each gateway an equal part of the limit.
+// split gives each gateway an equal share of the limit.
 type split struct{ own [][]clock.Millis }
 
 func newSplit(gateways int) *split { return &split{own: make([][]clock.Millis, gateways)} }
 
-func (s *split) ask(now clock.Millis, gateway int, l Limit) (bool, clock.Millis) {
+func (s *split) admit(now clock.Millis, gateway int, l Limit) (bool, clock.Millis) {
 	s.own[gateway] = slices.DeleteFunc(s.own[gateway], func(at clock.Millis) bool { return at <= now-replayWindow })
-	part := (l.Rate*float64(replayWindow)/1_000 + l.Burst) / float64(len(s.own))
-	if float64(len(s.own[gateway])+1) > max(part, 1) {
+	share := (l.Rate*float64(replayWindow)/1_000 + l.Burst) / float64(len(s.own))
+	if float64(len(s.own[gateway])+1) > max(share, 1) {
 		return false, 0
 	}
 	s.own[gateway] = append(s.own[gateway], now)
 	return true, 0
 }
 
-func (s *split) pass(clock.Millis) {}
+func (s *split) advance(clock.Millis) {}
 func (s *split) restart(_ clock.Millis, gateway int) {
 	for i := range s.own {
 		if gateway < 0 || gateway == i {
@@ -165,61 +165,62 @@
 		}
 	}
 }
-func (s *split) cut(int, clock.Millis) {}
-func (s *split) outage(clock.Millis)   {}
-func (s *split) giveBack(_ clock.Millis, gateway int, _ Limit) {
+func (s *split) isolate(int, clock.Millis) {}
+func (s *split) outage(clock.Millis)       {}
+func (s *split) release(_ clock.Millis, gateway int, _ Limit) {
 	if n := len(s.own[gateway]); n > 0 {
 		s.own[gateway] = s.own[gateway][:n-1]
 	}
 }
 
-// lent lets one leader keep the exact count, and lend blocks that end. What of a block wasn't
-// used by then is given back.
-type lent struct {
+// leased has one leader that keeps the exact count and leases blocks of requests to gateways. When
+// a block expires, its unused requests are released.
+type leased struct {
 	granted  []clock.Millis
 	stock    []int
 	ends     []clock.Millis
 	cutUntil []clock.Millis
-	// outUntil is until when there is no leader, blankFrom when one began that knows nothing.
-	outUntil, blankFrom clock.Millis
+	// outageUntil is the end of the time without a leader. emptySince is when a leader without any
+	// counts started.
+	outageUntil, emptySince clock.Millis
 }
 
-const blockSpan clock.Millis = 500
+const blockLease clock.Millis = 500
 
-const blockMost = 4
+const maxBlock = 4
 
-func newLent(gateways int) *lent {
-	return &lent{stock: make([]int, gateways), ends: make([]clock.Millis, gateways), cutUntil: make([]clock.Millis, gateways), blankFrom: -replayWindow}
+func newLeased(gateways int) *leased {
+	return &leased{stock: make([]int, gateways), ends: make([]clock.Millis, gateways), cutUntil: make([]clock.Millis, gateways), emptySince: -replayWindow}
 }
 
-func (b *lent) ask(now clock.Millis, gateway int, l Limit) (bool, clock.Millis) {
+func (b *leased) admit(now clock.Millis, gateway int, l Limit) (bool, clock.Millis) {
 	if b.stock[gateway] > 0 && now < b.ends[gateway] {
 		b.stock[gateway]--
 		return true, 0
 	}
-	if now < b.outUntil || now < b.cutUntil[gateway] {
+	if now < b.outageUntil || now < b.cutUntil[gateway] {
 		return false, 0
 	}
-	// A block counts from when it may still be used.
-	b.granted = slices.DeleteFunc(b.granted, func(at clock.Millis) bool { return at <= now-replayWindow-blockSpan })
+	// A block counts until a window after its last possible use.
+	b.granted = slices.DeleteFunc(b.granted, func(at clock.Millis) bool { return at <= now-replayWindow-blockLease })
 	limit := l.Rate*float64(replayWindow)/1_000 + l.Burst
-	margin := limit*overage + slack
-	used, most := float64(len(b.granted)), limit+0.5*margin
-	if known := now - b.blankFrom; known < replayWindow {
+	margin := limit*overrunRatio + overrunRequests
+	used, allowed := float64(len(b.granted)), limit+0.5*margin
+	if known := now - b.emptySince; known < replayWindow {
 		used += limit * (1 - float64(known)/float64(replayWindow))
 	}
-	size := min(max(int(limit)/blockMost/len(b.stock), 1), blockMost, int(most-used))
+	size := min(max(int(limit)/maxBlock/len(b.stock), 1), maxBlock, int(allowed-used))
 	if size < 1 {
 		return false, 0
 	}
 	for range size {
 		b.granted = append(b.granted, now)
 	}
-	b.stock[gateway], b.ends[gateway] = size-1, now+blockSpan
+	b.stock[gateway], b.ends[gateway] = size-1, now+blockLease
 	return true, 0
 }
 
-func (b *lent) pass(now clock.Millis) {
+func (b *leased) advance(now clock.Millis) {
 	for i := range b.stock {
 		if b.stock[i] > 0 && now >= b.ends[i] {
 			b.granted = b.granted[:max(len(b.granted)-b.stock[i], 0)]
@@ -228,76 +229,78 @@
 	}
 }
 
-func (b *lent) restart(now clock.Millis, gateway int) {
+func (b *leased) restart(now clock.Millis, gateway int) {
 	for i := range b.stock {
 		if gateway < 0 || gateway == i {
 			b.stock[i] = 0
 		}
 	}
 	if gateway < 0 {
-		b.granted, b.blankFrom = nil, now
+		b.granted, b.emptySince = nil, now
 	}
 }
 
-func (b *lent) cut(gateway int, until clock.Millis) { b.cutUntil[gateway] = until }
+func (b *leased) isolate(gateway int, until clock.Millis) { b.cutUntil[gateway] = until }
 
-func (b *lent) outage(until clock.Millis) { b.outUntil, b.blankFrom, b.granted = until, until, nil }
+func (b *leased) outage(until clock.Millis) {
+	b.outageUntil, b.emptySince, b.granted = until, until, nil
+}
 
-func (b *lent) giveBack(clock.Millis, int, Limit) {
+func (b *leased) release(clock.Millis, int, Limit) {
 	if n := len(b.granted); n > 0 {
 		b.granted = b.granted[:n-1]
 	}
 }
 
-// oracle counts exactly.
+// oracle keeps an exact count.
 type oracle struct {
 	admitted []clock.Millis
 	worst    float64
-	// owed is how many requests a gateway that saw all of them would have let in, let how many
-	// were.
-	owed, let int
-	// asked are all requests, by which what fits is judged.
+	// owed is the number of requests that a gateway with all counts would have admitted, and
+	// admittedCount the number that were admitted.
+	owed, admittedCount int
+	// fitting are the requests in the window that count for owed.
 	fitting []clock.Millis
 }
 
-func (o *oracle) note(now clock.Millis, l Limit, admitted bool, lenient bool) {
+func (o *oracle) record(now clock.Millis, l Limit, admitted bool, lenient bool) {
 	limit := l.Rate*float64(replayWindow)/1_000 + l.Burst
-	since := func(list []clock.Millis) []clock.Millis {
+	recent := func(list []clock.Millis) []clock.Millis {
 		i, _ := slices.BinarySearch(list, now-replayWindow+1)
 		return list[i:]
 	}
-	o.fitting = since(o.fitting)
+	o.fitting = recent(o.fitting)
 	if float64(len(o.fitting)+1) <= limit {
 		o.fitting = append(o.fitting, now)
 		o.owed++
 	}
 	if admitted {
-		o.let++
-		o.admitted = append(since(o.admitted), now)
+		o.admittedCount++
+		o.admitted = append(recent(o.admitted), now)
 		if !lenient {
-			o.worst = max(o.worst, float64(len(o.admitted))/(limit*(1+overage)+slack))
+			o.worst = max(o.worst, float64(len(o.admitted))/(limit*(1+overrunRatio)+overrunRequests))
 		}
 	}
 }
 
-// pattern is a load and what happens under it.
+// pattern describes a load and the events during it.
 type pattern struct {
 	name     string
 	gateways int
 	limit    Limit
-	// age is how old news may be.
+	// age is the greatest lag of a digest.
 	age clock.Millis
-	// demand is the team's requests a second at a time, at which gateway each comes.
+	// demand is the team's request rate per second at a given time, and where the gateway of a
+	// request.
 	demand func(now clock.Millis) float64
 	where  func(now clock.Millis, random *rand.Rand) int
-	event  func(now clock.Millis, w way)
-	// limitAt is the limit in force; nil for the one above.
+	event  func(now clock.Millis, w scheme)
+	// limitAt returns the limit in force; nil if limit is always in force.
 	limitAt func(now clock.Millis) Limit
-	// neverRuns is the part of the admitted requests that no runner takes.
+	// neverRuns is the share of the admitted requests that no runner accepts.
 	neverRuns float64
-	// beyond says that the team asks for more than its limit, or that nobody knows any more what
-	// it has used.
-	beyond bool
+	// exceedsLimit is set if the team exceeds its limit, or if its usage is lost.
+	exceedsLimit bool
 }
 
 func anywhere(gateways int) func(clock.Millis, *rand.Rand) int {
@@ -308,7 +311,7 @@
 	return func(clock.Millis) float64 { return rate }
 }
 
-// bursts are the load of online callers: 1.85 times the mean for 2.2 s of each 5.2 s.
+// bursts is the load of online callers: 1.85 times the mean for 2.2 s of each 5.2 s.
 func bursts(rate float64) func(clock.Millis) float64 {
 	return func(now clock.Millis) float64 {
 		if now%5_200 >= 3_000 {
@@ -322,56 +325,56 @@
 	large, small := Limit{Team: "t", Rate: 80, Burst: 80}, Limit{Team: "t", Rate: 6.4, Burst: 6}
 	direct := []pattern{
 		{name: "a large team's usual load", gateways: 24, limit: large, demand: bursts(50), where: anywhere(24)},
-		{name: "a team with four requests a second, 24 gateways", gateways: 24, limit: small, demand: steadily(4), where: anywhere(24)},
-		{name: "a team with four requests a second, 89 gateways", gateways: 89, limit: small, demand: steadily(4), where: anywhere(89)},
-		{name: "ten times the limit", beyond: true, gateways: 24, limit: large, demand: steadily(800), where: anywhere(24)},
-		{name: "a small team, twenty times its limit, 89 gateways", beyond: true, gateways: 89, limit: small, demand: steadily(128), where: anywhere(89)},
+		{name: "a team with four requests per second, 24 gateways", gateways: 24, limit: small, demand: steadily(4), where: anywhere(24)},
+		{name: "a team with four requests per second, 89 gateways", gateways: 89, limit: small, demand: steadily(4), where: anywhere(89)},
+		{name: "ten times the limit", exceedsLimit: true, gateways: 24, limit: large, demand: steadily(800), where: anywhere(24)},
+		{name: "a small team, twenty times its limit, 89 gateways", exceedsLimit: true, gateways: 89, limit: small, demand: steadily(128), where: anywhere(89)},
 		{
-			name: "all at one gateway, then all at another", beyond: true, gateways: 24, limit: large, demand: steadily(160),
+			name: "all requests at one gateway, then all at another", exceedsLimit: true, gateways: 24, limit: large, demand: steadily(160),
 			where: func(now clock.Millis, _ *rand.Rand) int { return int(now/2_000) % 24 },
 		},
 		{
-			name: "a gateway is cut off with callers of its own", beyond: true, gateways: 24, limit: large, demand: steadily(200),
+			name: "a gateway with a quarter of the callers is cut off", exceedsLimit: true, gateways: 24, limit: large, demand: steadily(200),
 			where: func(_ clock.Millis, random *rand.Rand) int {
 				if random.IntN(4) == 0 {
 					return 7
 				}
 				return random.IntN(24)
 			},
-			event: func(now clock.Millis, w way) {
+			event: func(now clock.Millis, w scheme) {
 				if now == 5_000 {
-					w.cut(7, 15_000)
+					w.isolate(7, 15_000)
 				}
 			},
 		},
 		{
-			name: "a gateway with half of the callers is cut off", beyond: true, gateways: 24, limit: large, demand: steadily(200),
+			name: "a gateway with half of the callers is cut off", exceedsLimit: true, gateways: 24, limit: large, demand: steadily(200),
 			where: func(_ clock.Millis, random *rand.Rand) int { return random.IntN(2) * (1 + random.IntN(23)) },
-			event: func(now clock.Millis, w way) {
+			event: func(now clock.Millis, w scheme) {
 				if now == 8_000 {
-					w.cut(0, 18_000)
+					w.isolate(0, 18_000)
 				}
 			},
 		},
 		{
-			name: "all gateways end at once, above the limit", beyond: true, gateways: 24, limit: large, demand: steadily(200), where: anywhere(24),
-			event: func(now clock.Millis, w way) {
+			name: "all gateways restart at once, above the limit", exceedsLimit: true, gateways: 24, limit: large, demand: steadily(200), where: anywhere(24),
+			event: func(now clock.Millis, w scheme) {
 				if now == 8_000 {
 					w.restart(now, -1)
 				}
 			},
 		},
 		{
-			name: "all gateways end at once, usual load", beyond: true, gateways: 24, limit: large, demand: bursts(50), where: anywhere(24),
-			event: func(now clock.Millis, w way) {
+			name: "all gateways restart at once, usual load", exceedsLimit: true, gateways: 24, limit: large, demand: bursts(50), where: anywhere(24),
+			event: func(now clock.Millis, w scheme) {
 				if now == 8_000 {
 					w.restart(now, -1)
 				}
 			},
 		},
 		{
-			name: "gateways restart one after the other", beyond: true, gateways: 24, limit: large, demand: steadily(200), where: anywhere(24),
-			event: func(now clock.Millis, w way) {
+			name: "gateways restart one after the other", exceedsLimit: true, gateways: 24, limit: large, demand: steadily(200), where: anywhere(24),
+			event: func(now clock.Millis, w scheme) {
 				if now > 3_000 && now%500 == 0 {
 					w.restart(now, int(now/500)%24)
 				}
@@ -379,14 +382,14 @@
 		},
 		{
 			name: "leaders change, usual load", gateways: 24, limit: large, demand: bursts(50), where: anywhere(24),
-			event: func(now clock.Millis, w way) {
+			event: func(now clock.Millis, w scheme) {
 				if now%6_000 == 4_000 {
 					w.outage(now + 1_000)
 				}
 			},
 		},
 		{
-			name: "the limit drops to a tenth", beyond: true, gateways: 24, demand: steadily(160), where: anywhere(24), limit: large,
+			name: "the limit drops to a tenth", exceedsLimit: true, gateways: 24, demand: steadily(160), where: anywhere(24), limit: large,
 			limitAt: func(now clock.Millis) Limit {
 				if now < 8_000 {
 					return large
@@ -395,7 +398,7 @@
 			},
 		},
 		{
-			name: "the limit rises tenfold", beyond: true, gateways: 24, demand: steadily(60), where: anywhere(24), limit: large,
+			name: "the limit rises tenfold", exceedsLimit: true, gateways: 24, demand: steadily(60), where: anywhere(24), limit: large,
 			limitAt: func(now clock.Millis) Limit {
 				if now < 8_000 {
 					return Limit{Team: "t", Rate: 8, Burst: 8}
@@ -403,9 +406,9 @@
 				return large
 			},
 		},
-		{name: "runners take half of the requests", gateways: 24, limit: large, demand: steadily(130), where: anywhere(24), neverRuns: 0.5},
+		{name: "runners accept half of the requests", gateways: 24, limit: large, demand: steadily(130), where: anywhere(24), neverRuns: 0.5},
 		{
-			name: "a hundred requests in one moment at all gateways", beyond: true, gateways: 24, limit: small, where: anywhere(24),
+			name: "a hundred requests in one millisecond at all gateways", exceedsLimit: true, gateways: 24, limit: small, where: anywhere(24),
 			demand: func(now clock.Millis) float64 {
 				if now%6_000 == 1_000 {
 					return 100_000
@@ -418,99 +421,100 @@
 	for _, p := range direct {
 		p.age = replayAge
 		relayed := p
-		relayed.name, relayed.age = p.name+", news by relays", relayedAge
+		relayed.name, relayed.age = p.name+", digests through relays", relayedAge
 		all = append(all, p, relayed)
 	}
 	return all
 }
 
-// longestWait is how long a request waits for a verdict at most.
-const longestWait clock.Millis = 100
+// maxWait is the longest time that a request waits for a verdict.
+const maxWait clock.Millis = 100
 
-// waiter is a request that was told to wait.
+// waiter is a request that must be tried again later.
 type waiter struct {
-	at, since clock.Millis
-	gateway   int
+	retryAt, since clock.Millis
+	gateway        int
 }
 
-// replay plays a pattern for 24 seconds.
-func replay(p pattern, w way, random *rand.Rand) *oracle {
+// replay runs a pattern for 24 seconds.
+func replay(p pattern, w scheme, random *rand.Rand) *oracle {
 	o := &oracle{}
 	var waiting []waiter
 	for now := clock.Millis(1); now < 24_000; now++ {
 		if p.event != nil {
 			p.event(now, w)
 		}
-		w.pass(now)
+		w.advance(now)
 		l := p.limit
 		changed := -replayWindow
 		if p.limitAt != nil {
 			l = p.limitAt(now)
 			changed = 8_000
 		}
-		due := []waiter{}
+		ready := []waiter{}
 		waiting = slices.DeleteFunc(waiting, func(q waiter) bool {
-			if q.at <= now {
-				due = append(due, q)
+			if q.retryAt <= now {
+				ready = append(ready, q)
 			}
-			return q.at <= now
+			return q.retryAt <= now
 		})
 		for n := p.demand(now) / 1_000; n > 0; n-- {
 			if n < 1 && random.Float64() > n {
 				break
 			}
-			due = append(due, waiter{at: now, since: now, gateway: p.where(now, random)})
+			ready = append(ready, waiter{retryAt: now, since: now, gateway: p.where(now, random)})
 		}
-		for _, q := range due {
-			admitted, wait := w.ask(now, q.gateway, l)
-			if wait > 0 && now+wait-q.since <= longestWait {
-				waiting = append(waiting, waiter{at: now + wait, since: q.since, gateway: q.gateway})
+		for _, q := range ready {
+			admitted, wait := w.admit(now, q.gateway, l)
+			if wait > 0 && now+wait-q.since <= maxWait {
+				waiting = append(waiting, waiter{retryAt: now + wait, since: q.since, gateway: q.gateway})
 				continue
 			}
 			if admitted && random.Float64() < p.neverRuns {
-				w.giveBack(now, q.gateway, l)
+				w.release(now, q.gateway, l)
 				continue
 			}
-			// A lower limit binds a window after it is known.
-			o.note(now, l, admitted, now >= changed && now < changed+replayWindow)
+			// A lower limit is enforced one window after it was applied.
+			o.record(now, l, admitted, now >= changed && now < changed+replayWindow)
 		}
 	}
 	return o
 }
 
-// TestReplayThreeWays holds for the way of this package, under each pattern: no window goes
-// over the bound. A team within its limit is refused nothing; one beyond it gets at least nine
-// tenths of what a gateway that saw all would let in. The others are played for the table.
-func TestReplayThreeWays(t *testing.T) {
-	const mostBeyond = 0.1
+// TestReplayThreeSchemes checks the scheme of this package under each pattern: no window exceeds the
+// bound, a team within its limit is never refused, and a team beyond its limit gets at least nine
+// tenths of the requests that a gateway with all counts would admit. The other schemes run for
+// comparison only.
+func TestReplayThreeSchemes(t *testing.T) {
+	const maxBeyond = 0.1
 	for _, p := range patterns() {
 		t.Run(p.name, func(t *testing.T) {
 			row := fmt.Sprintf("%-52s", p.name)
-			for _, kind := range []string{"told", "split", "lent"} {
+			for _, kind := range []string{"exchanged", "split", "leased"} {
 				worst, owed, refused := 0.0, 0, 0
 				for seed := range uint64(3) {
 					random := rand.New(rand.NewPCG(seed, 7))
-					var w way
+					var w scheme
 					switch kind {
-					case "told":
-						w = newTold(p.gateways, p.age, random)
+					case "exchanged":
+						w = newExchanged(p.gateways, p.age, random)
 					case "split":
 						w = newSplit(p.gateways)
 					default:
-						w = newLent(p.gateways)
+						w = newLeased(p.gateways)
 					}
 					o := replay(p, w, random)
-					worst, owed, refused = max(worst, o.worst), owed+o.owed, refused+max(o.owed-o.let, 0)
+					worst, owed, refused = max(worst, o.worst), owed+o.owed, refused+max(o.owed-o.admittedCount, 0)
 				}
-				part := float64(refused) / float64(max(owed, 1))
-				row += fmt.Sprintf("  %s: worst window %.2f of the bound, refused within the limit %.3f", kind, worst, part)
-				if kind == "told" {
+				share := float64(refused) / float64(max(owed, 1))
+				row += fmt.Sprintf("  %s: worst window %.2f of the bound, refused within the limit %.3f", kind, worst, share)
+				if kind == "exchanged" {
 					require.LessOrEqual(t, worst, 1.0, "%s", row)
-					most := 0.0
-					if p.beyond {
-						most = mostBeyond
+					allowed := 0.0
+					if p.exceedsLimit {
+						allowed = maxBeyond
 					}
-					require.LessOrEqual(t, part, most, "%s", row)
+					require.LessOrEqual(t, share, allowed, "%s", row)
 				}
 			}
 			t.Log(row)
--- a/common/pkg/quota/window.go
+++ b/common/pkg/quota/window.go
@@ -2,28 +2,28 @@
 
 import "toucanhinge.example/common/pkg/clock"
 
-// buckets is the number of parts of a window. Requests leave it a part late at most, so a team
-// at its limit gets a fiftieth less than it may.
+// buckets is the number of buckets of a window. Requests leave the window up to one bucket late,
+// so a team at its limit gets a fiftieth less than it may.
 const buckets = 50
 
-// window counts requests of the last while. Counts may be parts: a change of the limit scales
-// them.
+// window counts the requests of a sliding time window. Counts may be fractional, since a change
+// of the limit scales them.
 type window struct {
-	// part is the length of a bucket, a span.
-	part clock.Millis
-	// newest is the number of the newest bucket, counted from the clock's beginning.
+	// bucketLength is the duration of a bucket.
+	bucketLength clock.Millis
+	// newest is the number of the newest bucket, counted from the zero time of the clock.
 	newest int64
 	counts [buckets + 1]float32
 	total  float32
 }
 
 func newWindow(length clock.Millis) *window {
-	return &window{part: max((length+buckets-1)/buckets, 1)}
+	return &window{bucketLength: max((length+buckets-1)/buckets, 1)}
 }
 
-// advance drops what has left the window.
+// advance removes the buckets that have left the window.
 func (w *window) advance(now clock.Millis) {
-	at := int64(now / w.part)
+	at := int64(now / w.bucketLength)
 	if at <= w.newest {
 		return
 	}
@@ -46,10 +46,10 @@
 	return int((bucket%all + all) % all)
 }
 
-// add counts requests at a moment within the window; those before it are past.
+// add counts requests at the time at, and ignores a time before the window.
 func (w *window) add(now, at clock.Millis, count float32) {
 	w.advance(now)
-	bucket := min(int64(at/w.part), w.newest)
+	bucket := min(int64(at/w.bucketLength), w.newest)
 	if w.newest-bucket > int64(buckets) {
 		return
 	}
@@ -57,25 +57,25 @@
 	w.total += count
 }
 
-// spread counts requests that came at unknown moments of the last span.
-func (w *window) spread(now, span clock.Millis, count float32) {
+// spread counts requests that arrived at unknown times within the last duration.
+func (w *window) spread(now, duration clock.Millis, count float32) {
 	w.advance(now)
-	parts := max(int64(span/w.part), 1)
-	for n := range min(parts, int64(buckets+1)) {
-		w.counts[w.index(w.newest-n)] += count / float32(parts)
-		w.total += count / float32(parts)
+	covered := max(int64(duration/w.bucketLength), 1)
+	for n := range min(covered, int64(buckets+1)) {
+		w.counts[w.index(w.newest-n)] += count / float32(covered)
+		w.total += count / float32(covered)
 	}
 }
 
-// takeBack takes requests out that were counted at some moment, the newest first.
-func (w *window) takeBack(now clock.Millis, count float32) {
+// subtract removes requests whose time is unknown, from the newest bucket first.
+func (w *window) subtract(now clock.Millis, count float32) {
 	w.advance(now)
 	for n := int64(0); n <= int64(buckets) && count > 0; n++ {
 		i := w.index(w.newest - n)
-		taken := min(count, w.counts[i])
-		w.counts[i] -= taken
-		w.total -= taken
-		count -= taken
+		removed := min(count, w.counts[i])
+		w.counts[i] -= removed
+		w.total -= removed
+		count -= removed
 	}
 }
 
@@ -87,24 +87,25 @@
 	}
 }
 
-// in is the number of requests in the window.
-func (w *window) in(now clock.Millis) float64 {
+// sum returns the number of requests in the window.
+func (w *window) sum(now clock.Millis) float64 {
 	w.advance(now)
 	return float64(w.total)
 }
 
-// last is the number of requests in the last buckets.
-func (w *window) last(now clock.Millis, parts int64) float64 {
+// recent returns the number of requests in the newest buckets.
+func (w *window) recent(now clock.Millis, count int64) float64 {
 	w.advance(now)
 	sum := float32(0)
-	for n := range parts {
+	for n := range count {
 		sum += w.counts[w.index(w.newest-n)]
 	}
 	return float64(sum)
 }
 
-// room is how long it takes until so many requests fit into the window under a limit, a span.
-func (w *window) room(now clock.Millis, limit, wanted float64) clock.Millis {
+// timeToFit returns the time until the wanted number of requests fits into the window under a
+// limit.
+func (w *window) timeToFit(now clock.Millis, limit, wanted float64) clock.Millis {
 	w.advance(now)
 	left := float64(w.total)
 	for n := int64(buckets); n >= 0; n-- {
@@ -113,11 +114,11 @@
 		}
 		left -= float64(w.counts[w.index(w.newest-n)])
 		if left+wanted <= limit {
-			return clock.Millis(w.newest-n+int64(buckets)+1)*w.part - now
+			return clock.Millis(w.newest-n+int64(buckets)+1)*w.bucketLength - now
 		}
 	}
 	if left+wanted <= limit {
 		return 0
 	}
-	return w.part * (buckets + 1)
+	return w.bucketLength * (buckets + 1)
 }
