--- a/common/pkg/control/client.go
+++ b/common/pkg/control/client.go
@@ -18,32 +18,32 @@
 
 // Limits of one call to the control VMs.
 const (
-	// attemptTimeout ends one try, so that a frozen replica costs this much and
-	// not the caller's whole deadline.
+	// attemptTimeout limits one attempt, so that a frozen replica doesn't use up the caller's
+	// whole deadline.
 	attemptTimeout = 2 * time.Second
-	firstPause     = 20 * time.Millisecond
-	longestPause   = 250 * time.Millisecond
-	// hopLimit bounds how often one call follows leader addresses without a
-	// pause; replicas that name each other in a circle would spin us.
-	hopLimit = 3
-	// suspectTime is how long a control VM that gave no answer is passed over,
-	// and how long others' word that it leads is not believed: those who are cut
-	// off from it too name it until they have elected another one, within 0.6 s. A
-	// longer time kept gateways from a leader that had lost power and was back.
-	suspectTime = 700 * time.Millisecond
-	// probeTime is how long a control VM that gave no answer in time may take to prove that its
-	// connection works: less than it is passed over.
-	probeTime = 600 * time.Millisecond
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 250 * time.Millisecond
+	// maxRedirects limits how many leader addresses one call follows without a backoff. Replicas
+	// that name each other as the leader would otherwise cause a busy loop.
+	maxRedirects = 3
+	// unresponsivePeriod is how long a control VM that didn't answer is skipped, and how long it
+	// isn't accepted as the leader that other control VMs name. Control VMs that are cut off from
+	// it as well name it until they have elected another leader, within 0.6 s. A longer period
+	// would keep gateways from a leader that is back after a power failure.
+	unresponsivePeriod = 700 * time.Millisecond
+	// probeTimeoutout is the time limit of the probe of a control VM that didn't answer in time. It is
+	// shorter than unresponsivePeriod.
+	probeTimeout = 600 * time.Millisecond
 )
 
-// Reasons under which retries are counted.
+// Values of the reason label of the retry metric.
 const (
 	reasonNotLeader   = "not-leader"
 	reasonUnreachable = "unreachable"
 	reasonLate        = "late"
 )
 
-// Replica holds the calls to one control VM.
+// Replica holds the service clients of one control VM.
 type Replica struct {
 	Address   string
 	Fleet     toucanhingev1connect.FleetServiceClient
@@ -53,48 +53,48 @@
 	Core      toucanhingev1connect.CoreServiceClient
 
 	http *http.Client
-	// probed says that it is being looked whether its connection works.
-	probed atomic.Bool
+	// probing is set while a probe of its connection runs.
+	probing atomic.Bool
 }
 
-// Config describes the client.
+// Config configures a Client.
 type Config struct {
 	// Addresses of the control VMs, IP:port.
 	Addresses []string
 	HTTP      *http.Client
-	// Fresh, if set, makes a client for each control VM in place of HTTP. It is
-	// made anew after a call without an answer: a connection that went silent
-	// without a reset would else swallow every call until a ping notices.
-	Fresh func() *http.Client
-	// FindLeader, if set, asks one control VM which one leads, by address; empty if
-	// it knows none. Without it, calls go to one VM after the other until one takes
-	// them or names the leader.
+	// NewHTTP, if set, returns an HTTP client for one control VM and replaces HTTP. It is called
+	// again after a call without an answer: on a connection that became unresponsive without a
+	// reset, every call would otherwise hang until a ping fails.
+	NewHTTP func() *http.Client
+	// FindLeader, if set, queries one control VM for the address of the leader, which is empty if
+	// the VM doesn't know it. Without FindLeader, calls go to one VM after the other until one
+	// accepts them or names the leader.
 	FindLeader func(ctx context.Context, r *Replica) (string, error)
-	// AttemptTimeout ends one try; 0 means two seconds.
+	// AttemptTimeout limits one attempt; 0 means two seconds.
 	AttemptTimeout time.Duration
-	// Retried counts retries by place and reason; may be nil.
+	// Retried counts retries by operation and reason; may be nil.
 	Retried *prometheus.CounterVec
 }
 
-// Client finds the leaders of the groups and remembers them.
+// Client calls the leaders of the consensus groups. It finds and caches their addresses.
 type Client struct {
-	config   Config
-	mu       sync.Mutex
-	replicas map[string]*Replica
-	leaders  map[uint32]string
-	suspects map[string]time.Time
-	turn     int
+	config            Config
+	mu                sync.Mutex
+	replicas          map[string]*Replica
+	leaders           map[uint32]string
+	unresponsiveSince map[string]time.Time
+	nextIndex         int
 }
 
-// New makes a client; it connects on first use.
+// New returns a client, which connects on first use.
 func New(config Config) *Client {
 	if config.AttemptTimeout == 0 {
 		config.AttemptTimeout = attemptTimeout
 	}
-	return &Client{config: config, replicas: map[string]*Replica{}, leaders: map[uint32]string{}, suspects: map[string]time.Time{}}
+	return &Client{config: config, replicas: map[string]*Replica{}, leaders: map[uint32]string{}, unresponsiveSince: map[string]time.Time{}}
 }
 
-// Replica returns the calls to one control VM.
+// Replica returns the service clients of one control VM.
 func (c *Client) Replica(address string) *Replica {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,11 +102,11 @@
 		return r
 	}
 	url := "http://" + address
-	// Without this, control would compress each answer, however small.
+	// Otherwise control would compress each answer, however small.
 	plain := connect.WithAcceptCompression("gzip", nil, nil)
 	client := c.config.HTTP
-	if c.config.Fresh != nil {
-		client = c.config.Fresh()
+	if c.config.NewHTTP != nil {
+		client = c.config.NewHTTP()
 	}
 	r := &Replica{
 		Address:   address,
@@ -121,13 +121,13 @@
 	return r
 }
 
-// Any returns some replica, another one each time.
+// Any returns the next replica in round-robin order.
 func (c *Client) Any() *Replica {
-	return c.Replica(c.next())
+	return c.Replica(c.nextAddress())
 }
 
-// SetAddresses replaces the control VMs that are asked. Daemons on VMs that come
-// and go learn the present ones from any of them.
+// SetAddresses replaces the addresses of the control VMs. Where the control VMs change, daemons
+// fetch the current addresses from any of them.
 func (c *Client) SetAddresses(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,9 +136,9 @@
 	}
 }
 
-// drop forgets the connections to a control VM that gave no answer.
-func (c *Client) drop(r *Replica) {
-	if c.config.Fresh == nil {
+// dropConnectionsConnections closes the connections to a control VM that didn't answer.
+func (c *Client) dropConnections(r *Replica) {
+	if c.config.NewHTTP == nil {
 		return
 	}
 	c.mu.Lock()
@@ -149,24 +149,23 @@
 	r.http.CloseIdleConnections()
 }
 
-func (c *Client) next() string {
+func (c *Client) nextAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for range c.config.Addresses {
-		c.turn++
-		address := c.config.Addresses[c.turn%len(c.config.Addresses)]
-		if !c.suspect(address) {
+		c.nextIndex++
+		address := c.config.Addresses[c.nextIndex%len(c.config.Addresses)]
+		if !c.isUnresponsive(address) {
 			return address
 		}
 	}
-	c.turn++
-	return c.config.Addresses[c.turn%len(c.config.Addresses)]
+	c.nextIndex++
+	return c.config.Addresses[c.nextIndex%len(c.config.Addresses)]
 }
 
-// suspect says whether a control VM gave no answer a moment ago; the caller
-// holds the lock.
-func (c *Client) suspect(address string) bool {
-	return time.Since(c.suspects[address]) < suspectTime
+// isUnresponsive reports whether a control VM recently didn't answer. The caller holds the lock.
+func (c *Client) isUnresponsive(address string) bool {
+	return time.Since(c.unresponsiveSince[address]) < unresponsivePeriod
 }
 
 // Leader returns the replica believed to lead the group.
@@ -180,79 +179,78 @@
 	return c.Replica(address)
 }
 
-// Known is the address of the replica believed to lead the group, empty if none
-// is known.
-func (c *Client) Known(group uint32) string {
+// KnownLeaderLeader returns the address of the replica believed to lead the group, empty if none is
+// known.
+func (c *Client) KnownLeader(group uint32) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leaders[group]
 }
 
-func (c *Client) learn(group uint32, address string) {
+func (c *Client) setLeader(group uint32, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.suspect(address) {
+	if c.isUnresponsive(address) {
 		address = ""
 	}
 	c.leaders[group] = address
 }
 
-// acquit notes that a control VM answered.
-func (c *Client) acquit(r *Replica) {
+// markResponsive records that a control VM answered.
+func (c *Client) markResponsive(r *Replica) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.suspects, r.Address)
+	delete(c.unresponsiveSince, r.Address)
 }
 
-// accuse notes that a control VM gave no answer.
-func (c *Client) accuse(r *Replica) {
+// markUnresponsive records that a control VM didn't answer, and drops its connections.
+func (c *Client) markUnresponsive(r *Replica) {
 	c.mu.Lock()
-	c.suspects[r.Address] = time.Now()
+	c.unresponsiveSince[r.Address] = time.Now()
 	c.mu.Unlock()
-	c.drop(r)
+	c.dropConnections(r)
 }
 
-// doubt notes that a control VM gave no answer in time. It may be gone, its connection may be
-// silent for good, or it is slow. What still answers keeps its connection: when a leader was
-// late for a second, each of hundreds of callers left its connection behind and made a new one, which
-// took all the leader's files and memory.
-func (c *Client) doubt(r *Replica) {
-	if c.config.FindLeader == nil || c.config.Fresh == nil {
-		c.accuse(r)
+// deprioritize records that a control VM didn't answer in time. The VM may be gone, its connection
+// may be dead, or the VM is slow. A VM that still answers a probe keeps its connection: if
+// hundreds of callers replaced their connections because a leader was slow for a second, they
+// would use up all file descriptors and memory of the leader.
+func (c *Client) deprioritize(r *Replica) {
+	if c.config.FindLeader == nil || c.config.NewHTTP == nil {
+		c.markUnresponsive(r)
 		return
 	}
 	c.mu.Lock()
-	c.suspects[r.Address] = time.Now()
+	c.unresponsiveSince[r.Address] = time.Now()
 	c.mu.Unlock()
-	if r.probed.CompareAndSwap(false, true) {
+	if r.probing.CompareAndSwap(false, true) {
 		go c.probe(r)
 	}
 }
 
-// probe drops the connections to a control VM that doesn't answer the shortest of calls either.
+// probe drops the connections to a control VM that doesn't answer a small call either.
 func (c *Client) probe(r *Replica) {
-	defer r.probed.Store(false)
-	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
+	defer r.probing.Store(false)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	if _, err := c.config.FindLeader(ctx, r); err != nil {
-		c.drop(r)
+		c.dropConnections(r)
 		return
 	}
-	c.acquit(r)
+	c.markResponsive(r)
 }
 
-// Call runs one call on the group's leader, and looks for the leader until the
-// context ends. It repeats a try whose outcome it does not know, so the call
-// must be idempotent: all calls of the schema to the leader carry their own
-// request id, token or lease number for that reason.
-func Call[T any](ctx context.Context, c *Client, group uint32, place string, call func(context.Context, *Replica) (T, error)) (T, error) {
-	pause := firstPause
-	hops := 0
+// Call runs one call on the leader of the group, and searches for the leader until the context
+// ends. It repeats an attempt with an unknown outcome, so the call must be idempotent. For that
+// reason all calls of the schema to the leader carry a request id, token or lease number.
+func Call[T any](ctx context.Context, c *Client, group uint32, operation string, call func(context.Context, *Replica) (T, error)) (T, error) {
+	delay := initialBackoff
+	redirects := 0
 	for {
 		if c.config.FindLeader != nil {
-			if err := c.search(ctx, group); err != nil {
+			if err := c.awaitLeader(ctx, group); err != nil {
 				var none T
-				return none, fmt.Errorf("%s: %w", place, err)
+				return none, fmt.Errorf("%s: %w", operation, err)
 			}
 		}
 		replica := c.Leader(group)
@@ -260,42 +258,43 @@
 		answer, err := call(tryCtx, replica)
 		cancel()
 		if err == nil {
-			c.acquit(replica)
-			c.learn(group, replica.Address)
+			c.markResponsive(replica)
+			c.setLeader(group, replica.Address)
 			return answer, nil
 		}
-		reason, again := c.blame(group, err)
+		reason, again := c.classifyError(group, err)
 		switch reason {
 		case reasonLate:
-			c.doubt(replica)
+			c.deprioritize(replica)
 		case reasonUnreachable:
-			c.accuse(replica)
+			c.markUnresponsive(replica)
 		case reasonNotLeader:
-			c.acquit(replica)
+			c.markResponsive(replica)
 		}
 		if !again || ctx.Err() != nil {
-			return answer, fmt.Errorf("%s at %s: %w", place, replica.Address, err)
+			return answer, fmt.Errorf("%s at %s: %w", operation, replica.Address, err)
 		}
 		if c.config.Retried != nil {
-			c.config.Retried.WithLabelValues(place, reason).Inc()
+			c.config.Retried.WithLabelValues(operation, reason).Inc()
 		}
-		// A replica that names another leader costs no pause: the call was not
-		// carried out, and the leader is ready for it.
-		if leader, _ := LeaderOf(err); leader != "" && leader != replica.Address && hops < hopLimit && c.Leader(group).Address == leader {
-			hops++
+		// No backoff if the replica names another leader: the call had no effect, and the
+		// named leader is ready for it.
+		if leader, _ := LeaderOf(err); leader != "" && leader != replica.Address && redirects < maxRedirects && c.Leader(group).Address == leader {
+			redirects++
 			continue
 		}
-		if waitErr := wait(ctx, pause); waitErr != nil {
-			return answer, fmt.Errorf("%s at %s: %w", place, replica.Address, err)
+		if waitErr := backoff(ctx, delay); waitErr != nil {
+			return answer, fmt.Errorf("%s at %s: %w", operation, replica.Address, err)
 		}
-		pause = min(2*pause, longestPause)
+		delay = min(2*delay, maxBackoff)
 	}
 }
 
-// blame decides whether a failed try is worth another, and forgets a leader that is none.
-func (c *Client) blame(group uint32, err error) (reason string, again bool) {
+// classifyError returns the retry reason of a failed attempt and whether to try again. It clears
+// or replaces the cached leader.
+func (c *Client) classifyError(group uint32, err error) (reason string, again bool) {
 	if leader, refused := LeaderOf(err); refused {
-		c.learn(group, leader)
+		c.setLeader(group, leader)
 		return reasonNotLeader, true
 	}
 	var failure *connect.Error
@@ -304,29 +303,29 @@
 	}
 	switch failure.Code() {
 	case connect.CodeDeadlineExceeded:
-		c.learn(group, "")
+		c.setLeader(group, "")
 		return reasonLate, true
 	case connect.CodeUnavailable, connect.CodeCanceled:
-		c.learn(group, "")
+		c.setLeader(group, "")
 		return reasonUnreachable, true
 	case connect.CodeUnknown:
-		// An answer that breaks off after its header has this code too. The VM was killed
-		// while it answered; without another try the operator's change, or a team's job,
-		// failed although the next leader would have answered.
+		// An answer that ends after its header has this code as well: the VM was killed while
+		// it answered. Without another attempt, an operator's change or a team's job would
+		// fail although the next leader can answer.
 		if connect.IsWireError(err) {
 			return "", false
 		}
-		c.learn(group, "")
+		c.setLeader(group, "")
 		return reasonUnreachable, true
 	default:
 		return "", false
 	}
 }
 
-// wait pauses for about a span. Callers that failed at the same moment don't come back at the
-// same one.
-func wait(ctx context.Context, pause time.Duration) error {
-	timer := time.NewTimer(pause/2 + rand.N(pause))
+// backoff sleeps for a random time around the delay. The jitter keeps callers that failed at the
+// same time from retrying at the same time.
+func backoff(ctx context.Context, delay time.Duration) error {
+	timer := time.NewTimer(delay/2 + rand.N(delay))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/common/pkg/control/leader.go
+++ b/common/pkg/control/leader.go
@@ -1,6 +1,5 @@
-// Package control speaks to the control VMs for gateways, sidecars and the
-// command line: it finds the leader of a group, follows the configuration, and
-// keeps a process registered.
+// Package control is the client of the control VMs for gateways, sidecars and the command line. It
+// finds the leader of a consensus group, watches the configuration, and keeps a process registered.
 package control
 
 import (
@@ -8,14 +7,14 @@
 	"github.com/pkg/errors"
 )
 
-// leaderHeader carries the leader's address in a refusal of a replica that does not lead.
+// leaderHeader holds the leader's address in a refusal by a replica that isn't the leader.
 const leaderHeader = "Toucanhinge-Leader"
 
-// notLeaderHeader marks the refusal, also when no leader is known.
+// notLeaderHeader marks such a refusal, even if no leader is known.
 const notLeaderHeader = "Toucanhinge-Not-Leader"
 
-// NotLeader is the refusal of a replica that does not lead the group. The call
-// was certainly not carried out. The address may be empty.
+// NotLeader returns the error of a replica that isn't the leader of the group. The call certainly
+// had no effect. The address may be empty.
 func NotLeader(address string) *connect.Error {
 	err := connect.NewError(connect.CodeFailedPrecondition, errors.New("this replica does not lead the group"))
 	err.Meta().Set(notLeaderHeader, "1")
@@ -23,7 +22,7 @@
 	return err
 }
 
-// LeaderOf tells whether the error is such a refusal, and the leader it names.
+// LeaderOf reports whether the error was made by NotLeader, and returns the leader's address in it.
 func LeaderOf(err error) (address string, refused bool) {
 	var failure *connect.Error
 	if !errors.As(err, &failure) || failure.Meta().Get(notLeaderHeader) == "" {
--- a/common/pkg/control/watcher.go
+++ b/common/pkg/control/watcher.go
@@ -17,14 +17,14 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-const watchPause = 200 * time.Millisecond
+const watchRetryInterval = 200 * time.Millisecond
 
-// silenceLimit ends a watch that brought nothing for so long. Control repeats
-// its version every few seconds; a replica that was frozen or cut off silently
-// would otherwise hold us at an old configuration for hours.
-const silenceLimit = 5 * time.Second
+// watchIdleTimeout ends a watch that received nothing for this long. Control repeats its version
+// every few seconds. A replica that is frozen or cut off would otherwise keep this process at an
+// old configuration for hours.
+const watchIdleTimeout = 5 * time.Second
 
-// WatcherConfig describes a watcher.
+// WatcherConfig configures a Watcher.
 type WatcherConfig struct {
 	Client  *Client
 	Process string
@@ -33,64 +33,65 @@
 	Changed func(*world.Fleet)
 }
 
-// Watcher keeps this process's configuration up to date and never lets it go back.
+// Watcher keeps the configuration of this process up to date and never returns to an older version.
 type Watcher struct {
 	config WatcherConfig
 	fleet  atomic.Pointer[world.Fleet]
-	// floor is the newest version known to be accepted; nothing older is let in.
-	floor   atomic.Uint64
-	groups  atomic.Uint32
-	once    sync.Once
-	started chan struct{}
+	// minVersion is the newest version known to be accepted; older versions are ignored.
+	minVersion atomic.Uint64
+	groups     atomic.Uint32
+	once       sync.Once
+	started    chan struct{}
 }
 
-// NewWatcher makes a watcher with an empty configuration.
+// NewWatcher returns a watcher with an empty configuration.
 func NewWatcher(config WatcherConfig) *Watcher {
 	w := &Watcher{config: config, started: make(chan struct{})}
 	w.fleet.Store(world.Empty())
 	return w
 }
 
-// Fleet is the configuration in force in this process.
+// Fleet returns the configuration in force in this process.
 func (w *Watcher) Fleet() *world.Fleet {
 	return w.fleet.Load()
 }
 
-// Groups is how many consensus groups control runs; 0 until Started.
+// Groups returns the number of consensus groups that control runs; 0 until Started is closed.
 func (w *Watcher) Groups() uint32 {
 	return w.groups.Load()
 }
 
-// Started is closed once a configuration at or above the quorum-confirmed floor is in force.
+// Started returns a channel that is closed once a configuration at or above the quorum-confirmed
+// minimum version is in force.
 func (w *Watcher) Started() <-chan struct{} {
 	return w.started
 }
 
-// Run follows the configuration until the context ends.
+// Run watches the configuration until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := w.learnFloor(ctx)
+		err := w.fetchMinVersion(ctx)
 		if err == nil {
 			break
 		}
 		level.Warn(w.config.Logger).Log(logs.KeyEvent, "floor-unknown", logs.KeyError, err)
 	}
 	for ctx.Err() == nil {
-		err := w.follow(ctx)
+		err := w.watch(ctx)
 		if err != nil && ctx.Err() == nil {
 			level.Debug(w.config.Logger).Log(logs.KeyEvent, "watch-ended", logs.KeyError, err)
 		}
-		if wait(ctx, watchPause) != nil {
+		if backoff(ctx, watchRetryInterval) != nil {
 			return
 		}
 	}
 }
 
-// learnFloor asks for the quorum-confirmed version. We keep no disk: after our
-// own restart a stale replica could show us a configuration older than the one
-// we had in force before, and we would serve by it. With the floor we wait for
-// a replica that knows at least what was accepted when we started.
-func (w *Watcher) learnFloor(ctx context.Context) error {
+// fetchMinVersion fetches the quorum-confirmed version. The process has no disk, so after a restart
+// a stale replica could send it a configuration older than the one in force before. With the
+// minimum version, the process waits for a replica that has at least the configuration accepted
+// when the process started.
+func (w *Watcher) fetchMinVersion(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	reply, err := Call(ctx, w.config.Client, 0, "floor",
@@ -98,14 +99,14 @@
 			return r.Fleet.Floor(ctx, connect.NewRequest(&toucanhingev1.FloorRequest{}))
 		})
 	if err != nil {
-		return fmt.Errorf("learn the configuration floor: %w", err)
+		return fmt.Errorf("fetch the minimum configuration version: %w", err)
 	}
-	w.Expect(reply.Msg.GetVersion())
+	w.RaiseMinVersion(reply.Msg.GetVersion())
 	w.groups.Store(reply.Msg.GetGroups())
 	return nil
 }
 
-func (w *Watcher) follow(ctx context.Context) error {
+func (w *Watcher) watch(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	request := &toucanhingev1.WatchRequest{Process: w.config.Process, After: w.Fleet().Version}
@@ -114,46 +115,46 @@
 		return fmt.Errorf("open the watch: %w", err)
 	}
 	defer func() { _ = stream.Close() }()
-	silence := time.AfterFunc(silenceLimit, cancel)
-	defer silence.Stop()
+	idle := time.AfterFunc(watchIdleTimeout, cancel)
+	defer idle.Stop()
 	for stream.Receive() {
-		silence.Reset(silenceLimit)
-		w.Take(stream.Msg())
-		if stream.Msg().GetVersion() < w.floor.Load() {
+		idle.Reset(watchIdleTimeout)
+		w.Apply(stream.Msg())
+		if stream.Msg().GetVersion() < w.minVersion.Load() {
 			return errStale
 		}
 	}
 	return stream.Err()
 }
 
-// errStale ends a watch on a replica that repeats a version older than one we
-// know to be accepted. Such a replica is cut off from its group; a watch on it
-// would never bring another change, so we go on at the next one.
-var errStale = errors.New("the replica is behind an accepted version")
+// errStale ends a watch on a replica that repeats a version older than an accepted one. Such a
+// replica is cut off from its group and would never send another change, so the watcher continues
+// with the next replica.
+var errStale = errors.New("the replica's version is older than an accepted version")
 
-// Expect tells the watcher that a version was accepted, as heartbeats show.
-func (w *Watcher) Expect(version uint64) {
+// RaiseMinVersion records an accepted version, which heartbeats report.
+func (w *Watcher) RaiseMinVersion(version uint64) {
 	for {
-		known := w.floor.Load()
-		if version <= known || w.floor.CompareAndSwap(known, version) {
+		known := w.minVersion.Load()
+		if version <= known || w.minVersion.CompareAndSwap(known, version) {
 			return
 		}
 	}
 }
 
-// Take puts one update in force unless it is older than what is in force. The
-// first one must also reach the floor; later ones only grow, so that a step on
-// the way to a newer version still helps.
-func (w *Watcher) Take(update *toucanhingev1.WatchResponse) {
-	present := w.Fleet()
-	if (present.Version == 0 && update.GetVersion() < w.floor.Load()) || update.GetVersion() < present.Version {
+// Apply puts an update in force unless it is older than the version in force. The first update must
+// also reach the minimum version. Later updates may be below it: versions only grow, and an
+// intermediate version is still newer than the one in force.
+func (w *Watcher) Apply(update *toucanhingev1.WatchResponse) {
+	current := w.Fleet()
+	if (current.Version == 0 && update.GetVersion() < w.minVersion.Load()) || update.GetVersion() < current.Version {
 		return
 	}
 	defer w.once.Do(func() { close(w.started) })
-	if update.GetVersion() == present.Version {
+	if update.GetVersion() == current.Version {
 		return
 	}
-	next := present.With(update.GetVersion(), update.GetWhole(), update.GetEntries())
+	next := current.With(update.GetVersion(), update.GetWhole(), update.GetEntries())
 	w.fleet.Store(next)
 	if w.config.Changed != nil {
 		w.config.Changed(next)
--- a/lab/pkg/leadload/member.go
+++ b/lab/pkg/leadload/member.go
@@ -108,7 +108,7 @@
 }
 
 func newClient(addresses []string) *control.Client {
-	return control.New(control.Config{Addresses: addresses, Fresh: web.NewClient, FindLeader: control.NamedByCore})
+	return control.New(control.Config{Addresses: addresses, NewHTTP: web.NewClient, FindLeader: control.QueryLeader})
 }
 
 // TablePath is where a member takes the fleet's routing table.
