--- a/common/pkg/routing/table.go
+++ b/common/pkg/routing/table.go
@@ -1,6 +1,6 @@
-// Package routing holds the routing table: which service answers a request with
-// a host and a path, what may be done with it, and which teams' callers may send
-// it. A table is built once from the operator's configuration and only read afterwards.
+// Package routing implements the routing table. It maps the host and path of a request to a service,
+// and states how the request may be handled and which teams may send it. A Table is built once from
+// the operator's configuration and immutable afterwards.
 package routing
 
 import (
@@ -15,10 +15,10 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// ErrInvalid is the cause of every refusal of a table.
+// ErrInvalid is wrapped by every error about an invalid table.
 var ErrInvalid = errors.New("the routing table is invalid")
 
-// Table is one version of the routes.
+// Table is one version of the routing table.
 type Table struct {
 	Version uint64
 	Limits  *toucanhingev1.CallerLimits
@@ -26,7 +26,7 @@
 	wire   *toucanhingev1.RoutingTable
 	byHost map[string][]Route
 	byKey  map[apikey.Hash]Team
-	// openJobs says that some route takes jobs without a key.
+	// openJobs is set if some route accepts jobs without a key.
 	openJobs bool
 }
 
@@ -35,25 +35,26 @@
 	*toucanhingev1.Route
 }
 
-// Repeatable says whether a request may run more than once. A stream may, if it
-// can go on elsewhere after its last event.
+// Repeatable reports whether a request may run more than once. A stream may if another runner can
+// resume it after its last event.
 func (r Route) Repeatable() bool {
 	return r.Kind == toucanhingev1.RouteKind_ROUTE_KIND_IDEMPOTENT || r.Streams() && r.Resumable
 }
 
-// Streams says whether answers are streams of numbered events.
+// Streams reports whether answers are streams of numbered events.
 func (r Route) Streams() bool { return r.Kind == toucanhingev1.RouteKind_ROUTE_KIND_STREAM }
 
-// Batch says whether the route takes jobs.
+// Batch reports whether the route accepts jobs.
 func (r Route) Batch() bool { return r.Kind == toucanhingev1.RouteKind_ROUTE_KIND_BATCH }
 
-// TimeLimit is the longest time that a request may be kept waiting, a span.
+// TimeLimit returns the longest time that a request may wait.
 func (r Route) TimeLimit() clock.Millis { return clock.Millis(r.TimeLimitMs) }
 
-// Objective is the time to an answer, or a first event, that earns full credit.
+// Objective returns the target time to an answer or, for a stream, to its first event. An answer
+// within it earns full credit.
 func (r Route) Objective() clock.Millis { return clock.Millis(r.ObjectiveMs) }
 
-// Service picks one of the route's services by weight; draw is from 0 to below 1.
+// Service selects one of the route's services by weight; draw is a random number in [0, 1).
 func (r Route) Service(draw float64) string {
 	total := uint32(0)
 	for _, s := range r.Shares {
@@ -69,7 +70,7 @@
 	return ""
 }
 
-// Services lists the services that the route may use.
+// Services returns the names of the route's services with a weight above 0.
 func (r Route) Services() []string {
 	var names []string
 	for _, s := range r.Shares {
@@ -80,7 +81,7 @@
 	return names
 }
 
-// New checks a table and makes it ready for look-ups.
+// New validates a table and builds its indexes.
 func New(wire *toucanhingev1.RoutingTable) (*Table, error) {
 	if err := validate(wire); err != nil {
 		return nil, err
@@ -97,12 +98,12 @@
 	return t, nil
 }
 
-// Wire is the table with the operator's document, as the core keeps it.
+// Wire returns the table in the form that the core stores, with the operator's document.
 func (t *Table) Wire() *toucanhingev1.RoutingTable { return t.wire }
 
-// Lean is the table without the operator's document, as it goes to gateways: they don't need
-// the text, which is longer than the rest and holds the teams' keys.
-func (t *Table) Lean() *toucanhingev1.RoutingTable {
+// WithoutDocument returns the table in the form that is sent to gateways. They don't need the
+// operator's document, which is longer than the rest and contains the teams' keys.
+func (t *Table) WithoutDocument() *toucanhingev1.RoutingTable {
 	w := t.wire
 	return &toucanhingev1.RoutingTable{
 		Version: w.GetVersion(), Routes: w.GetRoutes(), Services: w.GetServices(), Limits: w.GetLimits(),
@@ -110,7 +111,7 @@
 	}
 }
 
-// Match finds the route of a host with the longest prefix that begins the path.
+// Match returns the route of a host with the longest prefix of the path.
 func (t *Table) Match(host, path string) (Route, bool) {
 	for _, r := range t.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.GetPrefix()) {
@@ -120,7 +121,7 @@
 	return Route{}, false
 }
 
-// PathOf cuts the query off a request's target.
+// PathOf returns a request's target without its query.
 func PathOf(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	return path
@@ -130,21 +131,21 @@
 	known := map[string]bool{}
 	for _, s := range wire.GetServices() {
 		if s.GetName() == "" || known[s.GetName()] {
-			return fmt.Errorf("%w: service %q has no name or stands twice", ErrInvalid, s.GetName())
+			return fmt.Errorf("%w: service %q has no name or is listed twice", ErrInvalid, s.GetName())
 		}
 		known[s.GetName()] = true
 	}
-	type place struct{ host, prefix string }
-	taken := map[place]bool{}
+	type match struct{ host, prefix string }
+	taken := map[match]bool{}
 	for _, r := range wire.GetRoutes() {
 		if err := validateRoute(r, known); err != nil {
 			return err
 		}
-		at := place{strings.ToLower(r.GetHost()), r.GetPrefix()}
-		if taken[at] {
-			return fmt.Errorf("%w: two routes have host %q and prefix %q", ErrInvalid, at.host, at.prefix)
+		m := match{strings.ToLower(r.GetHost()), r.GetPrefix()}
+		if taken[m] {
+			return fmt.Errorf("%w: two routes have host %q and prefix %q", ErrInvalid, m.host, m.prefix)
 		}
-		taken[at] = true
+		taken[m] = true
 	}
 	return validateTeams(wire)
 }
@@ -154,16 +155,16 @@
 	case r.GetHost() == "":
 		return fmt.Errorf("%w: route %q has no host", ErrInvalid, r.GetName())
 	case !strings.HasPrefix(r.GetPrefix(), "/") || !strings.HasSuffix(r.GetPrefix(), "/"):
-		return fmt.Errorf("%w: the prefix of route %q doesn't begin and end with a slash", ErrInvalid, r.GetName())
+		return fmt.Errorf("%w: the prefix of route %q must begin and end with a slash", ErrInvalid, r.GetName())
 	case r.GetKind() == toucanhingev1.RouteKind_ROUTE_KIND_UNSPECIFIED:
-		return fmt.Errorf("%w: the kind of route %q is unknown", ErrInvalid, r.GetName())
+		return fmt.Errorf("%w: route %q has an unknown kind", ErrInvalid, r.GetName())
 	case r.GetTimeLimitMs() == 0:
 		return fmt.Errorf("%w: the time limit of route %q is 0", ErrInvalid, r.GetName())
 	}
 	total := uint32(0)
 	for _, s := range r.GetShares() {
 		if !known[s.GetService()] {
-			return fmt.Errorf("%w: route %q names the unknown service %q", ErrInvalid, r.GetName(), s.GetService())
+			return fmt.Errorf("%w: route %q refers to unknown service %q", ErrInvalid, r.GetName(), s.GetService())
 		}
 		total += s.GetWeight()
 	}
--- a/common/pkg/routing/table_test.go
+++ b/common/pkg/routing/table_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { seed.Main(m, 11) }
 
-func valid() *toucanhingev1.RoutingTable {
+func validTable() *toucanhingev1.RoutingTable {
 	return &toucanhingev1.RoutingTable{
 		Version:  3,
 		Services: []*toucanhingev1.RoutedService{{Name: "llm"}, {Name: "other"}},
@@ -31,39 +31,39 @@
 	}
 }
 
-func TestInvalidTablesAreRefused(t *testing.T) {
+func TestNewRefusesInvalidTables(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		spoil func(*toucanhingev1.RoutingTable)
+		name   string
+		modify func(*toucanhingev1.RoutingTable)
 	}{
 		{"unknown service", func(w *toucanhingev1.RoutingTable) { w.Routes[0].Shares[0].Service = "gone" }},
-		{"two routes at one place", func(w *toucanhingev1.RoutingTable) { w.Routes[1].Prefix = "/" }},
-		{"two routes at one place, hosts written otherwise", func(w *toucanhingev1.RoutingTable) {
+		{"two routes with the same host and prefix", func(w *toucanhingev1.RoutingTable) { w.Routes[1].Prefix = "/" }},
+		{"two routes with the same host and prefix, hosts differ in case", func(w *toucanhingev1.RoutingTable) {
 			w.Routes[1].Prefix, w.Routes[1].Host = "/", "SERVICE.example"
 		}},
 		{"weights add up to 0", func(w *toucanhingev1.RoutingTable) { w.Routes[0].Shares[0].Weight = 0 }},
-		{"no service at all", func(w *toucanhingev1.RoutingTable) { w.Routes[0].Shares = nil }},
+		{"no service", func(w *toucanhingev1.RoutingTable) { w.Routes[0].Shares = nil }},
 		{"time limit 0", func(w *toucanhingev1.RoutingTable) { w.Routes[0].TimeLimitMs = 0 }},
-		{"prefix without its first slash", func(w *toucanhingev1.RoutingTable) { w.Routes[1].Prefix = "a/" }},
-		{"prefix without its last slash", func(w *toucanhingev1.RoutingTable) { w.Routes[1].Prefix = "/a" }},
+		{"prefix without leading slash", func(w *toucanhingev1.RoutingTable) { w.Routes[1].Prefix = "a/" }},
+		{"prefix without trailing slash", func(w *toucanhingev1.RoutingTable) { w.Routes[1].Prefix = "/a" }},
 		{"no host", func(w *toucanhingev1.RoutingTable) { w.Routes[1].Host = "" }},
 		{"no kind", func(w *toucanhingev1.RoutingTable) { w.Routes[1].Kind = 0 }},
 		{"service twice", func(w *toucanhingev1.RoutingTable) { w.Services[1].Name = "llm" }},
 		{"service without a name", func(w *toucanhingev1.RoutingTable) { w.Services[1].Name = "" }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			wire := valid()
-			c.spoil(wire)
+			wire := validTable()
+			c.modify(wire)
 			_, err := New(wire)
 			require.ErrorIs(t, err, ErrInvalid)
 		})
 	}
-	_, err := New(valid())
+	_, err := New(validTable())
 	require.NoError(t, err)
 }
 
 func TestMatch(t *testing.T) {
-	table, err := New(valid())
+	table, err := New(validTable())
 	require.NoError(t, err)
 	for _, c := range []struct{ host, path, want string }{
 		{"service.example", "/", "all"},
@@ -85,8 +85,8 @@
 	require.Equal(t, "/a/b", PathOf("/a/b?c=/d/"))
 }
 
-func TestServiceFollowsTheWeights(t *testing.T) {
-	table, err := New(valid())
+func TestServiceSelectsByWeight(t *testing.T) {
+	table, err := New(validTable())
 	require.NoError(t, err)
 	route, _ := table.Match("service.example", "/a/")
 	require.Equal(t, "llm", route.Service(0))
@@ -113,11 +113,11 @@
 	}
 }
 
-// TestRapidLongestPrefixWins compares the look-up with a search through all routes.
+// TestRapidLongestPrefixWins compares Match with a linear search through all prefixes.
 func TestRapidLongestPrefixWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		part := rapid.SampledFrom([]string{"a", "b", "ab", "a/b", "b/a"})
-		wire := valid()
+		wire := validTable()
 		wire.Routes = wire.Routes[:0]
 		taken := map[string]bool{}
 		for _, p := range rapid.SliceOf(part).Draw(t, "prefixes") {
@@ -126,7 +126,7 @@
 				continue
 			}
 			taken[prefix] = true
-			r, ok := proto.Clone(valid().Routes[0]).(*toucanhingev1.Route)
+			r, ok := proto.Clone(validTable().Routes[0]).(*toucanhingev1.Route)
 			require.True(t, ok)
 			r.Name, r.Prefix = prefix, prefix
 			wire.Routes = append(wire.Routes, r)
--- a/common/pkg/routing/team.go
+++ b/common/pkg/routing/team.go
@@ -8,15 +8,16 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Team is a customer whose callers prove with a key that they belong to it.
+// Team is a customer whose callers identify themselves with one of its keys.
 type Team struct {
 	*toucanhingev1.Team
 }
 
-// Limited says whether the team's requests are limited at all.
+// Limited reports whether the team has a request limit.
 func (t Team) Limited() bool { return t.GetRate() > 0 }
 
-// PriorityOn is the rank of the team's requests on a route, 0 for the most urgent.
+// PriorityOn returns the priority of the team's requests on a route, 0 for the most urgent. A team
+// without a priority of its own has that of the route.
 func (t Team) PriorityOn(r Route) uint32 {
 	if t.Team != nil && t.Priority != nil {
 		return t.GetPriority()
@@ -24,10 +25,10 @@
 	return r.GetPriority()
 }
 
-// Keyed says whether requests need a key of a team, but for those on open routes.
+// Keyed reports whether requests need a key of a team, except on open routes.
 func (t *Table) Keyed() bool { return t.wire.GetKeyed() }
 
-// TeamOf finds the team that holds a key.
+// TeamOf returns the team that a key belongs to.
 func (t *Table) TeamOf(key []byte) (Team, bool) {
 	hash, ok := apikey.Read(key)
 	if !ok {
@@ -37,12 +38,12 @@
 	return team, found
 }
 
-// Teams are all teams, in the operator's order.
+// Teams returns all teams in the operator's order.
 func (t *Table) Teams() []*toucanhingev1.Team { return t.wire.GetTeams() }
 
-// Admits says whether a caller with that key, or with none, may call at all, and for which
-// team: none on a table without teams, nor for a caller without a key, who may still hand in
-// jobs on open routes.
+// Admits reports whether a caller with the given key, or without one, may send requests, and returns
+// its team. The team is empty on a table without teams, and for a caller without a key, which may
+// still submit jobs on open routes.
 func (t *Table) Admits(key []byte) (Team, bool) {
 	team, found := t.TeamOf(key)
 	switch {
@@ -55,7 +56,7 @@
 	}
 }
 
-// addTeams makes the teams ready for look-ups.
+// addTeams builds the index of keys and records whether there are open routes for jobs.
 func (t *Table) addTeams() {
 	for _, wire := range t.wire.GetTeams() {
 		for _, key := range wire.GetKeys() {
@@ -76,11 +77,11 @@
 	owners := map[apikey.Hash]string{}
 	for _, team := range wire.GetTeams() {
 		if team.GetName() == "" || names[team.GetName()] {
-			return fmt.Errorf("%w: team %q has no name or stands twice", ErrInvalid, team.GetName())
+			return fmt.Errorf("%w: team %q has no name or is listed twice", ErrInvalid, team.GetName())
 		}
 		names[team.GetName()] = true
-		if !isLimit(team.GetRate()) || !isLimit(team.GetBurst()) {
-			return fmt.Errorf("%w: the rate or the burst of team %q is negative or endless", ErrInvalid, team.GetName())
+		if !isValidLimit(team.GetRate()) || !isValidLimit(team.GetBurst()) {
+			return fmt.Errorf("%w: the rate or the burst of team %q is negative, infinite or not a number", ErrInvalid, team.GetName())
 		}
 		for i, key := range team.GetKeys() {
 			hash, ok := apikey.Read(key)
@@ -94,9 +95,9 @@
 		}
 	}
 	if len(wire.GetTeams()) > 0 && !wire.GetKeyed() {
-		return fmt.Errorf("%w: there are teams, but no keys are asked for", ErrInvalid)
+		return fmt.Errorf("%w: there are teams, but keys are not required", ErrInvalid)
 	}
 	return nil
 }
 
-func isLimit(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
+func isValidLimit(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
--- a/common/pkg/routing/team_test.go
+++ b/common/pkg/routing/team_test.go
@@ -10,8 +10,8 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-func keyed() *toucanhingev1.RoutingTable {
-	wire := valid()
+func keyedTable() *toucanhingev1.RoutingTable {
+	wire := validTable()
 	wire.Keyed = true
 	wire.Document = []byte("the operator's text, with keys")
 	wire.Teams = []*toucanhingev1.Team{
@@ -22,25 +22,25 @@
 	return wire
 }
 
-func TestInvalidTeamsAreRefused(t *testing.T) {
+func TestNewRefusesInvalidTeams(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		spoil func(*toucanhingev1.RoutingTable)
-		want  string
+		name   string
+		modify func(*toucanhingev1.RoutingTable)
+		want   string
 	}{
 		{"two teams share a key", func(w *toucanhingev1.RoutingTable) { w.Teams[1].Keys[0] = apikey.Bytes("two-of-a") }, "share a key"},
-		{"two teams of one name", func(w *toucanhingev1.RoutingTable) { w.Teams[1].Name = "a" }, "stands twice"},
+		{"two teams with the same name", func(w *toucanhingev1.RoutingTable) { w.Teams[1].Name = "a" }, "listed twice"},
 		{"a team without a name", func(w *toucanhingev1.RoutingTable) { w.Teams[1].Name = "" }, "no name"},
 		{"an empty key", func(w *toucanhingev1.RoutingTable) { w.Teams[1].Keys[0] = apikey.Bytes("") }, "is empty"},
-		{"a negative rate", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Rate = -1 }, "negative or endless"},
-		{"an endless rate", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Rate = math.Inf(1) }, "negative or endless"},
-		{"a rate that is no number", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Rate = math.NaN() }, "negative or endless"},
-		{"a negative burst", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Burst = -0.5 }, "negative or endless"},
-		{"teams, but no keys", func(w *toucanhingev1.RoutingTable) { w.Keyed = false }, "no keys are asked for"},
+		{"a negative rate", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Rate = -1 }, "negative, infinite or not a number"},
+		{"an infinite rate", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Rate = math.Inf(1) }, "negative, infinite or not a number"},
+		{"a rate that is not a number", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Rate = math.NaN() }, "negative, infinite or not a number"},
+		{"a negative burst", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Burst = -0.5 }, "negative, infinite or not a number"},
+		{"teams, but keys not required", func(w *toucanhingev1.RoutingTable) { w.Keyed = false }, "keys are not required"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			wire := keyed()
-			c.spoil(wire)
+			wire := keyedTable()
+			c.modify(wire)
 			_, err := New(wire)
 			require.ErrorIs(t, err, ErrInvalid)
 			require.ErrorContains(t, err, c.want)
@@ -48,8 +48,8 @@
 	}
 }
 
-func TestTheTeamOfAKey(t *testing.T) {
-	table, err := New(keyed())
+func TestTeamOfKey(t *testing.T) {
+	table, err := New(keyedTable())
 	require.NoError(t, err)
 	for _, c := range []struct {
 		key, team string
@@ -63,12 +63,12 @@
 		_, admitted := table.Admits(apikey.Bytes(c.key))
 		require.Equal(t, c.found, admitted, c.key)
 	}
-	_, found := table.TeamOf([]byte("of another length"))
+	_, found := table.TeamOf([]byte("wrong length"))
 	require.False(t, found)
 }
 
-func TestOpenRoutesForJobsAdmitCallersWithoutAKey(t *testing.T) {
-	wire := keyed()
+func TestOpenJobRoutesAdmitCallersWithoutKey(t *testing.T) {
+	wire := keyedTable()
 	wire.Routes[1].Kind, wire.Routes[1].Open = toucanhingev1.RouteKind_ROUTE_KIND_BATCH, true
 	table, err := New(wire)
 	require.NoError(t, err)
@@ -78,23 +78,23 @@
 	require.False(t, admitted)
 }
 
-func TestATeamsPriorityGoesBeforeItsRoutes(t *testing.T) {
-	rank := uint32(0)
+func TestTeamPriorityOverridesRoutePriority(t *testing.T) {
+	priority := uint32(0)
 	route := Route{&toucanhingev1.Route{Priority: 2}}
 	require.Equal(t, uint32(2), Team{}.PriorityOn(route), "a caller without a team")
-	require.Equal(t, uint32(2), Team{&toucanhingev1.Team{}}.PriorityOn(route), "a team that has none")
-	require.Equal(t, uint32(0), Team{&toucanhingev1.Team{Priority: &rank}}.PriorityOn(route))
+	require.Equal(t, uint32(2), Team{&toucanhingev1.Team{}}.PriorityOn(route), "a team without a priority")
+	require.Equal(t, uint32(0), Team{&toucanhingev1.Team{Priority: &priority}}.PriorityOn(route))
 }
 
-func TestGatewaysGetNoDocument(t *testing.T) {
-	table, err := New(keyed())
+func TestWithoutDocumentOmitsOnlyDocument(t *testing.T) {
+	table, err := New(keyedTable())
 	require.NoError(t, err)
-	lean := table.Lean()
-	require.Empty(t, lean.GetDocument(), "it holds the keys")
-	again, err := New(lean)
+	sent := table.WithoutDocument()
+	require.Empty(t, sent.GetDocument(), "the document contains the keys")
+	received, err := New(sent)
 	require.NoError(t, err)
-	_, found := again.TeamOf(apikey.Bytes("two-of-a"))
+	_, found := received.TeamOf(apikey.Bytes("two-of-a"))
 	require.True(t, found)
-	require.True(t, again.Keyed())
-	require.Equal(t, table.Version, again.Version)
+	require.True(t, received.Keyed())
+	require.Equal(t, table.Version, received.Version)
 }
