--- a/gateway/pkg/app/process.go
+++ b/gateway/pkg/app/process.go
@@ -35,7 +35,7 @@
 	parts       *parts
 	shutdowner  fx.Shutdowner
 	set         *metrics.Set
-	book        *record.Book
+	book        *record.Log
 	beater      *shared.Heartbeater
 	incarnation uint64
 
@@ -49,7 +49,7 @@
 
 func newProcess(
 	settings config.Settings, now clock.Clock, status *health.Status, logger log.Logger, set *metrics.Set,
-	book *record.Book, parts *parts, shutdowner fx.Shutdowner,
+	book *record.Log, parts *parts, shutdowner fx.Shutdowner,
 ) *process {
 	p := &process{
 		settings: settings, status: status, logger: logger, parts: parts, shutdowner: shutdowner, set: set, book: book,
--- a/sidecar/pkg/app/app.go
+++ b/sidecar/pkg/app/app.go
@@ -78,7 +78,7 @@
 	Logger     log.Logger
 	Metrics    *metrics.Set
 	Counters   *counters
-	Book       *record.Book
+	Book       *record.Log
 	Status     *health.Status
 	Dispatcher *dispatch.Dispatcher
 	Probe      *probe.Probe
