--- a/common/pkg/ring/ring.go
+++ b/common/pkg/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring joins goroutines by bounded queues. A full ring refuses at once
-// and counts the refusal; nothing waits unseen.
+// Package ring provides bounded queues between goroutines. A full ring refuses an offered item at
+// once and counts the refusal, so that no backlog is hidden.
 package ring
 
 import (
@@ -14,20 +14,20 @@
 	refused prometheus.Counter
 }
 
-// Config describes a ring.
+// Config configures a Ring.
 type Config struct {
-	// Size is the most items held; at least 1.
+	// Size is the capacity; at least 1.
 	Size int
-	// Refused counts items turned away by a full ring; may be nil.
+	// Refused counts items refused by a full ring; may be nil.
 	Refused prometheus.Counter
 }
 
-// New makes an empty ring.
+// New returns an empty ring.
 func New[T any](config Config) *Ring[T] {
 	return &Ring[T]{items: make(chan T, max(config.Size, 1)), refused: config.Refused}
 }
 
-// Offer puts an item at the end, or returns false at once when the ring is full.
+// Offer appends an item, or returns false at once if the ring is full.
 func (r *Ring[T]) Offer(item T) bool {
 	select {
 	case r.items <- item:
@@ -40,8 +40,8 @@
 	}
 }
 
-// Put waits for room, so that a slow reader slows its writer down. It returns
-// the context's error when that ends first.
+// Put appends an item and blocks while the ring is full, so that a slow reader slows down its
+// writer. It returns the context's error if the context ends first.
 func (r *Ring[T]) Put(ctx context.Context, item T) error {
 	select {
 	case r.items <- item:
@@ -51,26 +51,26 @@
 	}
 }
 
-// Items is the reading end, for use in a select.
+// Items returns the receiving channel, for use in a select.
 func (r *Ring[T]) Items() <-chan T {
 	return r.items
 }
 
-// Drain returns what waits now, at most limit items, without blocking.
+// Drain removes and returns up to limit items without blocking.
 func (r *Ring[T]) Drain(limit int) []T {
-	var taken []T
-	for len(taken) < limit {
+	var items []T
+	for len(items) < limit {
 		select {
 		case item := <-r.items:
-			taken = append(taken, item)
+			items = append(items, item)
 		default:
-			return taken
+			return items
 		}
 	}
-	return taken
+	return items
 }
 
-// Len is the number of items waiting.
+// Len returns the number of items in the ring.
 func (r *Ring[T]) Len() int {
 	return len(r.items)
 }
--- a/common/pkg/ring/ring_test.go
+++ b/common/pkg/ring/ring_test.go
@@ -20,7 +20,7 @@
 	require.Zero(t, r.Len())
 }
 
-func TestRingPutGivesUpWithItsContext(t *testing.T) {
+func TestRingPutReturnsWhenContextEnds(t *testing.T) {
 	r := New[int](Config{Size: 1})
 	ctx, cancel := context.WithCancel(context.Background())
 	require.NoError(t, r.Put(ctx, 1))
