--- a/common/pkg/web/dial_test.go
+++ b/common/pkg/web/dial_test.go
@@ -11,48 +11,47 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A VM has lost power and takes no connection; callers' requests wait for it. Then it is
-// back. The opening packet that was sent before is lost, and the system sends it again a
-// second after. Whoever still waits for that packet's answer keeps callers waiting for a VM
-// that has long been back.
-func TestAVMThatIsBackIsFoundSoon(t *testing.T) {
-	listener, address := deafListener(t)
-	began := time.Now()
-	const deaf = 250 * time.Millisecond
-	time.AfterFunc(deaf, func() { hearAgain(listener) })
+// A VM without power accepts no connection while requests wait for it. When it is back, an earlier
+// SYN packet is lost, and the system repeats it only after a second. A dial that waits for the
+// answer to that packet would delay requests although the VM is back.
+func TestDialConnectsSoonAfterOutage(t *testing.T) {
+	listener, address := fullBacklogListener(t)
+	start := time.Now()
+	const outage = 250 * time.Millisecond
+	time.AfterFunc(outage, func() { drainBacklog(listener) })
 
 	conn, err := dial(t.Context(), "tcp4", address)
 	require.NoError(t, err)
 	require.NoError(t, conn.Close())
-	took := time.Since(began)
-	require.Greater(t, took, deaf)
-	require.Less(t, took, 600*time.Millisecond)
+	elapsed := time.Since(start)
+	require.Greater(t, elapsed, outage)
+	require.Less(t, elapsed, 600*time.Millisecond)
 }
 
-func TestAVMThatStaysAwayEndsTheTries(t *testing.T) {
-	_, address := deafListener(t)
+func TestDialStopsAtDeadline(t *testing.T) {
+	_, address := fullBacklogListener(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	_, err := dial(ctx, "tcp4", address)
 	require.Error(t, err)
-	require.InDelta(t, 300, float64(time.Since(began).Milliseconds()), 100)
+	require.InDelta(t, 300, float64(time.Since(start).Milliseconds()), 100)
 }
 
-func TestARefusedConnectionIsToldAtOnce(t *testing.T) {
+func TestDialReturnsRefusalAtOnce(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
 	require.NoError(t, listener.Close())
-	began := time.Now()
+	start := time.Now()
 	_, err = dial(t.Context(), "tcp4", address)
 	require.Error(t, err)
-	require.Less(t, time.Since(began), dialTry)
+	require.Less(t, time.Since(start), dialAttemptTimeout)
 }
 
-// deafListener makes a socket whose queue of new connections is full: opening packets
-// are dropped, as by a VM without power.
-func deafListener(t *testing.T) (fd int, address string) {
+// fullBacklogListener returns a socket whose accept queue is full. SYN packets to it are dropped, as
+// by a VM without power.
+func fullBacklogListener(t *testing.T) (fd int, address string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
@@ -64,20 +63,20 @@
 	inet, ok := bound.(*syscall.SockaddrInet4)
 	require.True(t, ok)
 	address = net.JoinHostPort("127.0.0.1", strconv.Itoa(inet.Port))
-	const mostQueued = 16
-	for range mostQueued {
+	const maxQueued = 16
+	for range maxQueued {
 		conn, err := net.DialTimeout("tcp4", address, 50*time.Millisecond)
 		if err != nil {
 			return fd, address
 		}
 		t.Cleanup(func() { _ = conn.Close() })
 	}
-	require.Fail(t, "the queue takes any number of connections")
+	require.Fail(t, "the accept queue has no limit")
 	return fd, address
 }
 
-// hearAgain empties the queue.
-func hearAgain(fd int) {
+// drainBacklog empties the accept queue.
+func drainBacklog(fd int) {
 	_ = syscall.SetNonblock(fd, true)
 	for {
 		conn, _, err := syscall.Accept(fd)
--- a/common/pkg/web/limit.go
+++ b/common/pkg/web/limit.go
@@ -6,33 +6,34 @@
 	"sync/atomic"
 )
 
-// limited is a listener that keeps no more connections than it may.
-type limited struct {
+// limitedListenerListener is a listener with a limit on its open connections.
+type limitedListener struct {
 	net.Listener
-	most   int64
-	open   atomic.Int64
-	turned func()
+	limit    int64
+	open     atomic.Int64
+	onRefuse func()
 }
 
-// Accept implements net.Listener. What is too much is closed at once: it costs one file for a
-// moment, and the caller knows at once. Left in the queue it would hang, and with all files
-// taken no caller would be answered any more, also not those that are served.
-func (l *limited) Accept() (net.Conn, error) {
+// Accept implements net.Listener. It closes connections above the limit at once, so that they use a
+// file descriptor only briefly and their clients know immediately. In the accept queue, such
+// connections would hang; and if the process ran out of file descriptors, it could no longer answer
+// anyone, including clients already being served.
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
+		if l.open.Add(1) <= l.limit {
 			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { l.open.Add(-1) })}, nil
 		}
 		l.open.Add(-1)
 		_ = conn.Close()
-		l.turned()
+		l.onRefuse()
 	}
 }
 
-// limitedConn gives its place back when it is closed.
+// limitedConn stops counting towards the limit when it is closed.
 type limitedConn struct {
 	net.Conn
 	release func()
--- a/common/pkg/web/limit_test.go
+++ b/common/pkg/web/limit_test.go
@@ -11,32 +11,32 @@
 	"github.com/stretchr/testify/require"
 )
 
-// More connections come than the process may have files. Those that are served go on, the others
-// are told at once, and there is room again when some are gone.
-func TestNoMoreConnectionsThanBounded(t *testing.T) {
-	const most = 3
+// More connections arrive than the limit allows. The accepted ones keep working, the others are closed
+// at once, and new ones are accepted when others have closed.
+func TestLimitConnectionsRefusesExcess(t *testing.T) {
+	const limit = 3
 	server, err := Listen("127.0.0.1:0", http.NotFoundHandler())
 	require.NoError(t, err)
-	var turned atomic.Int64
-	server.Bound(most, func() { turned.Add(1) })
+	var refused atomic.Int64
+	server.LimitConnections(limit, func() { refused.Add(1) })
 	go func() { _ = server.Serve() }()
 	t.Cleanup(func() { _ = server.server.Close() })
 
 	var open []net.Conn
-	for range most {
+	for range limit {
 		conn, err := net.Dial("tcp", server.Address())
 		require.NoError(t, err)
 		open = append(open, conn)
-		ask(t, conn)
+		requireResponse(t, conn)
 	}
 	extra, err := net.Dial("tcp", server.Address())
 	require.NoError(t, err)
 	require.NoError(t, extra.SetReadDeadline(time.Now().Add(time.Second)))
 	_, err = extra.Read(make([]byte, 1))
 	require.Error(t, err)
-	require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "it is told at once")
-	require.EqualValues(t, 1, turned.Load())
-	ask(t, open[0])
+	require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "the connection is closed at once")
+	require.EqualValues(t, 1, refused.Load())
+	requireResponse(t, open[0])
 	require.NoError(t, open[1].Close())
 	require.Eventually(t, func() bool {
 		conn, err := net.Dial("tcp", server.Address())
@@ -44,11 +44,11 @@
 			return false
 		}
 		defer func() { _ = conn.Close() }()
-		return try(conn) == nil
+		return sendRequest(conn) == nil
 	}, 5*time.Second, 20*time.Millisecond)
 }
 
-func try(conn net.Conn) error {
+func sendRequest(conn net.Conn) error {
 	if err := conn.SetDeadline(time.Now().Add(time.Second)); err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 	return err
 }
 
-func ask(t *testing.T, conn net.Conn) {
+func requireResponse(t *testing.T, conn net.Conn) {
 	t.Helper()
-	require.NoError(t, try(conn))
+	require.NoError(t, sendRequest(conn))
 }
--- a/common/pkg/web/server.go
+++ b/common/pkg/web/server.go
@@ -1,5 +1,5 @@
-// Package web serves and calls HTTP: version 1.1 and unencrypted HTTP/2 on one
-// port, with limits against slow or oversized senders.
+// Package web provides HTTP servers and clients. A server accepts HTTP/1.1 and unencrypted HTTP/2 on
+// one port, with limits against slow clients and oversized headers.
 package web
 
 import (
@@ -14,26 +14,26 @@
 	"golang.org/x/net/http2"
 )
 
-// Limits that every listener has. A sender that takes longer for its header, or
-// an idle connection, holds a file and memory; cutting it is harmless.
+// Limits of every server. A client that sends its header slowly, or leaves its connection idle, uses a
+// file descriptor and memory. Closing its connection is harmless.
 const (
-	headerTimeout = 5 * time.Second
-	idleTimeout   = 2 * time.Minute
-	headerBytes   = 64 << 10
-	frameBytes    = 1 << 20
-	streamsPerTCP = 10_000
-	// idlePing is the silence after which a caller is asked whether it is there: one that lost
-	// power leaves its connection, with its memory, until the idle timeout.
-	idlePing = 15 * time.Second
+	headerTimeout     = 5 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxHeaderBytes    = 64 << 10
+	maxFrameBytes     = 1 << 20
+	maxStreamsPerConn = 10_000
+	// serverPingAfter is the time without data after which a server pings its client. The
+	// connection of a client that lost power would otherwise use memory until the idle timeout.
+	serverPingAfter = 15 * time.Second
 )
 
-// Server is one listening address.
+// Server is an HTTP server on one address.
 type Server struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-// Listen takes the address; connections queue until Serve is called.
+// Listen binds the address. Connections queue until Serve is called.
 func Listen(address string, handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -49,26 +49,27 @@
 			Protocols:         protocols,
 			ReadHeaderTimeout: headerTimeout,
 			IdleTimeout:       idleTimeout,
-			MaxHeaderBytes:    headerBytes,
+			MaxHeaderBytes:    maxHeaderBytes,
 			HTTP2: &http.HTTP2Config{
-				MaxConcurrentStreams: streamsPerTCP, MaxReadFrameSize: frameBytes, SendPingTimeout: idlePing, PingTimeout: pingTime,
+				MaxConcurrentStreams: maxStreamsPerConn, MaxReadFrameSize: maxFrameBytes, SendPingTimeout: serverPingAfter, PingTimeout: pingTimeout,
 			},
 		},
 	}, nil
 }
 
-// Bound keeps the server from having more connections than a number. It is told of each that
-// is turned away. Call it before Serve.
-func (s *Server) Bound(most int, turned func()) {
-	s.listener = &limited{Listener: s.listener, most: int64(most), turned: turned}
+// LimitConnections limits the number of open connections. onRefuse is called for each connection
+// refused. LimitConnections must be called before Serve.
+func (s *Server) LimitConnections(limit int, onRefuse func()) {
+	s.listener = &limitedListener{Listener: s.listener, limit: int64(limit), onRefuse: onRefuse}
 }
 
-// Address is where the server listens, with the port the system chose if 0 was asked for.
+// Address returns the address of the listener, with the port that the system chose if the
+// configured port is 0.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Serve answers until Shutdown or Close; a planned end is no error.
+// Serve serves until Shutdown or Close, and returns nil after a planned end.
 func (s *Server) Serve() error {
 	err := s.server.Serve(s.listener)
 	if err == nil || errors.Is(err, http.ErrServerClosed) {
@@ -77,53 +78,52 @@
 	return fmt.Errorf("serve on %s: %w", s.Address(), err)
 }
 
-// Shutdown takes no new connection and waits for the requests under way until
-// the context ends; then it cuts what is left and returns the context's error.
+// Shutdown closes the listener and waits for the running requests until the context ends. It then
+// closes the remaining connections and returns the context's error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := s.server.Shutdown(ctx)
 	if err == nil {
 		return nil
 	}
 	if closeErr := s.server.Close(); closeErr != nil {
-		return fmt.Errorf("close after an unfinished shutdown: %w", closeErr)
+		return fmt.Errorf("close the server after an incomplete shutdown: %w", closeErr)
 	}
-	return fmt.Errorf("requests still under way: %w", err)
+	return fmt.Errorf("shut down with requests still running: %w", err)
 }
 
-// Times of the client's connections.
+// Timeouts of client connections.
 const (
-	dialTime = 2 * time.Second
-	// dialTry ends one try to connect, and another one begins at once. The opening packet
-	// to a VM without power is lost, and the system sends it again only after a second: when
-	// all VMs had lost power, those that were back first found the others 0.8 s after these
-	// were back, and callers waited for that long. A try takes a few milliseconds
-	// otherwise, and 100 ms is more than any way between data centres of a region.
-	dialTry   = 100 * time.Millisecond
-	keepAlive = 15 * time.Second
-	// pingAfter is the silence after which a connection is asked whether it is
-	// alive: a peer that froze or was cut off silently keeps its connection open
-	// for hours, and every call on it would hang.
-	pingAfter = 2 * time.Second
-	pingTime  = 2 * time.Second
+	dialTimeout = 2 * time.Second
+	// dialAttemptTimeout limits one attempt to connect; the next one begins at once. The SYN
+	// packet to a VM without power is lost, and the system repeats it only after a second: after
+	// a power failure of all VMs, those that were back first connected to the others 0.8 s late,
+	// and callers waited for that time. An attempt usually takes a few milliseconds, and 100 ms
+	// is more than the round trip between any data centres of a region.
+	dialAttemptTimeout = 100 * time.Millisecond
+	keepAlive          = 15 * time.Second
+	// clientPingAfter is the time without data after which a client pings its server. The
+	// connection to a peer that is frozen or cut off stays open for hours, and every call on it
+	// would hang.
+	clientPingAfter = 2 * time.Second
+	pingTimeout     = 2 * time.Second
 )
 
-// NewClient returns a client for calls between own processes, over unencrypted
-// HTTP/2. It never follows redirects. Answers may stream for long, so it has no
-// overall timeout: callers set a deadline on their context.
+// NewClient returns a client for calls between the platform's processes over unencrypted HTTP/2. It
+// never follows redirects. Answers may be long streams, so the client has no overall timeout;
+// callers set a deadline on their context.
 //
-// It takes the transport of golang.org/x/net: the one of net/http reads a flag of
-// a request's body while a stream that has just failed still writes it, which the
-// race detector reports now and then. Its successor is to be net/http's, once that
-// is mended there.
+// The client uses the transport of golang.org/x/net. The transport of net/http reads a flag of a
+// request's body while a stream that has just failed still writes the flag, which the race detector
+// sometimes reports. The client can switch to net/http once that is fixed.
 func NewClient() *http.Client {
-	//nolint:staticcheck // deprecated for the transport that the comment above speaks of
+	//nolint:staticcheck // deprecated in favour of the transport of net/http, see above
 	transport := &http2.Transport{
 		AllowHTTP: true,
 		DialTLSContext: func(ctx context.Context, network, address string, _ *tls.Config) (net.Conn, error) {
 			return dial(ctx, network, address)
 		},
-		ReadIdleTimeout: pingAfter,
-		PingTimeout:     pingTime,
+		ReadIdleTimeout: clientPingAfter,
+		PingTimeout:     pingTimeout,
 		IdleConnTimeout: idleTimeout,
 	}
 	return &http.Client{
@@ -132,18 +132,18 @@
 	}
 }
 
-// dial connects, in short tries for as long as nothing answers. A try that ends sooner
-// than it should has failed for another reason, and isn't repeated.
+// dial connects in short attempts while the peer doesn't answer. An attempt that fails before its
+// timeout has another cause and isn't repeated.
 func dial(ctx context.Context, network, address string) (net.Conn, error) {
-	ends := time.Now().Add(dialTime)
-	if deadline, ok := ctx.Deadline(); ok && deadline.Before(ends) {
-		ends = deadline
+	end := time.Now().Add(dialTimeout)
+	if deadline, ok := ctx.Deadline(); ok && deadline.Before(end) {
+		end = deadline
 	}
-	dialer := &net.Dialer{Timeout: dialTry, KeepAlive: keepAlive}
+	dialer := &net.Dialer{Timeout: dialAttemptTimeout, KeepAlive: keepAlive}
 	for {
-		began := time.Now()
+		start := time.Now()
 		conn, err := dialer.DialContext(ctx, network, address)
-		if err == nil || ctx.Err() != nil || time.Since(began) < dialTry || !time.Now().Before(ends) {
+		if err == nil || ctx.Err() != nil || time.Since(start) < dialAttemptTimeout || !time.Now().Before(end) {
 			return conn, err
 		}
 	}
--- a/common/pkg/web/server_test.go
+++ b/common/pkg/web/server_test.go
@@ -9,15 +9,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A planned stop must not cut a request that is under way: the caller sees its
-// whole answer. The request is in the handler when Shutdown starts; the handler
-// ends only after that.
-func TestShutdownLetsARequestFinish(t *testing.T) {
+// Shutdown must not interrupt a running request; its caller gets the whole answer. The request is in
+// the handler when Shutdown starts, and the handler returns only afterwards.
+func TestShutdownWaitsForRunningRequest(t *testing.T) {
 	entered := make(chan struct{})
-	leave := make(chan struct{})
+	finish := make(chan struct{})
 	s, err := Listen("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		close(entered)
-		<-leave
+		<-finish
 		_, _ = io.WriteString(w, "whole")
 	}))
 	require.NoError(t, err)
@@ -37,7 +36,7 @@
 	<-entered
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Shutdown(context.Background()) }()
-	close(leave)
+	close(finish)
 	require.Equal(t, "HTTP/2.0 whole", <-answer)
 	require.NoError(t, <-stopped)
 	require.NoError(t, <-served)
