--- a/common/pkg/ring/ring.go
+++ b/common/pkg/ring/ring.go
@@ -58,16 +58,16 @@
 
 // Drain removes and returns up to limit items without blocking.
 func (r *Ring[T]) Drain(limit int) []T {
-	var items []T
-	for len(items) < limit {
+	var drained []T
+	for len(drained) < limit {
 		select {
 		case item := <-r.items:
-			items = append(items, item)
+			drained = append(drained, item)
 		default:
-			return items
+			return drained
 		}
 	}
-	return items
+	return drained
 }
 
 // Len returns the number of items in the ring.
--- a/common/pkg/world/fleet.go
+++ b/common/pkg/world/fleet.go
@@ -1,6 +1,5 @@
-// Package world mirrors what the configuration describes: data centres, links,
-// services, teams, contracts and the endpoints behind the sidecars. A Fleet is
-// one version of all that; it is built once and only read afterwards.
+// Package world holds the configuration that daemons work with: data centres, links, services, teams,
+// contracts and the endpoints behind the sidecars. A Fleet is one version of it and immutable.
 package world
 
 import (
@@ -11,13 +10,13 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Key names one entry of the configuration.
+// Key identifies an entry of the configuration.
 type Key struct {
 	Kind toucanhingev1.Kind
 	Name string
 }
 
-// Fleet is one version of the configuration with the look-ups that daemons need.
+// Fleet is one version of the configuration with indexes for the look-ups of daemons.
 type Fleet struct {
 	Version uint64
 
@@ -31,19 +30,19 @@
 
 type pair struct{ first, second string }
 
-// Team is a customer, with the limits that each gateway keeps for it.
+// Team is a customer with the limits that each gateway enforces for it.
 type Team struct {
 	Name string
 	*toucanhingev1.TeamRecord
 }
 
-// Contract lets a team use a service.
+// Contract permits a team to use a service.
 type Contract struct {
 	Name string
 	*toucanhingev1.Contract
 }
 
-// Allows says whether the contract lets work run in a data centre.
+// Allows reports whether the contract permits work in a data centre.
 func (c Contract) Allows(dataCentre string) bool {
 	if len(c.DataCentres) == 0 {
 		return true
@@ -62,7 +61,7 @@
 	*toucanhingev1.Service
 }
 
-// Endpoint is one back end with the sidecar before it.
+// Endpoint is a back end behind a sidecar.
 type Endpoint struct {
 	Name        string
 	Address     string
@@ -71,16 +70,16 @@
 	Service     string
 	Incarnation uint64
 	Slots       int
-	Leaving     bool
+	Draining    bool
 }
 
-// Empty is the fleet before any configuration is known.
+// Empty returns the fleet before any configuration is known.
 func Empty() *Fleet {
 	return build(0, map[Key]*toucanhingev1.Entry{})
 }
 
-// With returns the next version: this one with the changed entries laid over,
-// or the given entries alone when they are the whole.
+// With returns a new version of the fleet: the entries of f with the changes applied, or only the
+// given entries if they are the whole configuration.
 func (f *Fleet) With(version uint64, whole bool, changed []*toucanhingev1.Entry) *Fleet {
 	entries := make(map[Key]*toucanhingev1.Entry, len(f.entries)+len(changed))
 	if !whole {
@@ -154,7 +153,7 @@
 		Service:     m.GetService(),
 		Incarnation: m.GetIncarnation(),
 		Slots:       int(m.GetSlots()),
-		Leaving:     m.GetState() == toucanhingev1.MemberState_MEMBER_STATE_LEAVING || f.drained(name, m.GetVm()),
+		Draining:    m.GetState() == toucanhingev1.MemberState_MEMBER_STATE_LEAVING || f.drained(name, m.GetVm()),
 	})
 }
 
@@ -164,36 +163,36 @@
 	return byName || byVM
 }
 
-// Entry looks one entry up.
+// Entry returns the entry with the given kind and name.
 func (f *Fleet) Entry(kind toucanhingev1.Kind, name string) (*toucanhingev1.Entry, bool) {
 	e, found := f.entries[Key{Kind: kind, Name: name}]
 	return e, found
 }
 
-// Drained says whether an operator asked this process or its VM to leave.
+// Drained reports whether an operator drains this process or its VM.
 func (f *Fleet) Drained(name, vm string) bool {
 	return f.drained(name, vm)
 }
 
-// TeamByKey finds the team that a caller's key belongs to.
+// TeamByKey returns the team that a caller's key belongs to.
 func (f *Fleet) TeamByKey(key string) (Team, bool) {
 	d, found := f.teams[HashKey(key)]
 	return d, found
 }
 
-// HashKey is how a team's key is stored: hex SHA-256.
+// HashKey returns the stored form of a team's key: its SHA-256 hash in hexadecimal.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Contract finds what lets a team use a service.
+// Contract returns the contract that permits a team to use a service.
 func (f *Fleet) Contract(team, service string) (Contract, bool) {
 	c, found := f.contracts[pair{team, service}]
 	return c, found
 }
 
-// Service finds a service by its name.
+// Service returns the service with the given name.
 func (f *Fleet) Service(name string) (Service, bool) {
 	e, found := f.Entry(toucanhingev1.Kind_KIND_SERVICE, name)
 	if !found {
@@ -202,7 +201,7 @@
 	return Service{Name: name, Service: e.GetService()}, true
 }
 
-// Services returns all services, by name.
+// Services returns all services, sorted by name.
 func (f *Fleet) Services() []Service {
 	var all []Service
 	for k, e := range f.entries {
@@ -214,8 +213,8 @@
 	return all
 }
 
-// ServiceByModel finds the service that serves a model name; the service's own
-// name is accepted too.
+// ServiceByModel returns the service that serves a model. The name of the service is accepted in
+// place of the model's name.
 func (f *Fleet) ServiceByModel(model string) (Service, bool) {
 	for _, s := range f.Services() {
 		if s.GetModel() == model && model != "" {
@@ -225,18 +224,19 @@
 	return f.Service(model)
 }
 
-// Endpoints returns the endpoints of a service, by name. The slice is shared: don't change it.
+// Endpoints returns the endpoints of a service, sorted by name. The slice is shared and must not be
+// modified.
 func (f *Fleet) Endpoints(service string) []Endpoint {
 	return f.endpoints[service]
 }
 
-// Gateways is how many gateways are members now.
+// Gateways returns the number of gateways among the members.
 func (f *Fleet) Gateways() int {
 	return f.gateways
 }
 
-// LatencyUS is the usual one-way time between two data centres in
-// microseconds; 0 within one, and unknownLatencyUS when no link is configured.
+// LatencyUS returns the usual one-way latency between two data centres in microseconds: 0 within a
+// data centre, and unknownLatencyUS if no link is configured.
 func (f *Fleet) LatencyUS(from, to string) uint32 {
 	if from == to {
 		return 0
@@ -247,5 +247,5 @@
 	return unknownLatencyUS
 }
 
-// unknownLatencyUS stands for a link that nobody described: far, but usable.
+// unknownLatencyUS is assumed where no link is configured: a distant but usable data centre.
 const unknownLatencyUS = 5_000
--- a/common/pkg/world/fleet_test.go
+++ b/common/pkg/world/fleet_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestFleetLaysDeltasOver(t *testing.T) {
+func TestWithAppliesChanges(t *testing.T) {
 	first := Empty().With(3, true, []*toucanhingev1.Entry{
 		member("b", "vm1", toucanhingev1.MemberState_MEMBER_STATE_READY),
 		member("a", "vm2", toucanhingev1.MemberState_MEMBER_STATE_READY),
@@ -31,24 +31,24 @@
 	})
 	require.Len(t, first.Endpoints("s"), 2, "an older version must not change")
 	require.Len(t, second.Endpoints("s"), 1)
-	require.True(t, second.Endpoints("s")[0].Leaving, "a drained VM's endpoint is leaving")
+	require.True(t, second.Endpoints("s")[0].Draining, "the endpoint of a drained VM is draining")
 }
 
 func TestContractAllows(t *testing.T) {
 	scenarios := []struct {
 		name    string
 		centres []string
-		asked   string
+		centre  string
 		allowed bool
 	}{
-		{"none named means all", nil, "agdal", true},
-		{"named", []string{"agdal"}, "agdal", true},
-		{"another", []string{"agdal"}, "temara", false},
+		{"empty list allows all", nil, "agdal", true},
+		{"listed", []string{"agdal"}, "agdal", true},
+		{"not listed", []string{"agdal"}, "temara", false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			c := Contract{Contract: &toucanhingev1.Contract{DataCentres: s.centres}}
-			require.Equal(t, s.allowed, c.Allows(s.asked))
+			require.Equal(t, s.allowed, c.Allows(s.centre))
 		})
 	}
 }
