--- a/common/pkg/settings/reference.go
+++ b/common/pkg/settings/reference.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Reference renders the settings of a program as a Markdown table, from the
-// struct that holds their defaults: the toml tag names the key, the doc tag
-// says what it does. A test compares it with the page, so the page can't drift.
+// Reference renders the settings of a program as a Markdown table, from the struct that holds their
+// defaults. The toml tag is the key and the doc tag its description. A test compares the table with
+// the settings page, which therefore stays up to date.
 func Reference(defaults any) string {
 	var b strings.Builder
 	b.WriteString("| key | type | default | meaning |\n|---|---|---|---|\n")
--- a/common/pkg/settings/settings.go
+++ b/common/pkg/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a program's TOML settings strictly: every fault is
-// named with file, key and reason, and all faults are told at once.
+// Package settings reads a program's TOML settings strictly. It reports all faults at once, each with
+// file, key and reason.
 package settings
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/pkg/errors"
 )
 
-// Fault is one thing wrong with the settings.
+// Fault is an invalid setting or an unreadable file.
 type Fault struct {
 	// File is the path as given on the command line.
 	File string
-	// Key is the dotted key, or empty when the file as a whole is at fault.
+	// Key is the dotted key, or empty if the fault concerns the whole file.
 	Key string
-	// Reason says what is wrong and what would be right.
+	// Reason describes the fault and, where possible, the expected value.
 	Reason string
 }
 
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("%s: %s: %s", f.File, f.Key, f.Reason)
 }
 
-// Error holds every fault found in one file.
+// Error holds all faults found in one file.
 type Error struct {
 	Faults []Fault
 }
@@ -50,35 +50,35 @@
 	faults []Fault
 }
 
-// Fail notes a fault of one key.
+// Fail records a fault of a key.
 func (c *Check) Fail(key, format string, args ...any) {
 	c.faults = append(c.faults, Fault{File: c.file, Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// Need notes a fault unless the condition holds.
-func (c *Check) Need(holds bool, key, format string, args ...any) {
+// Require records a fault of a key unless the condition holds.
+func (c *Check) Require(holds bool, key, format string, args ...any) {
 	if !holds {
 		c.Fail(key, format, args...)
 	}
 }
 
-// Address notes a fault unless the value is host:port with a literal IP.
+// Address records a fault unless the value is host:port with a literal IP.
 func (c *Check) Address(key, value string) {
 	host, port, err := net.SplitHostPort(value)
 	if err != nil {
 		c.Fail(key, "want IP:port, got %q", value)
 		return
 	}
-	c.Need(net.ParseIP(host) != nil, key, "want a literal IP, got host %q", host)
-	c.Need(port != "", key, "the port is missing in %q", value)
+	c.Require(net.ParseIP(host) != nil, key, "want a literal IP, got host %q", host)
+	c.Require(port != "", key, "the port is missing in %q", value)
 }
 
-// decodeMessage takes the line, the key and the reason out of the library's
-// message; the library exports the key of syntax errors only.
+// decodeMessage matches the line, the key and the reason in an error message of the TOML library, which
+// exports the key of syntax errors only.
 var decodeMessage = regexp.MustCompile(`^toml: line (\d+) \(last key "([^"]*)"\): (.*)$`)
 
-// Load decodes the file over the defaults in target, refuses unknown keys, then
-// runs the program's own validation. The error is an *Error.
+// Load decodes the file over the defaults in target, refuses unknown keys, and then runs the program's
+// own validation. The returned error is an *Error.
 func Load[T any](file string, target *T, validate func(*Check, *T)) error {
 	check := &Check{file: file}
 	text, err := os.ReadFile(file)
--- a/common/pkg/settings/settings_test.go
+++ b/common/pkg/settings/settings_test.go
@@ -18,16 +18,16 @@
 
 func validate(c *Check, s *sample) {
 	c.Address("listen", s.Listen)
-	c.Need(s.Limits.Body > 0, "limits.body", "must be above 0, got %d", s.Limits.Body)
+	c.Require(s.Limits.Body > 0, "limits.body", "must be above 0, got %d", s.Limits.Body)
 }
 
-func TestLoadNamesEveryFault(t *testing.T) {
+func TestLoadReportsAllFaults(t *testing.T) {
 	scenarios := []struct {
 		name  string
 		text  string
 		wants []Fault
 	}{
-		{"good", "listen = '127.0.0.1:80'\n[limits]\nbody = 3", nil},
+		{"valid", "listen = '127.0.0.1:80'\n[limits]\nbody = 3", nil},
 		{"unknown key", "listen = '127.0.0.1:80'\nlisen = 1\n[limits]\nbody = 3", []Fault{{Key: "lisen", Reason: "unknown key"}}},
 		{"wrong type", "listen = 5", []Fault{{Key: "listen", Reason: `line 1: incompatible types: TOML value has type int64; destination has type string`}}},
 		{"two faults at once", "listen = 'localhost:80'\n[limits]\nbody = -1", []Fault{
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestLoadNamesAMissingFile(t *testing.T) {
+func TestLoadReportsMissingFile(t *testing.T) {
 	err := Load("none.toml", &sample{}, validate)
 	require.ErrorContains(t, err, "none.toml: can't be read")
 }
