--- a/common/pkg/program/program.go
+++ b/common/pkg/program/program.go
@@ -1,5 +1,5 @@
-// Package program starts a program of the product: it reads the command line and
-// the settings, and runs the program until it ends.
+// Package program is the entry point of the platform's programs. It parses the command line, loads the
+// settings, and runs the program until it ends.
 package program
 
 import (
@@ -10,13 +10,13 @@
 	"github.com/alexflint/go-arg"
 )
 
-// Exit codes: wrong settings are the operator's to mend, a failure may pass.
+// Exit codes. An operator must correct invalid settings, while a failure may be temporary.
 const (
 	exitFailed   = 1
 	exitSettings = 2
 )
 
-// arguments are those that all programs take.
+// arguments are the command-line arguments of all programs.
 type arguments struct {
 	Settings string `arg:"--settings,required" help:"path of the TOML settings" placeholder:"FILE"`
 	Check    bool   `arg:"--check" help:"check the settings, then stop"`
@@ -24,20 +24,20 @@
 	description string
 }
 
-// Description is shown by --help.
+// Description returns the text shown by --help.
 func (a arguments) Description() string { return a.description }
 
-// Program is one program with settings of type S.
+// Program is a program with settings of type S.
 type Program[S any] struct {
 	// Description is one line for --help.
 	Description string
-	// Load reads and checks the settings.
+	// Load reads and validates the settings.
 	Load func(path string) (S, error)
-	// Run runs until the program is asked to stop.
+	// Run runs the program until it is requested to stop.
 	Run func(S) error
 }
 
-// Main runs the program and ends the process.
+// Main runs the program and exits the process.
 func (p Program[S]) Main() {
 	args := arguments{description: p.Description}
 	arg.MustParse(&args)
--- a/common/pkg/program/program_test.go
+++ b/common/pkg/program/program_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An operator and a service manager tell by the exit code whether a restart helps.
+// Operators and service managers decide by the exit code whether a restart can help.
 func TestExitCodes(t *testing.T) {
 	errSettings, errRun := errors.New("settings.toml: listen: not an address"), errors.New("address in use")
 	for _, c := range []struct {
@@ -19,11 +19,11 @@
 		out, failure string
 		runs         bool
 	}{
-		{"it ends as asked", false, nil, nil, 0, "", "", true},
-		{"wrong settings", false, errSettings, nil, 2, "", "settings.toml: listen: not an address\n", false},
-		{"it fails", false, nil, errRun, 1, "", "address in use\n", true},
-		{"checked only", true, nil, errRun, 0, "settings are valid\n", "", false},
-		{"checked and wrong", true, errSettings, nil, 2, "", "settings.toml: listen: not an address\n", false},
+		{"run succeeds", false, nil, nil, 0, "", "", true},
+		{"invalid settings", false, errSettings, nil, 2, "", "settings.toml: listen: not an address\n", false},
+		{"run fails", false, nil, errRun, 1, "", "address in use\n", true},
+		{"check of valid settings", true, nil, errRun, 0, "settings are valid\n", "", false},
+		{"check of invalid settings", true, errSettings, nil, 2, "", "settings.toml: listen: not an address\n", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ran := false
