--- a/common/pkg/digest/crashes.go
+++ b/common/pkg/digest/crashes.go
@@ -143,7 +143,7 @@
 	c := crashes.Clearance{Content: content, At: now}
 	x.news.machine.Clear(now, c)
 	x.news.outbox.clearances = append(x.news.outbox.clearances, c)
-	level.Info(x.config.Logger).Log(logs.KeyEvent, "request-cleared", logs.KeyContent, content)
+	level.Info(x.config.Logger).Log(logs.KeyEvent, "request-cleared", logs.KeyFingerprint, content)
 	x.news.wake()
 }
 
@@ -170,7 +170,7 @@
 func (x *Exchange) Quarantined() int { return len(x.Quarantines()) }
 
 func (x *Exchange) logQuarantine(q crashes.Quarantine, by string) {
-	level.Warn(x.config.Logger).Log(logs.KeyEvent, "request-quarantined", logs.KeyContent, q.Content, "terms", q.Terms,
+	level.Warn(x.config.Logger).Log(logs.KeyEvent, "request-quarantined", logs.KeyFingerprint, q.Content, "terms", q.Terms,
 		"span-ms", q.Until-q.Since, "found-by", by)
 }
 
--- a/common/pkg/logs/logs.go
+++ b/common/pkg/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs makes the one logger of a process: JSON lines on standard output,
-// bounded and never blocking.
+// Package logs provides the logger of a process. It writes JSON lines to standard output, with a
+// bounded queue, and never blocks.
 package logs
 
 import (
@@ -10,21 +10,21 @@
 	"github.com/go-kit/log/level"
 )
 
-// Keys that every process uses alike, so that one search finds a thing everywhere.
+// Keys that all processes share, so that one search finds an id in all logs.
 const (
-	KeyRequest = "request"
-	KeyJob     = "job"
-	KeyItem    = "item"
-	KeyLease   = "lease"
-	KeyTerm    = "term"
-	KeyGroup   = "group"
-	KeyContent = "content"
-	KeyError   = "error"
-	KeyEvent   = "event"
+	KeyRequest     = "request"
+	KeyJob         = "job"
+	KeyItem        = "item"
+	KeyLease       = "lease"
+	KeyTerm        = "term"
+	KeyGroup       = "group"
+	KeyFingerprint = "content"
+	KeyError       = "error"
+	KeyEvent       = "event"
 )
 
-// Events that follow a request, an item or a job; docs/OPERATIONS.md lists them
-// with the keys of their lines.
+// Events in the course of a request, an item or a job. docs/OPERATIONS.md lists them with the keys of
+// their lines.
 const (
 	EventRequestEnded     = "request-ended"
 	EventRequestElsewhere = "request-goes-elsewhere"
@@ -34,7 +34,7 @@
 	EventJobAnswered      = "job-answered"
 )
 
-// Config describes the logger.
+// Config configures a logger.
 type Config struct {
 	Program string
 	Name    string
@@ -43,13 +43,13 @@
 	Writer io.Writer
 }
 
-// New makes the logger.
+// New returns a logger that writes JSON lines to config.Writer.
 func New(config Config) log.Logger {
-	return Over(config, log.NewJSONLogger(log.NewSyncWriter(config.Writer)))
+	return Wrap(config, log.NewJSONLogger(log.NewSyncWriter(config.Writer)))
 }
 
-// Over makes the logger over one that writes the lines.
-func Over(config Config, l log.Logger) log.Logger {
+// Wrap returns a logger that passes its lines to l.
+func Wrap(config Config, l log.Logger) log.Logger {
 	l = log.With(l, "at", log.TimestampFormat(time.Now, time.RFC3339Nano), "program", config.Program, "name", config.Name)
 	return level.NewFilter(l, allow(config.Level))
 }
--- a/common/pkg/logs/queue.go
+++ b/common/pkg/logs/queue.go
@@ -17,61 +17,61 @@
 )
 
 const (
-	// routineLines and keptLines bound what waits for a reader that stalls. A line
-	// has some 400 bytes, so the queue holds a quarter of a megabyte at most.
-	routineLines = 256
-	keptLines    = 256
-	// keptPerSecond bounds the lines of one event that are kept: a fault that
-	// repeats itself for every request is as clear from a hundred of them.
-	keptPerSecond = 100
-	// batchBytes is how much is written at once; a write costs more than a line.
+	// routineLines and priorityLines limit the lines that wait for a stalled reader. A line has
+	// about 400 bytes, so the queue holds up to a quarter of a megabyte.
+	routineLines  = 256
+	priorityLines = 256
+	// maxPerSecond limits the priority lines of one event per second. If a fault repeats for every
+	// request, a hundred lines describe it as well as more.
+	maxPerSecond = 100
+	// batchBytes limits the size of one write. Lines are batched because a write costs more than
+	// a line.
 	batchBytes = 32 << 10
-	// tellEvery is the shortest interval between two lines that tell how many were
-	// dropped.
-	tellEvery = time.Second
+	// dropReportInterval is the shortest interval between two lines with the number of dropped
+	// lines.
+	dropReportInterval = time.Second
 )
 
-// Queue writes log lines in a goroutine of its own. Nobody who logs ever waits:
-// when the reader of the output stalls, lines are dropped and counted, those of
-// the routine first.
+// Queue writes log lines in a separate goroutine, so that logging never blocks. When the reader of the
+// output stalls, lines are dropped and counted, routine lines first.
 type Queue struct {
-	writer  io.Writer
-	routine *ring.Ring[[]byte]
-	kept    *ring.Ring[[]byte]
-	wake    chan struct{}
-	dropped atomic.Int64
+	writer   io.Writer
+	routine  *ring.Ring[[]byte]
+	priority *ring.Ring[[]byte]
+	wake     chan struct{}
+	dropped  atomic.Int64
 
 	mu     sync.Mutex
 	second int64
 	counts map[string]int
 }
 
-// NewQueue makes a queue; lines wait until Run is called.
+// NewQueue returns a queue, which holds its lines until Run is called.
 func NewQueue(writer io.Writer) *Queue {
 	return &Queue{
-		writer:  writer,
-		routine: ring.New[[]byte](ring.Config{Size: routineLines}),
-		kept:    ring.New[[]byte](ring.Config{Size: keptLines}),
-		wake:    make(chan struct{}, 1),
-		counts:  map[string]int{},
+		writer:   writer,
+		routine:  ring.New[[]byte](ring.Config{Size: routineLines}),
+		priority: ring.New[[]byte](ring.Config{Size: priorityLines}),
+		wake:     make(chan struct{}, 1),
+		counts:   map[string]int{},
 	}
 }
 
-// Dropped is how many lines were dropped since the start.
+// Dropped returns the number of lines dropped since the start.
 func (q *Queue) Dropped() int64 { return q.dropped.Load() }
 
-// Log takes one line. Lines of level info or below that a request or an item
-// causes in the ordinary course are routine.
+// Log enqueues one line. Lines of level info or below that any request or item may cause in normal
+// operation are routine; all others have priority.
 func (q *Queue) Log(keyvals ...any) error {
 	var buffer bytes.Buffer
 	if err := log.NewJSONLogger(&buffer).Log(keyvals...); err != nil {
 		return fmt.Errorf("encode a log line: %w", err)
 	}
-	event, severe := read(keyvals)
-	target := q.kept
+	event, severe := classify(keyvals)
+	target := q.priority
 	if !severe && routineEvents[event] {
 		target = q.routine
-	} else if q.tooMany(event) {
+	} else if q.exceedsRate(event) {
 		q.dropped.Add(1)
 		return nil
 	}
@@ -86,13 +86,13 @@
 	return nil
 }
 
-// routineEvents happen for each request or item while all is well.
+// routineEvents occur for each request or item in normal operation.
 var routineEvents = map[string]bool{
 	EventRequestEnded: true, EventRequestElsewhere: true, EventItemPaused: true, EventItemEnded: true, EventJobAnswered: true,
 }
 
-// read finds the event and whether the line is a warning or an error.
-func read(keyvals []any) (event string, severe bool) {
+// classify returns the event of a line, and whether the line is a warning or an error.
+func classify(keyvals []any) (event string, severe bool) {
 	for i := 0; i+1 < len(keyvals); i += 2 {
 		switch keyvals[i] {
 		case KeyEvent:
@@ -104,7 +104,7 @@
 	return event, severe
 }
 
-func (q *Queue) tooMany(event string) bool {
+func (q *Queue) exceedsRate(event string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if now := time.Now().Unix(); now != q.second {
@@ -112,12 +112,12 @@
 		clear(q.counts)
 	}
 	q.counts[event]++
-	return q.counts[event] > keptPerSecond
+	return q.counts[event] > maxPerSecond
 }
 
-// Run writes until the context ends, and then what is left.
+// Run writes lines until the context ends, and then the remaining ones.
 func (q *Queue) Run(ctx context.Context) {
-	told, toldAt := int64(0), time.Time{}
+	reported, reportedAt := int64(0), time.Time{}
 	for {
 		ended := false
 		select {
@@ -127,12 +127,12 @@
 		}
 		for batch := q.batch(); len(batch) > 0; batch = q.batch() {
 			if _, err := q.writer.Write(batch); err != nil {
-				// Standard output is gone: nobody is left to be told.
+				// Standard output is closed, so there is nowhere to report the error.
 				return
 			}
 		}
-		if dropped := q.Dropped(); dropped > told && time.Since(toldAt) > tellEvery {
-			told, toldAt = dropped, time.Now()
+		if dropped := q.Dropped(); dropped > reported && time.Since(reportedAt) > dropReportInterval {
+			reported, reportedAt = dropped, time.Now()
 			if _, err := io.WriteString(q.writer, `{"event":"log-lines-dropped","total":`+strconv.FormatInt(dropped, 10)+"}\n"); err != nil {
 				return
 			}
@@ -143,10 +143,10 @@
 	}
 }
 
-// batch takes lines that wait, the ones to be kept first.
+// batch dequeues waiting lines, priority lines first.
 func (q *Queue) batch() []byte {
 	var batch []byte
-	for _, source := range []*ring.Ring[[]byte]{q.kept, q.routine} {
+	for _, source := range []*ring.Ring[[]byte]{q.priority, q.routine} {
 		for len(batch) < batchBytes {
 			lines := source.Drain(1)
 			if len(lines) == 0 {
--- a/common/pkg/logs/queue_test.go
+++ b/common/pkg/logs/queue_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// reader is a writer's other end that can stall.
+// reader collects the written lines and can stall.
 type reader struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
@@ -46,7 +46,7 @@
 	return lines
 }
 
-func run(q *Queue) (stop func()) {
+func startQueue(q *Queue) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -59,11 +59,11 @@
 	}
 }
 
-func TestLinesAreWrittenWithTheirKeys(t *testing.T) {
+func TestQueueWritesLinesWithKeys(t *testing.T) {
 	r := &reader{}
 	q := NewQueue(r)
-	stop := run(q)
-	logger := Over(Config{Program: "gateway", Name: "vm"}, q)
+	stop := startQueue(q)
+	logger := Wrap(Config{Program: "gateway", Name: "vm"}, q)
 	require.NoError(t, level.Warn(logger).Log(KeyEvent, EventRequestEnded, KeyRequest, "q1", KeyError, errors.New("broke off")))
 	require.NoError(t, level.Debug(logger).Log(KeyEvent, "hidden"))
 	stop()
@@ -77,22 +77,21 @@
 	require.NotEmpty(t, lines[0]["at"])
 }
 
-// The reader of standard output stalls under load. Nobody who logs may wait for
-// it; lines of the routine go first, what tells of a fault stays, and how many
-// were dropped is told when the reader is back.
-func TestAStalledReaderDelaysNothing(t *testing.T) {
+// The reader of standard output stalls under load. Logging must not block; routine lines are dropped
+// before lines about faults, and the number of dropped lines is logged when the reader continues.
+func TestStalledReaderDoesNotBlockLogging(t *testing.T) {
 	r := &reader{stalled: make(chan struct{})}
 	q := NewQueue(r)
-	stop := run(q)
-	logger := Over(Config{}, q)
-	began := time.Now()
+	stop := startQueue(q)
+	logger := Wrap(Config{}, q)
+	start := time.Now()
 	for range 20_000 {
 		require.NoError(t, level.Info(logger).Log(KeyEvent, EventRequestEnded))
 	}
 	for range 20 {
 		require.NoError(t, level.Error(logger).Log(KeyEvent, "failed"))
 	}
-	require.Less(t, time.Since(began), 5*time.Second)
+	require.Less(t, time.Since(start), 5*time.Second)
 	require.Positive(t, q.Dropped())
 	close(r.stalled)
 	stop()
@@ -105,11 +104,11 @@
 	require.LessOrEqual(t, counts[EventRequestEnded], 2*routineLines+batchBytes/50)
 }
 
-func TestAFaultThatRepeatsItselfIsBounded(t *testing.T) {
+func TestRepeatedEventIsRateLimited(t *testing.T) {
 	r := &reader{}
 	q := NewQueue(r)
-	stop := run(q)
-	logger := Over(Config{}, q)
+	stop := startQueue(q)
+	logger := Wrap(Config{}, q)
 	for n := range 3_000 {
 		require.NoError(t, level.Warn(logger).Log(KeyEvent, EventRequestEnded))
 		if n%100 == 0 {
@@ -122,6 +121,6 @@
 	for _, line := range r.lines(t) {
 		counts[line["event"]]++
 	}
-	require.LessOrEqual(t, counts[EventRequestEnded], 3*keptPerSecond)
-	require.Equal(t, 1, counts["another"], "other events aren't held back by it")
+	require.LessOrEqual(t, counts[EventRequestEnded], 3*maxPerSecond)
+	require.Equal(t, 1, counts["another"], "other events are not limited")
 }
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -286,7 +286,7 @@
 	}
 	if e.content != nil {
 		// The key to the lines of the request's other attempts.
-		logger = log.With(logger, logs.KeyContent, *e.content)
+		logger = log.With(logger, logs.KeyFingerprint, *e.content)
 	}
 	logger.Log(logs.KeyEvent, logs.EventRequestEnded, logs.KeyRequest, e.request.ID,
 		"route", e.route.Name, "team", e.entry.Team.GetName(), "version", e.server.Version(), "outcome", e.outcome, "reason", e.reason, "runners", e.tried, "ran", e.ran,
