--- a/common/pkg/sse/reader.go
+++ b/common/pkg/sse/reader.go
@@ -1,5 +1,5 @@
-// Package sse reads streams of numbered events (text/event-stream), event by
-// event and without changing a byte.
+// Package sse reads server-sent events (text/event-stream) with numeric ids, one event at a time, and
+// keeps the raw bytes of each event.
 package sse
 
 import (
@@ -12,42 +12,42 @@
 	"github.com/pkg/errors"
 )
 
-// mostEventBytes bounds one event. Runners send some hundred bytes; more than
-// this is no event stream.
-const mostEventBytes = 1 << 20
+// maxEventBytes limits the size of one event. Runners send a few hundred bytes per event, so a larger
+// one means that the body isn't an event stream.
+const maxEventBytes = 1 << 20
 
 var (
-	// ErrCut tells that the stream ended within an event.
-	ErrCut = errors.New("the stream ended within an event")
-	// ErrTooLong tells that an event has no end.
+	// ErrTruncated means that the stream ended within an event.
+	ErrTruncated = errors.New("the stream ended within an event")
+	// ErrTooLong means that an event exceeds the size limit.
 	ErrTooLong = errors.New("an event is too long")
 )
 
-// Event is one event.
+// Event is a server-sent event.
 type Event struct {
-	// Raw is the event as it came, with the blank line at its end.
+	// Raw is the event as received, with the blank line at its end.
 	Raw []byte
-	// ID is its number, if Numbered.
+	// ID is the numeric id, valid if Numbered.
 	ID       uint64
 	Numbered bool
-	// Data is the text of its data lines, joined by line feeds.
+	// Data is the content of the data lines, joined by line feeds.
 	Data []byte
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
 	buffered *bufio.Reader
 	raw      []byte
 	data     []byte
 }
 
-// NewReader reads from r with a buffer of the given size in bytes.
+// NewReader returns a reader of r with a buffer of the given size in bytes.
 func NewReader(r io.Reader, size int) *Reader {
 	return &Reader{buffered: bufio.NewReaderSize(r, size)}
 }
 
-// Next returns the next event, which is valid until the call after. At the end
-// of the stream it returns io.EOF, within an event ErrCut.
+// Next returns the next event, which is valid until the following call. It returns io.EOF at the end of
+// the stream, and ErrTruncated if the stream ends within an event.
 func (r *Reader) Next() (Event, error) {
 	r.raw, r.data = r.raw[:0], r.data[:0]
 	event := Event{}
@@ -56,7 +56,7 @@
 		line, err := r.line()
 		if err != nil {
 			if errors.Is(err, io.EOF) && len(r.raw) > 0 {
-				err = ErrCut
+				err = ErrTruncated
 			}
 			return Event{}, err
 		}
@@ -68,13 +68,13 @@
 	}
 }
 
-// line appends one line to raw and returns it without its end.
+// line appends one line to raw and returns it without its line ending.
 func (r *Reader) line() ([]byte, error) {
 	start := len(r.raw)
 	for {
 		part, err := r.buffered.ReadSlice('\n')
 		r.raw = append(r.raw, part...)
-		if len(r.raw) > mostEventBytes {
+		if len(r.raw) > maxEventBytes {
 			return nil, ErrTooLong
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
--- a/common/pkg/sse/reader_test.go
+++ b/common/pkg/sse/reader_test.go
@@ -22,15 +22,15 @@
 		data         []string
 		end          error
 	}{
-		{"none", "", nil, nil, io.EOF},
-		{"two", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []uint64{1, 2}, []string{"a", "b"}, io.EOF},
-		{"no space", "id:7\ndata:a\n\n", []uint64{7}, []string{"a"}, io.EOF},
+		{"empty stream", "", nil, nil, io.EOF},
+		{"two events", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []uint64{1, 2}, []string{"a", "b"}, io.EOF},
+		{"no space after the colon", "id:7\ndata:a\n\n", []uint64{7}, []string{"a"}, io.EOF},
 		{"carriage returns", "id: 1\r\ndata: a\r\n\r\n", []uint64{1}, []string{"a"}, io.EOF},
 		{"several data lines", "id: 1\ndata: a\ndata:  b\ndata:\n\n", []uint64{1}, []string{"a\n b\n"}, io.EOF},
 		{"other fields", "x-weight: 3\nid: 1\n: remark\ndata: a\n\n", []uint64{1}, []string{"a"}, io.EOF},
-		{"number unreadable", "id: x\ndata: a\n\n", []uint64{0}, []string{"a"}, io.EOF},
-		{"cut between lines", "id: 1\ndata: a\n", nil, nil, ErrCut},
-		{"cut in a line", "id: 1\ndata: a\n\nid: 2\nda", []uint64{1}, []string{"a"}, ErrCut},
+		{"id not numeric", "id: x\ndata: a\n\n", []uint64{0}, []string{"a"}, io.EOF},
+		{"cut between lines", "id: 1\ndata: a\n", nil, nil, ErrTruncated},
+		{"cut in a line", "id: 1\ndata: a\n\nid: 2\nda", []uint64{1}, []string{"a"}, ErrTruncated},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			reader := NewReader(strings.NewReader(c.stream), 16)
@@ -44,12 +44,12 @@
 			}
 			_, err := reader.Next()
 			require.ErrorIs(t, err, c.end)
-			require.True(t, strings.HasPrefix(c.stream, raw), "every byte is passed on")
+			require.True(t, strings.HasPrefix(c.stream, raw), "raw events must equal the stream")
 		})
 	}
 }
 
-func TestAnEndlessEventIsRefused(t *testing.T) {
+func TestNextRefusesOversizedEvent(t *testing.T) {
 	reader := NewReader(io.MultiReader(strings.NewReader("data: "), zeros{}), 1<<10)
 	_, err := reader.Next()
 	require.ErrorIs(t, err, ErrTooLong)
@@ -62,9 +62,9 @@
 	return len(p), nil
 }
 
-// TestRapidAnyCutGivesWholeEvents cuts a stream anywhere and reads it in pieces of
-// any size: only whole events come out, unchanged, and the cut is told.
-func TestRapidAnyCutGivesWholeEvents(t *testing.T) {
+// TestRapidTruncatedStreamYieldsWholeEvents truncates a stream at any position and reads it with any
+// buffer size. Next must return only whole and unchanged events, and report the truncation.
+func TestRapidTruncatedStreamYieldsWholeEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		texts := rapid.SliceOf(rapid.StringMatching(`[ -~]{0,40}`)).Draw(t, "texts")
 		var events []string
@@ -82,7 +82,7 @@
 		for {
 			e, err := reader.Next()
 			if err != nil {
-				require.Equal(t, len(raw) == cut, err != nil && !strings.Contains(err.Error(), ErrCut.Error()))
+				require.Equal(t, len(raw) == cut, err != nil && !strings.Contains(err.Error(), ErrTruncated.Error()))
 				break
 			}
 			count++
