--- a/common/pkg/runner/runner.go
+++ b/common/pkg/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner describes calls to the processes that run requests, without
-// the names that a platform gives them on the wire.
+// Package runner defines calls to runners, independent of the headers and paths that a platform uses on
+// the wire.
 package runner
 
 import (
@@ -12,92 +12,92 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Call is one request to one runner. The runner must be the instance meant: its
-// address may belong to another service by now.
+// Call is a request to a runner. The receiver must verify that it is that instance, because the address
+// may belong to another service by now.
 type Call struct {
 	Runner *toucanhingev1.Runner
-	// Request is the caller's id, which the answer must repeat; it may be empty.
+	// Request is the request id, which the answer must repeat; may be empty.
 	Request string
 	Method  string
-	// Target is the path with the query, byte for byte as the caller sent it.
+	// Target is the path and query, unchanged from the caller's request.
 	Target string
 	Host   string
-	// Header goes along unchanged.
+	// Header is sent unchanged.
 	Header http.Header
-	// Team is the one for which the runner works; empty if none is told.
+	// Team is the team that the request runs for; empty if not sent.
 	Team string
 	Body []byte
-	// Chunked says that the body goes in chunks, as the caller sent it.
+	// Chunked is set if the body is sent with chunked encoding, like the caller's.
 	Chunked bool
-	// Left is how long the caller still waits, a span; 0 means that it didn't say.
-	Left clock.Millis
-	// Resume asks a stream to go on after the event After.
+	// Remaining is the time until the caller's timeout; 0 if unknown.
+	Remaining clock.Millis
+	// Resume requests that a stream continues after the event After.
 	Resume bool
 	After  uint64
 }
 
-// Answer is what a runner answered.
+// Answer is the answer of a runner.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length of the body in bytes, -1 if it isn't known beforehand.
+	// Length is the size of the body in bytes, -1 if not known in advance.
 	Length int64
-	// Body ends with io.EOF only if it came whole.
+	// Body ends with io.EOF only if it was received completely.
 	Body io.ReadCloser
-	// NotRun says that the runner didn't run the request and never will.
+	// NotRun is set if the runner didn't run the request and never will.
 	NotRun bool
-	// Other says that another instance has the address now.
-	Other bool
-	// Held is what the runner had under way when it answered, nil if it didn't say.
-	Held *Held
-	// Release asks for an early end of an answer that another daemon passes on: what that
-	// daemon holds back still comes, and then an error. It never blocks. Nil if nothing is
-	// held back.
+	// OtherInstanceInstance is set if another instance has the address now.
+	OtherInstance bool
+	// Load is the runner's load when it answered, nil if not reported.
+	Load *Load
+	// Release ends the answer of a call early that another daemon forwards. The body still
+	// returns the data that the daemon has buffered, and then an error. Release never blocks. It
+	// is nil if no data is buffered.
 	Release func()
 }
 
-// Held is what a runner itself says to have under way.
-type Held struct {
+// Load is the number of requests at a runner, as reported by the runner itself.
+type Load struct {
 	Running int
 	Waiting int
 }
 
-// All is the number of requests that hold a place or wait for one.
-func (h Held) All() int { return h.Running + h.Waiting }
+// Total returns the number of requests that hold a slot or wait for one.
+func (l Load) Total() int { return l.Running + l.Waiting }
 
-// Client makes calls. The body of an answer must be closed; closing it before
-// its end, or ending the context, breaks the call off, and the runner stops.
+// Client calls runners. The body of an answer must be closed. Closing it before its end, or canceling
+// the context, ends the call, and the runner stops the request.
 type Client struct {
 	Open func(ctx context.Context, call Call) (*Answer, error)
-	// Refuses says whether a runner refuses a new connection, as its address does from a
-	// crash until it is started again. Nil if that can't be found out.
+	// Refuses reports whether a runner refuses new connections, as after a crash until its
+	// restart. It is nil if that can't be determined.
 	Refuses func(ctx context.Context, r *toucanhingev1.Runner) bool
 }
 
-// NotSentError tells that nothing of the request left this process, so it
-// certainly didn't run.
+// NotSentError means that no part of the request left this process, so the request certainly didn't
+// run.
 type NotSentError struct {
 	Runner string
-	// Silent says that the runner's machine didn't even refuse the connection.
-	Silent bool
-	Err    error
+	// Unresponsive is set if the runner's VM didn't answer the connection attempt at all.
+	Unresponsive bool
+	Err          error
 }
 
 func (e *NotSentError) Error() string {
-	return fmt.Sprintf("runner %s can't be reached: %v", e.Runner, e.Err)
+	return fmt.Sprintf("runner %s is unreachable: %v", e.Runner, e.Err)
 }
 
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// BrokenError tells that the call broke off after it was sent: the request may
-// have run, in part or wholly.
+// BrokenError means that the call failed after the request was sent. The request may have run, in part
+// or completely.
 type BrokenError struct {
 	Runner string
 	Err    error
 }
 
 func (e *BrokenError) Error() string {
-	return fmt.Sprintf("the call to runner %s broke off: %v", e.Runner, e.Err)
+	return fmt.Sprintf("the call to runner %s failed after it was sent: %v", e.Runner, e.Err)
 }
 
 func (e *BrokenError) Unwrap() error { return e.Err }
--- a/control/pkg/batchrun/driver_test.go
+++ b/control/pkg/batchrun/driver_test.go
@@ -248,7 +248,7 @@
 			case 2:
 				return nil, &runner.BrokenError{Runner: call.Runner.GetId(), Err: errWire}
 			case 3:
-				return &runner.Answer{Status: http.StatusMisdirectedRequest, Other: true, Body: whole("")}, nil
+				return &runner.Answer{Status: http.StatusMisdirectedRequest, OtherInstance: true, Body: whole("")}, nil
 			default:
 				return ok(whole(events(1, 4)))
 			}
--- a/control/pkg/carrier/carrier_test.go
+++ b/control/pkg/carrier/carrier_test.go
@@ -204,7 +204,7 @@
 			if err != nil {
 				return
 			}
-			require.Equal(t, &runner.Held{Running: 4, Waiting: 2}, answer.Held)
+			require.Equal(t, &runner.Load{Running: 4, Waiting: 2}, answer.Load)
 			text, err := io.ReadAll(answer.Body)
 			require.Equal(t, c.whole, err == nil, "%v", err)
 			require.Equal(t, c.text, string(text))
--- a/gateway/pkg/carry/server_test.go
+++ b/gateway/pkg/carry/server_test.go
@@ -128,7 +128,7 @@
 }
 
 func answerOf(body io.Reader) *runner.Answer {
-	return &runner.Answer{Status: http.StatusOK, Held: &runner.Held{Running: 3, Waiting: 1}, Body: io.NopCloser(body)}
+	return &runner.Answer{Status: http.StatusOK, Load: &runner.Load{Running: 3, Waiting: 1}, Body: io.NopCloser(body)}
 }
 
 func TestACallIsPassedOnAsItIs(t *testing.T) {
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -166,10 +166,10 @@
 		return e.unanswered(parent, r, began, silence.explain(parent, err))
 	}
 	defer func() { _ = answer.Body.Close() }()
-	if answer.Held != nil && !answer.Other {
-		e.server.config.Exchange.Observe(r.GetId(), answer.Held.All())
+	if answer.Load != nil && !answer.OtherInstance {
+		e.server.config.Exchange.Observe(r.GetId(), answer.Load.Total())
 	}
-	if answer.NotRun || answer.Other {
+	if answer.NotRun || answer.OtherInstance {
 		return e.notRun(r, answer)
 	}
 	e.ran++
@@ -196,7 +196,7 @@
 	return runner.Call{
 		Runner: r, Request: e.request.ID, Method: e.request.Method, Target: e.request.Target, Host: e.request.Host,
 		Header: e.request.Header, Team: e.entry.Team.GetName(), Body: e.request.Body, Chunked: e.request.Chunked,
-		Left: max(e.ends-e.now(), 1), Resume: e.resume, After: e.after,
+		Remaining: max(e.ends-e.now(), 1), Resume: e.resume, After: e.after,
 	}
 }
 
@@ -207,7 +207,7 @@
 		if ctx.Err() == nil {
 			e.server.learn(func(m *place.Machine) { m.Block(r.GetId(), e.now()+unreachablePause) })
 		}
-		if unsent.Silent {
+		if unsent.Unresponsive {
 			// Each gateway would else find out by a request of its own.
 			e.server.config.Exchange.SetSilent(r.GetId(), true)
 		}
@@ -220,7 +220,7 @@
 // notRun handles a runner's word that it didn't run the request.
 func (e *exchange) notRun(r *toucanhingev1.Runner, answer *runner.Answer) (again bool) {
 	pause, reason := refusedPause, "runner-full"
-	if answer.Other {
+	if answer.OtherInstance {
 		pause, reason = otherPause, "other-instance"
 	}
 	e.server.learn(func(m *place.Machine) { m.Block(r.GetId(), e.now()+pause) })
--- a/gateway/pkg/forward/silence_test.go
+++ b/gateway/pkg/forward/silence_test.go
@@ -125,7 +125,7 @@
 		{"refused: the process is being restarted", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := start(t, reply{err: &runner.NotSentError{Runner: "x", Silent: c.silent, Err: errWire}}, reply{text: "answer"})
+			f := start(t, reply{err: &runner.NotSentError{Runner: "x", Unresponsive: c.silent, Err: errWire}}, reply{text: "answer"})
 			status, _, _, err := f.get("/once/x", 0)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, status)
