--- a/common/pkg/apikey/hash.go
+++ b/common/pkg/apikey/hash.go
@@ -1,24 +1,23 @@
-// Package apikey turns callers' keys into hashes. Only the gateway that a caller speaks to
-// sees the key; everybody else compares hashes, so that no log, datagram or call between
-// daemons can give a key away.
+// Package apikey hashes the API keys of callers. Only the gateway that receives a request sees its key.
+// All other processes compare hashes, so that no log, datagram or call between daemons can leak a key.
 package apikey
 
 import "crypto/sha256"
 
-// HashBytes is the length of a hash. It can't be turned back into the key, nor can another
-// key with the same one be found.
+// HashBytes is the length of a hash. It is long enough that neither the key nor another key with the
+// same hash can be found.
 const HashBytes = 16
 
-// Hash names a key without telling it.
+// Hash identifies a key without revealing it.
 type Hash [HashBytes]byte
 
-// Of hashes a key.
+// Of returns the hash of a key.
 func Of(key string) Hash {
 	sum := sha256.Sum256([]byte(key))
 	return Hash(sum[:HashBytes])
 }
 
-// Bytes is the hash as it travels; nil for an empty key, which is nobody's.
+// Bytes returns the encoded hash of a key. It is nil for an empty key, which belongs to no team.
 func Bytes(key string) []byte {
 	if key == "" {
 		return nil
@@ -27,8 +26,8 @@
 	return hash[:]
 }
 
-// Read takes a hash as it travelled; ok is false if it is none.
-func Read(data []byte) (hash Hash, ok bool) {
+// Parse decodes a hash; ok is false if the data isn't a hash.
+func Parse(data []byte) (hash Hash, ok bool) {
 	if len(data) != HashBytes {
 		return hash, false
 	}
