--- a/common/pkg/health/health.go
+++ b/common/pkg/health/health.go
@@ -1,6 +1,6 @@
-// Package health keeps liveness and readiness apart. A process that leaves
-// fails readiness first, so that the platform's balancer turns away while the
-// process still answers what comes.
+// Package health serves liveness and readiness checks. A process that shuts down fails its readiness
+// check first, so that the platform's load balancer stops sending requests while the process still
+// answers those that arrive.
 package health
 
 import (
@@ -19,7 +19,7 @@
 	PathMetrics = "/metrics"
 )
 
-// Status is what a process says of itself. The zero value is not ready.
+// Status is the readiness of a process. The zero value is not ready.
 type Status struct {
 	mu     sync.Mutex
 	ready  bool
@@ -36,7 +36,7 @@
 	s.set(true, "")
 }
 
-// NotReady marks the process as not ready and says why.
+// NotReady marks the process as not ready for the given reason.
 func (s *Status) NotReady(reason string) {
 	s.set(false, reason)
 }
@@ -48,7 +48,7 @@
 	s.reason = reason
 }
 
-// State tells readiness, and the reason when not ready.
+// State returns the readiness, and the reason if not ready.
 func (s *Status) State() (ready bool, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +60,7 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// Mount adds the liveness, readiness and metrics pages to a router.
+// Mount adds the liveness, readiness and metrics endpoints to a router.
 func (s *Status) Mount(router gin.IRoutes, registry *prometheus.Registry) {
 	router.GET(PathLive, func(c *gin.Context) { c.Status(http.StatusOK) })
 	router.GET(PathReady, func(c *gin.Context) {
