--- a/common/pkg/job/job_test.go
+++ b/common/pkg/job/job_test.go
@@ -24,7 +24,7 @@
 	require.NotEqual(t, ID("ab", "c", 2), ID("a", "bc", 2))
 }
 
-func TestGroupOfRefusesForeignNames(t *testing.T) {
+func TestGroupOfRefusesInvalidIDs(t *testing.T) {
 	scenarios := []string{"", "j", "j1", "1-00", "j0-000000000000000000000000", "jx-000000000000000000000000", "j1-00"}
 	for _, s := range scenarios {
 		_, err := GroupOf(s)
