--- a/common/pkg/metrics/metrics.go
+++ b/common/pkg/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds the counters that every program has alike: one for
-// each reason of a refusal and of a retry.
+// Package metrics provides the metrics registry of a process and the counters that all programs have:
+// refusals and retries by reason.
 package metrics
 
 import (
@@ -8,16 +8,16 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Set is the registry of one process and its common counters.
+// Set is the registry of a process with the common counters.
 type Set struct {
 	Registry *prometheus.Registry
-	// Refused counts refusals by the side that refused and the reason.
+	// Refused counts refusals by the component that refused and the reason.
 	Refused *prometheus.CounterVec
-	// Retried counts retries by what was retried and the reason.
+	// Retried counts retries by the retried operation and the reason.
 	Retried *prometheus.CounterVec
 }
 
-// New makes the registry of a program.
+// New returns the metrics of a program.
 func New(program string) *Set {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
