--- a/common/pkg/seed/seed.go
+++ b/common/pkg/seed/seed.go
@@ -1,5 +1,5 @@
-// Package seed gives stateful fuzzing a fixed seed, so that every run of the
-// suite says the same. It is imported by test files only.
+// Package seed sets a fixed seed for property-based tests, so that every run of the test suite is
+// reproducible. Only test files import it.
 package seed
 
 import (
@@ -17,15 +17,14 @@
 	flagSteps  = "rapid.steps"
 )
 
-// Length is how long the usual run is; zero means the library's own.
+// Length is the default length of a run; 0 means the default of the library.
 type Length struct {
 	Checks int
 	Steps  int
 }
 
-// Main is the body of a package's TestMain: it runs the tests with the given
-// seed, unless a seed or a number of checks stands on the command line. Flags
-// on the command line win over the length too.
+// Main is the body of a package's TestMain. It runs the tests with the given seed unless the command
+// line sets a seed or a number of checks. Flags on the command line override the length as well.
 func Main(m *testing.M, fixed uint64, lengths ...Length) {
 	flag.Parse()
 	given := map[string]bool{}
