--- a/control/pkg/batchrun/run.go
+++ b/control/pkg/batchrun/run.go
@@ -225,7 +225,7 @@
 		switch {
 		case errors.As(err, &unsent):
 			return unreachable, err
-		case errors.Is(err, carrier.ErrNobody):
+		case errors.Is(err, carrier.ErrNoGateway):
 			return untaken, err
 		default:
 			return broken, err
--- a/control/pkg/core/service.go
+++ b/control/pkg/core/service.go
@@ -191,7 +191,7 @@
 	if known := c.config.Core.KnownLeader(Group); known != "" && known != c.config.Address {
 		return known
 	}
-	return c.group.Named()
+	return c.group.OldIdentityLeader()
 }
 
 // NameLeader tells at once which VM leads, as far as this one knows.
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -186,7 +186,7 @@
 		e.survived()
 		e.finish(answer)
 		span := e.now() - began
-		e.server.learn(func(m *place.Machine) { m.Held(e.service, span) })
+		e.server.learn(func(m *place.Machine) { m.RecordHold(e.service, span) })
 		return false
 	}
 	return e.broken(parent, r, began, err)
@@ -238,7 +238,7 @@
 		e.giveUp(ctx, Refusal{Reason: ReasonTimeLimit})
 		return false
 	}
-	e.server.learn(func(m *place.Machine) { m.Doubt(r.GetId(), e.now()+brokenPause) })
+	e.server.learn(func(m *place.Machine) { m.Deprioritize(r.GetId(), e.now()+brokenPause) })
 	e.sightCrash(ctx, r, began, err)
 	if !e.mayRepeat() {
 		e.giveUp(ctx, Refusal{Reason: ReasonBroken})
--- a/gateway/pkg/forward/server_test.go
+++ b/gateway/pkg/forward/server_test.go
@@ -319,7 +319,7 @@
 	})
 	f.server.learn(func(m *place.Machine) {
 		for range 200 {
-			m.Held("llm", 60)
+			m.RecordHold("llm", 60)
 		}
 	})
 	status, text, _, err := f.get("/once/", 700)
