--- a/control/pkg/batchrun/crash_report.go
+++ b/control/pkg/batchrun/crash_report.go
@@ -44,7 +44,7 @@
 	}
 	sign := crashes.SignOf(running, elapsed, true)
 	level.Info(config.Logger).Log(logs.KeyEvent, logs.EventRunnerCrashed, logs.KeyJob, r.key.Job, "index", r.key.Index,
-		logs.KeyItem, call.Request, logs.KeyContent, fingerprintOf(call), "runner", call.Runner.GetId(), "running-ms", running)
+		logs.KeyItem, call.Request, logs.KeyFingerprint, fingerprintOf(call), "runner", call.Runner.GetId(), "running-ms", running)
 	if sign == crashes.Late {
 		config.Exchange.Survived(fingerprintOf(call))
 	}
--- a/control/pkg/batchrun/driver_test.go
+++ b/control/pkg/batchrun/driver_test.go
@@ -247,7 +247,7 @@
 			case 2:
 				return nil, &runner.BrokenError{Runner: call.Runner.GetId(), Err: errWire}
 			case 3:
-				return &runner.Answer{Status: http.StatusMisdirectedRequest, Other: true, Body: completeBody("")}, nil
+				return &runner.Answer{Status: http.StatusMisdirectedRequest, OtherInstance: true, Body: completeBody("")}, nil
 			default:
 				return ok(completeBody(events(1, 4)))
 			}
