--- a/common/pkg/digest/crashes.go
+++ b/common/pkg/digest/crashes.go
@@ -17,232 +17,243 @@
 )
 
 const (
-	// crashGather is how long news of crashes wait for others: all calls of a runner break
-	// off within 2 ms.
-	crashGather = 3 * time.Millisecond
-	// crashTells is how often news are sent to everybody, crashRetell the pause between.
-	// With one datagram in a hundred lost, one daemon in a million hears of none.
-	crashTells  = 3
-	crashRetell = 40 * time.Millisecond
-	// crashEvery is how often all that is known goes to crashFanout daemons drawn by lot,
-	// for those that started, or were cut off, when it was told. Each hears it three times
-	// a second in a fleet of any size.
-	crashEvery  = time.Second
-	crashFanout = 3
-	// crashAsks is how often a daemon that has just started asks as many others for all
-	// that they know, crashAskEvery apart.
-	crashAsks     = 3
-	crashAskEvery = 100 * time.Millisecond
-	// mostSightings bounds the sightings of one datagram: 4 kB.
-	mostSightings = 64
+	// crashBatchDelay is how long a crash report waits for further ones before it is sent. All
+	// calls on a crashed runner break off within 2 ms.
+	crashBatchDelay = 3 * time.Millisecond
+	// crashBroadcasts is the number of times that a crash update is sent to all daemons, and
+	// crashResendInterval the time between. If one datagram in a hundred is lost, one daemon
+	// in a million receives none of the three.
+	crashBroadcasts     = 3
+	crashResendInterval = 40 * time.Millisecond
+	// crashGossipInterval is the interval at which a daemon sends its crash state to
+	// crashGossipFanout random daemons. This reaches daemons that were starting or partitioned
+	// during the broadcasts. Each daemon receives it about three times a second, whatever the
+	// fleet size.
+	crashGossipInterval = time.Second
+	crashGossipFanout   = 3
+	// crashQueries is the number of times that a daemon that has just started queries
+	// crashGossipFanout others for their crash state, and crashQueryInterval the time between.
+	crashQueries       = 3
+	crashQueryInterval = 100 * time.Millisecond
+	// maxCrashReports limits the crash reports in one datagram to about 4 kB.
+	maxCrashReports = 64
 )
 
-// crashNews keeps what is known of crashing requests, and what is still to be told.
-type crashNews struct {
+// crashState holds the suspected requests and the updates that are still to be broadcast.
+type crashState struct {
 	mu      sync.Mutex
 	machine *crashes.Machine
-	outbox  crashFindings
+	outbox  crashUpdate
 	dirty   chan struct{}
 }
 
-func newCrashNews() *crashNews {
-	return &crashNews{machine: crashes.New(), dirty: make(chan struct{}, 1)}
+func newCrashState() *crashState {
+	return &crashState{machine: crashes.New(), dirty: make(chan struct{}, 1)}
 }
 
-// crashFindings is what this daemon found out.
-type crashFindings struct {
-	sightings   []crashes.Sighting
+// crashUpdate is a set of changes to the crash state that this daemon sends to others.
+type crashUpdate struct {
+	reports     []crashes.Sighting
 	quarantines []crashes.Quarantine
 	clearances  []crashes.Clearance
 }
 
-// message tells the findings with their ages now: clocks differ between VMs.
-func (f crashFindings) message(now clock.Millis) *toucanhingev1.CrashNews {
-	news := &toucanhingev1.CrashNews{}
-	for _, s := range f.sightings {
-		news.Sightings = append(news.Sightings, &toucanhingev1.CrashSighting{
-			Runner: s.Crash.Runner, BornMs: s.Crash.Born, Content: s.Content[:], Sign: uint32(s.Sign), AgeMs: ageOf(now, s.At),
+// toProto encodes the update. Times are sent as ages because clocks differ between VMs.
+func (u crashUpdate) toProto(now clock.Millis) *toucanhingev1.CrashNews {
+	m := &toucanhingev1.CrashNews{}
+	for _, r := range u.reports {
+		m.Sightings = append(m.Sightings, &toucanhingev1.CrashSighting{
+			Runner: r.Crash.Runner, BornMs: r.Crash.Born, Content: r.Content[:], Sign: uint32(r.Sign), AgeMs: ageOf(now, r.At),
 		})
 	}
-	for _, q := range f.quarantines {
-		news.Quarantines = append(news.Quarantines, &toucanhingev1.RequestQuarantine{
+	for _, q := range u.quarantines {
+		m.Quarantines = append(m.Quarantines, &toucanhingev1.RequestQuarantine{
 			Content: q.Content[:], AgeMs: ageOf(now, q.Since), LeftMs: ageOf(q.Until, now), Terms: uint32(q.Terms),
 		})
 	}
-	for _, c := range f.clearances {
-		news.Clearances = append(news.Clearances, &toucanhingev1.RequestClearance{Content: c.Content[:], AgeMs: ageOf(now, c.At)})
+	for _, c := range u.clearances {
+		m.Clearances = append(m.Clearances, &toucanhingev1.RequestClearance{Content: c.Content[:], AgeMs: ageOf(now, c.At)})
 	}
-	return news
+	return m
 }
 
 func ageOf(now, at clock.Millis) uint32 { return uint32(max(now-at, 0)) }
 
-func (n *crashNews) wake() {
+func (s *crashState) wake() {
 	select {
-	case n.dirty <- struct{}{}:
+	case s.dirty <- struct{}{}:
 	default:
 	}
 }
 
-// Crashed notes a run that ended with its runner's crash, and tells all daemons of it.
-func (x *Exchange) Crashed(r *toucanhingev1.Runner, content crashes.Content, sign crashes.Sign) {
+// ReportCrash records a run that ended with a crash of its runner and broadcasts the report to
+// all daemons.
+func (x *Exchange) ReportCrash(r *toucanhingev1.Runner, fingerprint crashes.Content, phase crashes.Sign) {
 	now := x.config.Clock.Now()
-	s := crashes.Sighting{Crash: crashes.Crash{Runner: r.GetId(), Born: r.GetBornMs()}, Content: content, Sign: sign, At: now}
-	x.news.mu.Lock()
-	defer x.news.mu.Unlock()
-	if sign == crashes.Late && x.news.machine.KnowsCrash(s.Crash) {
+	report := crashes.Sighting{
+		Crash: crashes.Crash{Runner: r.GetId(), Born: r.GetBornMs()}, Content: fingerprint, Sign: phase, At: now,
+	}
+	x.crashState.mu.Lock()
+	defer x.crashState.mu.Unlock()
+	if phase == crashes.Late && x.crashState.machine.KnowsCrash(report.Crash) {
 		return
 	}
-	x.news.machine.Sight(now, s)
-	x.news.outbox.sightings = append(x.news.outbox.sightings, s)
-	x.tellFound()
-	x.news.wake()
+	x.crashState.machine.Sight(now, report)
+	x.crashState.outbox.reports = append(x.crashState.outbox.reports, report)
+	x.broadcastNewQuarantines()
+	x.crashState.wake()
 }
 
-// SetRunners tells how many runners the fleet has.
-func (x *Exchange) SetRunners(runners int) {
-	x.news.mu.Lock()
-	defer x.news.mu.Unlock()
-	x.news.machine.SetRunners(runners)
+// SetRunnerCount sets the number of runners in the fleet.
+func (x *Exchange) SetRunnerCount(count int) {
+	x.crashState.mu.Lock()
+	defer x.crashState.mu.Unlock()
+	x.crashState.machine.SetRunners(count)
 }
 
-// Suspects says whether any request is suspected of crashing runners.
-func (x *Exchange) Suspects() bool {
-	x.news.mu.Lock()
-	defer x.news.mu.Unlock()
-	return !x.news.machine.Empty()
+// HasSuspects reports whether any request is suspected of crashing runners.
+func (x *Exchange) HasSuspects() bool {
+	x.crashState.mu.Lock()
+	defer x.crashState.mu.Unlock()
+	return !x.crashState.machine.Empty()
 }
 
-// Standing says whether a request may run.
-func (x *Exchange) Standing(content crashes.Content) crashes.Verdict {
+// CheckRequest decides whether a request may run.
+func (x *Exchange) CheckRequest(fingerprint crashes.Content) crashes.Verdict {
 	now := x.config.Clock.Now()
-	x.news.mu.Lock()
-	defer x.news.mu.Unlock()
-	verdict := x.news.machine.Ask(now, content)
-	x.tellFound()
+	x.crashState.mu.Lock()
+	defer x.crashState.mu.Unlock()
+	verdict := x.crashState.machine.Ask(now, fingerprint)
+	x.broadcastNewQuarantines()
 	return verdict
 }
 
-// tellFound tells of the quarantines that were found due here; the caller holds the lock.
-func (x *Exchange) tellFound() {
-	for _, q := range x.news.machine.Found() {
+// broadcastNewQuarantines queues the quarantines that this daemon has just imposed for
+// broadcast. The caller holds the lock.
+func (x *Exchange) broadcastNewQuarantines() {
+	for _, q := range x.crashState.machine.Found() {
 		x.logQuarantine(q, x.config.Source)
-		x.news.outbox.quarantines = append(x.news.outbox.quarantines, q)
-		x.news.wake()
+		x.crashState.outbox.quarantines = append(x.crashState.outbox.quarantines, q)
+		x.crashState.wake()
 	}
 }
 
-// Survived notes that a request ran without a crash, if anything was held against it.
-func (x *Exchange) Survived(content crashes.Content) {
+// RecordSuccess records that a request ran without a crash. It does nothing if the request is
+// not suspected.
+func (x *Exchange) RecordSuccess(fingerprint crashes.Content) {
 	now := x.config.Clock.Now()
-	x.news.mu.Lock()
-	defer x.news.mu.Unlock()
-	if !x.news.machine.Knows(content) {
+	x.crashState.mu.Lock()
+	defer x.crashState.mu.Unlock()
+	if !x.crashState.machine.Knows(fingerprint) {
 		return
 	}
-	c := crashes.Clearance{Content: content, At: now}
-	x.news.machine.Clear(now, c)
-	x.news.outbox.clearances = append(x.news.outbox.clearances, c)
-	level.Info(x.config.Logger).Log(logs.KeyEvent, "request-cleared", logs.KeyContent, content)
-	x.news.wake()
+	c := crashes.Clearance{Content: fingerprint, At: now}
+	x.crashState.machine.Clear(now, c)
+	x.crashState.outbox.clearances = append(x.crashState.outbox.clearances, c)
+	level.Info(x.config.Logger).Log(logs.KeyEvent, "request-cleared", logs.KeyContent, fingerprint)
+	x.crashState.wake()
 }
 
-// Quarantines lists the requests that are kept from all runners.
+// Quarantines lists the quarantines in force.
 func (x *Exchange) Quarantines() []crashes.Quarantine {
-	x.news.mu.Lock()
-	defer x.news.mu.Unlock()
-	return x.news.machine.Quarantines(x.config.Clock.Now())
+	x.crashState.mu.Lock()
+	defer x.crashState.mu.Unlock()
+	return x.crashState.machine.Quarantines(x.config.Clock.Now())
 }
 
-// Impose takes over quarantines from the log. Others hear of them as of all that is known.
-func (x *Exchange) Impose(list []crashes.Quarantine) {
+// ApplyQuarantines applies quarantines from the replicated log. Other daemons receive them with
+// the periodic gossip.
+func (x *Exchange) ApplyQuarantines(list []crashes.Quarantine) {
 	now := x.config.Clock.Now()
-	x.news.mu.Lock()
-	defer x.news.mu.Unlock()
+	x.crashState.mu.Lock()
+	defer x.crashState.mu.Unlock()
 	for _, q := range list {
-		if x.news.machine.Impose(now, q) {
+		if x.crashState.machine.Impose(now, q) {
 			x.logQuarantine(q, "log")
 		}
 	}
 }
 
-// Quarantined counts the requests that are kept from all runners.
-func (x *Exchange) Quarantined() int { return len(x.Quarantines()) }
+// QuarantineCount returns the number of quarantines in force.
+func (x *Exchange) QuarantineCount() int { return len(x.Quarantines()) }
 
-func (x *Exchange) logQuarantine(q crashes.Quarantine, by string) {
+func (x *Exchange) logQuarantine(q crashes.Quarantine, foundBy string) {
 	level.Warn(x.config.Logger).Log(logs.KeyEvent, "request-quarantined", logs.KeyContent, q.Content, "terms", q.Terms,
-		"span-ms", q.Until-q.Since, "found-by", by)
+		"span-ms", q.Until-q.Since, "found-by", foundBy)
 }
 
-// tellCrashes tells news of crashes until the context ends.
-func (x *Exchange) tellCrashes(ctx context.Context) {
-	ticker := time.NewTicker(crashAskEvery)
+// runCrashGossip sends crash updates until the context ends.
+func (x *Exchange) runCrashGossip(ctx context.Context) {
+	ticker := time.NewTicker(crashQueryInterval)
 	defer ticker.Stop()
-	asked := 0
-	var retells []retell
+	queries := 0
+	var resends []resend
 	for {
-		var again <-chan time.Time
-		if len(retells) > 0 {
-			again = time.After(time.Until(retells[0].due))
+		var resendTimer <-chan time.Time
+		if len(resends) > 0 {
+			resendTimer = time.After(time.Until(resends[0].sendAt))
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			if asked < crashAsks && x.gossip(true) {
-				asked++
+			if queries < crashQueries && x.gossip(true) {
+				queries++
 			}
-			if asked < crashAsks {
+			if queries < crashQueries {
 				continue
 			}
-			ticker.Reset(crashEvery)
+			ticker.Reset(crashGossipInterval)
 			x.gossip(false)
-		case <-again:
-			x.tellAll(retells[0].news)
-			retells = retells[0].next(retells[1:])
-		case <-x.news.dirty:
-			time.Sleep(crashGather)
-			news := x.takeOutbox()
-			x.tellAll(news)
-			retells = append(retells, retell{news: news, left: crashTells - 1, due: time.Now().Add(crashRetell)})
+		case <-resendTimer:
+			x.broadcastCrashes(resends[0].update)
+			resends = resends[0].reschedule(resends[1:])
+		case <-x.crashState.dirty:
+			time.Sleep(crashBatchDelay)
+			update := x.popOutbox()
+			x.broadcastCrashes(update)
+			resends = append(resends, resend{
+				update: update, remaining: crashBroadcasts - 1, sendAt: time.Now().Add(crashResendInterval),
+			})
 		}
 	}
 }
 
-// retell is news that is told once more, in case datagrams were lost.
-type retell struct {
-	news crashFindings
-	left int
-	due  time.Time
+// resend is an update that is broadcast again in case datagrams were lost.
+type resend struct {
+	update    crashUpdate
+	remaining int
+	sendAt    time.Time
 }
 
-func (r retell) next(queue []retell) []retell {
-	r.left--
-	if r.left == 0 {
+func (r resend) reschedule(queue []resend) []resend {
+	r.remaining--
+	if r.remaining == 0 {
 		return queue
 	}
-	r.due = time.Now().Add(crashRetell)
+	r.sendAt = time.Now().Add(crashResendInterval)
 	return append(queue, r)
 }
 
-func (x *Exchange) takeOutbox() crashFindings {
-	x.news.mu.Lock()
-	defer x.news.mu.Unlock()
-	taken := x.news.outbox
-	x.news.outbox = crashFindings{}
-	return taken
+func (x *Exchange) popOutbox() crashUpdate {
+	x.crashState.mu.Lock()
+	defer x.crashState.mu.Unlock()
+	update := x.crashState.outbox
+	x.crashState.outbox = crashUpdate{}
+	return update
 }
 
-// tellAll goes to every daemon, also those that are told sums of loads only: crashes are
-// rare, and each hop more would be one more request that crashes a runner.
-func (x *Exchange) tellAll(findings crashFindings) {
-	news := findings.message(x.config.Clock.Now())
-	for _, peer := range x.everybody() {
-		x.sendCrashNews(news, peer)
+// broadcastCrashes sends an update to every daemon, including those that receive only load
+// summaries. Crashes are rare, and a further hop would delay the update and let the request
+// crash another runner.
+func (x *Exchange) broadcastCrashes(update crashUpdate) {
+	message := update.toProto(x.config.Clock.Now())
+	for _, peer := range x.allPeers() {
+		x.sendCrashes(message, peer)
 	}
 }
 
-func (x *Exchange) everybody() []netip.AddrPort {
+func (x *Exchange) allPeers() []netip.AddrPort {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	list := make([]netip.AddrPort, 0, len(x.all))
@@ -252,37 +263,38 @@
 	return list
 }
 
-// gossip tells some daemons all that is known, and asks for what they know; it returns
-// false if no other daemon is known yet.
-func (x *Exchange) gossip(asks bool) bool {
-	peers := x.everybody()
+// gossip sends the crash state to some random daemons, and queries theirs if query is set. It
+// returns false if no other daemon is known yet.
+func (x *Exchange) gossip(query bool) bool {
+	peers := x.allPeers()
 	if len(peers) == 0 {
 		return false
 	}
 	now := x.config.Clock.Now()
-	x.news.mu.Lock()
-	x.news.machine.Expire(now)
-	news, empty := x.knownCrashes(now), x.news.machine.Empty()
-	x.news.mu.Unlock()
-	if empty && !asks {
+	x.crashState.mu.Lock()
+	x.crashState.machine.Expire(now)
+	message, empty := x.knownCrashes(now), x.crashState.machine.Empty()
+	x.crashState.mu.Unlock()
+	if empty && !query {
 		return true
 	}
-	news.Asks = asks
+	message.Asks = query
 	rand.Shuffle(len(peers), func(i, k int) { peers[i], peers[k] = peers[k], peers[i] })
-	for _, peer := range peers[:min(len(peers), crashFanout)] {
-		x.sendCrashNews(news, peer)
+	for _, peer := range peers[:min(len(peers), crashGossipFanout)] {
+		x.sendCrashes(message, peer)
 	}
 	return true
 }
 
-// knownCrashes is all that is known; the caller holds the lock.
+// knownCrashes encodes the crash state: the quarantines in force and the reports that other daemons
+// may have missed. The caller holds the lock.
 func (x *Exchange) knownCrashes(now clock.Millis) *toucanhingev1.CrashNews {
-	machine := x.news.machine
-	return crashFindings{quarantines: machine.Quarantines(now), sightings: machine.Sightings(now, mostSightings)}.message(now)
+	machine := x.crashState.machine
+	return crashUpdate{quarantines: machine.Quarantines(now), reports: machine.Sightings(now, maxCrashReports)}.toProto(now)
 }
 
-func (x *Exchange) sendCrashNews(news *toucanhingev1.CrashNews, peer netip.AddrPort) {
-	data, err := proto.Marshal(&toucanhingev1.LoadDigest{Source: x.config.Source, Crashes: news})
+func (x *Exchange) sendCrashes(message *toucanhingev1.CrashNews, peer netip.AddrPort) {
+	data, err := proto.Marshal(&toucanhingev1.LoadDigest{Source: x.config.Source, Crashes: message})
 	if err != nil {
 		level.Error(x.config.Logger).Log(logs.KeyEvent, "digest-unencodable", logs.KeyError, err)
 		return
@@ -290,44 +302,45 @@
 	x.write(data, peer)
 }
 
-// takeCrashNews takes up what another daemon told, and answers one that asks.
-func (x *Exchange) takeCrashNews(source string, from netip.AddrPort, news *toucanhingev1.CrashNews) {
+// receiveCrashes applies the crash update of another daemon and replies to a query.
+func (x *Exchange) receiveCrashes(source string, from netip.AddrPort, message *toucanhingev1.CrashNews) {
 	now := x.config.Clock.Now()
-	x.news.mu.Lock()
-	for _, m := range news.GetSightings() {
-		if content, ok := contentOf(m.GetContent()); ok {
-			x.news.machine.Sight(now, crashes.Sighting{
-				Crash: crashes.Crash{Runner: m.GetRunner(), Born: m.GetBornMs()}, Content: content,
-				Sign: crashes.Sign(m.GetSign()), At: now - clock.Millis(m.GetAgeMs()),
+	x.crashState.mu.Lock()
+	for _, entry := range message.GetSightings() {
+		if fingerprint, ok := parseFingerprint(entry.GetContent()); ok {
+			x.crashState.machine.Sight(now, crashes.Sighting{
+				Crash: crashes.Crash{Runner: entry.GetRunner(), Born: entry.GetBornMs()}, Content: fingerprint,
+				Sign: crashes.Sign(entry.GetSign()), At: now - clock.Millis(entry.GetAgeMs()),
 			})
 		}
 	}
-	for _, m := range news.GetQuarantines() {
-		content, ok := contentOf(m.GetContent())
-		told := crashes.Quarantine{
-			Content: content, Since: now - clock.Millis(m.GetAgeMs()), Until: now + clock.Millis(m.GetLeftMs()), Terms: int(m.GetTerms()),
+	for _, entry := range message.GetQuarantines() {
+		fingerprint, ok := parseFingerprint(entry.GetContent())
+		quarantine := crashes.Quarantine{
+			Content: fingerprint, Since: now - clock.Millis(entry.GetAgeMs()), Until: now + clock.Millis(entry.GetLeftMs()),
+			Terms: int(entry.GetTerms()),
 		}
-		if ok && x.news.machine.Impose(now, told) {
-			x.logQuarantine(told, source)
+		if ok && x.crashState.machine.Impose(now, quarantine) {
+			x.logQuarantine(quarantine, source)
 		}
 	}
-	for _, m := range news.GetClearances() {
-		if content, ok := contentOf(m.GetContent()); ok {
-			x.news.machine.Clear(now, crashes.Clearance{Content: content, At: now - clock.Millis(m.GetAgeMs())})
+	for _, entry := range message.GetClearances() {
+		if fingerprint, ok := parseFingerprint(entry.GetContent()); ok {
+			x.crashState.machine.Clear(now, crashes.Clearance{Content: fingerprint, At: now - clock.Millis(entry.GetAgeMs())})
 		}
 	}
-	x.tellFound()
+	x.broadcastNewQuarantines()
 	var known *toucanhingev1.CrashNews
-	if news.GetAsks() && !x.news.machine.Empty() {
+	if message.GetAsks() && !x.crashState.machine.Empty() {
 		known = x.knownCrashes(now)
 	}
-	x.news.mu.Unlock()
+	x.crashState.mu.Unlock()
 	if known != nil {
-		x.sendCrashNews(known, from)
+		x.sendCrashes(known, from)
 	}
 }
 
-func contentOf(data []byte) (crashes.Content, bool) {
-	var content crashes.Content
-	return content, copy(content[:], data) == len(content) && len(data) == len(content)
+func parseFingerprint(data []byte) (crashes.Content, bool) {
+	var fingerprint crashes.Content
+	return fingerprint, copy(fingerprint[:], data) == len(fingerprint) && len(data) == len(fingerprint)
 }
--- a/common/pkg/digest/crashes_test.go
+++ b/common/pkg/digest/crashes_test.go
@@ -16,132 +16,134 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// party is some daemons on loopback, in three data centres.
-type party struct {
+// loopbackFleet runs daemons on loopback sockets, spread over three data centres.
+type loopbackFleet struct {
 	t       *testing.T
 	ctx     context.Context
-	duties  sync.WaitGroup
+	wg      sync.WaitGroup
 	peers   []Peer
 	daemons []*Exchange
 }
 
-func newParty(t *testing.T, daemons int) *party {
+func newLoopbackFleet(t *testing.T, daemons int) *loopbackFleet {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &party{t: t, ctx: ctx}
-	t.Cleanup(func() { cancel(); p.duties.Wait() })
+	f := &loopbackFleet{t: t, ctx: ctx}
+	t.Cleanup(func() { cancel(); f.wg.Wait() })
 	for range daemons {
-		p.add()
+		f.add()
 	}
-	p.introduce()
-	return p
+	f.introduce()
+	return f
 }
 
-func (p *party) add() *Exchange {
+func (f *loopbackFleet) add() *Exchange {
 	socket, err := net.ListenPacket("udp4", "127.0.0.1:0")
-	require.NoError(p.t, err)
+	require.NoError(f.t, err)
 	address := socket.LocalAddr().String()
-	require.NoError(p.t, socket.Close())
-	centre := fmt.Sprintf("dc%d", len(p.daemons)%3)
+	require.NoError(f.t, socket.Close())
+	dataCentre := fmt.Sprintf("dc%d", len(f.daemons)%3)
 	x, err := Listen(Config{
-		Address: address, Source: address, DataCentre: centre, Clock: clock.System(), Logger: log.NewNopLogger(),
+		Address: address, Source: address, DataCentre: dataCentre, Clock: clock.System(), Logger: log.NewNopLogger(),
 		Version: func() uint64 { return 0 },
 	})
-	require.NoError(p.t, err)
-	x.SetRunners(144)
-	p.peers = append(p.peers, Peer{Address: address, DataCentre: centre})
-	p.daemons = append(p.daemons, x)
-	p.duties.Go(func() { x.Run(p.ctx) })
+	require.NoError(f.t, err)
+	x.SetRunnerCount(144)
+	f.peers = append(f.peers, Peer{Address: address, DataCentre: dataCentre})
+	f.daemons = append(f.daemons, x)
+	f.wg.Go(func() { x.Run(f.ctx) })
 	return x
 }
 
-// introduce tells all daemons of one another.
-func (p *party) introduce() {
-	for _, x := range p.daemons {
-		x.SetPeers(p.peers)
+// introduce makes all daemons peers of one another.
+func (f *loopbackFleet) introduce() {
+	for _, x := range f.daemons {
+		x.SetPeers(f.peers)
 	}
 }
 
-func (p *party) knowing(content crashes.Content) int {
+// countQuarantined counts the daemons that have the request quarantined.
+func (f *loopbackFleet) countQuarantined(fingerprint crashes.Content) int {
 	count := 0
-	for _, x := range p.daemons {
-		if x.Standing(content).Standing == crashes.Quarantined {
+	for _, x := range f.daemons {
+		if x.CheckRequest(fingerprint).Standing == crashes.Quarantined {
 			count++
 		}
 	}
 	return count
 }
 
-// crash lets a request crash three runners, each under a call of another daemon.
-func (p *party) crash(content crashes.Content) {
+// reportCrashes reports three runner crashes for a request, each from another daemon.
+func (f *loopbackFleet) reportCrashes(fingerprint crashes.Content) {
 	for n := range 3 {
-		p.daemons[n%len(p.daemons)].Crashed(&toucanhingev1.Runner{Id: fmt.Sprint("r", n)}, content, crashes.Silent)
+		f.daemons[n%len(f.daemons)].ReportCrash(&toucanhingev1.Runner{Id: fmt.Sprint("r", n)}, fingerprint, crashes.Silent)
 	}
 }
 
-// Three daemons each saw one crash. Within a fraction of a second all daemons refuse the
-// request, those that saw none too, in a fleet of 3 and in one of 89; the bound of the
-// platform is three seconds.
-func TestAllDaemonsLearnOfARequestThatCrashesRunners(t *testing.T) {
+// Three daemons each report one crash of the same request. All daemons, including those that
+// saw no crash, must quarantine it within a fraction of a second, in a fleet of 3 and of 89.
+// The platform's limit is three seconds.
+func TestQuarantineReachesAllDaemons(t *testing.T) {
 	for _, daemons := range []int{3, 89} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
-			p := newParty(t, daemons)
+			f := newLoopbackFleet(t, daemons)
 			bad := crashes.ContentOf("POST", "team", "/bad", nil)
-			began := time.Now()
-			p.crash(bad)
-			require.Eventually(t, func() bool { return p.knowing(bad) == daemons }, 2*time.Second, 10*time.Millisecond)
-			t.Logf("%d daemons knew after %v", daemons, time.Since(began).Round(time.Millisecond))
-			require.Zero(t, p.knowing(crashes.ContentOf("POST", "team", "/good", nil)))
+			start := time.Now()
+			f.reportCrashes(bad)
+			require.Eventually(t, func() bool { return f.countQuarantined(bad) == daemons }, 2*time.Second, 10*time.Millisecond)
+			t.Logf("all %d daemons applied the quarantine after %v", daemons, time.Since(start).Round(time.Millisecond))
+			require.Zero(t, f.countQuarantined(crashes.ContentOf("POST", "team", "/good", nil)))
 		})
 	}
 }
 
-// A daemon starts, or starts again with nothing remembered, after a request was quarantined.
-// It asks the others, and refuses the request before the platform sends it many callers.
-func TestADaemonThatStartsLearnsWhatIsQuarantined(t *testing.T) {
-	p := newParty(t, 8)
+// A daemon starts with empty state after a request was quarantined. It queries its peers at
+// startup, so it must refuse the request before it receives much traffic.
+func TestStartingDaemonLearnsQuarantines(t *testing.T) {
+	f := newLoopbackFleet(t, 8)
 	bad := crashes.ContentOf("POST", "team", "/bad", nil)
-	p.crash(bad)
-	require.Eventually(t, func() bool { return p.knowing(bad) == 8 }, 2*time.Second, 10*time.Millisecond)
-	late := p.add()
-	late.SetPeers(p.peers)
-	began := time.Now()
-	require.Eventually(t, func() bool { return late.Standing(bad).Standing == crashes.Quarantined }, time.Second, 5*time.Millisecond)
-	t.Logf("known after %v", time.Since(began).Round(time.Millisecond))
+	f.reportCrashes(bad)
+	require.Eventually(t, func() bool { return f.countQuarantined(bad) == 8 }, 2*time.Second, 10*time.Millisecond)
+	restarted := f.add()
+	restarted.SetPeers(f.peers)
+	start := time.Now()
+	require.Eventually(t, func() bool { return restarted.CheckRequest(bad).Standing == crashes.Quarantined }, time.Second, 5*time.Millisecond)
+	t.Logf("quarantine applied after %v", time.Since(start).Round(time.Millisecond))
 }
 
-// The others are told of a daemon only after the crashes, as one that was cut off comes back
-// knowing the fleet: it hears of them by what is told to some, drawn by lot, each second.
-func TestADaemonThatWasCutOffHearsOfQuarantines(t *testing.T) {
-	p := newParty(t, 5)
-	back := p.add()
+// A daemon that was partitioned during the broadcasts must receive the quarantine from the
+// periodic gossip: its peers learn its address only after the crashes.
+func TestRejoiningDaemonLearnsQuarantines(t *testing.T) {
+	f := newLoopbackFleet(t, 5)
+	rejoined := f.add()
 	bad := crashes.ContentOf("POST", "team", "/bad", nil)
-	p.crash(bad)
-	require.Eventually(t, func() bool { return p.knowing(bad) >= 5 }, 2*time.Second, 10*time.Millisecond)
-	require.False(t, back.Suspects())
-	p.introduce()
-	require.Eventually(t, func() bool { return back.Standing(bad).Standing == crashes.Quarantined }, 3*time.Second, 10*time.Millisecond)
+	f.reportCrashes(bad)
+	require.Eventually(t, func() bool { return f.countQuarantined(bad) >= 5 }, 2*time.Second, 10*time.Millisecond)
+	require.False(t, rejoined.HasSuspects())
+	f.introduce()
+	require.Eventually(t, func() bool { return rejoined.CheckRequest(bad).Standing == crashes.Quarantined }, 3*time.Second, 10*time.Millisecond)
 }
 
-// A request that was suspected, or quarantined, runs whole somewhere. All daemons let it run.
-func TestAllDaemonsLearnThatARequestIsSound(t *testing.T) {
-	p := newParty(t, 5)
+// A quarantined request completes on one daemon. All daemons must lift the quarantine, and
+// later gossip must not restore it.
+func TestSuccessLiftsQuarantineOnAllDaemons(t *testing.T) {
+	f := newLoopbackFleet(t, 5)
 	suspected := crashes.ContentOf("POST", "team", "/suspected", nil)
-	p.crash(suspected)
-	require.Eventually(t, func() bool { return p.knowing(suspected) == 5 }, 2*time.Second, 10*time.Millisecond)
-	p.daemons[4].Survived(suspected)
-	require.Eventually(t, func() bool { return p.knowing(suspected) == 0 }, time.Second, 10*time.Millisecond)
+	f.reportCrashes(suspected)
+	require.Eventually(t, func() bool { return f.countQuarantined(suspected) == 5 }, 2*time.Second, 10*time.Millisecond)
+	f.daemons[4].RecordSuccess(suspected)
+	require.Eventually(t, func() bool { return f.countQuarantined(suspected) == 0 }, time.Second, 10*time.Millisecond)
 	time.Sleep(1_200 * time.Millisecond)
-	require.Zero(t, p.knowing(suspected), "nobody tells it anew")
+	require.Zero(t, f.countQuarantined(suspected), "gossip must not restore the quarantine")
 }
 
-// Datagrams that can't be understood change nothing.
-func TestCrashNewsThatAreUnsound(t *testing.T) {
-	x := newParty(t, 1).daemons[0]
-	x.takeCrashNews("other", x.socket.LocalAddr().(*net.UDPAddr).AddrPort(), &toucanhingev1.CrashNews{
+// Crash messages with invalid fingerprints must be ignored.
+func TestInvalidCrashMessagesAreIgnored(t *testing.T) {
+	x := newLoopbackFleet(t, 1).daemons[0]
+	x.receiveCrashes("other", x.socket.LocalAddr().(*net.UDPAddr).AddrPort(), &toucanhingev1.CrashNews{
 		Sightings:   []*toucanhingev1.CrashSighting{{Runner: "r", Content: []byte("short"), Sign: 2}, {Runner: "s", Content: make([]byte, 40), Sign: 2}},
 		Quarantines: []*toucanhingev1.RequestQuarantine{{Content: nil, LeftMs: 60_000}},
 		Clearances:  []*toucanhingev1.RequestClearance{{Content: []byte{1}}},
 	})
-	require.False(t, x.Suspects())
+	require.False(t, x.HasSuspects())
 }
--- a/common/pkg/digest/exchange.go
+++ b/common/pkg/digest/exchange.go
@@ -1,7 +1,7 @@
-// Package digest exchanges load digests between daemons by UDP. A digest is
-// small, goes out a few milliseconds after a change and replaces the one before,
-// so a lost datagram is made good by the next. By the same socket daemons tell one
-// another which requests crash runners; that news is told several times.
+// Package digest exchanges load digests between daemons over UDP. A digest is small, is sent a
+// few milliseconds after a change and replaces the previous one, so the next digest makes up for
+// a lost datagram. Daemons use the same socket to report requests that crash runners; those
+// reports are sent several times.
 package digest
 
 import (
@@ -25,72 +25,73 @@
 )
 
 const (
-	// gather is how long a change waits for others, so that a burst of requests
-	// costs one datagram to each daemon instead of one for each request. Runners
-	// need some 10 ms to a first token, so a picture 4 ms old places as well.
-	gather = 4 * time.Millisecond
-	// gatherPeers is the number of peers up to which that holds; with more, changes
-	// are gathered for longer, so that a daemon's datagrams don't grow with the
-	// fleet: at 100 gateways they made up most of the bytes between data centres.
-	gatherPeers = 16
-	// tellEmpty is how often in a row it is told that nothing is under way.
-	tellEmpty = 2
-	// mostBytes is the largest UDP payload.
-	mostBytes = 64 << 10
+	// batchDelay is how long a change waits for further ones, so that a burst of requests
+	// costs each peer one datagram instead of one per request. Runners need about 10 ms to
+	// the first token, so a delay of 4 ms doesn't make placement worse.
+	batchDelay = 4 * time.Millisecond
+	// batchDelayPeers is the number of peers up to which batchDelay applies unscaled. With more
+	// peers the delay grows, so that the number of datagrams per daemon doesn't grow with the
+	// fleet: at 100 gateways they made up most of the traffic between data centres.
+	batchDelayPeers = 16
+	// emptyDigestRepeats is the number of consecutive empty digests that are sent before a
+	// daemon stops sending.
+	emptyDigestRepeats = 2
+	// maxDatagramSize is the maximum size of a UDP payload.
+	maxDatagramSize = 64 << 10
 )
 
 // Config describes an exchange.
 type Config struct {
 	// Address to listen on, IP:port.
 	Address string
-	// Source names this daemon to the others.
+	// Source is the name of this daemon in its digests.
 	Source string
-	// DataCentre is the daemon's own; empty if it isn't known.
+	// DataCentre is the data centre of this daemon, empty if unknown.
 	DataCentre string
-	// Core says that this is a VM of the core.
+	// Core is set on a VM of the core.
 	Core   bool
 	Clock  clock.Clock
 	Logger log.Logger
-	// Version is the routing table in force here.
+	// Version returns the version of the routing table that this daemon uses.
 	Version func() uint64
-	// Heard is told after a digest of another daemon came in, with the routing
-	// table in force there; may be nil.
-	Heard func(version uint64)
-	// Quota counts the requests of teams, by the Boot clock; nil if nobody limits them.
+	// OnDigest is called after each received digest with the routing table version of its
+	// sender; may be nil.
+	OnDigest func(version uint64)
+	// Quota counts the requests of teams by the Boot clock; nil if teams have no limits.
 	Quota *quota.Counter
 	Boot  clock.Clock
 }
 
-// Exchange holds the occupancy table, and tells the own part of it.
+// Exchange holds the occupancy table and publishes this daemon's part of it.
 type Exchange struct {
 	config   Config
 	socket   *net.UDPConn
 	epoch    uint64
 	sequence uint64
-	// empty counts the digests in a row that told of nothing.
-	empty int
-	dirty chan struct{}
-	news  *crashNews
+	// emptySent counts the consecutive digests without content.
+	emptySent  int
+	dirty      chan struct{}
+	crashState *crashState
 
 	mu    sync.Mutex
 	table *occupancy.Table
 	peers []netip.AddrPort
-	// all has the addresses of all peers as sent to, by their text.
+	// all maps the address text of each peer to its parsed address.
 	all   map[string]netip.AddrPort
 	relay *relay
-	// heard is when something came from each runner last.
-	heard       map[string]clock.Millis
-	heardPruned clock.Millis
-	// gateways is how many daemons aren't of the core, this one with them.
-	gateways int
-	hearing  hearing
+	// runnerSeen is the time of the last event from each runner.
+	runnerSeen       map[string]clock.Millis
+	runnerSeenPruned clock.Millis
+	// gateways counts the daemons outside the core, including this one.
+	gateways  int
+	isolation isolation
 }
 
-// Listen takes the address.
+// Listen opens the UDP socket and returns an exchange that is not yet running.
 func Listen(config Config) (*Exchange, error) {
 	address, err := net.ResolveUDPAddr("udp4", config.Address)
 	if err != nil {
-		return nil, fmt.Errorf("address for load digests: %w", err)
+		return nil, fmt.Errorf("resolve load digest address: %w", err)
 	}
 	socket, err := net.ListenUDP("udp4", address)
 	if err != nil {
@@ -100,14 +101,14 @@
 		config.Boot = config.Clock
 	}
 	return &Exchange{
-		hearing: hearing{startedAt: config.Boot.Now()},
-		config:  config, socket: socket, epoch: uint64(config.Clock.Now()), all: map[string]netip.AddrPort{},
+		isolation: isolation{startedAt: config.Boot.Now()},
+		config:    config, socket: socket, epoch: uint64(config.Clock.Now()), all: map[string]netip.AddrPort{},
 		relay: newRelay(config.Source, Peer{Address: config.Address, DataCentre: config.DataCentre, Core: config.Core}),
-		dirty: make(chan struct{}, 1), news: newCrashNews(), table: occupancy.New(), heard: map[string]clock.Millis{},
+		dirty: make(chan struct{}, 1), crashState: newCrashState(), table: occupancy.New(), runnerSeen: map[string]clock.Millis{},
 	}, nil
 }
 
-// SetPeers replaces the daemons that get the digests. The own one is left out.
+// SetPeers replaces the daemons that receive the digests. The exchange skips its own address.
 func (x *Exchange) SetPeers(peers []Peer) {
 	all := make(map[string]netip.AddrPort, len(peers))
 	var others []Peer
@@ -124,15 +125,15 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.welcome(all)
+	x.resendUsage(all)
 	x.all = all
 	x.relay.setPeers(x.config.Clock.Now(), others)
-	told := others
-	if x.relay.sums() {
-		told = x.relay.near
+	recipients := others
+	if x.relay.usesSummaries() {
+		recipients = x.relay.local
 	}
 	x.peers = nil
-	for _, p := range told {
+	for _, p := range recipients {
 		x.peers = append(x.peers, all[p.Address])
 	}
 	x.gateways = 1
@@ -143,7 +144,8 @@
 	}
 }
 
-// Add counts own work that begins, or ends with negative numbers.
+// Add changes the load that this daemon has at a runner: positive for requests that start,
+// negative for requests that end.
 func (x *Exchange) Add(runner string, change occupancy.Load) {
 	x.mu.Lock()
 	x.table.Add(runner, change)
@@ -151,28 +153,28 @@
 	x.wake()
 }
 
-// SetSilent notes that a runner has said nothing for too long, or speaks again.
-func (x *Exchange) SetSilent(runner string, silent bool) {
+// SetUnresponsive records whether this daemon finds a runner unresponsive.
+func (x *Exchange) SetUnresponsive(runner string, unresponsive bool) {
 	x.mu.Lock()
-	x.table.SetSilent(x.config.Clock.Now(), runner, silent)
+	x.table.SetSilent(x.config.Clock.Now(), runner, unresponsive)
 	x.mu.Unlock()
 	x.wake()
 }
 
-// Observe compares what a runner says to have under way with the counts of all
-// daemons; foreign work that wasn't known is logged and told.
-func (x *Exchange) Observe(runner string, held int) {
+// Observe compares the number of requests that a runner reports with the counts of all daemons.
+// It logs and publishes a change in foreign work.
+func (x *Exchange) Observe(runner string, reported int) {
 	x.mu.Lock()
-	found, news := x.table.Observe(x.config.Clock.Now(), runner, held)
+	found, changed := x.table.Observe(x.config.Clock.Now(), runner, reported)
 	x.mu.Unlock()
-	if !news {
+	if !changed {
 		return
 	}
-	level.Info(x.config.Logger).Log(logs.KeyEvent, "foreign-work", "runner", runner, "held", held, "foreign", found)
+	level.Info(x.config.Logger).Log(logs.KeyEvent, "foreign-work", "runner", runner, "held", reported, "foreign", found)
 	x.wake()
 }
 
-// View runs a function on the table, which it must not keep.
+// View calls read with the table. The function must not retain it.
 func (x *Exchange) View(read func(*occupancy.Table)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -189,16 +191,16 @@
 
 // Run sends and receives until the context ends.
 func (x *Exchange) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { x.receive(ctx) })
-	duties.Go(func() { x.pass(ctx) })
-	duties.Go(func() { x.tellCrashes(ctx) })
+	var wg sync.WaitGroup
+	wg.Go(func() { x.receive(ctx) })
+	wg.Go(func() { x.runRelay(ctx) })
+	wg.Go(func() { x.runCrashGossip(ctx) })
 	x.send(ctx)
 	_ = x.socket.Close()
-	duties.Wait()
+	wg.Wait()
 }
 
-// write sends one datagram. One that can't be sent is dropped: the next replaces it.
+// write sends one datagram. A failed send is dropped because the next datagram replaces it.
 func (x *Exchange) write(data []byte, peer netip.AddrPort) {
 	if _, err := x.socket.WriteToUDPAddrPort(data, peer); err != nil {
 		level.Debug(x.config.Logger).Log(logs.KeyEvent, "digest-unsent", "peer", peer, logs.KeyError, err)
@@ -218,42 +220,43 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(x.gather()):
+			case <-time.After(x.batchDelay()):
 			}
 		}
-		x.tell()
+		x.publish()
 	}
 }
 
-func (x *Exchange) gather() time.Duration {
+func (x *Exchange) batchDelay() time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return gather * time.Duration(x.crowd())
+	return batchDelay * time.Duration(x.delayFactor())
 }
 
-// travel is how long a digest is under way, with the time until a small VM reads it:
-// 1 to 2 ms between data centres, and a few of a processor's tenth.
-const travel clock.Millis = 6
+// networkDelay is the time between sending and processing a digest: 1 to 2 ms between data
+// centres, and a few milliseconds until a small VM with a tenth of a processor reads it.
+const networkDelay clock.Millis = 6
 
-// hubTravel is the way over a hub.
-const hubTravel clock.Millis = 3
+// hubDelay is the additional delay of a digest that a hub forwards.
+const hubDelay clock.Millis = 3
 
-// Age is how old the counts of other daemons are.
+// Age estimates the age of the counts received from other daemons.
 func (x *Exchange) Age() clock.Millis {
-	age := clock.Millis(x.gather().Milliseconds()) + travel
+	age := clock.Millis(x.batchDelay().Milliseconds()) + networkDelay
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.relay.sums() {
-		// Summed up at one relay, passed on by another one.
-		age += relayEvery/2 + relayEvery/2
+	if x.relay.usesSummaries() {
+		// The relay of the sending data centre sums up, the relay of the receiving one forwards:
+		// each waits half an interval on average.
+		age += relayInterval/2 + relayInterval/2
 	}
 	if !x.relay.hubs.tree.Empty() {
-		age += hubTravel
+		age += hubDelay
 	}
 	return age
 }
 
-// PeersOf makes the daemons of a fleet into peers.
+// PeersOf returns the daemons of a fleet view as peers.
 func PeersOf(f *toucanhingev1.FleetView) []Peer {
 	var peers []Peer
 	for _, p := range f.GetDigestPeers() {
@@ -262,66 +265,69 @@
 	return peers
 }
 
-// crowd is how much longer intervals are in a large fleet; the caller holds the lock.
-func (x *Exchange) crowd() int { return max(len(x.peers)/gatherPeers, 1) }
+// delayFactor is the factor by which delays and intervals grow in a large fleet. The caller
+// holds the lock.
+func (x *Exchange) delayFactor() int { return max(len(x.peers)/batchDelayPeers, 1) }
 
-// interval is the longest time until the next digest.
+// interval is the maximum time until the next digest.
 func (x *Exchange) interval() clock.Millis {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	next := occupancy.DigestEvery
-	if promised := x.promise(); promised > 0 {
-		next = promised
+	longest := occupancy.DigestEvery
+	if promised := x.promisedInterval(); promised > 0 {
+		longest = promised
 	}
-	if x.guides() {
-		next = min(next, coreEvery)
+	if x.sendsHeartbeats() {
+		longest = min(longest, coreInterval)
 	}
-	return next
+	return longest
 }
 
-// guides says whether gateways that hear nothing of this daemon take themselves to be cut off;
-// the caller holds the lock.
-func (x *Exchange) guides() bool { return x.config.Core && x.config.Quota != nil && len(x.peers) > 0 }
+// sendsHeartbeats reports whether this daemon sends digests even when it is idle. Gateways use
+// the digests of the core's leader to detect that they are partitioned. The caller holds the lock.
+func (x *Exchange) sendsHeartbeats() bool {
+	return x.config.Core && x.config.Quota != nil && len(x.peers) > 0
+}
 
-// promise is the interval that others may count on, 0 for none; the caller holds
-// the lock.
-func (x *Exchange) promise() clock.Millis {
+// promisedInterval is the maximum interval between digests that this daemon announces to others,
+// 0 for none. The caller holds the lock.
+func (x *Exchange) promisedInterval() clock.Millis {
 	if !x.table.RunsItems() {
 		return 0
 	}
-	return occupancy.BatchEvery * clock.Millis(x.crowd())
+	return occupancy.BatchEvery * clock.Millis(x.delayFactor())
 }
 
-// Overdue says whether a daemon has kept silent for longer than it promised, since a
-// moment or since it told something last.
+// Overdue reports whether a daemon has sent no digest for longer than it announced, counted from
+// its last digest or from since, whichever is later.
 func (x *Exchange) Overdue(daemon string, since clock.Millis) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.table.Overdue(x.config.Clock.Now(), daemon, since)
 }
 
-// tell sends the own work to all. A digest that can't be sent is dropped: the
-// next one replaces it.
-func (x *Exchange) tell() {
+// publish sends this daemon's load digest to all its peers. A digest that can't be sent is
+// dropped because the next one replaces it.
+func (x *Exchange) publish() {
 	x.mu.Lock()
-	peers, guides := x.peers, x.guides()
+	peers, heartbeats := x.peers, x.sendsHeartbeats()
 	loads := x.table.Loads(x.config.Clock.Now())
-	next := x.promise()
+	promised := x.promisedInterval()
 	x.mu.Unlock()
-	untold := x.config.Quota.Awake(x.boot())
-	// Nothing under way is told twice, lest one is lost, and then no more.
-	if len(loads) > 0 || untold || guides {
-		x.empty = 0
+	unsent := x.config.Quota.Awake(x.bootNow())
+	// The empty state is sent twice, in case one datagram is lost, and then no more.
+	if len(loads) > 0 || unsent || heartbeats {
+		x.emptySent = 0
 	} else {
-		x.empty++
+		x.emptySent++
 	}
-	if len(peers) == 0 || x.empty > tellEmpty {
+	if len(peers) == 0 || x.emptySent > emptyDigestRepeats {
 		return
 	}
 	x.sequence++
 	data, err := proto.Marshal(&toucanhingev1.LoadDigest{
 		Source: x.config.Source, Epoch: x.epoch, Sequence: x.sequence, Version: x.config.Version(), Loads: loads,
-		NextMs: uint32(next), Uses: x.config.Quota.Tell(false), CountingMs: x.counting(),
+		NextMs: uint32(promised), Uses: x.config.Quota.Tell(false), CountingMs: x.countingMs(),
 	})
 	if err != nil {
 		level.Error(x.config.Logger).Log(logs.KeyEvent, "digest-unencodable", logs.KeyError, err)
@@ -333,7 +339,7 @@
 }
 
 func (x *Exchange) receive(ctx context.Context) {
-	buffer := make([]byte, mostBytes)
+	buffer := make([]byte, maxDatagramSize)
 	for {
 		n, from, err := x.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
@@ -349,15 +355,15 @@
 			continue
 		}
 		sender := netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		if news := d.GetCrashes(); news != nil {
-			x.takeCrashNews(d.GetSource(), sender, news)
+		if message := d.GetCrashes(); message != nil {
+			x.receiveCrashes(d.GetSource(), sender, message)
 			continue
 		}
-		for _, peer := range x.take(sender.String(), d) {
+		for _, peer := range x.apply(sender.String(), d) {
 			x.write(buffer[:n], peer)
 		}
-		if x.config.Heard != nil {
-			x.config.Heard(d.GetVersion())
+		if x.config.OnDigest != nil {
+			x.config.OnDigest(d.GetVersion())
 		}
 	}
 }
--- a/common/pkg/digest/hubs.go
+++ b/common/pkg/digest/hubs.go
@@ -9,65 +9,66 @@
 )
 
 const (
-	// askEvery is how often a daemon that the relay's digests don't reach asks for them, and
-	// askedFor how long it is told then.
-	askEvery clock.Millis = 300
-	askedFor clock.Millis = 1_000
-	// mostTold is the number of daemons that the relay tells by itself. More way makes the picture
-	// older, and teams' quotas are then passed by a little more.
-	mostTold = 32
+	// queryInterval is the interval at which a daemon that receives no relay digests requests
+	// them, and directDuration how long the relay then sends to it directly.
+	queryInterval  clock.Millis = 300
+	directDuration clock.Millis = 1_000
+	// maxDirect is the number of daemons up to which the relay sends to all of them directly.
+	// A hop over a hub makes the counts older, and teams then exceed their quotas a little more.
+	maxDirect = 32
 )
 
-// hubs decides how the relay's digests reach the daemons of a data centre. Sent to each of them,
-// they are the product of all requests of the fleet and all gateways of the data centre: with
-// 90 of them more than a small VM's link takes. So in a large fleet the relay tells some hubs,
-// and each of these passes on to its part of the others what it gets. One whose hub is gone
-// asks the relay itself. It holds no goroutine, socket or clock.
+// hubs decides how the relay's digests reach the daemons of a data centre. If the relay sent to
+// all of them, its traffic would be the product of the fleet's request rate and the gateways of
+// the data centre: with 90 gateways that exceeds the link of a small VM. In a large fleet the
+// relay therefore sends to a few hubs, and each hub forwards to its share of the other daemons. A
+// daemon whose hub has failed queries the relay. hubs holds no goroutine, socket or clock.
 type hubs struct {
 	self Peer
 	tree fanout.Tree
-	// first are those whom the relay tells, children those to whom this daemon passes on.
-	first    []string
+	// direct lists the daemons that the relay sends to, children those that this daemon
+	// forwards to.
+	direct   []string
 	children []string
-	// parent is the hub of this daemon, empty if the relay itself tells it.
+	// parent is the hub of this daemon, empty if the relay sends to it directly.
 	parent string
-	// since is when this daemon began to wait for digests, heard when they came last from
-	// whom they should, and origin who relayed then.
-	since, heard clock.Millis
-	origin       string
-	askedAt      clock.Millis
-	// asking are daemons that asked to be told directly, until a moment.
-	asking map[string]clock.Millis
+	// waitingSince is when this daemon started to wait for relay digests, receivedAt when the
+	// last one arrived from the expected sender, and origin the relay that sent it.
+	waitingSince, receivedAt clock.Millis
+	origin                   string
+	queriedAt                clock.Millis
+	// directUntil holds the daemons that requested direct sending, with the time it ends.
+	directUntil map[string]clock.Millis
 }
 
-func newHubs(self Peer) hubs { return hubs{self: self, asking: map[string]clock.Millis{}} }
+func newHubs(self Peer) hubs { return hubs{self: self, directUntil: map[string]clock.Millis{}} }
 
-// setPeers takes over the daemons of the fleet, and among them those of the own data centre.
-func (h *hubs) setPeers(now clock.Millis, peers, near []Peer) {
-	if h.since == 0 {
-		h.since = now
+// setPeers replaces the other daemons of the fleet. local holds those of the own data centre.
+func (h *hubs) setPeers(now clock.Millis, peers, local []Peer) {
+	if h.waitingSince == 0 {
+		h.waitingSince = now
 	}
-	h.tree, h.first, h.children, h.parent = fanout.Tree{}, nil, nil, ""
-	if len(near) <= mostTold {
-		h.first = addresses(near)
+	h.tree, h.direct, h.children, h.parent = fanout.Tree{}, nil, nil, ""
+	if len(local) <= maxDirect {
+		h.direct = addresses(local)
 		return
 	}
 	h.tree = treeOf(append(slices.Clone(peers), h.self))
-	all := h.tree.Hubs(h.self.DataCentre)
-	for _, p := range near {
-		if p.Core || slices.Contains(all, p.Address) {
-			h.first = append(h.first, p.Address)
+	hubAddresses := h.tree.Hubs(h.self.DataCentre)
+	for _, p := range local {
+		if p.Core || slices.Contains(hubAddresses, p.Address) {
+			h.direct = append(h.direct, p.Address)
 		}
 	}
 	if h.self.Core {
 		return
 	}
-	if !slices.Contains(all, h.self.Address) {
+	if !slices.Contains(hubAddresses, h.self.Address) {
 		h.parent = h.hubOf(h.self)
 		return
 	}
-	for _, p := range near {
-		if !p.Core && !slices.Contains(all, p.Address) && h.hubOf(p) == h.self.Address {
+	for _, p := range local {
+		if !p.Core && !slices.Contains(hubAddresses, p.Address) && h.hubOf(p) == h.self.Address {
 			h.children = append(h.children, p.Address)
 		}
 	}
@@ -83,18 +84,18 @@
 	return fanout.New(list)
 }
 
-// hubOf is the hub that passes on to a daemon that is none itself.
+// hubOf returns the hub that forwards to a daemon that is not a hub itself.
 func (h *hubs) hubOf(p Peer) string {
 	return h.tree.Parents(fanout.Gateway{Address: p.Address, DataCentre: p.DataCentre})[0]
 }
 
-// told lists whom this daemon, as the relay, has to tell.
-func (h *hubs) told(now clock.Millis) []string {
-	list := append(slices.Clone(h.first), h.children...)
-	for address, until := range h.asking {
+// recipients lists the daemons that this daemon, as the relay, has to send to.
+func (h *hubs) recipients(now clock.Millis) []string {
+	list := append(slices.Clone(h.direct), h.children...)
+	for address, until := range h.directUntil {
 		switch {
 		case until <= now:
-			delete(h.asking, address)
+			delete(h.directUntil, address)
 		case !slices.Contains(list, address):
 			list = append(list, address)
 		}
@@ -102,12 +103,12 @@
 	return list
 }
 
-// receive notes a digest of the own data centre's relay that came from a daemon, and lists to
-// whom it has to be passed on.
+// receive records a digest of the own data centre's relay that arrived from a daemon, and lists
+// the daemons to forward it to.
 func (h *hubs) receive(now clock.Millis, from, origin string) []string {
 	direct := origin == from
 	if from == h.parent || direct && h.parent == "" {
-		h.heard, h.origin = now, origin
+		h.receivedAt, h.origin = now, origin
 	}
 	if !direct {
 		return nil
@@ -115,7 +116,8 @@
 	return slices.DeleteFunc(slices.Clone(h.children), func(address string) bool { return address == origin })
 }
 
-// originOf is the daemon that relays. One of an earlier program doesn't say so, and sends itself.
+// originOf returns the relay that a digest comes from. Relays of earlier versions don't set the
+// origin and send to all daemons themselves.
 func originOf(from string, d *toucanhingev1.LoadDigest) string {
 	if d.GetOrigin() != "" {
 		return d.GetOrigin()
@@ -123,19 +125,19 @@
 	return from
 }
 
-// ask lists whom to ask for the relay's digests now: the one that relayed last, and those that
-// relay if it is gone.
-func (h *hubs) ask(now clock.Millis, near []Peer) []string {
-	if h.tree.Empty() || now-max(h.heard, h.since) <= relaySilence || now-h.askedAt < askEvery {
+// queryTargets lists the daemons to request relay digests from now, none if they arrive: the last
+// known relay and the daemons that succeed it.
+func (h *hubs) queryTargets(now clock.Millis, local []Peer) []string {
+	if h.tree.Empty() || now-max(h.receivedAt, h.waitingSince) <= relayTimeout || now-h.queriedAt < queryInterval {
 		return nil
 	}
-	h.askedAt = now
-	list := addresses(near[:min(len(near), 2)])
+	h.queriedAt = now
+	list := addresses(local[:min(len(local), 2)])
 	if h.origin != "" && !slices.Contains(list, h.origin) {
 		list = append(list, h.origin)
 	}
 	return list
 }
 
-// asked notes that a daemon asks to be told.
-func (h *hubs) asked(now clock.Millis, from string) { h.asking[from] = now + askedFor }
+// recordQuery records that a daemon requested direct sending.
+func (h *hubs) recordQuery(now clock.Millis, from string) { h.directUntil[from] = now + directDuration }
--- a/common/pkg/digest/uses_test.go
+++ b/common/pkg/digest/quota_test.go
@@ -12,77 +12,76 @@
 	"toucanhinge.example/common/pkg/quota"
 )
 
-// ask lets a team's requests in at a daemon, as many of some as fit.
-func (f *fleet) ask(d *daemon, l quota.Limit, requests int) (let int) {
-	around := quota.Surroundings{Gateways: len(f.order), Age: 60}
+// acquireQuota requests quota for some requests at a daemon and returns how many were admitted.
+func (f *fleet) acquireQuota(d *daemon, l quota.Limit, requests int) (admitted int) {
+	surroundings := quota.Surroundings{Gateways: len(f.addresses), Age: 60}
 	for range requests {
-		v := d.uses.Ask(f.now, l, around)
+		v := d.counter.Ask(f.now, l, surroundings)
 		for v.Wait > 0 {
 			f.run(v.Wait)
-			v = d.uses.Ask(f.now, l, around)
+			v = d.counter.Ask(f.now, l, surroundings)
 		}
 		if v.Admitted {
-			let++
+			admitted++
 			d.dirty = true
 		}
 	}
-	return let
+	return admitted
 }
 
-// A team's requests come to gateways in all data centres of a large fleet. A moment later each
-// gateway knows of all of them, also where datagrams were lost, though only one daemon of each
-// data centre talks to the others.
-func TestAllKnowWhatTeamsHaveUsed(t *testing.T) {
+// A team sends requests to gateways in all data centres of a large fleet. Every gateway must soon
+// count all of them, even if datagrams are lost.
+func TestQuotaUsageReachesAllGateways(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		lost float64
-		// within is the part by which a gateway may be off.
+		// within is the permitted relative error of a gateway's count.
 		within float64
-	}{{"nothing is lost", 0, 0.001}, {"one datagram in twenty is lost", 0.05, 0.02}} {
+	}{{"no loss", 0, 0.001}, {"loss of one datagram in twenty", 0.05, 0.02}} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 5, 12)
-			f.run(2 * relaySilence)
-			f.lost = c.lost
+			f.run(2 * relayTimeout)
+			f.lossRate = c.lost
 			l := quota.Limit{Team: "a", Rate: 1_000}
-			let := 0
+			admitted := 0
 			for range 400 {
-				let += f.ask(f.any(), l, 1)
+				admitted += f.acquireQuota(f.any(), l, 1)
 				f.run(3)
 			}
 			f.run(3 * 250)
-			require.Equal(t, 400, let)
-			for _, address := range f.order {
-				require.InDelta(t, float64(let), f.daemons[address].uses.Used(f.now, "a"), c.within*float64(let), address)
+			require.Equal(t, 400, admitted)
+			for _, address := range f.addresses {
+				require.InDelta(t, float64(admitted), f.daemons[address].counter.Used(f.now, "a"), c.within*float64(admitted), address)
 			}
 		})
 	}
 }
 
 // The relay of a data centre loses power while a team sends four times its limit everywhere.
-// Until the next one takes over, the others don't hear of what is let in there; the margin
-// bears that.
-func TestAQuotaOutlivesItsRelay(t *testing.T) {
+// Until the next relay is active, the other data centres miss the usage of this one. The excess
+// must stay within the overrun margin.
+func TestQuotaHoldsWhenRelayFails(t *testing.T) {
 	f := newFleet(t, 4, 12)
-	f.run(2 * relaySilence)
+	f.run(2 * relayTimeout)
 	l := quota.Limit{Team: "a", Rate: 50, Burst: 10}
-	let := 0
+	admitted := 0
 	for n := range 1_000 {
 		if n == 300 {
-			f.daemons["10.0.0.00:1"].gone = true
+			f.daemons["10.0.0.00:1"].down = true
 		}
-		if d := f.any(); !d.gone {
-			let += f.ask(d, l, 1)
+		if d := f.any(); !d.down {
+			admitted += f.acquireQuota(d, l, 1)
 		}
 		f.run(5)
 	}
-	// One window of five seconds: 260 requests, a margin of twenty.
-	require.LessOrEqual(t, let, 280)
-	require.GreaterOrEqual(t, let, 234, "nine tenths of the limit")
+	// One window of five seconds permits 260 requests, and the overrun margin is twenty.
+	require.LessOrEqual(t, admitted, 280)
+	require.GreaterOrEqual(t, admitted, 234, "at least nine tenths of the limit")
 }
 
-// Two daemons on real sockets. What one lets in, the other knows within some milliseconds; a
-// third one that comes later is told what was counted before.
-func TestUsesTravelWithDigests(t *testing.T) {
+// Two daemons on real sockets exchange quota usage within some milliseconds. A third daemon that
+// joins later must receive the usage counted before, and released quota must reach all of them.
+func TestQuotaUsageIsSentWithDigests(t *testing.T) {
 	now := clock.System()
 	var list []*Exchange
 	for range 3 {
@@ -97,31 +96,32 @@
 		list = append(list, x)
 		go x.Run(t.Context())
 	}
-	peers := func(known ...*Exchange) {
+	peers := func(joined ...*Exchange) {
 		var all []Peer
-		for _, x := range known {
+		for _, x := range joined {
 			all = append(all, Peer{Address: x.config.Address})
 		}
-		for _, x := range known {
+		for _, x := range joined {
 			x.SetPeers(all)
 		}
 	}
 	peers(list[0], list[1])
 	l := quota.Limit{Team: "a", Rate: 100}
 	for range 5 {
-		require.True(t, list[0].LetIn(l).Admitted)
+		require.True(t, list[0].AcquireQuota(l).Admitted)
 	}
 	used := func(x *Exchange) float64 { return x.config.Quota.Used(now.Now(), "a") }
 	require.Eventually(t, func() bool { return used(list[1]) == 5 }, 5*time.Second, 2*time.Millisecond)
 	peers(list...)
 	require.Eventually(t, func() bool { return used(list[2]) == 5 }, 5*time.Second, 2*time.Millisecond)
-	list[0].GiveBack(now.Now(), "a")
+	list[0].ReleaseQuota(now.Now(), "a")
 	require.Eventually(t, func() bool { return used(list[2]) == 4 && used(list[1]) == 4 }, 5*time.Second, 2*time.Millisecond)
 }
 
-// A gateway that nobody calls in a quiet fleet still hears the core's leader, and so knows that
-// it isn't cut off; one that hears nobody for half a second does not.
-func TestAQuietFleetIsNoIsolation(t *testing.T) {
+// An idle gateway in an idle fleet must not consider itself isolated, because the core's leader
+// keeps sending digests. When the leader stops, the gateway must limit itself to its share of the
+// overrun margin.
+func TestIdleGatewayIsNotIsolated(t *testing.T) {
 	now := clock.System()
 	listen := func(name string, core bool) *Exchange {
 		counter := quota.NewCounter(quota.Config{Window: 5_000, Slack: 16})
@@ -135,24 +135,24 @@
 		return x
 	}
 	leader, gateway := listen("leader", true), listen("gateway", false)
-	ctx, cut := context.WithCancel(t.Context())
+	ctx, stopLeader := context.WithCancel(t.Context())
 	go leader.Run(ctx)
 	go gateway.Run(t.Context())
 	peers := []Peer{{Address: leader.config.Address, Core: true}, {Address: gateway.config.Address}}
 	leader.SetPeers(peers)
 	gateway.SetPeers(peers)
 	l := quota.Limit{Team: "a", Rate: 1_000}
-	ask := func() (let int) {
+	acquire := func() (admitted int) {
 		for range 10 {
-			if gateway.LetIn(l).Admitted {
-				let++
+			if gateway.AcquireQuota(l).Admitted {
+				admitted++
 			}
 		}
-		return let
+		return admitted
 	}
-	time.Sleep(2 * isolatedAfter.Duration())
-	require.Equal(t, 10, ask())
-	cut()
-	time.Sleep(2 * isolatedAfter.Duration())
-	require.Zero(t, ask(), "it has used its part of the margin already")
+	time.Sleep(2 * isolationTimeout.Duration())
+	require.Equal(t, 10, acquire())
+	stopLeader()
+	time.Sleep(2 * isolationTimeout.Duration())
+	require.Zero(t, acquire(), "the gateway has already used its share of the margin")
 }
--- a/common/pkg/digest/relay.go
+++ b/common/pkg/digest/relay.go
@@ -10,35 +10,37 @@
 )
 
 const (
-	// relayPeers is the number of peers from which on data centres tell one another sums.
-	// Told by all to all, the digests of hundreds of daemons fill small VMs' processors; among
-	// a few, the two hops more make the picture older for little.
-	relayPeers = 20
-	// relayEvery is how often a relay tells what changed: a picture is then some 20 ms old.
-	relayEvery clock.Millis = 8
-	// wholeEvery is how often all is told, so that a lost datagram is made good.
-	wholeEvery = occupancy.DigestEvery
-	// signEvery is the longest pause between signs of a relay to its own data centre.
-	signEvery clock.Millis = 100
-	// shrinkAfter is how long a smaller number of peers must stand until it counts: a new
-	// leader of the core learns of the gateways one after the other.
-	shrinkAfter clock.Millis = 5_000
-	// relaySilence is the silence of a relay after which the next one takes its place, and
-	// after which others tell two daemons of its data centre.
-	relaySilence clock.Millis = 300
+	// minRelayPeers is the number of peers from which data centres exchange summaries. Digests
+	// sent from each of hundreds of daemons to all others overload the processors of small VMs.
+	// In a small fleet the two additional hops would only make the counts older.
+	minRelayPeers = 20
+	// relayInterval is the interval at which a relay sends changes. Counts of other data centres
+	// are then about 20 ms old.
+	relayInterval clock.Millis = 8
+	// fullSummaryInterval is the interval between full summaries, which make up for lost
+	// datagrams.
+	fullSummaryInterval = occupancy.DigestEvery
+	// heartbeatInterval is the maximum interval between digests of a relay to its own data centre.
+	heartbeatInterval clock.Millis = 100
+	// shrinkDelay is the time after which a lower number of peers applies. A new leader of the
+	// core learns of the gateways one by one, so its first peer lists are incomplete.
+	shrinkDelay clock.Millis = 5_000
+	// relayTimeout is the time without a digest of a relay after which the next daemon takes the
+	// role, and after which other data centres send to two daemons of its data centre.
+	relayTimeout clock.Millis = 300
 )
 
-// Peer is a daemon that takes digests.
+// Peer is a daemon that receives digests.
 type Peer struct {
-	// Address is IP:port over UDP.
+	// Address is the IP:port for UDP.
 	Address    string
 	DataCentre string
-	// Core says that it is a VM of the core, which relays only if nobody else does.
+	// Core is set for a VM of the core, which relays only if no gateway does.
 	Core bool
 }
 
-// before ranks the daemons of a data centre: the first that is there relays.
-func (p Peer) before(other Peer) int {
+// compare orders the daemons of a data centre by precedence: the first live one is the relay.
+func (p Peer) compare(other Peer) int {
 	if p.Core != other.Core {
 		if other.Core {
 			return -1
@@ -48,244 +50,253 @@
 	return cmp.Compare(p.Address, other.Address)
 }
 
-// parcel is a digest for some daemons.
-type parcel struct {
+// outbound is a digest with its recipients.
+type outbound struct {
 	to     []string
 	digest *toucanhingev1.LoadDigest
 }
 
-// relay decides what a daemon passes on between data centres. In a large fleet daemons
-// tell their own work only to those of their data centre. One of these relays: it sums up
-// what all of them have under way, tells the relays of the other data centres what changed,
-// and passes on to its own what these tell. It holds no goroutine, socket or clock.
+// relay decides what a daemon forwards between data centres. In a large fleet daemons send their
+// load only within their data centre, and one daemon of each data centre is its relay. The relay
+// sums up the load of its data centre, sends changes to the relays of the other data centres and
+// forwards their summaries within its own. relay holds no goroutine, socket or clock.
 type relay struct {
 	source string
 	self   Peer
-	// near are the other daemons of the own data centre by rank, far those of each other one.
-	near []Peer
-	far  map[string][]Peer
-	// all is the number of peers, counted at countedAt.
-	all       int
+	// local holds the other daemons of the own data centre by precedence, remote those of each
+	// other data centre.
+	local  []Peer
+	remote map[string][]Peer
+	// peerCount is the number of peers, as of countedAt.
+	peerCount int
 	countedAt clock.Millis
-	// heard is when each daemon last gave a sign that it relays, by address.
-	heard map[string]clock.Millis
-	// since is when this daemon began to wait for such signs, acts since when it relays, or 0.
-	since clock.Millis
-	acts  clock.Millis
-	// nearSources are the names of daemons of the own data centre.
-	nearSources map[string]bool
-	// told is what the other data centres know of this one.
-	told     map[string]*toucanhingev1.RunnerLoad
-	sequence uint64
-	wholeAt  clock.Millis
-	toldAt   clock.Millis
-	signAt   clock.Millis
-	pending  []*toucanhingev1.LoadDigest
-	hubs     hubs
+	// lastSeen is the time of the last relay digest of each daemon, by address.
+	lastSeen map[string]clock.Millis
+	// waitingSince is when this daemon started to wait for relay digests. activeSince is when it
+	// became the relay, or 0.
+	waitingSince clock.Millis
+	activeSince  clock.Millis
+	// localSources holds the names of the daemons of the own data centre.
+	localSources map[string]bool
+	// published is the load of this data centre that the others have received.
+	published   map[string]*toucanhingev1.RunnerLoad
+	sequence    uint64
+	fullAt      clock.Millis
+	publishedAt clock.Millis
+	heartbeatAt clock.Millis
+	pending     []*toucanhingev1.LoadDigest
+	hubs        hubs
 }
 
 func newRelay(source string, self Peer) *relay {
-	return &relay{source: source, self: self, heard: map[string]clock.Millis{}, nearSources: map[string]bool{}, hubs: newHubs(self)}
+	return &relay{
+		source: source, self: self, lastSeen: map[string]clock.Millis{}, localSources: map[string]bool{}, hubs: newHubs(self),
+	}
 }
 
 // setPeers replaces the other daemons.
 func (r *relay) setPeers(now clock.Millis, peers []Peer) {
-	r.near, r.far = nil, map[string][]Peer{}
-	if len(peers) >= r.all || now-r.countedAt > shrinkAfter {
-		r.all, r.countedAt = len(peers), now
+	r.local, r.remote = nil, map[string][]Peer{}
+	if len(peers) >= r.peerCount || now-r.countedAt > shrinkDelay {
+		r.peerCount, r.countedAt = len(peers), now
 	}
 	for _, p := range peers {
 		if p.DataCentre == r.self.DataCentre {
-			r.near = append(r.near, p)
+			r.local = append(r.local, p)
 		} else {
-			r.far[p.DataCentre] = append(r.far[p.DataCentre], p)
+			r.remote[p.DataCentre] = append(r.remote[p.DataCentre], p)
 		}
 	}
-	slices.SortFunc(r.near, Peer.before)
-	for _, list := range r.far {
-		slices.SortFunc(list, Peer.before)
+	slices.SortFunc(r.local, Peer.compare)
+	for _, list := range r.remote {
+		slices.SortFunc(list, Peer.compare)
 	}
-	r.hubs.setPeers(now, peers, r.near)
-	if r.since == 0 {
-		r.since = now
+	r.hubs.setPeers(now, peers, r.local)
+	if r.waitingSince == 0 {
+		r.waitingSince = now
 	}
 }
 
-// sums says whether data centres tell one another sums.
-func (r *relay) sums() bool {
-	return r.all >= relayPeers && len(r.far) > 0 && r.self.DataCentre != ""
+// usesSummaries reports whether data centres exchange summaries instead of single digests.
+func (r *relay) usesSummaries() bool {
+	return r.peerCount >= minRelayPeers && len(r.remote) > 0 && r.self.DataCentre != ""
 }
 
-// rank is how many daemons of the data centre relay before this one.
-func (r *relay) rank() int {
-	rank := 0
-	for _, p := range r.near {
-		if p.before(r.self) < 0 {
-			rank++
+// precedence returns the number of daemons in the data centre that take the relay role before
+// this one.
+func (r *relay) precedence() int {
+	earlier := 0
+	for _, p := range r.local {
+		if p.compare(r.self) < 0 {
+			earlier++
 		}
 	}
-	return rank
+	return earlier
 }
 
-// relays says whether this daemon has to relay: all before it have kept silent for as long
-// as the ones between would have needed to take over.
-func (r *relay) relays(now clock.Millis) bool {
-	if !r.sums() || r.since == 0 {
+// shouldRelay reports whether this daemon has to be the relay. It has to if no daemon ahead of it
+// has sent a relay digest for so long that each of them could have taken the role.
+func (r *relay) shouldRelay(now clock.Millis) bool {
+	if !r.usesSummaries() || r.waitingSince == 0 {
 		return false
 	}
-	rank := r.rank()
-	last := r.since
-	for _, p := range r.near[:rank] {
-		last = max(last, r.heard[p.Address])
+	earlier := r.precedence()
+	last := r.waitingSince
+	for _, p := range r.local[:earlier] {
+		last = max(last, r.lastSeen[p.Address])
 	}
-	return rank == 0 || now-last > clock.Millis(rank)*relaySilence
+	return earlier == 0 || now-last > clock.Millis(earlier)*relayTimeout
 }
 
-// receive takes up a relay's digest, and returns the summaries that count here, and to whom the
-// digest has to be passed on.
-func (r *relay) receive(now clock.Millis, from string, d *toucanhingev1.LoadDigest) (summaries []*toucanhingev1.LoadDigest, passOn []string) {
+// receive records a digest of a relay. It returns the summaries to apply and the daemons to
+// forward the digest to.
+func (r *relay) receive(
+	now clock.Millis, from string, d *toucanhingev1.LoadDigest,
+) (summaries []*toucanhingev1.LoadDigest, forwardTo []string) {
 	origin := originOf(from, d)
-	r.heard[origin] = now
-	if r.isNear(origin) {
+	r.lastSeen[origin] = now
+	if r.isLocal(origin) {
 		return d.GetSummaries(), r.hubs.receive(now, from, origin)
 	}
-	if r.acts > 0 {
+	if r.activeSince > 0 {
 		r.pending = append(r.pending, d.GetSummaries()...)
 	}
 	return d.GetSummaries(), nil
 }
 
-func (r *relay) isNear(address string) bool {
-	return slices.ContainsFunc(r.near, func(p Peer) bool { return p.Address == address })
+func (r *relay) isLocal(address string) bool {
+	return slices.ContainsFunc(r.local, func(p Peer) bool { return p.Address == address })
 }
 
-// notice says whether a daemon's own digest counts here. Where data centres tell one another
-// sums, one from another data centre is contained in these already.
-func (r *relay) notice(from string, source string) bool {
-	if !r.sums() {
+// acceptsDigest reports whether to apply a daemon's own digest, and records its sender. With
+// summaries, the load of a daemon in another data centre is already part of a summary.
+func (r *relay) acceptsDigest(from string, source string) bool {
+	if !r.usesSummaries() {
 		return true
 	}
-	if !r.isNear(from) {
+	if !r.isLocal(from) {
 		return false
 	}
-	r.nearSources[source] = true
+	r.localSources[source] = true
 	return true
 }
 
-// tellUses lists the counts of teams' requests in the data centre that must still be told, and
-// for how long a span, in milliseconds, they were counted.
-type tellUses func() (uses []*toucanhingev1.TeamUse, counting uint32)
+// usageFunc returns the quota usage in the data centre that is still to be sent, and the time in
+// milliseconds over which it was counted.
+type usageFunc func() (usage []*toucanhingev1.TeamUse, countingMs uint32)
 
-// turn says what to tell now; it is asked every relayEvery.
-func (r *relay) turn(now clock.Millis, table *occupancy.Table, uses tellUses) []parcel {
-	if !r.relays(now) {
-		if r.acts > 0 {
+// step returns the digests to send now. It is called every relayInterval while this daemon is the
+// relay, else every heartbeatInterval.
+func (r *relay) step(now clock.Millis, table *occupancy.Table, usage usageFunc) []outbound {
+	if !r.shouldRelay(now) {
+		if r.activeSince > 0 {
 			table.SumNear(nil)
 		}
-		r.acts, r.pending = 0, nil
-		return r.ask(now)
+		r.activeSince, r.pending = 0, nil
+		return r.queryRelay(now)
 	}
-	if r.acts == 0 {
-		// Others must know a later time of this daemon from an earlier one.
-		r.acts, r.sequence, r.told, r.wholeAt = now, 0, nil, 0
-		table.SumNear(func(daemon string) bool { return r.nearSources[daemon] })
+	if r.activeSince == 0 {
+		// activeSince is sent as the epoch, so that others can distinguish two periods as relay.
+		r.activeSince, r.sequence, r.published, r.fullAt = now, 0, nil, 0
+		table.SumNear(func(daemon string) bool { return r.localSources[daemon] })
 	}
-	var parcels []parcel
-	if summary := r.summary(now, table, uses); summary != nil {
-		parcels = append(parcels, parcel{r.farRelays(now), r.wrap(summary)})
+	var messages []outbound
+	if summary := r.summary(now, table, usage); summary != nil {
+		messages = append(messages, outbound{r.remoteRelays(now), r.wrap(summary)})
 	}
-	if len(r.pending) > 0 || now-r.signAt >= signEvery {
-		parcels = append(parcels, parcel{r.hubs.told(now), r.wrap(r.pending...)})
-		r.pending, r.signAt = nil, now
+	if len(r.pending) > 0 || now-r.heartbeatAt >= heartbeatInterval {
+		messages = append(messages, outbound{r.hubs.recipients(now), r.wrap(r.pending...)})
+		r.pending, r.heartbeatAt = nil, now
 	}
-	return parcels
+	return messages
 }
 
-// ask asks for the digests of the data centre's relay, if they don't reach this daemon.
-func (r *relay) ask(now clock.Millis) []parcel {
-	if !r.sums() {
+// queryRelay requests the digests of the data centre's relay if they don't reach this daemon.
+func (r *relay) queryRelay(now clock.Millis) []outbound {
+	if !r.usesSummaries() {
 		return nil
 	}
-	to := r.hubs.ask(now, r.near)
+	to := r.hubs.queryTargets(now, r.local)
 	if len(to) == 0 {
 		return nil
 	}
-	return []parcel{{to, &toucanhingev1.LoadDigest{Source: r.source, Asks: true}}}
+	return []outbound{{to, &toucanhingev1.LoadDigest{Source: r.source, Asks: true}}}
 }
 
 func (r *relay) wrap(summaries ...*toucanhingev1.LoadDigest) *toucanhingev1.LoadDigest {
 	return &toucanhingev1.LoadDigest{Source: r.source, Relays: true, Summaries: summaries, Origin: r.self.Address}
 }
 
-// summary is what the other data centres don't know yet, nil if there is nothing.
-func (r *relay) summary(now clock.Millis, table *occupancy.Table, tell tellUses) *toucanhingev1.LoadDigest {
-	uses, counting := tell()
+// summary returns the changes that the other data centres haven't received yet, nil for none.
+func (r *relay) summary(now clock.Millis, table *occupancy.Table, usageOf usageFunc) *toucanhingev1.LoadDigest {
+	usage, countingMs := usageOf()
 	presences := table.Presences(now)
-	whole := now-r.wholeAt >= wholeEvery
+	full := now-r.fullAt >= fullSummaryInterval
 	var loads []*toucanhingev1.RunnerLoad
-	if whole {
-		r.wholeAt = now
-		loads = r.wholeSum(now, table)
+	if full {
+		r.fullAt = now
+		loads = r.fullSummary(now, table)
 	} else {
 		loads = r.changes(now, table)
-		// Daemons there count on hearing of those that run items.
-		if len(loads) == 0 && len(uses) == 0 && (len(presences) == 0 || now-r.toldAt < occupancy.BatchEvery) {
+		// Daemons of other data centres expect to see the daemons that run items regularly.
+		if len(loads) == 0 && len(usage) == 0 && (len(presences) == 0 || now-r.publishedAt < occupancy.BatchEvery) {
 			return nil
 		}
 	}
-	r.toldAt = now
+	r.publishedAt = now
 	r.sequence++
 	return &toucanhingev1.LoadDigest{
-		Source: r.source, Epoch: uint64(r.acts), Sequence: r.sequence, DataCentre: r.self.DataCentre, Partial: !whole,
-		Loads: loads, Presences: presences, Uses: uses, CountingMs: counting,
+		Source: r.source, Epoch: uint64(r.activeSince), Sequence: r.sequence, DataCentre: r.self.DataCentre, Partial: !full,
+		Loads: loads, Presences: presences, Uses: usage, CountingMs: countingMs,
 	}
 }
 
-// wholeSum lists the whole sum, which the others know then.
-func (r *relay) wholeSum(now clock.Millis, table *occupancy.Table) []*toucanhingev1.RunnerLoad {
+// fullSummary lists the load of the data centre and records all of it as published.
+func (r *relay) fullSummary(now clock.Millis, table *occupancy.Table) []*toucanhingev1.RunnerLoad {
 	loads := table.NearLoads(now)
 	table.NearChanged()
-	r.told = make(map[string]*toucanhingev1.RunnerLoad, len(loads))
+	r.published = make(map[string]*toucanhingev1.RunnerLoad, len(loads))
 	for _, l := range loads {
-		r.told[l.GetRunner()] = l
+		r.published[l.GetRunner()] = l
 	}
 	return loads
 }
 
-// changes lists what differs from what the others know, with nothing for what is no more.
+// changes lists the runners whose load differs from the published one. A runner without load is
+// listed with zero counts.
 func (r *relay) changes(now clock.Millis, table *occupancy.Table) []*toucanhingev1.RunnerLoad {
 	var changed []*toucanhingev1.RunnerLoad
 	for _, runner := range table.NearChanged() {
-		before, l := r.told[runner], table.NearLoad(now, runner)
+		old, current := r.published[runner], table.NearLoad(now, runner)
 		switch {
-		case l == nil && before == nil || l != nil && before != nil && alike(before, l):
-		case l == nil:
-			delete(r.told, runner)
+		case current == nil && old == nil || current != nil && old != nil && sameLoad(old, current):
+		case current == nil:
+			delete(r.published, runner)
 			changed = append(changed, &toucanhingev1.RunnerLoad{Runner: runner})
 		default:
-			r.told[runner] = l
-			changed = append(changed, l)
+			r.published[runner] = current
+			changed = append(changed, current)
 		}
 	}
 	return changed
 }
 
-func alike(a, b *toucanhingev1.RunnerLoad) bool {
+func sameLoad(a, b *toucanhingev1.RunnerLoad) bool {
 	return a.GetOnline() == b.GetOnline() && a.GetBatch() == b.GetBatch() && a.GetSilent() == b.GetSilent() &&
 		a.GetForeign() == b.GetForeign()
 }
 
-// farRelays lists who relays in each other data centre: the first that was heard lately, else
-// the two that should.
-func (r *relay) farRelays(now clock.Millis) []string {
+// remoteRelays lists the relays of the other data centres. For a data centre without a recent
+// relay digest these are the first two daemons by precedence.
+func (r *relay) remoteRelays(now clock.Millis) []string {
 	var list []string
-	for _, peers := range r.far {
-		heard := slices.IndexFunc(peers, func(p Peer) bool {
-			at := r.heard[p.Address]
-			return at > 0 && now-at <= relaySilence
+	for _, peers := range r.remote {
+		live := slices.IndexFunc(peers, func(p Peer) bool {
+			at := r.lastSeen[p.Address]
+			return at > 0 && now-at <= relayTimeout
 		})
-		if heard >= 0 {
-			list = append(list, peers[heard].Address)
+		if live >= 0 {
+			list = append(list, peers[live].Address)
 			continue
 		}
 		list = append(list, addresses(peers[:min(len(peers), 2)])...)
--- a/common/pkg/digest/relay_test.go
+++ b/common/pkg/digest/relay_test.go
@@ -14,45 +14,45 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// daemon is one in a fleet that is played without sockets.
+// daemon is a daemon in a fleet that is simulated without sockets.
 type daemon struct {
 	peer     Peer
 	table    *occupancy.Table
 	relay    *relay
-	uses     *quota.Counter
+	counter  *quota.Counter
 	sequence uint64
-	gone     bool
+	down     bool
 	dirty    bool
-	// near counts the bytes that it sent within its data centre.
-	near int
+	// localBytes counts the bytes that the daemon sent within its data centre.
+	localBytes int
 }
 
-// fleet plays daemons in data centres; datagrams take a millisecond.
+// fleet simulates daemons in data centres. Datagrams take a millisecond.
 type fleet struct {
-	t       *testing.T
-	random  *rand.Rand
-	now     clock.Millis
-	daemons map[string]*daemon
-	order   []string
-	// lost is the share of datagrams that are lost.
-	lost float64
-	// far counts the bytes between data centres.
-	far int
-	way []func()
+	t         *testing.T
+	random    *rand.Rand
+	now       clock.Millis
+	daemons   map[string]*daemon
+	addresses []string
+	// lossRate is the share of lost datagrams.
+	lossRate float64
+	// remoteBytes counts the bytes between data centres.
+	remoteBytes int
+	inFlight    []func()
 }
 
-func newFleet(t *testing.T, centres, each int) *fleet {
+func newFleet(t *testing.T, dataCentres, daemonsEach int) *fleet {
 	t.Helper()
-	f := &fleet{t: t, random: rand.New(rand.NewPCG(1, 2)), now: fleetBegan, daemons: map[string]*daemon{}}
+	f := &fleet{t: t, random: rand.New(rand.NewPCG(1, 2)), now: fleetStart, daemons: map[string]*daemon{}}
 	var peers []Peer
-	for c := range centres {
-		for i := range each {
+	for c := range dataCentres {
+		for i := range daemonsEach {
 			peers = append(peers, Peer{Address: fmt.Sprintf("10.%d.0.%02d:1", c, i), DataCentre: fmt.Sprintf("dc-%d", c)})
 		}
 	}
 	for _, p := range peers {
-		d := &daemon{peer: p, table: occupancy.New(), relay: newRelay(p.Address, p), uses: quota.NewCounter(quota.Config{Slack: 20})}
-		d.uses.Begin(f.now)
+		d := &daemon{peer: p, table: occupancy.New(), relay: newRelay(p.Address, p), counter: quota.NewCounter(quota.Config{Slack: 20})}
+		d.counter.Begin(f.now)
 		var others []Peer
 		for _, other := range peers {
 			if other != p {
@@ -61,55 +61,56 @@
 		}
 		d.relay.setPeers(f.now, others)
 		f.daemons[p.Address] = d
-		f.order = append(f.order, p.Address)
+		f.addresses = append(f.addresses, p.Address)
 	}
 	return f
 }
 
-func (f *fleet) any() *daemon { return f.daemons[f.order[f.random.IntN(len(f.order))]] }
+// any returns a random daemon.
+func (f *fleet) any() *daemon { return f.daemons[f.addresses[f.random.IntN(len(f.addresses))]] }
 
-// run plays some time.
-func (f *fleet) run(span clock.Millis) {
-	for until := f.now + span; f.now < until; f.now++ {
-		way := f.way
-		f.way = nil
-		for _, arrive := range way {
+// run simulates the given time.
+func (f *fleet) run(duration clock.Millis) {
+	for until := f.now + duration; f.now < until; f.now++ {
+		datagrams := f.inFlight
+		f.inFlight = nil
+		for _, arrive := range datagrams {
 			arrive()
 		}
-		for _, address := range f.order {
+		for _, address := range f.addresses {
 			d := f.daemons[address]
-			if d.gone {
+			if d.down {
 				continue
 			}
 			d.table.Expire(f.now)
 			if f.now%4 == 0 && d.dirty || f.now%occupancy.DigestEvery == 0 {
-				f.tell(d)
+				f.publish(d)
 			}
-			if f.now%relayEvery == 0 {
-				for _, p := range d.relay.turn(f.now, d.table, f.centreUses(d)) {
-					f.send(d, p.to, p.digest)
+			if f.now%relayInterval == 0 {
+				for _, m := range d.relay.step(f.now, d.table, f.dataCentreUsage(d)) {
+					f.send(d, m.to, m.digest)
 				}
 			}
 		}
 	}
 }
 
-// tell sends a daemon's own work to its data centre.
-func (f *fleet) tell(d *daemon) {
+// publish sends a daemon's load digest to its data centre.
+func (f *fleet) publish(d *daemon) {
 	d.dirty = false
 	d.sequence++
-	f.send(d, addresses(d.relay.near), &toucanhingev1.LoadDigest{
+	f.send(d, addresses(d.relay.local), &toucanhingev1.LoadDigest{
 		Source: d.peer.Address, Epoch: 1, Sequence: d.sequence, Loads: d.table.Loads(f.now), NextMs: 50,
-		Uses: d.uses.Tell(false), CountingMs: uint32(f.now - fleetBegan),
+		Uses: d.counter.Tell(false), CountingMs: uint32(f.now - fleetStart),
 	})
 }
 
-func (f *fleet) centreUses(d *daemon) tellUses {
-	return func() ([]*toucanhingev1.TeamUse, uint32) { return d.uses.Tell(true), uint32(f.now - fleetBegan) }
+func (f *fleet) dataCentreUsage(d *daemon) usageFunc {
+	return func() ([]*toucanhingev1.TeamUse, uint32) { return d.counter.Tell(true), uint32(f.now - fleetStart) }
 }
 
-// fleetBegan is when all daemons start.
-const fleetBegan clock.Millis = 1_000_000
+// fleetStart is the time at which all daemons start.
+const fleetStart clock.Millis = 1_000_000
 
 func (f *fleet) send(from *daemon, to []string, message *toucanhingev1.LoadDigest) {
 	data, err := proto.Marshal(message)
@@ -117,41 +118,41 @@
 	for _, address := range to {
 		other := f.daemons[address]
 		if other.peer.DataCentre != from.peer.DataCentre {
-			f.far += len(data)
+			f.remoteBytes += len(data)
 		} else {
-			from.near += len(data)
+			from.localBytes += len(data)
 		}
-		if other.gone || f.random.Float64() < f.lost {
+		if other.down || f.random.Float64() < f.lossRate {
 			continue
 		}
-		f.way = append(f.way, func() { f.arrive(other, from.peer.Address, message) })
+		f.inFlight = append(f.inFlight, func() { f.deliver(other, from.peer.Address, message) })
 	}
 }
 
-func (f *fleet) arrive(d *daemon, from string, message *toucanhingev1.LoadDigest) {
+func (f *fleet) deliver(d *daemon, from string, message *toucanhingev1.LoadDigest) {
 	if message.GetAsks() {
-		d.relay.hubs.asked(f.now, from)
+		d.relay.hubs.recordQuery(f.now, from)
 		return
 	}
 	if !message.GetRelays() {
-		if d.relay.notice(from, message.GetSource()) {
+		if d.relay.acceptsDigest(from, message.GetSource()) {
 			d.table.Digest(f.now, message)
-			d.uses.Heard(f.now, message, false)
+			d.counter.Heard(f.now, message, false)
 		}
 		return
 	}
-	summaries, passOn := d.relay.receive(f.now, from, message)
-	f.send(d, passOn, message)
+	summaries, forwardTo := d.relay.receive(f.now, from, message)
+	f.send(d, forwardTo, message)
 	for _, summary := range summaries {
 		if summary.GetDataCentre() != d.peer.DataCentre {
 			d.table.Summary(f.now, summary)
-			d.uses.Heard(f.now, summary, true)
+			d.counter.Heard(f.now, summary, true)
 		}
 	}
 }
 
-// work begins or ends something at a runner drawn by lot.
-func (f *fleet) work(d *daemon) {
+// changeLoad starts or ends a request at a random runner.
+func (f *fleet) changeLoad(d *daemon) {
 	id := runnerName(f.random.IntN(fleetRunners))
 	own := d.table.Own(id)
 	change := occupancy.Load{Online: 1}
@@ -162,20 +163,20 @@
 	d.dirty = true
 }
 
-// agree requires that all daemons that are there see the same, and the truth.
-func (f *fleet) agree() {
+// requireSameLoad requires that all live daemons see the actual load of each runner.
+func (f *fleet) requireSameLoad() {
 	f.t.Helper()
 	for r := range fleetRunners {
 		id := fmt.Sprintf("i-%08x", r)
-		truth := 0
+		want := 0
 		for _, d := range f.daemons {
-			if !d.gone {
-				truth += d.table.Own(id).Online
+			if !d.down {
+				want += d.table.Own(id).Online
 			}
 		}
-		for _, address := range f.order {
-			if d := f.daemons[address]; !d.gone {
-				require.Equal(f.t, truth, d.table.Load(id).Online, "%s at %s", id, address)
+		for _, address := range f.addresses {
+			if d := f.daemons[address]; !d.down {
+				require.Equal(f.t, want, d.table.Load(id).Online, "%s at %s", id, address)
 			}
 		}
 	}
@@ -185,102 +186,103 @@
 
 func runnerName(n int) string { return fmt.Sprintf("i-%08x", n) }
 
-// Hundreds of gateways in five data centres begin and end requests. A moment after the last
-// change all see the same, though only one daemon of each data centre talks to the others.
-func TestAllSeeWhatAllHaveUnderWay(t *testing.T) {
+// Gateways in five data centres start and end requests, and only one daemon per data centre sends
+// to the others. Shortly after the last change all daemons must see the same load.
+func TestAllDaemonsSeeSameLoad(t *testing.T) {
 	f := newFleet(t, 5, 12)
-	f.run(2 * relaySilence)
+	f.run(2 * relayTimeout)
 	for range 500 {
-		f.work(f.any())
+		f.changeLoad(f.any())
 		f.run(2)
 	}
-	f.run(4*relayEvery + 4)
-	f.agree()
+	f.run(4*relayInterval + 4)
+	f.requireSameLoad()
 }
 
-// One datagram in ten is lost. What only tells of changes is then missing somewhere, and made
-// good by the next whole summary.
-func TestLostDatagramsAreMadeGood(t *testing.T) {
+// One datagram in ten is lost, so some daemons miss partial summaries. The next full summary must
+// correct their counts.
+func TestFullSummaryCorrectsLostDatagrams(t *testing.T) {
 	f := newFleet(t, 5, 12)
-	f.lost = 0.1
+	f.lossRate = 0.1
 	for range 300 {
-		f.work(f.any())
+		f.changeLoad(f.any())
 		f.run(2)
 	}
-	f.lost = 0
-	f.run(2*wholeEvery + 4*relayEvery)
-	f.agree()
+	f.lossRate = 0
+	f.run(2*fullSummaryInterval + 4*relayInterval)
+	f.requireSameLoad()
 }
 
-// The daemon that relays for a data centre loses power. The next one takes over; until then
-// the others see what they saw last, and nobody counts anything twice when the first is back.
-func TestTheNextDaemonRelays(t *testing.T) {
+// The relay of a data centre loses power. The next daemon must take the role, and the load must
+// not be counted twice when the first relay returns.
+func TestNextDaemonRelaysWhenRelayFails(t *testing.T) {
 	f := newFleet(t, 4, 12)
-	f.run(2 * relaySilence)
+	f.run(2 * relayTimeout)
 	first := f.daemons["10.0.0.00:1"]
-	require.NotZero(t, first.relay.acts)
-	first.gone = true
-	worker := f.daemons["10.0.0.07:1"]
+	require.NotZero(t, first.relay.activeSince)
+	first.down = true
+	busy := f.daemons["10.0.0.07:1"]
 	for range 20 {
-		f.work(worker)
+		f.changeLoad(busy)
 		f.run(2)
 	}
-	f.run(relaySilence + 2*signEvery + occupancy.Expiry)
-	require.NotZero(t, f.daemons["10.0.0.01:1"].relay.acts)
-	f.agree()
+	f.run(relayTimeout + 2*heartbeatInterval + occupancy.Expiry)
+	require.NotZero(t, f.daemons["10.0.0.01:1"].relay.activeSince)
+	f.requireSameLoad()
 
-	first.gone = false
+	first.down = false
 	f.run(occupancy.Expiry)
-	f.work(worker)
-	f.run(2*wholeEvery + 4*relayEvery)
-	require.NotZero(t, first.relay.acts)
-	require.Zero(t, f.daemons["10.0.0.01:1"].relay.acts, "one relays")
-	f.agree()
+	f.changeLoad(busy)
+	f.run(2*fullSummaryInterval + 4*relayInterval)
+	require.NotZero(t, first.relay.activeSince)
+	require.Zero(t, f.daemons["10.0.0.01:1"].relay.activeSince, "only one daemon per data centre must relay")
+	f.requireSameLoad()
 }
 
-// The leader runs items in one data centre, and gateways in all others carry them. They end
-// the calls if the leader falls silent, so they must hear that it is there.
-func TestADaemonWithItemsIsHeardEverywhere(t *testing.T) {
+// The leader dispatches items over gateways in all data centres. Gateways end these calls if the
+// leader's digests stop, so every daemon must regularly see the leader.
+func TestAllDaemonsSeeDaemonWithItems(t *testing.T) {
 	f := newFleet(t, 4, 12)
 	leader := f.daemons["10.0.0.05:1"]
-	began := f.now
+	start := f.now
 	for range 40 {
 		leader.dirty = true
 		f.run(50)
 		for _, d := range f.daemons {
-			require.False(t, d != leader && d.table.Overdue(f.now, leader.peer.Address, began), d.peer.Address)
+			require.False(t, d != leader && d.table.Overdue(f.now, leader.peer.Address, start), d.peer.Address)
 		}
 	}
-	leader.gone = true
+	leader.down = true
 	f.run(occupancy.Expiry)
 	for _, d := range f.daemons {
-		if !d.gone {
-			require.True(t, d.table.Overdue(f.now, leader.peer.Address, began), d.peer.Address)
+		if !d.down {
+			require.True(t, d.table.Overdue(f.now, leader.peer.Address, start), d.peer.Address)
 		}
 	}
 }
 
-// TestBytesBetweenDataCentres compares with all telling one another, at the load of the large
-// deployment in a burst: 1,400 requests a second begin, each for 0.7 s. Sums cost a fifth.
-func TestBytesBetweenDataCentres(t *testing.T) {
+// Compares the traffic between data centres with digests sent to all daemons directly, in a burst
+// on a large deployment: 1,400 requests a second start, each running for 0.7 s. Summaries must
+// cost less than a fifth.
+func TestSummariesReduceTrafficBetweenDataCentres(t *testing.T) {
 	f := newFleet(t, 5, 18)
 	f.run(1_000)
-	f.far = 0
+	f.remoteBytes = 0
 	type request struct {
 		at     *daemon
 		runner string
 	}
-	var under []request
+	var running []request
 	direct := 0
 	for n := range 1_000 {
 		for range 1 + n%5/3 {
 			r := request{f.any(), fmt.Sprintf("i-%08x", f.random.IntN(144))}
 			r.at.table.Add(r.runner, occupancy.Load{Online: 1})
 			r.at.dirty = true
-			under = append(under, r)
-			if len(under) > 1_000 {
-				ended := under[0]
-				under = under[1:]
+			running = append(running, r)
+			if len(running) > 1_000 {
+				ended := running[0]
+				running = running[1:]
 				ended.at.table.Add(ended.runner, occupancy.Load{Online: -1})
 				ended.at.dirty = true
 			}
@@ -289,23 +291,23 @@
 		if n%20 > 0 {
 			continue
 		}
-		// Gathered for 20 ms, from each to the 72 in other data centres.
+		// Digests batched over 20 ms, from each daemon to the 72 daemons in other data centres.
 		for _, d := range f.daemons {
 			data, err := proto.Marshal(&toucanhingev1.LoadDigest{Source: d.peer.Address, Epoch: 1, Sequence: d.sequence, Loads: d.table.Loads(f.now)})
 			require.NoError(t, err)
 			direct += len(data) * 72
 		}
 	}
-	t.Logf("%d kB a second by sums, %d kB by digests", f.far/1000, direct/1000)
-	require.Less(t, f.far, direct/5)
+	t.Logf("%d kB/s with summaries, %d kB/s with digests", f.remoteBytes/1000, direct/1000)
+	require.Less(t, f.remoteBytes, direct/5)
 }
 
-func TestSmallFleetsTellOneAnother(t *testing.T) {
+func TestSmallFleetSendsDigestsDirectly(t *testing.T) {
 	f := newFleet(t, 3, 6)
 	for _, d := range f.daemons {
-		require.False(t, d.relay.sums())
-		require.True(t, d.relay.notice("10.0.0.01:1", "x"))
+		require.False(t, d.relay.usesSummaries())
+		require.True(t, d.relay.acceptsDigest("10.0.0.01:1", "x"))
 	}
-	f.run(2 * relaySilence)
-	require.Zero(t, f.far)
+	f.run(2 * relayTimeout)
+	require.Zero(t, f.remoteBytes)
 }
--- a/common/pkg/digest/watch.go
+++ b/common/pkg/digest/watch.go
@@ -12,20 +12,21 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Watch tells all daemons when a runner falls silent under one call, and when it speaks
-// again. A nil watch watches nothing.
+// Watch observes one call and informs all daemons when its runner becomes unresponsive, and when
+// the runner responds again. A nil Watch does nothing.
 type Watch struct {
 	exchange *Exchange
 	runner   *toucanhingev1.Runner
 
-	mu      sync.Mutex
-	timer   *time.Timer
-	silence occupancy.Silence
-	told    bool
-	stopped bool
+	mu       sync.Mutex
+	timer    *time.Timer
+	detector occupancy.Silence
+	reported bool
+	stopped  bool
 }
 
-// Watch begins to watch a call. The first event may have to wait for a place, a span.
+// Watch starts to watch a call. wait is the time that the call may wait for a slot before its
+// first event.
 func (x *Exchange) Watch(r *toucanhingev1.Runner, wait clock.Millis) *Watch {
 	w := &Watch{exchange: x, runner: r}
 	w.mu.Lock()
@@ -34,8 +35,8 @@
 	return w
 }
 
-// check runs when the call has been silent. Another call that hears from the
-// runner proves it alive: then only this answer was lost.
+// check runs when the call has received no event for a while. An event of another call proves
+// that the runner is alive and that only this call's response was lost.
 func (w *Watch) check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -46,33 +47,33 @@
 	now := x.config.Clock.Now()
 	queued := false
 	x.View(func(t *occupancy.Table) { queued = t.Queued(now, id, int(w.runner.GetSlots())) })
-	if w.silence.Proven(now, x.heardAt(id), queued) && !w.told {
-		w.told = true
-		x.SetSilent(id, true)
+	if w.detector.Proven(now, x.runnerSeenAt(id), queued) && !w.reported {
+		w.reported = true
+		x.SetUnresponsive(id, true)
 		level.Info(x.config.Logger).Log(logs.KeyEvent, "runner-silent", "runner", id, "for-ms", occupancy.QuietAfter)
 	}
 	w.timer.Reset(occupancy.QueueCheck.Duration())
 }
 
-// Heard notes an event.
-func (w *Watch) Heard() {
+// RecordEvent records that the call received an event.
+func (w *Watch) RecordEvent() {
 	if w == nil {
 		return
 	}
-	w.exchange.hear(w.runner.GetId())
+	w.exchange.recordRunnerSeen(w.runner.GetId())
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.silence.Begun = true
+	w.detector.Begun = true
 	if !w.stopped {
 		w.timer.Reset(occupancy.QuietAfter.Duration())
 	}
-	if w.told {
-		w.told = false
-		w.exchange.SetSilent(w.runner.GetId(), false)
+	if w.reported {
+		w.reported = false
+		w.exchange.SetUnresponsive(w.runner.GetId(), false)
 	}
 }
 
-// Stop ends the watch.
+// Stop ends the observation of the call.
 func (w *Watch) Stop() {
 	if w == nil {
 		return
@@ -83,31 +84,30 @@
 	w.timer.Stop()
 }
 
-// heardFor is how long it is kept when something came from a runner last: runners come and
-// go, and only the last fractions of a second tell anything.
-const heardFor clock.Millis = 10_000
+// runnerSeenRetention is how long the time of a runner's last event is stored. Runners are
+// replaced all the time, and only events of the last fraction of a second matter.
+const runnerSeenRetention clock.Millis = 10_000
 
-// hear notes that something came from a runner.
-func (x *Exchange) hear(id string) {
+// recordRunnerSeen records an event from a runner.
+func (x *Exchange) recordRunnerSeen(id string) {
 	now := x.config.Clock.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.heard[id] = now
-	if now-x.heardPruned < heardFor {
+	x.runnerSeen[id] = now
+	if now-x.runnerSeenPruned < runnerSeenRetention {
 		return
 	}
-	x.heardPruned = now
-	for other, at := range x.heard {
-		if now-at > heardFor {
-			delete(x.heard, other)
+	x.runnerSeenPruned = now
+	for runner, seenAt := range x.runnerSeen {
+		if now-seenAt > runnerSeenRetention {
+			delete(x.runnerSeen, runner)
 		}
 	}
 }
 
-// heardAt is when something came from a runner last, over all calls of this daemon; 0 for
-// never.
-func (x *Exchange) heardAt(id string) clock.Millis {
+// runnerSeenAt is the time of a runner's last event over all calls of this daemon, 0 for none.
+func (x *Exchange) runnerSeenAt(id string) clock.Millis {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.heard[id]
+	return x.runnerSeen[id]
 }
--- a/control/pkg/batchrun/crash.go
+++ b/control/pkg/batchrun/crash.go
@@ -20,10 +20,10 @@
 // accepted item is owed until then.
 func (r *run) withheld(call runner.Call) clock.Millis {
 	x := r.driver.config.Exchange
-	if !x.Suspects() {
+	if !x.HasSuspects() {
 		return 0
 	}
-	verdict := x.Standing(contentOf(call))
+	verdict := x.CheckRequest(contentOf(call))
 	if verdict.Standing == crashes.Sound {
 		return 0
 	}
@@ -46,15 +46,15 @@
 	level.Info(config.Logger).Log(logs.KeyEvent, logs.EventRunnerCrashed, logs.KeyJob, r.key.Job, "index", r.key.Index,
 		logs.KeyItem, call.Request, logs.KeyContent, contentOf(call), "runner", call.Runner.GetId(), "running-ms", running)
 	if sign == crashes.Late {
-		config.Exchange.Survived(contentOf(call))
+		config.Exchange.RecordSuccess(contentOf(call))
 	}
-	config.Exchange.Crashed(call.Runner, contentOf(call), sign)
+	config.Exchange.ReportCrash(call.Runner, contentOf(call), sign)
 }
 
 // survived clears an item that ran without crashing its runner, if it was suspected.
 func (r *run) survived(call runner.Call) {
-	if x := r.driver.config.Exchange; x.Suspects() {
-		x.Survived(contentOf(call))
+	if x := r.driver.config.Exchange; x.HasSuspects() {
+		x.RecordSuccess(contentOf(call))
 	}
 }
 
--- a/control/pkg/batchrun/crash_test.go
+++ b/control/pkg/batchrun/crash_test.go
@@ -17,10 +17,10 @@
 func TestAnItemThatCrashesRunnersWaits(t *testing.T) {
 	f := start(t, func(int, runner.Call) (*runner.Answer, error) { return ok(cut("")) })
 	f.refuses = true
-	f.exchange.SetRunners(12)
+	f.exchange.SetRunnerCount(12)
 	f.submit(1)
 	f.run()
-	require.Eventually(t, func() bool { return f.exchange.Quarantined() == 1 }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return f.exchange.QuarantineCount() == 1 }, 10*time.Second, 10*time.Millisecond)
 	ran := len(f.sent())
 	require.Equal(t, 3, ran)
 	time.Sleep(time.Second)
@@ -46,5 +46,5 @@
 	completed, text := f.result()
 	require.True(t, completed)
 	require.Equal(t, "x1\nx2\nx3\nx4\nx5\nx6", text)
-	require.Zero(t, f.exchange.Quarantined())
+	require.Zero(t, f.exchange.QuarantineCount())
 }
--- a/control/pkg/batchrun/run.go
+++ b/control/pkg/batchrun/run.go
@@ -251,7 +251,7 @@
 	watchdog.Reset(silence)
 	return r.read(answer.Body, func() {
 		watchdog.Reset(silence)
-		watch.Heard()
+		watch.RecordEvent()
 	})
 }
 
--- a/control/pkg/core/directory.go
+++ b/control/pkg/core/directory.go
@@ -55,7 +55,7 @@
 		return
 	}
 	c.metrics.directory.WithLabelValues("read").Inc()
-	c.config.Exchange.SetRunners(len(runners))
+	c.config.Exchange.SetRunnerCount(len(runners))
 	if ids := c.fleet.restarted(runners); len(ids) > 0 {
 		level.Info(c.config.Logger).Log(logs.KeyEvent, "runners-restarted", "runners", strings.Join(ids, " "))
 	}
--- a/control/pkg/core/quarantines.go
+++ b/control/pkg/core/quarantines.go
@@ -25,7 +25,7 @@
 func (c *Core) keepQuarantines(ctx context.Context) {
 	var kept []crashes.Quarantine
 	c.machine.View(func(s *systemstate.State) { kept = s.Quarantines() })
-	c.config.Exchange.Impose(kept)
+	c.config.Exchange.ApplyQuarantines(kept)
 	ticker := time.NewTicker(quarantinesEvery)
 	defer ticker.Stop()
 	for {
--- a/gateway/pkg/carry/call.go
+++ b/gateway/pkg/carry/call.go
@@ -56,7 +56,7 @@
 	defer watchdog.Stop()
 	err := c.readAnswer(ctx, client, m, exchange, func() {
 		watchdog.Reset(silence)
-		watch.Heard()
+		watch.RecordEvent()
 	})
 	var unsent *runner.NotSentError
 	end := &toucanhingev1.CarryEnd{NotSent: errors.As(err, &unsent)}
--- a/gateway/pkg/forward/crash.go
+++ b/gateway/pkg/forward/crash.go
@@ -24,8 +24,8 @@
 // they know: without that, one that comes again 70 ms after a crash crashes a runner more.
 func (e *exchange) quarantined(ctx context.Context) *Refusal {
 	x := e.server.config.Exchange
-	for x.Suspects() {
-		verdict := x.Standing(e.contentID())
+	for x.HasSuspects() {
+		verdict := x.CheckRequest(e.contentID())
 		wait := (verdict.Until - e.now()).Duration()
 		switch verdict.Standing {
 		case crashes.Quarantined:
@@ -67,13 +67,13 @@
 	if sign == crashes.Late {
 		e.survived()
 	}
-	e.server.config.Exchange.Crashed(r, e.contentID(), sign)
+	e.server.config.Exchange.ReportCrash(r, e.contentID(), sign)
 }
 
 // survived clears a request that ran without crashing its runner, if it was suspected.
 func (e *exchange) survived() {
-	if x := e.server.config.Exchange; x.Suspects() {
-		x.Survived(e.contentID())
+	if x := e.server.config.Exchange; x.HasSuspects() {
+		x.RecordSuccess(e.contentID())
 	}
 }
 
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -209,7 +209,7 @@
 		}
 		if unsent.Silent {
 			// Each gateway would else find out by a request of its own.
-			e.server.config.Exchange.SetSilent(r.GetId(), true)
+			e.server.config.Exchange.SetUnresponsive(r.GetId(), true)
 		}
 		return e.again(r, "unreachable", err)
 	}
--- a/gateway/pkg/forward/quota.go
+++ b/gateway/pkg/forward/quota.go
@@ -19,13 +19,13 @@
 // Count counts a request for its team's quota, or refuses it. One that isn't served afterwards
 // must be given back.
 func (s *Server) Count(ctx context.Context, id string, entry *Entry) *Refusal {
-	if !entry.Keyed || entry.Route.GetOpen() || entry.Route.Batch() || !entry.Team.Limited() || !s.config.Exchange.Limits() {
+	if !entry.Keyed || entry.Route.GetOpen() || entry.Route.Batch() || !entry.Team.Limited() || !s.config.Exchange.HasQuota() {
 		return nil
 	}
 	limit := quota.Limit{Team: entry.Team.GetName(), Rate: entry.Team.GetRate(), Burst: entry.Team.GetBurst()}
 	began := s.config.Boot.Now()
 	for {
-		verdict := s.config.Exchange.LetIn(limit)
+		verdict := s.config.Exchange.AcquireQuota(limit)
 		now := s.config.Boot.Now()
 		if verdict.Admitted {
 			entry.counted = now
@@ -40,7 +40,7 @@
 // GiveBack takes a request back that was counted for its team's quota and never ran.
 func (s *Server) GiveBack(entry Entry) {
 	if entry.counted > 0 {
-		s.config.Exchange.GiveBack(entry.counted, entry.Team.GetName())
+		s.config.Exchange.ReleaseQuota(entry.counted, entry.Team.GetName())
 	}
 }
 
--- a/gateway/pkg/forward/server.go
+++ b/gateway/pkg/forward/server.go
@@ -82,7 +82,7 @@
 	factory := promauto.With(config.Registerer)
 	factory.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "toucanhinge_requests_quarantined", Help: "Requests that are kept from all runners.",
-	}, func() float64 { return float64(config.Exchange.Quarantined()) })
+	}, func() float64 { return float64(config.Exchange.QuarantineCount()) })
 	return &Server{
 		config: config, places: place.New(place.Config{DataCentre: config.DataCentre}),
 		loads: &occupancy.Cache[place.Load]{Read: loadAt}, patience: admission.NewPatience(), freed: make(chan struct{}), begun: make(chan struct{}),
--- a/lab/pkg/leadload/member.go
+++ b/lab/pkg/leadload/member.go
@@ -53,7 +53,7 @@
 	var vm *core.Core
 	exchange, err := digest.Listen(digest.Config{
 		Address: m.Address, Source: m.Address, DataCentre: dataCentre(0), Core: true, Clock: clock.System(), Logger: log.NewNopLogger(),
-		Version: func() uint64 { return 1 }, Heard: func(version uint64) { vm.HeardDigest(version) },
+		Version: func() uint64 { return 1 }, OnDigest: func(version uint64) { vm.HeardDigest(version) },
 	})
 	if err != nil {
 		return fmt.Errorf("exchange: %w", err)
