--- a/common/pkg/digest/exchange.go
+++ b/common/pkg/digest/exchange.go
@@ -156,7 +156,7 @@
 // SetUnresponsive records whether this daemon finds a runner unresponsive.
 func (x *Exchange) SetUnresponsive(runner string, unresponsive bool) {
 	x.mu.Lock()
-	x.table.SetSilent(x.config.Clock.Now(), runner, unresponsive)
+	x.table.SetUnresponsive(x.config.Clock.Now(), runner, unresponsive)
 	x.mu.Unlock()
 	x.wake()
 }
@@ -273,7 +273,7 @@
 func (x *Exchange) interval() clock.Millis {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	longest := occupancy.DigestEvery
+	longest := occupancy.DigestInterval
 	if promised := x.promisedInterval(); promised > 0 {
 		longest = promised
 	}
@@ -295,7 +295,7 @@
 	if !x.table.RunsItems() {
 		return 0
 	}
-	return occupancy.BatchEvery * clock.Millis(x.delayFactor())
+	return occupancy.BatchDigestInterval * clock.Millis(x.delayFactor())
 }
 
 // Overdue reports whether a daemon has sent no digest for longer than it announced, counted from
--- a/common/pkg/digest/relay.go
+++ b/common/pkg/digest/relay.go
@@ -19,7 +19,7 @@
 	relayInterval clock.Millis = 8
 	// fullSummaryInterval is the interval between full summaries, which make up for lost
 	// datagrams.
-	fullSummaryInterval = occupancy.DigestEvery
+	fullSummaryInterval = occupancy.DigestInterval
 	// heartbeatInterval is the maximum interval between digests of a relay to its own data centre.
 	heartbeatInterval clock.Millis = 100
 	// shrinkDelay is the time after which a lower number of peers applies. A new leader of the
@@ -190,7 +190,7 @@
 func (r *relay) step(now clock.Millis, table *occupancy.Table, usage usageFunc) []outbound {
 	if !r.shouldRelay(now) {
 		if r.activeSince > 0 {
-			table.SumNear(nil)
+			table.TrackLocalSum(nil)
 		}
 		r.activeSince, r.pending = 0, nil
 		return r.queryRelay(now)
@@ -198,7 +198,7 @@
 	if r.activeSince == 0 {
 		// activeSince is sent as the epoch, so that others can distinguish two periods as relay.
 		r.activeSince, r.sequence, r.published, r.fullAt = now, 0, nil, 0
-		table.SumNear(func(daemon string) bool { return r.localSources[daemon] })
+		table.TrackLocalSum(func(daemon string) bool { return r.localSources[daemon] })
 	}
 	var messages []outbound
 	if summary := r.summary(now, table, usage); summary != nil {
@@ -239,7 +239,7 @@
 	} else {
 		loads = r.changes(now, table)
 		// Daemons of other data centres expect to see the daemons that run items regularly.
-		if len(loads) == 0 && len(usage) == 0 && (len(presences) == 0 || now-r.publishedAt < occupancy.BatchEvery) {
+		if len(loads) == 0 && len(usage) == 0 && (len(presences) == 0 || now-r.publishedAt < occupancy.BatchDigestInterval) {
 			return nil
 		}
 	}
@@ -253,8 +253,8 @@
 
 // fullSummary lists the load of the data centre and records all of it as published.
 func (r *relay) fullSummary(now clock.Millis, table *occupancy.Table) []*toucanhingev1.RunnerLoad {
-	loads := table.NearLoads(now)
-	table.NearChanged()
+	loads := table.LocalLoads(now)
+	table.PopLocalChanges()
 	r.published = make(map[string]*toucanhingev1.RunnerLoad, len(loads))
 	for _, l := range loads {
 		r.published[l.GetRunner()] = l
@@ -266,8 +266,8 @@
 // listed with zero counts.
 func (r *relay) changes(now clock.Millis, table *occupancy.Table) []*toucanhingev1.RunnerLoad {
 	var changed []*toucanhingev1.RunnerLoad
-	for _, runner := range table.NearChanged() {
-		old, current := r.published[runner], table.NearLoad(now, runner)
+	for _, runner := range table.PopLocalChanges() {
+		old, current := r.published[runner], table.LocalLoad(now, runner)
 		switch {
 		case current == nil && old == nil || current != nil && old != nil && sameLoad(old, current):
 		case current == nil:
--- a/common/pkg/digest/relay_loop.go
+++ b/common/pkg/digest/relay_loop.go
@@ -77,7 +77,7 @@
 		return nil
 	case !d.GetRelays():
 		if x.relay.acceptsDigest(from, d.GetSource()) {
-			x.table.Digest(now, d)
+			x.table.ApplyDigest(now, d)
 			x.config.Quota.Heard(boot, d, false)
 		}
 		return nil
@@ -92,7 +92,7 @@
 		if summary.GetDataCentre() != x.config.DataCentre {
 			// Only summaries of other data centres prove that this data centre isn't partitioned.
 			x.isolation.remoteAt = boot
-			x.table.Summary(now, summary)
+			x.table.ApplySummary(now, summary)
 			x.config.Quota.Heard(boot, summary, true)
 		}
 	}
--- a/common/pkg/digest/relay_test.go
+++ b/common/pkg/digest/relay_test.go
@@ -83,7 +83,7 @@
 				continue
 			}
 			d.table.Expire(f.now)
-			if f.now%4 == 0 && d.dirty || f.now%occupancy.DigestEvery == 0 {
+			if f.now%4 == 0 && d.dirty || f.now%occupancy.DigestInterval == 0 {
 				f.publish(d)
 			}
 			if f.now%relayInterval == 0 {
@@ -136,7 +136,7 @@
 	}
 	if !message.GetRelays() {
 		if d.relay.acceptsDigest(from, message.GetSource()) {
-			d.table.Digest(f.now, message)
+			d.table.ApplyDigest(f.now, message)
 			d.counter.Heard(f.now, message, false)
 		}
 		return
@@ -145,7 +145,7 @@
 	f.send(d, forwardTo, message)
 	for _, summary := range summaries {
 		if summary.GetDataCentre() != d.peer.DataCentre {
-			d.table.Summary(f.now, summary)
+			d.table.ApplySummary(f.now, summary)
 			d.counter.Heard(f.now, summary, true)
 		}
 	}
--- a/common/pkg/digest/watch.go
+++ b/common/pkg/digest/watch.go
@@ -20,7 +20,7 @@
 
 	mu       sync.Mutex
 	timer    *time.Timer
-	detector occupancy.Silence
+	detector occupancy.Detector
 	reported bool
 	stopped  bool
 }
@@ -31,7 +31,7 @@
 	w := &Watch{exchange: x, runner: r}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc((wait + occupancy.QuietAfter).Duration(), w.check)
+	w.timer = time.AfterFunc((wait + occupancy.UnresponsiveAfter).Duration(), w.check)
 	return w
 }
 
@@ -47,12 +47,12 @@
 	now := x.config.Clock.Now()
 	queued := false
 	x.View(func(t *occupancy.Table) { queued = t.Queued(now, id, int(w.runner.GetSlots())) })
-	if w.detector.Proven(now, x.runnerSeenAt(id), queued) && !w.reported {
+	if w.detector.Unresponsive(now, x.runnerSeenAt(id), queued) && !w.reported {
 		w.reported = true
 		x.SetUnresponsive(id, true)
-		level.Info(x.config.Logger).Log(logs.KeyEvent, "runner-silent", "runner", id, "for-ms", occupancy.QuietAfter)
+		level.Info(x.config.Logger).Log(logs.KeyEvent, "runner-silent", "runner", id, "for-ms", occupancy.UnresponsiveAfter)
 	}
-	w.timer.Reset(occupancy.QueueCheck.Duration())
+	w.timer.Reset(occupancy.QueueCheckInterval.Duration())
 }
 
 // RecordEvent records that the call received an event.
@@ -63,9 +63,9 @@
 	w.exchange.recordRunnerSeen(w.runner.GetId())
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.detector.Begun = true
+	w.detector.Started = true
 	if !w.stopped {
-		w.timer.Reset(occupancy.QuietAfter.Duration())
+		w.timer.Reset(occupancy.UnresponsiveAfter.Duration())
 	}
 	if w.reported {
 		w.reported = false
--- a/common/pkg/occupancy/cache.go
+++ b/common/pkg/occupancy/cache.go
@@ -5,29 +5,29 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// refreshEvery is how often a cache reads all loads anew. In between it reads only those that
-// changed; what merely runs out of time, like the word that a runner is silent, shows a little
-// later.
-const refreshEvery clock.Millis = 100
-
-// Cache has what is read of a table for each runner. The load changes hundreds of times a second
-// in a large fleet, each time at a few runners; read anew for all of them at each look it
-// took a tenth of the processor time of who decides. A table has one cache at most.
+// fullRefreshInterval is the interval at which a cache reads all loads. In between it reads only
+// those that changed. A value that merely expires, such as the unresponsive state of a runner,
+// stays in the cache until the next full refresh.
+const fullRefreshInterval clock.Millis = 100
+
+// Cache holds a value per runner that is derived from a table. In a large fleet the load changes
+// hundreds of times a second, each time at a few runners. Reading all runners at each refresh took
+// a tenth of the deciding process's processor time. A table has at most one cache.
 type Cache[T any] struct {
-	// Read reads one runner's load.
+	// Read derives the value of one runner.
 	Read func(now clock.Millis, runner string, t *Table) T
 
-	list    []*toucanhingev1.Runner
-	byID    map[string]*toucanhingev1.Runner
-	loads   map[string]T
-	wholeAt clock.Millis
+	list      []*toucanhingev1.Runner
+	byID      map[string]*toucanhingev1.Runner
+	loads     map[string]T
+	readAllAt clock.Millis
 }
 
-// Refresh takes up what changed, and lists the runners concerned.
+// Refresh reads the changed loads and lists their runners.
 func (c *Cache[T]) Refresh(now clock.Millis, runners []*toucanhingev1.Runner, t *Table) (changed []*toucanhingev1.Runner) {
-	ids := t.TakeChanged()
-	if c.byID == nil || !sameRunners(c.list, runners) || now-c.wholeAt >= refreshEvery {
-		c.whole(now, runners, t)
+	ids := t.PopChanges()
+	if c.byID == nil || !sameRunners(c.list, runners) || now-c.readAllAt >= fullRefreshInterval {
+		c.readAll(now, runners, t)
 		return runners
 	}
 	for _, id := range ids {
@@ -39,12 +39,12 @@
 	return changed
 }
 
-// sameRunners says whether two lists are one in memory: the list is made anew when it changes.
+// sameRunners reports whether two slices share their memory. A changed list is always a new slice.
 func sameRunners(a, b []*toucanhingev1.Runner) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func (c *Cache[T]) whole(now clock.Millis, runners []*toucanhingev1.Runner, t *Table) {
+func (c *Cache[T]) readAll(now clock.Millis, runners []*toucanhingev1.Runner, t *Table) {
 	if c.byID == nil || !sameRunners(c.list, runners) {
 		c.byID = make(map[string]*toucanhingev1.Runner, len(runners))
 		c.loads = make(map[string]T, len(runners))
@@ -52,11 +52,11 @@
 			c.byID[r.GetId()] = r
 		}
 	}
-	c.list, c.wholeAt = runners, now
+	c.list, c.readAllAt = runners, now
 	for _, r := range runners {
 		c.loads[r.GetId()] = c.Read(now, r.GetId(), t)
 	}
 }
 
-// At is the load of one runner.
-func (c *Cache[T]) At(runner string) T { return c.loads[runner] }
+// Get returns the value of one runner.
+func (c *Cache[T]) Get(runner string) T { return c.loads[runner] }
--- a/common/pkg/occupancy/foreign.go
+++ b/common/pkg/occupancy/foreign.go
@@ -5,53 +5,53 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Foreign work is what a runner has under way and no daemon counts: that of another
-// system which shares the runner, or of a daemon that vanished without closing its
-// connections. Runners go on for seconds with what they can't know to be unwanted:
-// after a leader's VM lost power, 60 items of its kept as many places, gateways took
-// these for free, and 84 requests within two seconds waited behind them.
+// Foreign work is the requests at a runner that no daemon counts. They belong to another system
+// that shares the runner, or to a daemon that failed without closing its connections. A runner
+// continues such requests for seconds because it doesn't detect that the client is gone: after a
+// leader's VM lost power, its 60 items still occupied 60 slots that gateways considered free,
+// and 84 requests within two seconds waited behind them.
 const (
-	// ForeignFor is how long a finding counts. What was found ends by and by, and
-	// nobody tells when; every answer of the runner, and whoever asks it, finds anew.
-	ForeignFor clock.Millis = 1_000
-	// ForeignSlack is the excess over the counts that proves nothing: a request that
-	// another daemon has just sent is at the runner some milliseconds before the
-	// digest that tells of it, and one that was broken off leaves as much later.
+	// ForeignExpiry is how long a finding applies. Foreign work ends without notice, and each
+	// response of the runner renews the finding.
+	ForeignExpiry clock.Millis = 1_000
+	// ForeignSlack is the excess over the counts that is ignored. A request that another daemon
+	// has just sent reaches the runner some milliseconds before the digest that counts it, and
+	// an aborted request leaves the runner a few milliseconds after its digest.
 	ForeignSlack = 1
 )
 
-// finding is how much foreign work a runner had.
+// finding is the foreign work that a runner had at some time.
 type finding struct {
 	count int
 	at    clock.Millis
 }
 
-func (f finding) fresh(now clock.Millis) bool { return f.at > 0 && now-f.at <= ForeignFor }
+func (f finding) fresh(now clock.Millis) bool { return f.at > 0 && now-f.at <= ForeignExpiry }
 
-// Observe compares what a runner says to have under way with the counts of all
-// daemons, and returns the foreign work found and whether that is news.
-func (t *Table) Observe(now clock.Millis, runner string, held int) (found int, news bool) {
-	before := t.Foreign(now, runner)
+// Observe compares the number of requests that a runner reports with the counts of all daemons.
+// It returns the foreign work found and whether that differs from the previous finding.
+func (t *Table) Observe(now clock.Millis, runner string, reported int) (found int, changed bool) {
+	previous := t.Foreign(now, runner)
 	l := t.total[runner]
-	excess := held - l.Online - l.Batch
+	excess := reported - l.Online - l.Batch
 	if excess <= ForeignSlack {
 		excess = 0
 	}
 	t.foreign[runner] = finding{excess, now}
-	if excess != before {
-		t.noteChange(runner)
-		t.near.note(runner)
+	if excess != previous {
+		t.markChanged(runner)
+		t.local.markChanged(runner)
 	}
-	if excess == 0 && before == 0 {
-		// The usual case needs no telling: what others found before is older.
+	if excess == 0 && previous == 0 {
+		// The usual case needs no message: findings of other daemons are older.
 		delete(t.ownForeign, runner)
 		return 0, false
 	}
 	t.ownForeign[runner] = finding{excess, now}
-	return excess, excess != before
+	return excess, excess != previous
 }
 
-// Foreign is the foreign work that a runner was last found to have.
+// Foreign returns the foreign work in the last finding for a runner, 0 if it has expired.
 func (t *Table) Foreign(now clock.Millis, runner string) int {
 	if f := t.foreign[runner]; f.fresh(now) {
 		return f.count
@@ -59,12 +59,13 @@
 	return 0
 }
 
-// prune drops findings that no longer count; runners come and go.
-func (t *Table) prune(now clock.Millis) {
-	if now-t.pruned < ForeignFor {
+// pruneFindings removes expired findings. Otherwise the maps would grow, since runners are replaced
+// all the time.
+func (t *Table) pruneFindings(now clock.Millis) {
+	if now-t.prunedAt < ForeignExpiry {
 		return
 	}
-	t.pruned = now
+	t.prunedAt = now
 	for _, findings := range []map[string]finding{t.foreign, t.ownForeign} {
 		for runner, f := range findings {
 			if !f.fresh(now) {
@@ -74,22 +75,22 @@
 	}
 }
 
-// learn takes over another daemon's finding, unless a newer one is known. Ages are
-// told in place of times, since clocks differ.
-func (t *Table) learn(now clock.Millis, l *toucanhingev1.RunnerLoad) {
+// applyForeign applies another daemon's finding unless a newer one is known. Digests carry ages
+// instead of times because clocks differ.
+func (t *Table) applyForeign(now clock.Millis, l *toucanhingev1.RunnerLoad) {
 	if l.Foreign == nil {
 		return
 	}
-	told := finding{int(l.GetForeign()), now - clock.Millis(l.GetForeignAgeMs())}
-	if told.at > t.foreign[l.GetRunner()].at {
-		t.foreign[l.GetRunner()] = told
-		t.noteChange(l.GetRunner())
-		t.near.note(l.GetRunner())
+	received := finding{int(l.GetForeign()), now - clock.Millis(l.GetForeignAgeMs())}
+	if received.at > t.foreign[l.GetRunner()].at {
+		t.foreign[l.GetRunner()] = received
+		t.markChanged(l.GetRunner())
+		t.local.markChanged(l.GetRunner())
 	}
 }
 
-// tellForeign adds the own findings that still count to a digest.
-func (t *Table) tellForeign(now clock.Millis, at func(runner string) *toucanhingev1.RunnerLoad) {
+// addForeign adds this daemon's current findings to a digest.
+func (t *Table) addForeign(now clock.Millis, at func(runner string) *toucanhingev1.RunnerLoad) {
 	for runner, f := range t.ownForeign {
 		if !f.fresh(now) {
 			delete(t.ownForeign, runner)
--- a/common/pkg/occupancy/near_test.go
+++ b/common/pkg/occupancy/local_sum_test.go
@@ -11,14 +11,14 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// summedUp sums up anew what this daemon and some others told.
-func summedUp(t *Table, counts func(string) bool) map[string]Load {
+// recomputedSum computes the sum from the loads of this daemon and of the included ones.
+func recomputedSum(t *Table, includes func(string) bool) map[string]Load {
 	sum := map[string]Load{}
 	for runner, l := range t.own {
 		sum[runner] = sum[runner].plus(l)
 	}
 	for name, s := range t.sources {
-		if !counts(name) {
+		if !includes(name) {
 			continue
 		}
 		for _, l := range s.loads {
@@ -33,22 +33,22 @@
 	return sum
 }
 
-// The sum that is kept is what all daemons told last, and whatever changed in it is listed, also
-// when daemons fall silent, come back, or tell the same twice.
-func TestRapidTheSumIsKept(t *testing.T) {
+// The tracked sum must equal the sum of the last digests, and every change must be listed, also
+// when daemons stop sending, return or repeat a digest.
+func TestRapidTrackedSumMatchesDigests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		counts := func(daemon string) bool { return daemon != "far" }
+		includes := func(daemon string) bool { return daemon != "far" }
 		table, now, sequence := New(), clock.Millis(1_000), uint64(0)
-		table.Digest(now, digest("a", 1, 1, 2))
-		table.SumNear(counts)
-		told := map[string]*toucanhingev1.RunnerLoad{}
-		for _, l := range table.NearLoads(now) {
-			told[l.GetRunner()] = l
+		table.ApplyDigest(now, digest("a", 1, 1, 2))
+		table.TrackLocalSum(includes)
+		published := map[string]*toucanhingev1.RunnerLoad{}
+		for _, l := range table.LocalLoads(now) {
+			published[l.GetRunner()] = l
 		}
-		table.NearChanged()
+		table.PopLocalChanges()
 		runner := rapid.StringMatching("[0-4]")
 		t.Repeat(map[string]func(*rapid.T){
-			"a daemon tells": func(t *rapid.T) {
+			"a daemon sends a digest": func(t *rapid.T) {
 				sequence += uint64(rapid.IntRange(0, 2).Draw(t, "step"))
 				d := &toucanhingev1.LoadDigest{Source: rapid.SampledFrom([]string{"a", "b", "far"}).Draw(t, "source"), Epoch: 1, Sequence: 1 + sequence}
 				for _, id := range rapid.SliceOfNDistinct(runner, 0, 3, rapid.ID).Draw(t, "runners") {
@@ -56,7 +56,7 @@
 						Runner: id, Online: uint32(rapid.IntRange(0, 3).Draw(t, "online")), Silent: rapid.Bool().Draw(t, "silent"),
 					})
 				}
-				table.Digest(now, d)
+				table.ApplyDigest(now, d)
 			},
 			"own work": func(t *rapid.T) {
 				id := runner.Draw(t, "runner")
@@ -71,50 +71,50 @@
 				table.Expire(now)
 			},
 			"": func(t *rapid.T) {
-				for _, id := range table.NearChanged() {
-					if l := table.NearLoad(now, id); l != nil {
-						told[id] = l
+				for _, id := range table.PopLocalChanges() {
+					if l := table.LocalLoad(now, id); l != nil {
+						published[id] = l
 					} else {
-						delete(told, id)
+						delete(published, id)
 					}
 				}
-				want := summedUp(table, counts)
+				want := recomputedSum(table, includes)
 				got := map[string]Load{}
-				for id, l := range told {
+				for id, l := range published {
 					if loadOf(l) != (Load{}) {
 						got[id] = loadOf(l)
 					}
-					require.Equal(t, table.near.silent[id] > 0, l.GetSilent(), id)
+					require.Equal(t, table.local.unresponsive[id] > 0, l.GetSilent(), id)
 				}
 				require.Equal(t, want, got)
-				require.Len(t, table.NearLoads(now), len(told))
+				require.Len(t, table.LocalLoads(now), len(published))
 			},
 		})
 	})
 }
 
-// BenchmarkNearChanged is what a relay does every 8 ms with 140 daemons in its data centre, of
-// which some told something.
-func BenchmarkNearChanged(b *testing.B) {
+// BenchmarkPopLocalChanges measures the work of a relay every 8 ms with 140 daemons in its data
+// centre, some of which sent a digest.
+func BenchmarkPopLocalChanges(b *testing.B) {
 	table := New()
-	tell := func(daemon, sequence int) {
+	applyDigest := func(daemon, sequence int) {
 		d := &toucanhingev1.LoadDigest{Source: fmt.Sprint(daemon), Epoch: 1, Sequence: uint64(sequence)}
 		for n := range 8 {
 			d.Loads = append(d.Loads, &toucanhingev1.RunnerLoad{Runner: fmt.Sprint((daemon*7 + n + sequence) % 1_042), Online: 1})
 		}
-		table.Digest(0, d)
+		table.ApplyDigest(0, d)
 	}
-	table.SumNear(func(string) bool { return true })
+	table.TrackLocalSum(func(string) bool { return true })
 	for daemon := range 140 {
-		tell(daemon, 1)
+		applyDigest(daemon, 1)
 	}
-	table.NearChanged()
+	table.PopLocalChanges()
 	for n := range b.N {
 		for k := range 4 {
-			tell((n*4+k)%140, 2+n)
+			applyDigest((n*4+k)%140, 2+n)
 		}
-		for _, runner := range table.NearChanged() {
-			table.NearLoad(0, runner)
+		for _, runner := range table.PopLocalChanges() {
+			table.LocalLoad(0, runner)
 		}
 	}
 }
--- a/common/pkg/occupancy/table.go
+++ b/common/pkg/occupancy/table.go
@@ -1,7 +1,6 @@
-// Package occupancy counts what is under way at each runner, from what every
-// daemon that sends work there tells. The runners' own reports lag by tens of
-// milliseconds and know nothing of what is on its way to them; a request placed
-// by them alone lands, in a burst, on the runner that looked idle to everybody.
+// Package occupancy counts the requests at each runner from the load digests of all daemons. The
+// runners' own reports lag by tens of milliseconds and don't include requests in transit. With
+// these alone, all gateways would place a burst on the same seemingly idle runner.
 package occupancy
 
 import (
@@ -12,80 +11,80 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Expiry is how long a daemon's digest counts. Each sends one at least every
-// DigestEvery; after four missing ones it is dead, and so are its connections.
+// Expiry is how long a daemon's digest applies. A daemon sends a digest at least every
+// DigestInterval. After four missing ones it has failed, and its connections are closed.
 const (
-	DigestEvery clock.Millis = 250
-	Expiry      clock.Millis = 1_000
+	DigestInterval clock.Millis = 250
+	Expiry         clock.Millis = 1_000
 )
 
-// A daemon that runs items promises digests at shorter intervals: others carry its
-// items' calls, and end them when it is gone.
+// A daemon that runs items announces a shorter digest interval, because other daemons make proxied
+// calls for its items and end them when it fails.
 const (
-	BatchEvery clock.Millis = 50
-	// overdueAfter is the number of intervals without a digest after which a daemon
-	// is taken to be gone. Datagrams are lost now and then, and a slow VM sends late;
-	// a leader that is gone is replaced after 300 ms at the earliest. Large fleets have
-	// longer intervals, which the daemon promises itself.
-	overdueAfter = 6
+	BatchDigestInterval clock.Millis = 50
+	// overdueIntervals is the number of intervals without a digest after which a daemon counts
+	// as failed. Datagrams get lost, and a slow VM sends late. A failed leader is replaced after
+	// 300 ms at the earliest. Large fleets have longer intervals, which each daemon announces.
+	overdueIntervals = 6
 )
 
-// Load is what is under way at one runner.
+// Load is the number of requests at one runner.
 type Load struct {
 	Online int
 	Batch  int
 }
 
-// SilentFor is how long a runner counts as silent after a daemon noticed it. If it
-// is still silent then, whoever asks it next notices it again.
-const SilentFor clock.Millis = 1_000
+// UnresponsiveExpiry is how long a runner counts as unresponsive after a daemon detected it. If the
+// runner is still unresponsive afterwards, the next call detects it again.
+const UnresponsiveExpiry clock.Millis = 1_000
 
-// Table sums up the digests of all daemons and the own work.
+// Table sums up the load digests of all daemons and the load of this daemon.
 type Table struct {
 	sources map[string]*source
 	total   map[string]Load
 	own     map[string]Load
-	// silent counts the daemons that find a runner silent; ownSilent says until
-	// when this one does.
-	silent    map[string]int
-	ownSilent map[string]clock.Millis
-	// foreign is the newest finding of any daemon, ownForeign of this one.
+	// unresponsive counts the other daemons that find a runner unresponsive. ownUnresponsive
+	// holds the time until which this daemon does.
+	unresponsive    map[string]int
+	ownUnresponsive map[string]clock.Millis
+	// foreign holds the newest finding of any daemon, ownForeign the newest of this one.
 	foreign    map[string]finding
 	ownForeign map[string]finding
-	pruned     clock.Millis
-	// changed are the runners whose load changed since somebody looked; nil if nobody does.
+	prunedAt   clock.Millis
+	// changed holds the runners whose load changed since the last PopChanges; nil before the
+	// first call.
 	changed map[string]bool
-	near    nearSum
-	// centres are other data centres of which summaries are told, and presences the daemons
-	// there that promise digests.
-	centres   map[string]*centre
-	presences map[string]presence
+	local   localSum
+	// dataCentres holds the other data centres that send summaries, presences the daemons there
+	// that announce the interval of their digests.
+	dataCentres map[string]*dataCentre
+	presences   map[string]presence
 }
 
 type source struct {
 	epoch    uint64
 	sequence uint64
-	heard    clock.Millis
-	// next is the span within which the daemon promised its next digest, or 0.
-	next  clock.Millis
-	loads []*toucanhingev1.RunnerLoad
-	// near says that it is summed up with the own data centre.
-	near bool
+	lastSeen clock.Millis
+	// interval is the time within which the daemon announced its next digest, or 0.
+	interval clock.Millis
+	loads    []*toucanhingev1.RunnerLoad
+	// local is set if the source is part of the local sum.
+	local bool
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New() *Table {
 	return &Table{
 		sources: map[string]*source{}, total: map[string]Load{}, own: map[string]Load{},
-		silent: map[string]int{}, ownSilent: map[string]clock.Millis{},
+		unresponsive: map[string]int{}, ownUnresponsive: map[string]clock.Millis{},
 		foreign: map[string]finding{}, ownForeign: map[string]finding{},
-		centres: map[string]*centre{}, presences: map[string]presence{},
+		dataCentres: map[string]*dataCentre{}, presences: map[string]presence{},
 	}
 }
 
-// TakeChanged lists the runners whose load, or foreign work, changed since the last call. What
-// only runs out of time isn't listed.
-func (t *Table) TakeChanged() []string {
+// PopChanges lists the runners whose load or foreign work changed since the last call. Runners for
+// which a value merely expired aren't listed.
+func (t *Table) PopChanges() []string {
 	if len(t.changed) == 0 {
 		t.changed = map[string]bool{}
 		return nil
@@ -95,31 +94,32 @@
 	return list
 }
 
-func (t *Table) noteChange(runner string) {
+func (t *Table) markChanged(runner string) {
 	if t.changed != nil {
 		t.changed[runner] = true
 	}
 }
 
-// Load is what all daemons together have under way at a runner.
+// Load returns the load of all daemons at a runner.
 func (t *Table) Load(runner string) Load { return t.total[runner] }
 
-// Own is the part of it that this daemon sent.
+// Own returns the load of this daemon at a runner.
 func (t *Table) Own(runner string) Load { return t.own[runner] }
 
-// Add counts own work that begins, or ends with negative numbers.
+// Add changes the load of this daemon at a runner: positive for requests that start, negative for
+// requests that end.
 func (t *Table) Add(runner string, change Load) {
 	t.own[runner] = t.own[runner].plus(change)
 	if t.own[runner] == (Load{}) {
 		delete(t.own, runner)
 	}
-	t.sum(runner, change)
-	if t.near.sums() {
-		t.near.sum(runner, change)
+	t.addLoad(runner, change)
+	if t.local.tracked() {
+		t.local.addLoad(runner, change)
 	}
 }
 
-// RunsItems says whether this daemon has items under way.
+// RunsItems reports whether this daemon runs batch items.
 func (t *Table) RunsItems() bool {
 	for _, l := range t.own {
 		if l.Batch > 0 {
@@ -129,81 +129,80 @@
 	return false
 }
 
-// SetSilent notes that a runner, with own calls under way, has said nothing for too
-// long, or that it speaks again.
-func (t *Table) SetSilent(now clock.Millis, runner string, silent bool) {
-	t.noteChange(runner)
-	t.near.note(runner)
-	if silent {
-		t.ownSilent[runner] = now + SilentFor
+// SetUnresponsive records whether this daemon finds a runner unresponsive during its calls.
+func (t *Table) SetUnresponsive(now clock.Millis, runner string, unresponsive bool) {
+	t.markChanged(runner)
+	t.local.markChanged(runner)
+	if unresponsive {
+		t.ownUnresponsive[runner] = now + UnresponsiveExpiry
 	} else {
-		delete(t.ownSilent, runner)
+		delete(t.ownUnresponsive, runner)
 	}
 }
 
-// Silent says whether this daemon or another one finds a runner silent. One lost
-// answer is no proof of that, so it holds for a second only.
-func (t *Table) Silent(now clock.Millis, runner string) bool {
-	return t.silent[runner] > 0 || t.ownSilent[runner] > now
+// Unresponsive reports whether this daemon or another one finds a runner unresponsive. The state
+// expires after a second, because a single lost response doesn't prove a failure.
+func (t *Table) Unresponsive(now clock.Millis, runner string) bool {
+	return t.unresponsive[runner] > 0 || t.ownUnresponsive[runner] > now
 }
 
-// Digest takes over what another daemon told. Datagrams may come late, twice or
-// in another order; only the newest counts.
-func (t *Table) Digest(now clock.Millis, d *toucanhingev1.LoadDigest) {
+// ApplyDigest applies the load digest of another daemon. Datagrams may be late, duplicated or
+// reordered; only the newest applies.
+func (t *Table) ApplyDigest(now clock.Millis, d *toucanhingev1.LoadDigest) {
 	s := t.sources[d.GetSource()]
 	if s != nil && (d.GetEpoch() < s.epoch || d.GetEpoch() == s.epoch && d.GetSequence() <= s.sequence) {
 		return
 	}
 	if s != nil {
-		t.forget(s)
+		t.removeLoads(s)
 	}
 	s = &source{
-		epoch: d.GetEpoch(), sequence: d.GetSequence(), heard: now, next: clock.Millis(d.GetNextMs()), loads: d.GetLoads(),
-		near: t.near.sums() && t.near.counts(d.GetSource()),
+		epoch: d.GetEpoch(), sequence: d.GetSequence(), lastSeen: now, interval: clock.Millis(d.GetNextMs()), loads: d.GetLoads(),
+		local: t.local.tracked() && t.local.includes(d.GetSource()),
 	}
-	if s.near {
-		t.near.add(s.loads, 1)
+	if s.local {
+		t.local.add(s.loads, 1)
 	}
 	t.sources[d.GetSource()] = s
 	for _, l := range s.loads {
-		t.sum(l.GetRunner(), loadOf(l))
-		t.count(l, 1)
-		t.learn(now, l)
+		t.addLoad(l.GetRunner(), loadOf(l))
+		t.countUnresponsive(l, 1)
+		t.applyForeign(now, l)
 	}
 }
 
-// Overdue says whether a daemon has kept silent for longer than it promised, since a
-// moment or since it told something last. One that never told anything has as long as
-// any daemon's counts last.
+// Overdue reports whether a daemon has sent no digest for longer than it announced, counted from
+// its last digest or from since, whichever is later. A daemon without any digest is overdue after
+// Expiry.
 func (t *Table) Overdue(now clock.Millis, daemon string, since clock.Millis) bool {
-	told := t.presences[daemon]
-	if s := t.sources[daemon]; s != nil && s.heard >= told.heard {
-		told = presence{heard: s.heard, next: s.next}
+	last := t.presences[daemon]
+	if s := t.sources[daemon]; s != nil && s.lastSeen >= last.lastSeen {
+		last = presence{lastSeen: s.lastSeen, interval: s.interval}
 	}
-	if told.heard == 0 {
+	if last.lastSeen == 0 {
 		return now-since > Expiry
 	}
-	return now-max(told.heard, since) > overdueAfter*max(told.next, BatchEvery)
+	return now-max(last.lastSeen, since) > overdueIntervals*max(last.interval, BatchDigestInterval)
 }
 
-// Expire drops the work of daemons that fell silent. Their last counts stay
-// until then, since a datagram may be lost.
+// Expire removes the load of daemons whose last digest has expired. Until then the last counts
+// apply, because a datagram may be lost.
 func (t *Table) Expire(now clock.Millis) {
-	t.prune(now)
-	t.expireCentres(now)
+	t.pruneFindings(now)
+	t.expireDataCentres(now)
 	for name, s := range t.sources {
-		if len(s.loads) > 0 && now-s.heard > Expiry {
-			t.forget(s)
+		if len(s.loads) > 0 && now-s.lastSeen > Expiry {
+			t.removeLoads(s)
 			s.loads = nil
 		}
-		if now-s.heard > 60*Expiry {
+		if now-s.lastSeen > 60*Expiry {
 			delete(t.sources, name)
 		}
 	}
 }
 
-// Loads lists the own work, the runners found silent and those found with foreign
-// work, for a digest.
+// Loads lists this daemon's load and its findings of unresponsive runners and foreign work, for a
+// digest.
 func (t *Table) Loads(now clock.Millis) []*toucanhingev1.RunnerLoad {
 	byRunner := make(map[string]*toucanhingev1.RunnerLoad, len(t.own))
 	at := func(runner string) *toucanhingev1.RunnerLoad {
@@ -215,39 +214,39 @@
 	for runner, l := range t.own {
 		at(runner).Online, at(runner).Batch = uint32(l.Online), uint32(l.Batch)
 	}
-	for runner, until := range t.ownSilent {
+	for runner, until := range t.ownUnresponsive {
 		if until <= now {
-			delete(t.ownSilent, runner)
+			delete(t.ownUnresponsive, runner)
 			continue
 		}
 		at(runner).Silent = true
 	}
-	t.tellForeign(now, at)
+	t.addForeign(now, at)
 	return slices.Collect(maps.Values(byRunner))
 }
 
-func (t *Table) count(l *toucanhingev1.RunnerLoad, change int) {
+func (t *Table) countUnresponsive(l *toucanhingev1.RunnerLoad, change int) {
 	if !l.GetSilent() {
 		return
 	}
-	t.silent[l.GetRunner()] += change
-	if t.silent[l.GetRunner()] == 0 {
-		delete(t.silent, l.GetRunner())
+	t.unresponsive[l.GetRunner()] += change
+	if t.unresponsive[l.GetRunner()] == 0 {
+		delete(t.unresponsive, l.GetRunner())
 	}
 }
 
-func (t *Table) forget(s *source) {
-	if s.near {
-		t.near.add(s.loads, -1)
+func (t *Table) removeLoads(s *source) {
+	if s.local {
+		t.local.add(s.loads, -1)
 	}
 	for _, l := range s.loads {
-		t.sum(l.GetRunner(), loadOf(l).negative())
-		t.count(l, -1)
+		t.addLoad(l.GetRunner(), loadOf(l).negated())
+		t.countUnresponsive(l, -1)
 	}
 }
 
-func (t *Table) sum(runner string, change Load) {
-	t.noteChange(runner)
+func (t *Table) addLoad(runner string, change Load) {
+	t.markChanged(runner)
 	sum := t.total[runner].plus(change)
 	if sum == (Load{}) {
 		delete(t.total, runner)
--- a/common/pkg/occupancy/table_test.go
+++ b/common/pkg/occupancy/table_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestOnlyTheNewestDigestOfADaemonCounts(t *testing.T) {
+func TestNewestDigestApplies(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		digests []*toucanhingev1.LoadDigest
@@ -37,39 +37,38 @@
 		t.Run(c.name, func(t *testing.T) {
 			table := New()
 			for _, d := range c.digests {
-				table.Digest(0, d)
+				table.ApplyDigest(0, d)
 			}
 			require.Equal(t, c.want, table.Load("r").Online)
 		})
 	}
 }
 
-// A gateway loses power in the middle of a burst. Its requests are gone from the
-// runners at once, but its last digest still counts them: without an expiry
-// these places would stay empty for good.
-func TestASilentDaemonsWorkIsForgotten(t *testing.T) {
+// A gateway loses power during a burst. Its requests end at once, but its last digest still counts
+// them. Without an expiry their slots would remain unused forever.
+func TestLoadOfFailedDaemonExpires(t *testing.T) {
 	table := New()
-	table.Digest(0, digest("a", 1, 1, 3))
+	table.ApplyDigest(0, digest("a", 1, 1, 3))
 	table.Expire(Expiry)
 	require.Equal(t, 3, table.Load("r").Online)
 	table.Expire(Expiry + 1)
 	require.Zero(t, table.Load("r").Online)
-	table.Digest(Expiry+2, digest("a", 1, 2, 2))
+	table.ApplyDigest(Expiry+2, digest("a", 1, 2, 2))
 	require.Equal(t, 2, table.Load("r").Online)
 }
 
-// TestRapidSumsAgree compares the sums with those worked out from all that was
-// told, after any order of digests, own work and expiry.
-func TestRapidSumsAgree(t *testing.T) {
+// Compares the table with the sums of the latest digests, after any sequence of digests, own load
+// changes and expiry.
+func TestRapidTotalsMatchDigests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New()
 		now := clock.Millis(0)
 		sequence := uint64(0)
-		type told struct {
+		type sent struct {
 			at    clock.Millis
 			loads map[string]Load
 		}
-		latest := map[string]told{}
+		latest := map[string]sent{}
 		own := map[string]Load{}
 		runner := rapid.SampledFrom([]string{"r1", "r2", "r3"})
 		t.Repeat(map[string]func(*rapid.T){
@@ -83,8 +82,8 @@
 					loads[r] = l
 					d.Loads = append(d.Loads, &toucanhingev1.RunnerLoad{Runner: r, Online: uint32(l.Online), Batch: uint32(l.Batch)})
 				}
-				table.Digest(now, d)
-				latest[source] = told{now, loads}
+				table.ApplyDigest(now, d)
+				latest[source] = sent{now, loads}
 			},
 			"own": func(t *rapid.T) {
 				r := runner.Draw(t, "runner")
@@ -117,21 +116,20 @@
 	})
 }
 
-// A runner goes dark. The daemon that notices first tells the others, who send no
-// request there; when its calls hear from it again, or after a second, it is
-// asked again.
-func TestASilentRunnerIsKnownToAll(t *testing.T) {
+// A daemon detects that a runner is unresponsive. The others must learn it from the daemon's
+// digest, and the state must end when the runner responds again or after a second.
+func TestUnresponsiveRunnerIsPublished(t *testing.T) {
 	here, there := New(), New()
-	here.SetSilent(0, "r", true)
-	require.True(t, here.Silent(0, "r"))
-	there.Digest(0, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 1, Loads: here.Loads(0)})
-	require.True(t, there.Silent(0, "r"))
-	require.False(t, there.Silent(0, "other"))
-	here.SetSilent(300, "r", false)
-	there.Digest(300, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 2, Loads: here.Loads(300)})
-	require.False(t, there.Silent(300, "r"))
-	here.SetSilent(400, "r", true)
-	require.True(t, here.Silent(399+SilentFor, "r"))
-	require.False(t, here.Silent(400+SilentFor, "r"))
-	require.Empty(t, here.Loads(400+SilentFor))
+	here.SetUnresponsive(0, "r", true)
+	require.True(t, here.Unresponsive(0, "r"))
+	there.ApplyDigest(0, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 1, Loads: here.Loads(0)})
+	require.True(t, there.Unresponsive(0, "r"))
+	require.False(t, there.Unresponsive(0, "other"))
+	here.SetUnresponsive(300, "r", false)
+	there.ApplyDigest(300, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 2, Loads: here.Loads(300)})
+	require.False(t, there.Unresponsive(300, "r"))
+	here.SetUnresponsive(400, "r", true)
+	require.True(t, here.Unresponsive(399+UnresponsiveExpiry, "r"))
+	require.False(t, here.Unresponsive(400+UnresponsiveExpiry, "r"))
+	require.Empty(t, here.Loads(400+UnresponsiveExpiry))
 }
--- a/control/pkg/batchrun/driver.go
+++ b/control/pkg/batchrun/driver.go
@@ -276,14 +276,14 @@
 func loadAt(now clock.Millis, id string, t *occupancy.Table) dispatch.Load {
 	total, own := t.Load(id), t.Own(id)
 	return dispatch.Load{
-		Online: total.Online, Batch: total.Batch - own.Batch, Foreign: t.Foreign(now, id), Silent: t.Silent(now, id),
+		Online: total.Online, Batch: total.Batch - own.Batch, Foreign: t.Foreign(now, id), Silent: t.Unresponsive(now, id),
 	}
 }
 
 func (d *Driver) surroundings(runners []*toucanhingev1.Runner) dispatch.Surroundings {
 	return dispatch.Surroundings{
 		Runners:  runners,
-		Load:     d.loads.At,
+		Load:     d.loads.Get,
 		Services: d.routes.services,
 		Near:     func(r *toucanhingev1.Runner) bool { return r.GetDataCentre() == d.config.DataCentre },
 	}
--- a/gateway/pkg/carry/server_test.go
+++ b/gateway/pkg/carry/server_test.go
@@ -293,7 +293,7 @@
 	}()
 	require.Eventually(t, func() bool {
 		silent := false
-		f.server.config.Exchange.View(func(table *occupancy.Table) { silent = table.Silent(clock.System().Now(), "r") })
+		f.server.config.Exchange.View(func(table *occupancy.Table) { silent = table.Unresponsive(clock.System().Now(), "r") })
 		return silent
 	}, silence/2, time.Millisecond)
 	c := <-ended
--- a/gateway/pkg/forward/server.go
+++ b/gateway/pkg/forward/server.go
@@ -217,7 +217,7 @@
 	s.config.Exchange.View(func(t *occupancy.Table) {
 		now := s.config.Clock.Now()
 		s.loads.Refresh(now, s.runners, t)
-		choice, ok = s.places.Choose(now, ask, s.loads.At)
+		choice, ok = s.places.Choose(now, ask, s.loads.Get)
 	})
 	return choice, ok
 }
@@ -226,7 +226,7 @@
 func loadAt(now clock.Millis, id string, t *occupancy.Table) place.Load {
 	l := t.Load(id)
 	return place.Load{
-		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Silent: t.Silent(now, id),
+		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Silent: t.Unresponsive(now, id),
 	}
 }
 
--- a/gateway/pkg/forward/silence_test.go
+++ b/gateway/pkg/forward/silence_test.go
@@ -69,7 +69,7 @@
 			require.NoError(t, err)
 			met := f.sent()[0].Runner.GetId()
 			f.server.config.Exchange.View(func(table *occupancy.Table) {
-				require.Equal(t, c.silent, table.Silent(f.server.config.Clock.Now(), met))
+				require.Equal(t, c.silent, table.Unresponsive(f.server.config.Clock.Now(), met))
 			})
 		})
 	}
@@ -131,7 +131,7 @@
 			require.Equal(t, http.StatusOK, status)
 			met := f.sent()[0].Runner.GetId()
 			f.server.config.Exchange.View(func(table *occupancy.Table) {
-				require.Equal(t, c.silent, table.Silent(f.server.config.Clock.Now(), met))
+				require.Equal(t, c.silent, table.Unresponsive(f.server.config.Clock.Now(), met))
 			})
 		})
 	}
