--- a/common/pkg/crashes/evidence.go
+++ b/common/pkg/crashes/evidence.go
@@ -6,126 +6,132 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// How many crashes quarantine a request.
+// Numbers of crashes that put a request into quarantine.
 const (
-	// fewest prove it where crashes are rare, if nobody else who was there has met nearly as
-	// many: a sound request that waits in the same queues as a crashing one, and is sent on
-	// with it, shares two of its crashes now and then. Margin is what it must be ahead.
-	fewest = 3
-	margin = 2
-	// crowded are enough if it is ahead of all others at all.
-	crowded = 5
-	// most are enough in any case, those of young runs included, but for an hour with so many
-	// other crashes that even that happens to sound requests: then mostRough are.
-	most      = 6
-	mostRough = 8
-	// mostShared are enough even if another request explains some of them: several that crash
-	// runners at the same time would else cover for one another.
-	mostShared = 7
-	// chance is the highest probability that a sound request meets as many crashes, one
-	// after the other, before its first event.
-	chance = 2e-6
-	// exposed is how long a request waits for its first event, queues included.
-	exposed clock.Millis = 150
-	// window is the span over which crashes for other reasons are counted.
-	window clock.Millis = 10_000
-	// settle is how long after a crash all gateways have told what they had under way there:
-	// datagrams travel a few milliseconds, small VMs are tens of milliseconds late, and a lost
-	// one comes again after 40 ms.
-	settle clock.Millis = 100
+	// minCrashes are sufficient while crashes are rare, if the request leads every other suspect
+	// of these crashes by minLead. A harmless request in the same queues as a crashing one, which
+	// is retried together with it, sometimes shares two of its crashes.
+	minCrashes = 3
+	minLead    = 2
+	// sufficientLikeliest crashes are sufficient with any lead over the other suspects.
+	sufficientLikeliest = 5
+	// sufficientCrashes are sufficient without a lead. Crashes of early runs are included, except
+	// while runners crash so often for other reasons that harmless requests meet as many. Then
+	// sufficientUnstable crashes are needed if early runs are included.
+	sufficientCrashes  = 6
+	sufficientUnstable = 8
+	// sufficientShared crashes are sufficient even if a quarantined request explains some of
+	// them. Otherwise several requests that crash runners at the same time would hide one another.
+	sufficientShared = 7
+	// maxFalsePositive is the maximum probability that a harmless request meets the needed number
+	// of consecutive crashes before its first event.
+	maxFalsePositive = 2e-6
+	// exposure is how long a request waits for its first event, queues included.
+	exposure clock.Millis = 150
+	// crashWindow is the period over which crashes for other reasons are counted.
+	crashWindow clock.Millis = 10_000
+	// propagationDelay is the time after a crash until all gateways have received the reports of
+	// it. Datagrams take a few milliseconds, small VMs are tens of milliseconds late, and a lost
+	// datagram is sent again after 40 ms.
+	propagationDelay clock.Millis = 100
 )
 
-// evidence is what speaks against a request: numbers of crashes that nothing else explains.
+// evidence counts the crashes of a suspect. Crashes explained by a quarantined request count only
+// in shared.
 type evidence struct {
-	// all counts every one, silent those before a first event.
-	all    int
-	silent int
-	// shared counts the silent crashes that something else explains, too.
+	// all counts every crash, beforeFirstEvent those before the first event of the run.
+	all              int
+	beforeFirstEvent int
+	// shared counts the crashes before the first event, including explained ones.
 	shared int
-	// likeliest counts the silent ones for which nobody else is as likely the cause, counted
-	// those for which nobody else is by far.
+	// likeliest counts the crashes before the first event for which no other suspect is as
+	// likely, leading those for which this suspect leads by minLead.
 	likeliest int
-	counted   int
-	// newest is when the newest crash was.
+	leading   int
+	// newest is the time of the newest crash.
 	newest clock.Millis
 }
 
-// proves says whether the evidence is enough where so many crashes are needed.
-func (e evidence) proves(needed int) bool {
-	if e.counted >= needed || e.likeliest >= max(needed, crowded) || e.silent >= most || e.shared >= mostShared {
+// sufficient reports whether the evidence justifies a quarantine if needed crashes are required.
+func (e evidence) sufficient(needed int) bool {
+	if e.leading >= needed || e.likeliest >= max(needed, sufficientLikeliest) ||
+		e.beforeFirstEvent >= sufficientCrashes || e.shared >= sufficientShared {
 		return true
 	}
-	if needed == fewest {
-		return e.all >= most
+	if needed == minCrashes {
+		return e.all >= sufficientCrashes
 	}
-	return e.all >= mostRough
+	return e.all >= sufficientUnstable
 }
 
-// needed is how many crashes prove that a request is their cause. In an hour when runners
-// crash for other reasons, by waves or one after the other, sound requests that are sent
-// again and again meet three of them now and then.
-func (m *Machine) needed(now clock.Millis, q *suspect) int {
-	others := 0
-	for at, c := range m.crashes {
-		if now-c.at <= window && !c.blamed && !q.crashes[at] {
-			others++
+// crashesNeeded returns the number of crashes required for a quarantine. While runners crash for
+// other reasons, in waves or one after the other, a harmless request that is retried several times
+// may meet three of them.
+func (m *Machine) crashesNeeded(now clock.Millis, s *suspect) int {
+	otherCrashes := 0
+	for id, c := range m.crashes {
+		if now-c.at <= crashWindow && !c.explained && !s.crashes[id] {
+			otherCrashes++
 		}
 	}
-	once := float64(others+1) * float64(exposed) / (float64(window) * float64(max(m.runners, 1)))
-	// The first two come close together, so they count as one.
-	meets := math.Pow(once, fewest-1)
-	for crashes := fewest; crashes < most; crashes++ {
-		if meets <= chance {
+	probability := float64(otherCrashes+1) * float64(exposure) / (float64(crashWindow) * float64(max(m.runnerCount, 1)))
+	// The first two crashes are often close together, so they count as one.
+	falsePositive := math.Pow(probability, minCrashes-1)
+	for crashes := minCrashes; crashes < sufficientCrashes; crashes++ {
+		if falsePositive <= maxFalsePositive {
 			return crashes
 		}
-		meets *= once
+		falsePositive *= probability
 	}
-	return most
+	return sufficientCrashes
 }
 
-func (m *Machine) evidence(now clock.Millis, q *suspect) evidence {
-	e := evidence{silent: m.silent(q)}
-	for at := range q.crashes {
-		c := m.crashes[at]
-		if c.suspects[q.content] == Silent {
+// evidence counts the crashes of a suspect. Crashes whose reports may still be incomplete don't
+// count as likeliest or leading.
+func (m *Machine) evidence(now clock.Millis, s *suspect) evidence {
+	e := evidence{beforeFirstEvent: m.countBeforeFirstEvent(s)}
+	for id := range s.crashes {
+		c := m.crashes[id]
+		if c.suspects[s.fingerprint] == BeforeFirstEvent {
 			e.shared++
 		}
-		if c.blamed {
+		if c.explained {
 			continue
 		}
 		e.all++
 		e.newest = max(e.newest, c.at)
-		if c.at+settle > now || c.suspects[q.content] != Silent {
+		if c.at+propagationDelay > now || c.suspects[s.fingerprint] != BeforeFirstEvent {
 			continue
 		}
-		rival := m.rival(c, q.content)
-		if rival < e.silent {
+		rival := m.strongestRival(c, s.fingerprint)
+		if rival < e.beforeFirstEvent {
 			e.likeliest++
 		}
-		if rival <= e.silent-margin {
-			e.counted++
+		if rival <= e.beforeFirstEvent-minLead {
+			e.leading++
 		}
 	}
 	return e
 }
 
-// silent counts the silent crashes of a request that no quarantined one explains.
-func (m *Machine) silent(q *suspect) int {
+// countBeforeFirstEvent counts the crashes of a suspect before the first event of its run that no
+// quarantined request explains.
+func (m *Machine) countBeforeFirstEvent(s *suspect) int {
 	count := 0
-	for at := range q.crashes {
-		if c := m.crashes[at]; !c.blamed && c.suspects[q.content] == Silent {
+	for id := range s.crashes {
+		if c := m.crashes[id]; !c.explained && c.suspects[s.fingerprint] == BeforeFirstEvent {
 			count++
 		}
 	}
 	return count
 }
 
-// rival is the number of silent crashes of the likeliest other cause of a crash.
-func (m *Machine) rival(c *crash, content Content) int {
+// strongestRival returns the beforeFirstEvent count of the likeliest other suspect of a crash.
+func (m *Machine) strongestRival(c *crash, fingerprint Fingerprint) int {
 	likeliest := 0
 	for other := range c.suspects {
-		if other != content {
-			likeliest = max(likeliest, m.silent(m.suspects[other]))
+		if other != fingerprint {
+			likeliest = max(likeliest, m.countBeforeFirstEvent(m.suspects[other]))
 		}
 	}
 	return likeliest
--- a/common/pkg/crashes/machine.go
+++ b/common/pkg/crashes/machine.go
@@ -2,191 +2,194 @@
 
 import "toucanhinge.example/common/pkg/clock"
 
-// How long a request in doubt rests.
+// Delays of suspected requests.
 const (
-	// doubtful is the number of silent crashes from which on a request rests between two
-	// runs. Where runners crash in a row, for whatever reason, a request that goes on at once
-	// meets the next crash; what crashes its runner in a quiet moment is the cause.
-	doubtful = 2
-	// rest is how long a doubtful request rests after its last crash, quiet how long after
-	// any crash, and longestRest the longest for both: clients of streams wait for two seconds.
-	rest        clock.Millis = 500
-	quiet       clock.Millis = 300
-	longestRest clock.Millis = 1_500
+	// minDelayedCrashes is the number of crashes before the first event from which a request is
+	// delayed between two runs. While runners crash in a row, an immediate retry would meet the
+	// next crash. A runner that crashes after a period without crashes points to the request.
+	minDelayedCrashes = 2
+	// delayAfterOwnCrash is the delay after the last crash of the request, delayAfterAnyCrash the
+	// delay after any crash. maxDelay limits both, because clients of streams wait two seconds.
+	delayAfterOwnCrash clock.Millis = 500
+	delayAfterAnyCrash clock.Millis = 300
+	maxDelay           clock.Millis = 1_500
 )
 
-// Standing says what is thought of a request.
-type Standing int
+// Status tells how to treat a request.
+type Status int
 
-// Standings.
+// Statuses of a request.
 const (
-	// Sound requests run as any.
-	Sound Standing = iota
-	// Doubtful ones wait a moment: what is known of their last crash isn't complete.
-	Doubtful
-	// Quarantined ones aren't run.
+	// Allowed requests run without restriction.
+	Allowed Status = iota
+	// Delayed requests wait briefly, because the reports of their last crash may be incomplete.
+	Delayed
+	// Quarantined requests are refused.
 	Quarantined
 )
 
-// Verdict is a standing and when it ends, 0 for never.
+// Verdict is a status and the time at which it ends, 0 for never.
 type Verdict struct {
-	Standing Standing
-	Until    clock.Millis
+	Status Status
+	Until  clock.Millis
 }
 
 // suspect is a request that was running when a runner crashed.
 type suspect struct {
-	content Content
-	crashes map[Crash]bool
-	touched clock.Millis
-	// quarantine is the newest; its Terms is 0 if there was none.
+	fingerprint Fingerprint
+	crashes     map[Crash]bool
+	updatedAt   clock.Millis
+	// quarantine is the newest quarantine. Its Count is 0 if there was none.
 	quarantine Quarantine
 }
 
-// crash is what is known of one crash.
+// crash holds the suspects of one crash.
 type crash struct {
 	at       clock.Millis
-	suspects map[Content]Sign
-	// blamed is the quarantined request that explains the crash.
-	blamed bool
-	cause  Content
+	suspects map[Fingerprint]Phase
+	// explained is set if a quarantined request, cause, explains the crash.
+	explained bool
+	cause     Fingerprint
 }
 
-// Machine weighs crashes. The load that it answers: a request that crashes each runner
-// that begins to run it, sent again under other ids at any gateway some 70 ms after each
-// answer, while eight to sixteen sound requests share each of its runners and are sent
-// again too. It holds no goroutine, socket or clock.
+// Machine decides from crash reports which requests to quarantine. It is designed for a request that
+// crashes every runner that starts it, and that callers retry with new ids at any gateway about
+// 70 ms after each error. Eight to sixteen harmless requests share each of these runners and are
+// retried too. Machine holds no goroutine, socket or clock.
 type Machine struct {
-	suspects map[Content]*suspect
+	suspects map[Fingerprint]*suspect
 	crashes  map[Crash]*crash
-	cleared  map[Content]clock.Millis
-	// newest is when the newest crash was.
+	cleared  map[Fingerprint]clock.Millis
+	// newest is the time of the newest crash.
 	newest clock.Millis
-	// runners is the size of the fleet, 0 if it isn't known.
-	runners int
-	// found are quarantines that this machine found due, still to be told.
-	found []Quarantine
+	// runnerCount is the number of runners in the fleet, 0 if unknown.
+	runnerCount int
+	// newQuarantines holds the quarantines that this machine imposed and PopNewQuarantines hasn't
+	// returned yet.
+	newQuarantines []Quarantine
 }
 
-// New makes a machine that knows of no crash.
+// New returns a machine without suspects.
 func New() *Machine {
-	return &Machine{suspects: map[Content]*suspect{}, crashes: map[Crash]*crash{}, cleared: map[Content]clock.Millis{}}
+	return &Machine{suspects: map[Fingerprint]*suspect{}, crashes: map[Crash]*crash{}, cleared: map[Fingerprint]clock.Millis{}}
 }
 
-// SetRunners tells the size of the fleet.
-func (m *Machine) SetRunners(runners int) { m.runners = runners }
+// SetRunnerCount sets the number of runners in the fleet.
+func (m *Machine) SetRunnerCount(count int) { m.runnerCount = count }
 
-// KnowsCrash says whether a crash was sighted before.
-func (m *Machine) KnowsCrash(at Crash) bool { return m.crashes[at] != nil }
+// KnowsCrash reports whether a crash was reported before.
+func (m *Machine) KnowsCrash(id Crash) bool { return m.crashes[id] != nil }
 
-// Empty says whether no request is suspected: all are sound.
+// Empty reports whether there is no suspected request.
 func (m *Machine) Empty() bool { return len(m.suspects) == 0 }
 
-// Knows says whether anything is held against a request.
-func (m *Machine) Knows(content Content) bool { return m.suspects[content] != nil }
+// IsSuspect reports whether a request is suspected or quarantined.
+func (m *Machine) IsSuspect(fingerprint Fingerprint) bool { return m.suspects[fingerprint] != nil }
 
-// Sight takes up a run that ended with a crash, here or at another gateway; one that was
-// taken up before changes nothing. A late run only tells of the crash.
-func (m *Machine) Sight(now clock.Millis, s Sighting) {
-	if now-s.At > memory {
+// AddReport applies the report of a run that ended with a crash, at this or another gateway. A
+// duplicate changes nothing. The report of a late run adds the crash but no suspect.
+func (m *Machine) AddReport(now clock.Millis, r Report) {
+	if now-r.At > retention {
 		return
 	}
-	c := m.crashes[s.Crash]
+	c := m.crashes[r.Crash]
 	if c == nil {
-		m.roomForCrash(now)
-		c = &crash{at: s.At, suspects: map[Content]Sign{}}
-		m.crashes[s.Crash] = c
-		m.newest = max(m.newest, s.At)
+		m.evictCrash(now)
+		c = &crash{at: r.At, suspects: map[Fingerprint]Phase{}}
+		m.crashes[r.Crash] = c
+		m.newest = max(m.newest, r.At)
 	}
-	if s.Sign != Young && s.Sign != Silent || m.cleared[s.Content] > 0 && m.cleared[s.Content] >= s.At {
+	if r.Phase != Early && r.Phase != BeforeFirstEvent || m.cleared[r.Fingerprint] > 0 && m.cleared[r.Fingerprint] >= r.At {
 		return
 	}
-	if c.suspects[s.Content] > 0 || len(c.suspects) >= mostSuspects {
+	if c.suspects[r.Fingerprint] > 0 || len(c.suspects) >= maxSuspectsPerCrash {
 		return
 	}
-	c.suspects[s.Content] = s.Sign
-	q := m.suspect(now, s.Content)
-	q.crashes[s.Crash] = true
-	q.touched = max(q.touched, s.At)
+	c.suspects[r.Fingerprint] = r.Phase
+	s := m.suspect(now, r.Fingerprint)
+	s.crashes[r.Crash] = true
+	s.updatedAt = max(s.updatedAt, r.At)
 	switch {
-	case q.quarantine.Terms == 0:
-	case c.at < q.quarantine.Until:
-		m.blame(q, c)
+	case s.quarantine.Count == 0:
+	case c.at < s.quarantine.Until:
+		m.explain(s, c)
 	default:
-		// It was tried again after its quarantine, and crashed its runner again.
-		m.quarantine(now, q)
+		// The request ran again after its quarantine and crashed its runner again.
+		m.quarantine(now, s)
 	}
 }
 
-func (m *Machine) suspect(now clock.Millis, content Content) *suspect {
-	q := m.suspects[content]
-	if q == nil {
-		m.roomForSuspect()
-		q = &suspect{content: content, crashes: map[Crash]bool{}, touched: now}
-		m.suspects[content] = q
+// suspect returns the suspect with a fingerprint, and creates it if needed.
+func (m *Machine) suspect(now clock.Millis, fingerprint Fingerprint) *suspect {
+	s := m.suspects[fingerprint]
+	if s == nil {
+		m.evictSuspect()
+		s = &suspect{fingerprint: fingerprint, crashes: map[Crash]bool{}, updatedAt: now}
+		m.suspects[fingerprint] = s
 	}
-	return q
+	return s
 }
 
-// Ask says what is thought of a request now.
-func (m *Machine) Ask(now clock.Millis, content Content) Verdict {
-	q := m.suspects[content]
-	if q == nil {
+// Evaluate decides how to treat a request now, and imposes a quarantine if the evidence is
+// sufficient.
+func (m *Machine) Evaluate(now clock.Millis, fingerprint Fingerprint) Verdict {
+	s := m.suspects[fingerprint]
+	if s == nil {
 		return Verdict{}
 	}
-	if q.quarantine.Until > now {
-		return Verdict{Quarantined, q.quarantine.Until}
+	if s.quarantine.Until > now {
+		return Verdict{Quarantined, s.quarantine.Until}
 	}
-	e := m.evidence(now, q)
-	if e.proves(m.needed(now, q)) {
-		m.quarantine(now, q)
-		return Verdict{Quarantined, q.quarantine.Until}
+	e := m.evidence(now, s)
+	if e.sufficient(m.crashesNeeded(now, s)) {
+		m.quarantine(now, s)
+		return Verdict{Quarantined, s.quarantine.Until}
 	}
-	if e.silent < doubtful && e.all <= doubtful {
+	if e.beforeFirstEvent < minDelayedCrashes && e.all <= minDelayedCrashes {
 		return Verdict{}
 	}
-	until := min(max(e.newest+rest, m.newest+quiet), e.newest+longestRest)
+	until := min(max(e.newest+delayAfterOwnCrash, m.newest+delayAfterAnyCrash), e.newest+maxDelay)
 	if until > now {
-		return Verdict{Doubtful, until}
+		return Verdict{Delayed, until}
 	}
 	return Verdict{}
 }
 
-// Clear forgets all that was held against a request: it has run without a crash.
-func (m *Machine) Clear(now clock.Millis, told Clearance) {
-	q := m.suspects[told.Content]
-	if q == nil || q.quarantine.Since > told.At+settle {
+// Clear removes the evidence against a request that ran without a crash.
+func (m *Machine) Clear(now clock.Millis, clearance Clearance) {
+	s := m.suspects[clearance.Fingerprint]
+	if s == nil || s.quarantine.Since > clearance.At+propagationDelay {
 		return
 	}
-	if len(m.cleared) < mostContents {
-		m.cleared[told.Content] = max(m.cleared[told.Content], told.At)
+	if len(m.cleared) < maxSuspects {
+		m.cleared[clearance.Fingerprint] = max(m.cleared[clearance.Fingerprint], clearance.At)
 	}
-	kept := 0
-	for at := range q.crashes {
-		c := m.crashes[at]
-		if c.at > told.At {
-			kept++
+	remaining := 0
+	for id := range s.crashes {
+		c := m.crashes[id]
+		if c.at > clearance.At {
+			remaining++
 			continue
 		}
-		m.drop(q, at)
+		m.removeFromCrash(s, id)
 	}
-	q.quarantine = Quarantine{}
-	if kept == 0 {
-		delete(m.suspects, told.Content)
+	s.quarantine = Quarantine{}
+	if remaining == 0 {
+		delete(m.suspects, clearance.Fingerprint)
 	}
-	for content, at := range m.cleared {
-		if now-at > clearedFor {
-			delete(m.cleared, content)
+	for fingerprint, at := range m.cleared {
+		if now-at > clearedRetention {
+			delete(m.cleared, fingerprint)
 		}
 	}
 }
 
-// drop takes a request out of a crash.
-func (m *Machine) drop(q *suspect, at Crash) {
-	c := m.crashes[at]
-	delete(c.suspects, q.content)
-	delete(q.crashes, at)
-	if c.blamed && c.cause == q.content {
-		c.blamed = false
+// removeFromCrash removes a request from the suspects of a crash.
+func (m *Machine) removeFromCrash(s *suspect, id Crash) {
+	c := m.crashes[id]
+	delete(c.suspects, s.fingerprint)
+	delete(s.crashes, id)
+	if c.explained && c.cause == s.fingerprint {
+		c.explained = false
 	}
 }
--- a/common/pkg/crashes/machine_test.go
+++ b/common/pkg/crashes/machine_test.go
@@ -15,167 +15,168 @@
 	start  clock.Millis = 1_000_000
 )
 
-// crashing is a machine with a request that has crashed so many runners, a second apart.
-func crashing(crashes int) (m *Machine, bad Content, now clock.Millis) {
-	m, bad, now = New(), simContent(1), start
-	m.SetRunners(12)
+// newCrashingMachine returns a machine with a request that crashed the given number of runners, one per
+// second.
+func newCrashingMachine(crashes int) (m *Machine, bad Fingerprint, now clock.Millis) {
+	m, bad, now = New(), simFingerprint(1), start
+	m.SetRunnerCount(12)
 	for n := range crashes {
-		m.Sight(now, Sighting{Crash: Crash{Runner: fmt.Sprint(n)}, Content: bad, Sign: Silent, At: now})
+		m.AddReport(now, Report{Crash: Crash{Runner: fmt.Sprint(n)}, Fingerprint: bad, Phase: BeforeFirstEvent, At: now})
 		now += 1_000
 	}
 	return m, bad, now
 }
 
-func TestThreeCrashesQuarantineForATerm(t *testing.T) {
-	m, bad, now := crashing(2)
-	require.Equal(t, Sound, m.Ask(now, bad).Standing)
-	m, bad, now = crashing(3)
-	verdict := m.Ask(now, bad)
-	require.Equal(t, Quarantined, verdict.Standing)
-	require.Equal(t, now+firstTerm, verdict.Until)
-	found := m.Found()
+func TestThreeCrashesQuarantineRequest(t *testing.T) {
+	m, bad, now := newCrashingMachine(2)
+	require.Equal(t, Allowed, m.Evaluate(now, bad).Status)
+	m, bad, now = newCrashingMachine(3)
+	verdict := m.Evaluate(now, bad)
+	require.Equal(t, Quarantined, verdict.Status)
+	require.Equal(t, now+initialQuarantine, verdict.Until)
+	found := m.PopNewQuarantines()
 	require.Len(t, found, 1)
-	require.Empty(t, m.Found(), "told once")
-	require.Equal(t, Sound, m.Ask(verdict.Until, bad).Standing, "it ends")
-	require.Equal(t, Sound, m.Ask(now, simContent(2)).Standing, "nobody else is meant")
+	require.Empty(t, m.PopNewQuarantines(), "each quarantine is returned once")
+	require.Equal(t, Allowed, m.Evaluate(verdict.Until, bad).Status, "the quarantine must end")
+	require.Equal(t, Allowed, m.Evaluate(now, simFingerprint(2)).Status, "other requests are not affected")
 }
 
-// After its quarantine a request is tried again. If it crashes its runner, one crash is
-// enough, and the next term is twice as long.
-func TestACrashAfterAQuarantineDoublesItsTerm(t *testing.T) {
-	m, bad, now := crashing(3)
-	span := firstTerm
+// A request runs again after its quarantine. One more crash must put it back into quarantine, for
+// twice as long.
+func TestCrashAfterQuarantineDoublesDuration(t *testing.T) {
+	m, bad, now := newCrashingMachine(3)
+	duration := initialQuarantine
 	for n := range 6 {
-		verdict := m.Ask(now, bad)
-		require.Equal(t, Quarantined, verdict.Standing)
-		require.Equal(t, span, verdict.Until-now, "term %d", n)
+		verdict := m.Evaluate(now, bad)
+		require.Equal(t, Quarantined, verdict.Status)
+		require.Equal(t, duration, verdict.Until-now, "quarantine %d", n)
 		now = verdict.Until + minute
-		require.Equal(t, Sound, m.Ask(now, bad).Standing)
-		m.Sight(now, Sighting{Crash: Crash{Runner: fmt.Sprint("again", n)}, Content: bad, Sign: Silent, At: now})
-		span = min(2*span, longestTerm)
+		require.Equal(t, Allowed, m.Evaluate(now, bad).Status)
+		m.AddReport(now, Report{Crash: Crash{Runner: fmt.Sprint("again", n)}, Fingerprint: bad, Phase: BeforeFirstEvent, At: now})
+		duration = min(2*duration, maxQuarantine)
 	}
 }
 
-func TestDoubtRestsAMoment(t *testing.T) {
-	m, bad, now := crashing(2)
+func TestSuspectedRequestIsDelayed(t *testing.T) {
+	m, bad, now := newCrashingMachine(2)
 	at := now - 1_000
-	verdict := m.Ask(at+10, bad)
-	require.Equal(t, Doubtful, verdict.Standing)
-	require.Equal(t, at+rest, verdict.Until)
-	// Runners that crash for other reasons meanwhile put it off, up to a bound.
+	verdict := m.Evaluate(at+10, bad)
+	require.Equal(t, Delayed, verdict.Status)
+	require.Equal(t, at+delayAfterOwnCrash, verdict.Until)
+	// Crashes for other reasons extend the delay, up to a limit.
 	for n := range 30 {
 		now = at + clock.Millis(n)*100
-		m.Sight(now, Sighting{Crash: Crash{Runner: fmt.Sprint("other", n)}, At: now})
+		m.AddReport(now, Report{Crash: Crash{Runner: fmt.Sprint("other", n)}, At: now})
 	}
-	verdict = m.Ask(at+1_400, bad)
-	require.Equal(t, Doubtful, verdict.Standing)
-	require.Equal(t, at+longestRest, verdict.Until)
-	require.Equal(t, Sound, m.Ask(at+longestRest, bad).Standing)
+	verdict = m.Evaluate(at+1_400, bad)
+	require.Equal(t, Delayed, verdict.Status)
+	require.Equal(t, at+maxDelay, verdict.Until)
+	require.Equal(t, Allowed, m.Evaluate(at+maxDelay, bad).Status)
 }
 
-// A sound request shares three crashes with one that causes them. Once that one is known,
-// nothing speaks against the sound one any more.
-func TestACauseExplainsItsCrashes(t *testing.T) {
-	m, bad, now := crashing(3)
-	sound := simContent(2)
+// A harmless request shares three crashes with the request that causes them. Once the cause is
+// quarantined, these crashes must no longer count against the harmless request.
+func TestQuarantinedRequestExplainsItsCrashes(t *testing.T) {
+	m, bad, now := newCrashingMachine(3)
+	harmless := simFingerprint(2)
 	for n := range 3 {
 		at := start + clock.Millis(n)*1_000
-		m.Sight(now, Sighting{Crash: Crash{Runner: fmt.Sprint(n)}, Content: sound, Sign: Silent, At: at})
+		m.AddReport(now, Report{Crash: Crash{Runner: fmt.Sprint(n)}, Fingerprint: harmless, Phase: BeforeFirstEvent, At: at})
 	}
-	require.Equal(t, Sound, m.Ask(now+minute, sound).Standing, "neither is ahead")
-	require.Equal(t, Sound, m.Ask(now+minute, bad).Standing)
+	require.Equal(t, Allowed, m.Evaluate(now+minute, harmless).Status, "neither suspect leads")
+	require.Equal(t, Allowed, m.Evaluate(now+minute, bad).Status)
 	for n := range 2 {
-		m.Sight(now+minute, Sighting{Crash: Crash{Runner: fmt.Sprint("more", n)}, Content: bad, Sign: Silent, At: now + minute})
+		m.AddReport(now+minute, Report{Crash: Crash{Runner: fmt.Sprint("more", n)}, Fingerprint: bad, Phase: BeforeFirstEvent, At: now + minute})
 	}
-	now += minute + settle
-	require.Equal(t, Quarantined, m.Ask(now, bad).Standing)
+	now += minute + propagationDelay
+	require.Equal(t, Quarantined, m.Evaluate(now, bad).Status)
 	for n := range 2 {
-		m.Sight(now, Sighting{Crash: Crash{Runner: fmt.Sprint("later", n)}, Content: sound, Sign: Silent, At: now})
+		m.AddReport(now, Report{Crash: Crash{Runner: fmt.Sprint("later", n)}, Fingerprint: harmless, Phase: BeforeFirstEvent, At: now})
 	}
-	require.Equal(t, Sound, m.Ask(now+minute, sound).Standing, "two of its own, and three that are explained")
+	require.Equal(t, Allowed, m.Evaluate(now+minute, harmless).Status, "two crashes of its own, and three explained ones")
 }
 
-func TestAWholeAnswerClears(t *testing.T) {
-	m, bad, now := crashing(3)
-	require.Equal(t, Quarantined, m.Ask(now, bad).Standing)
-	m.Clear(now+1, Clearance{Content: bad, At: now + 1})
-	require.Equal(t, Sound, m.Ask(now+1, bad).Standing)
+func TestClearLiftsQuarantine(t *testing.T) {
+	m, bad, now := newCrashingMachine(3)
+	require.Equal(t, Quarantined, m.Evaluate(now, bad).Status)
+	m.Clear(now+1, Clearance{Fingerprint: bad, At: now + 1})
+	require.Equal(t, Allowed, m.Evaluate(now+1, bad).Status)
 	require.True(t, m.Empty())
-	// News of before come late.
-	m.Sight(now+2, Sighting{Crash: Crash{Runner: "0"}, Content: bad, Sign: Silent, At: start})
-	require.False(t, m.Impose(now+2, Quarantine{Content: bad, Since: now, Until: now + minute, Terms: 1}))
+	// Reports of earlier crashes arrive late.
+	m.AddReport(now+2, Report{Crash: Crash{Runner: "0"}, Fingerprint: bad, Phase: BeforeFirstEvent, At: start})
+	require.False(t, m.ApplyQuarantine(now+2, Quarantine{Fingerprint: bad, Since: now, Until: now + minute, Count: 1}))
 	require.True(t, m.Empty())
 }
 
-func TestAnotherDaemonsQuarantineHolds(t *testing.T) {
-	m, bad := New(), simContent(1)
-	require.True(t, m.Impose(start, Quarantine{Content: bad, Since: start - 10, Until: start + minute, Terms: 1}))
-	require.False(t, m.Impose(start, Quarantine{Content: bad, Since: start - 10, Until: start + minute, Terms: 1}), "told twice")
-	require.Equal(t, Verdict{Quarantined, start + minute}, m.Ask(start, bad))
+func TestApplyQuarantine(t *testing.T) {
+	m, bad := New(), simFingerprint(1)
+	require.True(t, m.ApplyQuarantine(start, Quarantine{Fingerprint: bad, Since: start - 10, Until: start + minute, Count: 1}))
+	require.False(t, m.ApplyQuarantine(start, Quarantine{Fingerprint: bad, Since: start - 10, Until: start + minute, Count: 1}), "duplicate")
+	require.Equal(t, Verdict{Quarantined, start + minute}, m.Evaluate(start, bad))
 	require.Len(t, m.Quarantines(start), 1)
-	// One that lasts for years, or that has ended, comes from a clock or a program that errs.
-	m.Impose(start, Quarantine{Content: bad, Since: start, Until: start + 1_000*longestTerm, Terms: 2})
-	require.Equal(t, start+longestTerm, m.Ask(start, bad).Until)
-	require.False(t, m.Impose(start, Quarantine{Content: simContent(2), Since: start - minute, Until: start, Terms: 1}))
+	// A quarantine that lasts for years or has already ended results from a faulty clock or peer.
+	m.ApplyQuarantine(start, Quarantine{Fingerprint: bad, Since: start, Until: start + 1_000*maxQuarantine, Count: 2})
+	require.Equal(t, start+maxQuarantine, m.Evaluate(start, bad).Until)
+	require.False(t, m.ApplyQuarantine(start, Quarantine{Fingerprint: simFingerprint(2), Since: start - minute, Until: start, Count: 1}))
 }
 
-func TestSignOf(t *testing.T) {
+func TestPhaseOf(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		heard, asked clock.Millis
-		streams      bool
-		want         Sign
+		name              string
+		streamed, sentAgo clock.Millis
+		streams           bool
+		want              Phase
 	}{
-		{"no event", -1, 90, true, Silent},
-		{"no event, in a queue for long", -1, 3_000, true, Silent},
-		{"events for a moment", 200, 300, true, Young},
-		{"events for long", youngSpan, 900, true, Late},
-		{"a plain answer soon", -1, 90, false, Silent},
-		{"a plain answer that takes long", -1, youngSpan, false, Young},
+		{"no event", -1, 90, true, BeforeFirstEvent},
+		{"no event, long in a queue", -1, 3_000, true, BeforeFirstEvent},
+		{"events for a short time", 200, 300, true, Early},
+		{"events for a long time", earlyDuration, 900, true, Late},
+		{"no stream, early crash", -1, 90, false, BeforeFirstEvent},
+		{"no stream, late crash", -1, earlyDuration, false, Early},
 	} {
-		t.Run(c.name, func(t *testing.T) { require.Equal(t, c.want, SignOf(c.heard, c.asked, c.streams)) })
+		t.Run(c.name, func(t *testing.T) { require.Equal(t, c.want, PhaseOf(c.streamed, c.sentAgo, c.streams)) })
 	}
 }
 
-// Whatever is told, in whatever order: the bounds hold, what was cleared last isn't
-// quarantined, every quarantine ends, and all is forgotten in the end.
-func TestRapidBoundsAndEnds(t *testing.T) {
+// For any sequence of messages, the limits must hold, a cleared request must not be quarantined,
+// every quarantine must end and all state must expire.
+func TestRapidLimitsAndExpiry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, now := New(), start
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += clock.Millis(rapid.IntRange(0, 5_000).Draw(t, "pause"))
-			content := simContent(rapid.IntRange(0, 3_000).Draw(t, "content"))
+			fingerprint := simFingerprint(rapid.IntRange(0, 3_000).Draw(t, "content"))
 			age := clock.Millis(rapid.IntRange(0, 60_000).Draw(t, "age"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				first := rapid.IntRange(0, 5_000).Draw(t, "first")
 				for n := range rapid.IntRange(1, 60).Draw(t, "runs") {
-					m.Sight(now, Sighting{
-						Crash:   Crash{Runner: fmt.Sprint(rapid.IntRange(0, 900).Draw(t, "runner"))},
-						Content: simContent(first + n), Sign: Sign(rapid.IntRange(-1, 4).Draw(t, "sign")), At: now - age,
+					m.AddReport(now, Report{
+						Crash:       Crash{Runner: fmt.Sprint(rapid.IntRange(0, 900).Draw(t, "runner"))},
+						Fingerprint: simFingerprint(first + n), Phase: Phase(rapid.IntRange(-1, 4).Draw(t, "sign")), At: now - age,
 					})
 				}
 			case 1:
-				m.Impose(now, Quarantine{
-					Content: content, Since: now - age, Until: now + clock.Millis(rapid.Int64Range(-10, 1<<40).Draw(t, "left")),
-					Terms: rapid.IntRange(1, 5).Draw(t, "terms"),
+				m.ApplyQuarantine(now, Quarantine{
+					Fingerprint: fingerprint, Since: now - age, Until: now + clock.Millis(rapid.Int64Range(-10, 1<<40).Draw(t, "left")),
+					Count: rapid.IntRange(1, 5).Draw(t, "terms"),
 				})
 			case 2:
-				m.Clear(now, Clearance{Content: content, At: now})
-				require.NotEqual(t, Quarantined, m.Ask(now, content).Standing)
+				m.Clear(now, Clearance{Fingerprint: fingerprint, At: now})
+				require.NotEqual(t, Quarantined, m.Evaluate(now, fingerprint).Status)
 			default:
-				if verdict := m.Ask(now, content); verdict.Standing != Sound {
+				if verdict := m.Evaluate(now, fingerprint); verdict.Status != Allowed {
 					require.Greater(t, verdict.Until, now)
-					require.LessOrEqual(t, verdict.Until, now+longestTerm)
+					require.LessOrEqual(t, verdict.Until, now+maxQuarantine)
 				}
 			}
-			require.LessOrEqual(t, len(m.suspects), mostContents)
-			require.LessOrEqual(t, len(m.crashes), mostCrashes)
-			require.LessOrEqual(t, len(m.cleared), mostContents)
+			require.LessOrEqual(t, len(m.suspects), maxSuspects)
+			require.LessOrEqual(t, len(m.crashes), maxCrashes)
+			require.LessOrEqual(t, len(m.cleared), maxSuspects)
 		}
-		now += longestTerm + memory + 1
+		now += maxQuarantine + retention + 1
 		m.Expire(now)
-		m.Expire(now + longestTerm + memory)
+		m.Expire(now + maxQuarantine + retention)
 		require.True(t, m.Empty())
 		require.Empty(t, m.crashes)
 	})
--- a/common/pkg/crashes/quarantine.go
+++ b/common/pkg/crashes/quarantine.go
@@ -7,108 +7,114 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// How long a quarantine lasts.
+// Quarantine durations.
 const (
-	// firstTerm is how long a request is quarantined at first. Callers give up after some
-	// seconds, so this is about the next ones who ask the same; whether a repaired runner
-	// bears it is found out at the price of one crash.
-	firstTerm clock.Millis = 5 * 60_000
-	// longestTerm bounds the doubling of the term with each crash after it.
-	longestTerm clock.Millis = 60 * 60_000
-	// recent crashes are told again and again, lest somebody missed them.
-	recent clock.Millis = 5_000
+	// initialQuarantine is the duration of a request's first quarantine. Callers give up after some
+	// seconds, so the quarantine mainly stops later callers with the same request. Finding out
+	// whether a repaired runner can run the request costs one crash.
+	initialQuarantine clock.Millis = 5 * 60_000
+	// maxQuarantine limits the duration, which doubles with each crash after a quarantine.
+	maxQuarantine clock.Millis = 60 * 60_000
+	// recentCrash is how long gossip includes every crash, for daemons that missed its broadcast.
+	recentCrash clock.Millis = 5_000
 )
 
-// Quarantine keeps a request from all runners for a while.
+// Quarantine blocks a request on all runners for a limited time.
 type Quarantine struct {
-	Content Content
-	Since   clock.Millis
-	Until   clock.Millis
-	// Terms counts how often the request was quarantined.
-	Terms int
+	Fingerprint Fingerprint
+	Since       clock.Millis
+	Until       clock.Millis
+	// Count is how many times the request has been quarantined.
+	Count int
 }
 
-// Clearance says that a request ran without a crash.
+// Clearance records that a request ran without a crash.
 type Clearance struct {
-	Content Content
-	At      clock.Millis
+	Fingerprint Fingerprint
+	At          clock.Millis
 }
 
-// blame lets a quarantined request explain a crash: the others that ran there had no part.
-func (m *Machine) blame(q *suspect, c *crash) {
-	c.blamed, c.cause = true, q.content
+// explain marks a quarantined request as the cause of a crash, so that the crash no longer counts
+// against other suspects.
+func (m *Machine) explain(s *suspect, c *crash) {
+	c.explained, c.cause = true, s.fingerprint
 }
 
-func (m *Machine) quarantine(now clock.Millis, q *suspect) {
-	terms := q.quarantine.Terms + 1
-	m.impose(q, Quarantine{Content: q.content, Since: now, Until: now + term(terms), Terms: terms})
-	m.found = append(m.found, q.quarantine)
+// quarantine imposes the next quarantine on a suspect.
+func (m *Machine) quarantine(now clock.Millis, s *suspect) {
+	count := s.quarantine.Count + 1
+	m.setQuarantine(s, Quarantine{Fingerprint: s.fingerprint, Since: now, Until: now + quarantineDuration(count), Count: count})
+	m.newQuarantines = append(m.newQuarantines, s.quarantine)
 }
 
-// Found takes the quarantines that this machine found due since it was asked last.
-func (m *Machine) Found() []Quarantine {
-	found := m.found
-	m.found = nil
-	return found
+// PopNewQuarantines returns the quarantines that this machine imposed since the last call.
+func (m *Machine) PopNewQuarantines() []Quarantine {
+	list := m.newQuarantines
+	m.newQuarantines = nil
+	return list
 }
 
-func (m *Machine) impose(q *suspect, imposed Quarantine) {
-	q.quarantine = imposed
-	q.touched = max(q.touched, imposed.Until)
-	for at := range q.crashes {
-		m.blame(q, m.crashes[at])
+// setQuarantine sets the quarantine of a suspect and marks the suspect as the cause of its crashes.
+func (m *Machine) setQuarantine(s *suspect, quarantine Quarantine) {
+	s.quarantine = quarantine
+	s.updatedAt = max(s.updatedAt, quarantine.Until)
+	for id := range s.crashes {
+		m.explain(s, m.crashes[id])
 	}
 }
 
-func term(terms int) clock.Millis {
-	span := firstTerm
-	for range terms - 1 {
-		span = min(2*span, longestTerm)
+// quarantineDuration returns the duration of a request's quarantine, given the number of its
+// quarantines so far including this one.
+func quarantineDuration(count int) clock.Millis {
+	duration := initialQuarantine
+	for range count - 1 {
+		duration = min(2*duration, maxQuarantine)
 	}
-	return span
+	return duration
 }
 
-// Impose takes over a quarantine that another daemon found due; it says whether it is news.
-func (m *Machine) Impose(now clock.Millis, told Quarantine) bool {
-	told.Until = min(told.Until, now+longestTerm)
-	if told.Until <= now || m.cleared[told.Content] > 0 && m.cleared[told.Content] >= told.Since-settle {
+// ApplyQuarantine applies a quarantine that another daemon imposed. It reports whether the request
+// was not quarantined before.
+func (m *Machine) ApplyQuarantine(now clock.Millis, quarantine Quarantine) bool {
+	quarantine.Until = min(quarantine.Until, now+maxQuarantine)
+	if quarantine.Until <= now || m.cleared[quarantine.Fingerprint] > 0 &&
+		m.cleared[quarantine.Fingerprint] >= quarantine.Since-propagationDelay {
 		return false
 	}
-	q := m.suspect(now, told.Content)
-	if q.quarantine.Terms > told.Terms || q.quarantine.Until >= told.Until {
+	s := m.suspect(now, quarantine.Fingerprint)
+	if s.quarantine.Count > quarantine.Count || s.quarantine.Until >= quarantine.Until {
 		return false
 	}
-	news := q.quarantine.Until <= now
-	m.impose(q, told)
-	return news
+	isNew := s.quarantine.Until <= now
+	m.setQuarantine(s, quarantine)
+	return isNew
 }
 
-// Quarantines lists those in force.
+// Quarantines lists the quarantines in force.
 func (m *Machine) Quarantines(now clock.Millis) []Quarantine {
 	var list []Quarantine
-	for _, q := range m.suspects {
-		if q.quarantine.Until > now {
-			list = append(list, q.quarantine)
+	for _, s := range m.suspects {
+		if s.quarantine.Until > now {
+			list = append(list, s.quarantine)
 		}
 	}
 	return list
 }
 
-// Sightings lists runs that ended with a crash and that no quarantined request explains:
-// those of the last seconds, and those of requests that more than one crash speaks against.
-// The newest come first, at most so many.
-func (m *Machine) Sightings(now clock.Millis, most int) []Sighting {
-	var list []Sighting
-	for at, c := range m.crashes {
-		if c.blamed {
+// Reports lists the newest reports of crashes that no quarantined request explains, up to limit:
+// those of recent crashes, and those of suspects with more than one crash.
+func (m *Machine) Reports(now clock.Millis, limit int) []Report {
+	var list []Report
+	for id, c := range m.crashes {
+		if c.explained {
 			continue
 		}
-		for content, sign := range c.suspects {
-			if now-c.at <= recent || len(m.suspects[content].crashes) >= doubtful {
-				list = append(list, Sighting{Crash: at, Content: content, Sign: sign, At: c.at})
+		for fingerprint, phase := range c.suspects {
+			if now-c.at <= recentCrash || len(m.suspects[fingerprint].crashes) >= minDelayedCrashes {
+				list = append(list, Report{Crash: id, Fingerprint: fingerprint, Phase: phase, At: c.at})
 			}
 		}
 	}
-	slices.SortFunc(list, func(a, b Sighting) int { return cmp.Compare(b.At, a.At) })
-	return list[:min(len(list), most)]
+	slices.SortFunc(list, func(a, b Report) int { return cmp.Compare(b.At, a.At) })
+	return list[:min(len(list), limit)]
 }
--- /dev/null
+++ b/common/pkg/crashes/report.go
@@ -0,0 +1,51 @@
+package crashes
+
+import "toucanhinge.example/common/pkg/clock"
+
+// Phase is how far a run had got when its runner crashed.
+type Phase int
+
+// Phases of a run.
+const (
+	// Late runs had sent events for too long to be the cause of the crash.
+	Late Phase = iota
+	// Early runs had sent events for less than earlyDuration.
+	Early
+	// BeforeFirstEvent runs had sent no event. Requests that crash their runner do so 30 to 105 ms
+	// after they start, before their first event.
+	BeforeFirstEvent
+)
+
+// earlyDuration is the time after which a request no longer crashes its runner: five times the
+// longest observed delay of a crash.
+const earlyDuration clock.Millis = 500
+
+// Crash identifies one crash by the runner and its start time, 0 if unknown. Each start of a runner
+// has its own id or start time and crashes at most once.
+type Crash struct {
+	Runner    string
+	StartedAt int64
+}
+
+// Report describes a run that ended with a crash of its runner.
+type Report struct {
+	Crash       Crash
+	Fingerprint Fingerprint
+	Phase       Phase
+	// At is the time of the crash.
+	At clock.Millis
+}
+
+// PhaseOf returns the phase of a run that ended with a crash. streamed is the time since the first
+// event, negative for none; sentAgo is the time since the request was sent to the runner; streams
+// is set if the response consists of events.
+func PhaseOf(streamed, sentAgo clock.Millis, streams bool) Phase {
+	switch {
+	case streamed >= earlyDuration:
+		return Late
+	case streamed >= 0, !streams && sentAgo >= earlyDuration:
+		return Early
+	default:
+		return BeforeFirstEvent
+	}
+}
--- a/common/pkg/digest/crashes.go
+++ b/common/pkg/digest/crashes.go
@@ -53,7 +53,7 @@
 
 // crashUpdate is a set of changes to the crash state that this daemon sends to others.
 type crashUpdate struct {
-	reports     []crashes.Sighting
+	reports     []crashes.Report
 	quarantines []crashes.Quarantine
 	clearances  []crashes.Clearance
 }
@@ -63,16 +63,16 @@
 	m := &toucanhingev1.CrashNews{}
 	for _, r := range u.reports {
 		m.Sightings = append(m.Sightings, &toucanhingev1.CrashSighting{
-			Runner: r.Crash.Runner, BornMs: r.Crash.Born, Content: r.Content[:], Sign: uint32(r.Sign), AgeMs: ageOf(now, r.At),
+			Runner: r.Crash.Runner, BornMs: r.Crash.StartedAt, Content: r.Fingerprint[:], Sign: uint32(r.Phase), AgeMs: ageOf(now, r.At),
 		})
 	}
 	for _, q := range u.quarantines {
 		m.Quarantines = append(m.Quarantines, &toucanhingev1.RequestQuarantine{
-			Content: q.Content[:], AgeMs: ageOf(now, q.Since), LeftMs: ageOf(q.Until, now), Terms: uint32(q.Terms),
+			Content: q.Fingerprint[:], AgeMs: ageOf(now, q.Since), LeftMs: ageOf(q.Until, now), Terms: uint32(q.Count),
 		})
 	}
 	for _, c := range u.clearances {
-		m.Clearances = append(m.Clearances, &toucanhingev1.RequestClearance{Content: c.Content[:], AgeMs: ageOf(now, c.At)})
+		m.Clearances = append(m.Clearances, &toucanhingev1.RequestClearance{Content: c.Fingerprint[:], AgeMs: ageOf(now, c.At)})
 	}
 	return m
 }
@@ -88,17 +88,17 @@
 
 // ReportCrash records a run that ended with a crash of its runner and broadcasts the report to
 // all daemons.
-func (x *Exchange) ReportCrash(r *toucanhingev1.Runner, fingerprint crashes.Content, phase crashes.Sign) {
+func (x *Exchange) ReportCrash(r *toucanhingev1.Runner, fingerprint crashes.Fingerprint, phase crashes.Phase) {
 	now := x.config.Clock.Now()
-	report := crashes.Sighting{
-		Crash: crashes.Crash{Runner: r.GetId(), Born: r.GetBornMs()}, Content: fingerprint, Sign: phase, At: now,
+	report := crashes.Report{
+		Crash: crashes.Crash{Runner: r.GetId(), StartedAt: r.GetBornMs()}, Fingerprint: fingerprint, Phase: phase, At: now,
 	}
 	x.crashState.mu.Lock()
 	defer x.crashState.mu.Unlock()
 	if phase == crashes.Late && x.crashState.machine.KnowsCrash(report.Crash) {
 		return
 	}
-	x.crashState.machine.Sight(now, report)
+	x.crashState.machine.AddReport(now, report)
 	x.crashState.outbox.reports = append(x.crashState.outbox.reports, report)
 	x.broadcastNewQuarantines()
 	x.crashState.wake()
@@ -108,7 +108,7 @@
 func (x *Exchange) SetRunnerCount(count int) {
 	x.crashState.mu.Lock()
 	defer x.crashState.mu.Unlock()
-	x.crashState.machine.SetRunners(count)
+	x.crashState.machine.SetRunnerCount(count)
 }
 
 // HasSuspects reports whether any request is suspected of crashing runners.
@@ -119,11 +119,11 @@
 }
 
 // CheckRequest decides whether a request may run.
-func (x *Exchange) CheckRequest(fingerprint crashes.Content) crashes.Verdict {
+func (x *Exchange) CheckRequest(fingerprint crashes.Fingerprint) crashes.Verdict {
 	now := x.config.Clock.Now()
 	x.crashState.mu.Lock()
 	defer x.crashState.mu.Unlock()
-	verdict := x.crashState.machine.Ask(now, fingerprint)
+	verdict := x.crashState.machine.Evaluate(now, fingerprint)
 	x.broadcastNewQuarantines()
 	return verdict
 }
@@ -131,7 +131,7 @@
 // broadcastNewQuarantines queues the quarantines that this daemon has just imposed for
 // broadcast. The caller holds the lock.
 func (x *Exchange) broadcastNewQuarantines() {
-	for _, q := range x.crashState.machine.Found() {
+	for _, q := range x.crashState.machine.PopNewQuarantines() {
 		x.logQuarantine(q, x.config.Source)
 		x.crashState.outbox.quarantines = append(x.crashState.outbox.quarantines, q)
 		x.crashState.wake()
@@ -140,14 +140,14 @@
 
 // RecordSuccess records that a request ran without a crash. It does nothing if the request is
 // not suspected.
-func (x *Exchange) RecordSuccess(fingerprint crashes.Content) {
+func (x *Exchange) RecordSuccess(fingerprint crashes.Fingerprint) {
 	now := x.config.Clock.Now()
 	x.crashState.mu.Lock()
 	defer x.crashState.mu.Unlock()
-	if !x.crashState.machine.Knows(fingerprint) {
+	if !x.crashState.machine.IsSuspect(fingerprint) {
 		return
 	}
-	c := crashes.Clearance{Content: fingerprint, At: now}
+	c := crashes.Clearance{Fingerprint: fingerprint, At: now}
 	x.crashState.machine.Clear(now, c)
 	x.crashState.outbox.clearances = append(x.crashState.outbox.clearances, c)
 	level.Info(x.config.Logger).Log(logs.KeyEvent, "request-cleared", logs.KeyContent, fingerprint)
@@ -168,7 +168,7 @@
 	x.crashState.mu.Lock()
 	defer x.crashState.mu.Unlock()
 	for _, q := range list {
-		if x.crashState.machine.Impose(now, q) {
+		if x.crashState.machine.ApplyQuarantine(now, q) {
 			x.logQuarantine(q, "log")
 		}
 	}
@@ -178,7 +178,7 @@
 func (x *Exchange) QuarantineCount() int { return len(x.Quarantines()) }
 
 func (x *Exchange) logQuarantine(q crashes.Quarantine, foundBy string) {
-	level.Warn(x.config.Logger).Log(logs.KeyEvent, "request-quarantined", logs.KeyContent, q.Content, "terms", q.Terms,
+	level.Warn(x.config.Logger).Log(logs.KeyEvent, "request-quarantined", logs.KeyContent, q.Fingerprint, "terms", q.Count,
 		"span-ms", q.Until-q.Since, "found-by", foundBy)
 }
 
@@ -290,7 +290,7 @@
 // may have missed. The caller holds the lock.
 func (x *Exchange) knownCrashes(now clock.Millis) *toucanhingev1.CrashNews {
 	machine := x.crashState.machine
-	return crashUpdate{quarantines: machine.Quarantines(now), reports: machine.Sightings(now, maxCrashReports)}.toProto(now)
+	return crashUpdate{quarantines: machine.Quarantines(now), reports: machine.Reports(now, maxCrashReports)}.toProto(now)
 }
 
 func (x *Exchange) sendCrashes(message *toucanhingev1.CrashNews, peer netip.AddrPort) {
@@ -308,25 +308,25 @@
 	x.crashState.mu.Lock()
 	for _, entry := range message.GetSightings() {
 		if fingerprint, ok := parseFingerprint(entry.GetContent()); ok {
-			x.crashState.machine.Sight(now, crashes.Sighting{
-				Crash: crashes.Crash{Runner: entry.GetRunner(), Born: entry.GetBornMs()}, Content: fingerprint,
-				Sign: crashes.Sign(entry.GetSign()), At: now - clock.Millis(entry.GetAgeMs()),
+			x.crashState.machine.AddReport(now, crashes.Report{
+				Crash: crashes.Crash{Runner: entry.GetRunner(), StartedAt: entry.GetBornMs()}, Fingerprint: fingerprint,
+				Phase: crashes.Phase(entry.GetSign()), At: now - clock.Millis(entry.GetAgeMs()),
 			})
 		}
 	}
 	for _, entry := range message.GetQuarantines() {
 		fingerprint, ok := parseFingerprint(entry.GetContent())
 		quarantine := crashes.Quarantine{
-			Content: fingerprint, Since: now - clock.Millis(entry.GetAgeMs()), Until: now + clock.Millis(entry.GetLeftMs()),
-			Terms: int(entry.GetTerms()),
+			Fingerprint: fingerprint, Since: now - clock.Millis(entry.GetAgeMs()), Until: now + clock.Millis(entry.GetLeftMs()),
+			Count: int(entry.GetTerms()),
 		}
-		if ok && x.crashState.machine.Impose(now, quarantine) {
+		if ok && x.crashState.machine.ApplyQuarantine(now, quarantine) {
 			x.logQuarantine(quarantine, source)
 		}
 	}
 	for _, entry := range message.GetClearances() {
 		if fingerprint, ok := parseFingerprint(entry.GetContent()); ok {
-			x.crashState.machine.Clear(now, crashes.Clearance{Content: fingerprint, At: now - clock.Millis(entry.GetAgeMs())})
+			x.crashState.machine.Clear(now, crashes.Clearance{Fingerprint: fingerprint, At: now - clock.Millis(entry.GetAgeMs())})
 		}
 	}
 	x.broadcastNewQuarantines()
@@ -340,7 +340,7 @@
 	}
 }
 
-func parseFingerprint(data []byte) (crashes.Content, bool) {
-	var fingerprint crashes.Content
+func parseFingerprint(data []byte) (crashes.Fingerprint, bool) {
+	var fingerprint crashes.Fingerprint
 	return fingerprint, copy(fingerprint[:], data) == len(fingerprint) && len(data) == len(fingerprint)
 }
--- a/common/pkg/digest/crashes_test.go
+++ b/common/pkg/digest/crashes_test.go
@@ -63,10 +63,10 @@
 }
 
 // countQuarantined counts the daemons that have the request quarantined.
-func (f *loopbackFleet) countQuarantined(fingerprint crashes.Content) int {
+func (f *loopbackFleet) countQuarantined(fingerprint crashes.Fingerprint) int {
 	count := 0
 	for _, x := range f.daemons {
-		if x.CheckRequest(fingerprint).Standing == crashes.Quarantined {
+		if x.CheckRequest(fingerprint).Status == crashes.Quarantined {
 			count++
 		}
 	}
@@ -74,9 +74,9 @@
 }
 
 // reportCrashes reports three runner crashes for a request, each from another daemon.
-func (f *loopbackFleet) reportCrashes(fingerprint crashes.Content) {
+func (f *loopbackFleet) reportCrashes(fingerprint crashes.Fingerprint) {
 	for n := range 3 {
-		f.daemons[n%len(f.daemons)].ReportCrash(&toucanhingev1.Runner{Id: fmt.Sprint("r", n)}, fingerprint, crashes.Silent)
+		f.daemons[n%len(f.daemons)].ReportCrash(&toucanhingev1.Runner{Id: fmt.Sprint("r", n)}, fingerprint, crashes.BeforeFirstEvent)
 	}
 }
 
@@ -87,12 +87,12 @@
 	for _, daemons := range []int{3, 89} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			f := newLoopbackFleet(t, daemons)
-			bad := crashes.ContentOf("POST", "team", "/bad", nil)
+			bad := crashes.FingerprintOf("POST", "team", "/bad", nil)
 			start := time.Now()
 			f.reportCrashes(bad)
 			require.Eventually(t, func() bool { return f.countQuarantined(bad) == daemons }, 2*time.Second, 10*time.Millisecond)
 			t.Logf("all %d daemons applied the quarantine after %v", daemons, time.Since(start).Round(time.Millisecond))
-			require.Zero(t, f.countQuarantined(crashes.ContentOf("POST", "team", "/good", nil)))
+			require.Zero(t, f.countQuarantined(crashes.FingerprintOf("POST", "team", "/good", nil)))
 		})
 	}
 }
@@ -101,13 +101,13 @@
 // startup, so it must refuse the request before it receives much traffic.
 func TestStartingDaemonLearnsQuarantines(t *testing.T) {
 	f := newLoopbackFleet(t, 8)
-	bad := crashes.ContentOf("POST", "team", "/bad", nil)
+	bad := crashes.FingerprintOf("POST", "team", "/bad", nil)
 	f.reportCrashes(bad)
 	require.Eventually(t, func() bool { return f.countQuarantined(bad) == 8 }, 2*time.Second, 10*time.Millisecond)
 	restarted := f.add()
 	restarted.SetPeers(f.peers)
 	start := time.Now()
-	require.Eventually(t, func() bool { return restarted.CheckRequest(bad).Standing == crashes.Quarantined }, time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return restarted.CheckRequest(bad).Status == crashes.Quarantined }, time.Second, 5*time.Millisecond)
 	t.Logf("quarantine applied after %v", time.Since(start).Round(time.Millisecond))
 }
 
@@ -116,19 +116,19 @@
 func TestRejoiningDaemonLearnsQuarantines(t *testing.T) {
 	f := newLoopbackFleet(t, 5)
 	rejoined := f.add()
-	bad := crashes.ContentOf("POST", "team", "/bad", nil)
+	bad := crashes.FingerprintOf("POST", "team", "/bad", nil)
 	f.reportCrashes(bad)
 	require.Eventually(t, func() bool { return f.countQuarantined(bad) >= 5 }, 2*time.Second, 10*time.Millisecond)
 	require.False(t, rejoined.HasSuspects())
 	f.introduce()
-	require.Eventually(t, func() bool { return rejoined.CheckRequest(bad).Standing == crashes.Quarantined }, 3*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return rejoined.CheckRequest(bad).Status == crashes.Quarantined }, 3*time.Second, 10*time.Millisecond)
 }
 
 // A quarantined request completes on one daemon. All daemons must lift the quarantine, and
 // later gossip must not restore it.
 func TestSuccessLiftsQuarantineOnAllDaemons(t *testing.T) {
 	f := newLoopbackFleet(t, 5)
-	suspected := crashes.ContentOf("POST", "team", "/suspected", nil)
+	suspected := crashes.FingerprintOf("POST", "team", "/suspected", nil)
 	f.reportCrashes(suspected)
 	require.Eventually(t, func() bool { return f.countQuarantined(suspected) == 5 }, 2*time.Second, 10*time.Millisecond)
 	f.daemons[4].RecordSuccess(suspected)
--- a/control/pkg/batchrun/crash.go
+++ b/control/pkg/batchrun/crash.go
@@ -24,7 +24,7 @@
 		return 0
 	}
 	verdict := x.CheckRequest(contentOf(call))
-	if verdict.Standing == crashes.Sound {
+	if verdict.Status == crashes.Allowed {
 		return 0
 	}
 	return verdict.Until
@@ -42,7 +42,7 @@
 		// begin only where a place is free, so they run from the start.
 		running = asked
 	}
-	sign := crashes.SignOf(running, asked, true)
+	sign := crashes.PhaseOf(running, asked, true)
 	level.Info(config.Logger).Log(logs.KeyEvent, logs.EventRunnerCrashed, logs.KeyJob, r.key.Job, "index", r.key.Index,
 		logs.KeyItem, call.Request, logs.KeyContent, contentOf(call), "runner", call.Runner.GetId(), "running-ms", running)
 	if sign == crashes.Late {
@@ -58,6 +58,6 @@
 	}
 }
 
-func contentOf(call runner.Call) crashes.Content {
-	return crashes.ContentOf(call.Method, call.Host, call.Target, call.Body)
+func contentOf(call runner.Call) crashes.Fingerprint {
+	return crashes.FingerprintOf(call.Method, call.Host, call.Target, call.Body)
 }
--- a/control/pkg/core/quarantines.go
+++ b/control/pkg/core/quarantines.go
@@ -59,7 +59,7 @@
 func contentsOf(list []crashes.Quarantine) []quarantineKey {
 	keys := make([]quarantineKey, 0, len(list))
 	for _, q := range list {
-		keys = append(keys, quarantineKey{q.Content, q.Terms})
+		keys = append(keys, quarantineKey{q.Fingerprint, q.Count})
 	}
 	slices.SortFunc(keys, func(a, b quarantineKey) int {
 		if order := slices.Compare(a.content[:], b.content[:]); order != 0 {
@@ -71,6 +71,6 @@
 }
 
 type quarantineKey struct {
-	content crashes.Content
+	content crashes.Fingerprint
 	terms   int
 }
--- a/gateway/pkg/forward/crash.go
+++ b/gateway/pkg/forward/crash.go
@@ -27,10 +27,10 @@
 	for x.HasSuspects() {
 		verdict := x.CheckRequest(e.contentID())
 		wait := (verdict.Until - e.now()).Duration()
-		switch verdict.Standing {
+		switch verdict.Status {
 		case crashes.Quarantined:
 			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonCrashes, RetryAfter: wait}
-		case crashes.Sound:
+		case crashes.Allowed:
 			return nil
 		}
 		timer := time.NewTimer(wait)
@@ -60,7 +60,7 @@
 	if e.heardAt > 0 {
 		running = e.now() - e.heardAt
 	}
-	sign := crashes.SignOf(running, e.now()-began, e.route.Streams())
+	sign := crashes.PhaseOf(running, e.now()-began, e.route.Streams())
 	e.server.metrics.crashes.Inc()
 	level.Info(e.server.config.Logger).Log(logs.KeyEvent, logs.EventRunnerCrashed, logs.KeyRequest, e.request.ID,
 		logs.KeyContent, e.contentID(), "runner", r.GetId(), "ran", e.ran, "running-ms", running)
@@ -77,9 +77,9 @@
 	}
 }
 
-func (e *exchange) contentID() crashes.Content {
+func (e *exchange) contentID() crashes.Fingerprint {
 	if e.content == nil {
-		content := crashes.ContentOf(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
+		content := crashes.FingerprintOf(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
 		e.content = &content
 	}
 	return *e.content
--- a/gateway/pkg/forward/crash_test.go
+++ b/gateway/pkg/forward/crash_test.go
@@ -322,9 +322,9 @@
 func TestAnAttemptUnderWayWhenItsRequestIsQuarantined(t *testing.T) {
 	f := startCrashFleet(t, 1)
 	x := f.servers[0].config.Exchange
-	bad := crashes.ContentOf(http.MethodPost, "team", "/stream/bad", []byte("crash"))
+	bad := crashes.FingerprintOf(http.MethodPost, "team", "/stream/bad", []byte("crash"))
 	for n := range 2 {
-		x.ReportCrash(&toucanhingev1.Runner{Id: fmt.Sprint("earlier", n)}, bad, crashes.Silent)
+		x.ReportCrash(&toucanhingev1.Runner{Id: fmt.Sprint("earlier", n)}, bad, crashes.BeforeFirstEvent)
 	}
 	began := time.Now()
 	waits := f.ask(0, "/stream/bad", "q1", "crash")
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -71,7 +71,7 @@
 	// heardAt is when the first event of the present call came, 0 before.
 	heardAt clock.Millis
 	// content is what the request asks for, nil until it is needed.
-	content *crashes.Content
+	content *crashes.Fingerprint
 	inRoom  bool
 	// wait is what the last choice expected, waited how long it was in the room.
 	wait   clock.Millis
