--- a/common/pkg/fanout/tree.go
+++ b/common/pkg/fanout/tree.go
@@ -1,15 +1,15 @@
-// Package fanout decides from whom each gateway hears the news of the core: routing tables, the
-// fleet, and that what it knows is confirmed.
+// Package fanout decides from which process each gateway receives the updates of the core: routing
+// tables, the fleet view and the freshness point.
 //
-// The load that it answers: hundreds of gateways, a dozen of which are stopped or started every
-// second. Told by the leader of the core one by one, each change costs it a message to each of
-// them, so that its work grows with the square of the fleet; and a leader that is late for a
-// moment has all of them at its door at once. So in a large fleet the gateways of a data centre
-// form a tree of two levels. Its root hears the leader, a few hubs hear the root, and each other
-// gateway hears a hub. The leader's work then follows the number of data centres, and that of
-// a gateway the square root of those in its own.
+// It is designed for hundreds of gateways, a dozen of which stop or start every second. If the
+// core's leader sent to each gateway, each of these changes would cost it a message per gateway, so
+// its work would grow with the square of the fleet. A leader that is late for a short time would
+// also receive requests from all gateways at once. In a large fleet the gateways of a data centre
+// therefore form a tree of two levels: its root receives from the leader, a few hubs receive from the
+// root, and each other gateway receives from a hub. The leader's work then grows with the number of
+// data centres, and that of a gateway with the square root of the gateways in its data centre.
 //
-// It holds no goroutine, socket or clock.
+// The package holds no goroutine, socket or clock.
 package fanout
 
 import (
@@ -19,94 +19,96 @@
 	"slices"
 )
 
-// MostDirect is the number of gateways up to which all hear the leader itself: so few are no
-// load, and a tree would only add ways.
-const MostDirect = 32
+// MaxDirect is the number of gateways up to which all receive from the leader directly. The leader
+// can serve these, and a tree would only add delay.
+const MaxDirect = 32
 
-// Gateway is one that hears news.
+// Gateway is a gateway that receives updates.
 type Gateway struct {
-	// Address is where it takes calls of own daemons, IP:port.
+	// Address is the IP:port at which the gateway accepts calls of other daemons.
 	Address    string
 	DataCentre string
 }
 
-// Tree has the gateways of each data centre in an order that depends on nothing but their
-// addresses. The first is the root and the next ones are hubs. Whoever comes or goes
-// changes the parents of few others. The zero value has no gateways.
+// Tree holds the gateways of each data centre in an order that depends only on their addresses. The
+// first gateway is the root, and the next ones are hubs. Adding or removing a gateway changes the
+// parents of few others. The zero value has no gateways.
 type Tree struct {
-	centres map[string][]ranked
+	dataCentres map[string][]ranked
 }
 
+// ranked is a gateway with the hash that determines its position in the order.
 type ranked struct {
 	address string
 	rank    uint64
 }
 
-// New orders the gateways; a fleet that is small enough to do without gives an empty tree.
+// New builds the tree of a fleet. It is empty if the fleet has at most MaxDirect gateways.
 func New(gateways []Gateway) Tree {
-	t := Tree{centres: map[string][]ranked{}}
-	if len(gateways) <= MostDirect {
+	t := Tree{dataCentres: map[string][]ranked{}}
+	if len(gateways) <= MaxDirect {
 		return t
 	}
 	for _, g := range gateways {
-		t.centres[g.DataCentre] = append(t.centres[g.DataCentre], ranked{g.Address, hash(g.Address)})
+		t.dataCentres[g.DataCentre] = append(t.dataCentres[g.DataCentre], ranked{g.Address, hash(g.Address)})
 	}
-	for _, list := range t.centres {
-		slices.SortFunc(list, ranked.before)
+	for _, list := range t.dataCentres {
+		slices.SortFunc(list, ranked.compare)
 	}
 	return t
 }
 
-func (r ranked) before(other ranked) int {
+func (r ranked) compare(other ranked) int {
 	return cmp.Or(cmp.Compare(r.rank, other.rank), cmp.Compare(r.address, other.address))
 }
 
-// Empty says whether all gateways hear the leader itself.
-func (t Tree) Empty() bool { return len(t.centres) == 0 }
+// Empty reports whether all gateways receive from the leader directly.
+func (t Tree) Empty() bool { return len(t.dataCentres) == 0 }
 
-// Parents lists from whom a gateway may hear, the best first: none for the root, and for all if
-// the tree is empty. A gateway that isn't in the tree yet gets those that it will have. All of
-// them stand before the gateway in the order. So there is no circle, whatever gateways
-// with different views of the fleet choose.
+// Parents lists the gateways that a gateway may receive from, the preferred one first. It is empty
+// for the root, and for every gateway if the tree is empty. A gateway that isn't in the tree yet
+// gets the parents that it will have. All parents precede the gateway in the order, so there is no
+// cycle, even between gateways with different views of the fleet.
 func (t Tree) Parents(g Gateway) []string {
-	list := t.centres[g.DataCentre]
+	list := t.dataCentres[g.DataCentre]
 	self := ranked{g.Address, hash(g.Address)}
-	before, found := slices.BinarySearchFunc(list, self, ranked.before)
-	if before == 0 {
+	position, found := slices.BinarySearchFunc(list, self, ranked.compare)
+	if position == 0 {
 		return nil
 	}
 	gateways := len(list)
 	if !found {
 		gateways++
 	}
-	hubs := hubsOf(gateways)
-	if before <= hubs {
-		return addresses(list[:min(before, 2)])
+	hubs := hubCount(gateways)
+	if position <= hubs {
+		return addresses(list[:min(position, 2)])
 	}
-	return append(nearest(list[1:hubs+1], g.Address), list[0].address)
+	return append(preferredHubs(list[1:hubs+1], g.Address), list[0].address)
 }
 
 // Hubs lists the root and the hubs of a data centre; none if the tree is empty.
 func (t Tree) Hubs(dataCentre string) []string {
-	list := t.centres[dataCentre]
-	return addresses(list[:min(len(list), hubsOf(len(list))+1)])
+	list := t.dataCentres[dataCentre]
+	return addresses(list[:min(len(list), hubCount(len(list))+1)])
 }
 
-// hubsOf is how many hubs so many gateways have: as many as each of these then has children.
-func hubsOf(gateways int) int { return int(math.Sqrt(float64(gateways))) }
+// hubCount returns the number of hubs for a number of gateways, which is also about the number of
+// children of each hub.
+func hubCount(gateways int) int { return int(math.Sqrt(float64(gateways))) }
 
-// choices is the number of hubs that a gateway may hear.
-const choices = 2
+// maxParentHubs is the number of hubs among the parents of a gateway.
+const maxParentHubs = 2
 
-// nearest lists the hubs that rank first for a gateway. Each gateway has its own ranking, so a
-// hub that goes leaves its children to all the others.
-func nearest(hubs []ranked, address string) []string {
+// preferredHubs lists the first hubs in the order of a gateway. Each gateway orders the hubs
+// differently, so the children of a removed hub spread over all others.
+func preferredHubs(hubs []ranked, address string) []string {
 	own := slices.Clone(hubs)
 	for i, h := range own {
 		own[i].rank = hash(h.address + " " + address)
 	}
-	slices.SortFunc(own, ranked.before)
-	return addresses(own[:min(len(own), choices)])
+	slices.SortFunc(own, ranked.compare)
+	return addresses(own[:min(len(own), maxParentHubs)])
 }
 
 func addresses(list []ranked) []string {
@@ -117,11 +119,11 @@
 	return texts
 }
 
-// hash spreads addresses that differ in their last digit only.
+// hash distributes addresses evenly that differ only in their last digit.
 func hash(text string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(text))
-	// FNV leaves the last bytes in the low bits; the order goes by the high ones.
+	// The last bytes affect only the low bits of FNV, but the order depends on the high ones.
 	sum := h.Sum64()
 	sum ^= sum >> 32
 	sum *= 0x9e3779b97f4a7c15
--- a/common/pkg/fanout/tree_test.go
+++ b/common/pkg/fanout/tree_test.go
@@ -14,16 +14,16 @@
 
 func TestMain(m *testing.M) { seed.Main(m, 34) }
 
-func fleetOf(gateways, centres int) []Gateway {
+func fleetOf(gateways, dataCentres int) []Gateway {
 	var list []Gateway
 	for n := range gateways {
-		centre := n % centres
-		list = append(list, Gateway{Address: fmt.Sprintf("10.%d.%d.%d:7720", centre, 64+n/centres/250, n/centres%250), DataCentre: fmt.Sprint("dc-", centre)})
+		dataCentre := n % dataCentres
+		list = append(list, Gateway{Address: fmt.Sprintf("10.%d.%d.%d:7720", dataCentre, 64+n/dataCentres/250, n/dataCentres%250), DataCentre: fmt.Sprint("dc-", dataCentre)})
 	}
 	return list
 }
 
-// children counts those whose best parent each gateway is; the leader's stand under "".
+// children counts the gateways by preferred parent. The key of the leader is "".
 func children(t Tree, list []Gateway) map[string]int {
 	counts := map[string]int{}
 	for _, g := range list {
@@ -37,81 +37,81 @@
 	return counts
 }
 
-// What the leader tells grows with the data centres, and what a gateway tells with the square
-// root of those in its own: with one of both growing like the fleet, the busiest process is the
-// first to give way when the fleet doubles.
-func TestWhatOneTellsDoesNotGrowWithTheFleet(t *testing.T) {
+// The leader's children must grow with the number of data centres, and those of a gateway with the
+// square root of its data centre. If either grew with the fleet, the busiest process would be
+// overloaded first when the fleet doubles.
+func TestChildrenDoNotGrowWithFleet(t *testing.T) {
 	for _, gateways := range []int{33, 89, 314, 628, 1_000, 2_000} {
-		for _, centres := range []int{1, 5, 8} {
-			list := fleetOf(gateways, centres)
+		for _, dataCentres := range []int{1, 5, 8} {
+			list := fleetOf(gateways, dataCentres)
 			counts := children(New(list), list)
-			require.Equal(t, centres, counts[""], "%d gateways, %d data centres", gateways, centres)
-			root := math.Sqrt(float64(gateways)/float64(centres) + 1)
+			require.Equal(t, dataCentres, counts[""], "%d gateways, %d data centres", gateways, dataCentres)
+			root := math.Sqrt(float64(gateways)/float64(dataCentres) + 1)
 			delete(counts, "")
 			for address, count := range counts {
-				require.LessOrEqual(t, float64(count), 3*root+2, "%s of %d gateways in %d data centres", address, gateways, centres)
+				require.LessOrEqual(t, float64(count), 3*root+2, "%s of %d gateways in %d data centres", address, gateways, dataCentres)
 			}
 		}
 	}
 }
 
-func TestASmallFleetHearsTheLeader(t *testing.T) {
-	list := fleetOf(MostDirect, 2)
+func TestSmallFleetReceivesFromLeader(t *testing.T) {
+	list := fleetOf(MaxDirect, 2)
 	tree := New(list)
 	require.True(t, tree.Empty())
-	require.Equal(t, MostDirect, children(tree, list)[""])
-	require.False(t, New(fleetOf(MostDirect+1, 2)).Empty())
+	require.Equal(t, MaxDirect, children(tree, list)[""])
+	require.False(t, New(fleetOf(MaxDirect+1, 2)).Empty())
 	require.Empty(t, Tree{}.Parents(list[0]))
 }
 
 func TestParents(t *testing.T) {
 	list := fleetOf(100, 1)
 	tree := New(list)
-	for rank, r := range tree.centres["dc-0"] {
+	for position, r := range tree.dataCentres["dc-0"] {
 		parents := tree.Parents(Gateway{Address: r.address, DataCentre: "dc-0"})
 		switch {
-		case rank == 0:
+		case position == 0:
 			require.Empty(t, parents)
-		case rank == 1:
-			require.Equal(t, []string{tree.centres["dc-0"][0].address}, parents)
-		case rank <= 10:
-			require.Equal(t, addresses(tree.centres["dc-0"][:2]), parents, "a hub hears the root, or else the first hub")
+		case position == 1:
+			require.Equal(t, []string{tree.dataCentres["dc-0"][0].address}, parents)
+		case position <= 10:
+			require.Equal(t, addresses(tree.dataCentres["dc-0"][:2]), parents, "the parents of a hub are the root and the first hub")
 		default:
 			require.Len(t, parents, 3)
-			require.Equal(t, tree.centres["dc-0"][0].address, parents[2], "the root is the last choice")
+			require.Equal(t, tree.dataCentres["dc-0"][0].address, parents[2], "the root is the last parent")
 		}
 	}
-	stranger := Gateway{Address: "10.9.9.9:1", DataCentre: "dc-0"}
-	require.NotEmpty(t, tree.Parents(stranger), "one that isn't known yet has its parents")
+	unknown := Gateway{Address: "10.9.9.9:1", DataCentre: "dc-0"}
+	require.NotEmpty(t, tree.Parents(unknown), "a gateway that isn't in the tree yet has parents")
 	require.Empty(t, tree.Parents(Gateway{Address: "10.9.9.9:1", DataCentre: "nowhere"}))
 }
 
-// A gateway that stops or starts must not make all others of its data centre turn to new
-// parents, each with a new connection: a dozen of them do so every second.
-func TestOneThatComesOrGoesMovesFewOthers(t *testing.T) {
+// A gateway that stops or starts must change the parents of few others. A dozen gateways do so
+// every second, and each new parent costs a new connection.
+func TestMembershipChangeMovesFewGateways(t *testing.T) {
 	list := fleetOf(130, 1)
 	before := New(list)
 	moved, worst := 0, 0
-	for gone := range list {
-		left := slices.Delete(slices.Clone(list), gone, gone+1)
-		after, now := New(left), 0
-		for _, g := range left {
+	for removed := range list {
+		remaining := slices.Delete(slices.Clone(list), removed, removed+1)
+		after, movedNow := New(remaining), 0
+		for _, g := range remaining {
 			b, a := before.Parents(g), after.Parents(g)
 			if len(a) == 0 || len(b) == 0 || a[0] != b[0] {
-				now++
+				movedNow++
 			}
 		}
-		moved += now
-		worst = max(worst, now)
+		moved += movedNow
+		worst = max(worst, movedNow)
 	}
-	require.LessOrEqual(t, float64(moved)/float64(len(list)), 5.0, "the mean of all")
-	require.LessOrEqual(t, worst, 45, "the root, or a hub")
+	require.LessOrEqual(t, float64(moved)/float64(len(list)), 5.0, "mean over all removed gateways")
+	require.LessOrEqual(t, worst, 45, "removal of the root or a hub")
 }
 
-// Gateways see different fleets for a moment: one has just started, one is frozen, one hears an
-// earlier leader. Whatever each takes for its parents, nobody hears itself over others:
-// two that hear only each other would never learn of anything again.
-func TestRapidNoCircle(t *testing.T) {
+// Gateways temporarily have different views of the fleet: after a start, while suspended, or with an
+// earlier leader. Their parents must never form a cycle, because gateways that receive only from
+// one another would get no further updates.
+func TestRapidParentsFormNoCycle(t *testing.T) {
 	all := fleetOf(120, 2)
 	rapid.Check(t, func(t *rapid.T) {
 		parents := map[string][]string{}
@@ -123,18 +123,18 @@
 			}
 			parents[g.Address] = New(view).Parents(g)
 		}
-		seen, open := map[string]bool{}, map[string]bool{}
+		seen, visiting := map[string]bool{}, map[string]bool{}
 		var visit func(address string)
 		visit = func(address string) {
-			require.False(t, open[address], "%s hears itself", address)
+			require.False(t, visiting[address], "%s is in a cycle", address)
 			if seen[address] {
 				return
 			}
-			seen[address], open[address] = true, true
+			seen[address], visiting[address] = true, true
 			for _, p := range parents[address] {
 				visit(p)
 			}
-			delete(open, address)
+			delete(visiting, address)
 		}
 		for _, g := range all {
 			visit(g.Address)
--- a/control/pkg/core/fleet.go
+++ b/control/pkg/core/fleet.go
@@ -193,7 +193,7 @@
 // one knows. Told so, a gateway of a large fleet took it for a small one: it sent its digests
 // to few others, and turned to the leader for news as all of them did. The caller holds the lock.
 func (f *fleet) lacks(now clock.Millis, m *toucanhingev1.AttendRequest) bool {
-	return m.GetHaveFleet() != 0 && m.GetKnows() > fanout.MostDirect && now-f.began < gatheringTime &&
+	return m.GetHaveFleet() != 0 && m.GetKnows() > fanout.MaxDirect && now-f.began < gatheringTime &&
 		float64(len(f.gateways)) < knownPart*float64(m.GetKnows())
 }
 
@@ -208,7 +208,7 @@
 func (f *fleet) large() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.gateways) > fanout.MostDirect
+	return len(f.gateways) > fanout.MaxDirect
 }
 
 // expire forgets gateways that fell silent.
--- a/control/pkg/core/fleet_differences_test.go
+++ b/control/pkg/core/fleet_differences_test.go
@@ -64,7 +64,7 @@
 		{"it knows nearly all", 90, began + 100, 1, gateways, true},
 		{"many are gone for good", 50, began + gatheringTime, 1, gateways, true},
 		{"a gateway that starts needs what there is", 50, began + 100, 0, 0, true},
-		{"in a small fleet each comes by itself", 5, began + 100, 1, fanout.MostDirect, true},
+		{"in a small fleet each comes by itself", 5, began + 100, 1, fanout.MaxDirect, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet()
