--- /dev/null
+++ b/common/pkg/fleetview/change_log.go
@@ -0,0 +1,145 @@
+// Package fleetview computes the differences between the fleet view that a gateway has and the
+// current one.
+//
+// It is designed for hundreds of gateways and hundreds of runners, with a runner starting or leaving
+// all the time. Full views sent to each gateway at each change would be most of the traffic of the
+// core's leader. Each view has a revision. The leader sends a gateway the runners and daemons that
+// changed since the gateway's revision. A gateway with a view of another leader, or with a view that
+// is too old, gets the full view.
+//
+// The package holds no goroutine, socket or clock.
+package fleetview
+
+import (
+	"google.golang.org/protobuf/proto"
+
+	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
+)
+
+// maxRemoved limits the stored names of removed runners and daemons. A gateway that missed more
+// removals gets the full view.
+const maxRemoved = 1_000
+
+// ChangeLog records the revision at which each runner and daemon changed, during one leader's term.
+// The zero value has no view. It is not safe for concurrent use.
+type ChangeLog struct {
+	current *toucanhingev1.FleetView
+	// minRevision is the oldest revision that can be updated with differences.
+	minRevision uint64
+	runners     changeRecord
+	peers       changeRecord
+}
+
+// changeRecord holds revisions by name: of the last change of each entry and of the removal of each
+// removed entry.
+type changeRecord struct{ changed, removed map[string]uint64 }
+
+func newChangeRecord() changeRecord {
+	return changeRecord{changed: map[string]uint64{}, removed: map[string]uint64{}}
+}
+
+// Revision returns the revision of the last applied view, 0 for none.
+func (l *ChangeLog) Revision() uint64 { return l.current.GetRevision() }
+
+// Apply records the next view, which must not be modified afterwards. Its revision must be higher
+// than those of the previous views.
+func (l *ChangeLog) Apply(view *toucanhingev1.FleetView) {
+	old := l.current
+	l.current = view
+	if old == nil {
+		l.reset()
+		return
+	}
+	revision := view.GetRevision()
+	recorded := l.runners.recordChanges(revision, runnersOf(old), runnersOf(view)) &&
+		l.peers.recordChanges(revision, peersOf(old), peersOf(view))
+	if !recorded || len(l.runners.removed)+len(l.peers.removed) > maxRemoved {
+		l.reset()
+	}
+}
+
+// reset discards the changes before the current view.
+func (l *ChangeLog) reset() {
+	l.minRevision = l.current.GetRevision()
+	l.runners, l.peers = newChangeRecord(), newChangeRecord()
+}
+
+// Since returns the view to send to a gateway that has the given revision: differences if the
+// gateway can read them, else the full view, and nil if the gateway is up to date.
+func (l *ChangeLog) Since(have uint64, readsDifferences bool) *toucanhingev1.FleetView {
+	switch {
+	case l.current == nil || have == l.current.GetRevision():
+		return nil
+	case !readsDifferences || have == 0 || have < l.minRevision || have > l.current.GetRevision():
+		return l.current
+	}
+	v := &toucanhingev1.FleetView{
+		Revision: l.current.GetRevision(), Since: have, CoreAddresses: l.current.GetCoreAddresses(),
+		GoneRunners: l.runners.removedSince(have), GonePeers: l.peers.removedSince(have),
+	}
+	for _, r := range l.current.GetRunners() {
+		if l.runners.changed[r.GetId()] > have {
+			v.Runners = append(v.Runners, r)
+		}
+	}
+	for _, p := range l.current.GetDigestPeers() {
+		if l.peers.changed[p.GetAddress()] > have {
+			v.DigestPeers = append(v.DigestPeers, p)
+		}
+	}
+	return v
+}
+
+// recordChanges records the differences between two views. It returns false if a name occurs more
+// than once, since differences identify entries by name.
+func (r changeRecord) recordChanges(revision uint64, old, current parts) (ok bool) {
+	if old.hasDuplicates || current.hasDuplicates {
+		return false
+	}
+	for name, entry := range current.byName {
+		if existing, known := old.byName[name]; !known || !proto.Equal(existing, entry) {
+			r.changed[name] = revision
+			delete(r.removed, name)
+		}
+	}
+	for name := range old.byName {
+		if _, remains := current.byName[name]; !remains {
+			r.removed[name] = revision
+			delete(r.changed, name)
+		}
+	}
+	return true
+}
+
+func (r changeRecord) removedSince(have uint64) []string {
+	var names []string
+	for name, revision := range r.removed {
+		if revision > have {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// parts holds the runners or the daemons of a view.
+type parts struct {
+	byName        map[string]proto.Message
+	hasDuplicates bool
+}
+
+func runnersOf(v *toucanhingev1.FleetView) parts {
+	return partsOf(v.GetRunners(), (*toucanhingev1.Runner).GetId)
+}
+
+func peersOf(v *toucanhingev1.FleetView) parts {
+	return partsOf(v.GetDigestPeers(), (*toucanhingev1.DigestPeer).GetAddress)
+}
+
+func partsOf[T proto.Message](list []T, name func(T) string) parts {
+	p := parts{byName: make(map[string]proto.Message, len(list))}
+	for _, m := range list {
+		p.byName[name(m)] = m
+	}
+	p.hasDuplicates = len(p.byName) != len(list)
+	return p
+}
--- a/common/pkg/fleetview/fleetview_test.go
+++ b/common/pkg/fleetview/fleetview_test.go
@@ -13,16 +13,16 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// model is the fleet as it is, and the leader that tells it.
+// model is the actual fleet and the leader that sends it.
 type model struct {
-	log      *Log
+	log      *ChangeLog
 	term     uint64
 	revision uint64
 	runners  map[string]*toucanhingev1.Runner
 	peers    map[string]*toucanhingev1.DigestPeer
 }
 
-func (m *model) whole() *toucanhingev1.FleetView {
+func (m *model) fullView() *toucanhingev1.FleetView {
 	v := &toucanhingev1.FleetView{Revision: m.revision, CoreAddresses: []string{fmt.Sprint("core of ", m.revision)}}
 	for _, r := range m.runners {
 		v.Runners = append(v.Runners, proto.CloneOf(r))
@@ -41,23 +41,23 @@
 }
 
 func newModel() *model {
-	return &model{log: &Log{}, term: 1, revision: 1 << 32, runners: map[string]*toucanhingev1.Runner{}, peers: map[string]*toucanhingev1.DigestPeer{}}
+	return &model{log: &ChangeLog{}, term: 1, revision: 1 << 32, runners: map[string]*toucanhingev1.Runner{}, peers: map[string]*toucanhingev1.DigestPeer{}}
 }
 
-func (m *model) ask(have uint64, reads bool) *toucanhingev1.FleetView {
-	if m.log.Newest() != m.revision {
-		m.log.Take(m.whole())
+func (m *model) query(have uint64, readsDifferences bool) *toucanhingev1.FleetView {
+	if m.log.Revision() != m.revision {
+		m.log.Apply(m.fullView())
 	}
-	return m.log.Since(have, reads)
+	return m.log.Since(have, readsDifferences)
 }
 
-// Runners start, leave, change and come back, daemons come and go, leaders follow one another,
-// and answers get lost or come to a gateway that read an older one meanwhile. Whenever a
-// gateway is told the newest, it holds exactly the fleet.
-func TestRapidAGatewayHoldsTheFleet(t *testing.T) {
+// Runners and daemons are added, changed, removed and added again, the leader changes, and replies
+// are lost or reordered. Whenever a gateway applies the newest revision, its view must equal the
+// fleet.
+func TestRapidGatewayViewEqualsFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
-		gateways := []*Picture{{}, {}, {}}
+		gateways := []*Cache{{}, {}, {}}
 		name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"})
 		t.Repeat(map[string]func(*rapid.T){
 			"a runner changes": func(t *rapid.T) {
@@ -81,38 +81,38 @@
 			"another leader": func(*rapid.T) {
 				m.term++
 				m.revision = m.term << 32
-				m.log = &Log{}
+				m.log = &ChangeLog{}
 			},
-			"a gateway asks": func(t *rapid.T) {
+			"a gateway queries": func(t *rapid.T) {
 				g := rapid.SampledFrom(gateways).Draw(t, "gateway")
-				told := m.ask(g.Revision(), true)
-				if told == nil || rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
+				reply := m.query(g.Revision(), true)
+				if reply == nil || rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 					return
 				}
 				if rapid.IntRange(0, 5).Draw(t, "late") == 0 {
-					// It asked twice, and reads the answers in the other order.
+					// The gateway queried twice, and the replies arrive in the other order.
 					m.revision++
-					_, ok := g.Take(m.ask(g.Revision(), true))
+					_, ok := g.Apply(m.query(g.Revision(), true))
 					require.True(t, ok)
 				}
-				whole, ok := g.Take(told)
+				full, ok := g.Apply(reply)
 				if !ok {
 					require.Zero(t, g.Revision())
 					return
 				}
-				if whole.GetRevision() == m.revision {
-					require.Empty(t, differences(m.whole(), sorted(whole)))
+				if full.GetRevision() == m.revision {
+					require.Empty(t, differences(m.fullView(), sorted(full)))
 				}
 			},
 		})
 		for n, g := range gateways {
-			told := m.ask(g.Revision(), true)
-			if told == nil {
+			reply := m.query(g.Revision(), true)
+			if reply == nil {
 				continue
 			}
-			whole, ok := g.Take(told)
+			full, ok := g.Apply(reply)
 			require.True(t, ok)
-			require.Empty(t, differences(m.whole(), sorted(whole)), "gateway %d", n)
+			require.Empty(t, differences(m.fullView(), sorted(full)), "gateway %d", n)
 		}
 	})
 }
@@ -124,55 +124,55 @@
 	return fmt.Sprintf("want %v, got %v", want, got)
 }
 
-// A gateway of an earlier program doesn't read differences, and one that holds nothing can't
-// use them.
-func TestTheWholeIsTold(t *testing.T) {
+// A gateway must get the full view if it runs an earlier version, which doesn't read differences,
+// or if it has no view that the differences could be applied to.
+func TestFullViewIsSent(t *testing.T) {
 	m := newModel()
 	for n := range 3 {
 		m.runners[fmt.Sprint(n)] = &toucanhingev1.Runner{Id: fmt.Sprint(n)}
 	}
-	first := m.ask(0, true)
+	first := m.query(0, true)
 	require.Zero(t, first.GetSince())
 	m.revision++
 	m.runners["3"] = &toucanhingev1.Runner{Id: "3"}
 	for _, c := range []struct {
-		name  string
-		have  uint64
-		reads bool
-		told  int
+		name             string
+		have             uint64
+		readsDifferences bool
+		want             int
 	}{
-		{"an earlier program", first.GetRevision(), false, 4},
-		{"nothing held", 0, true, 4},
-		{"a view of an earlier leader", first.GetRevision() - 1, true, 4},
-		{"a view of a later leader", m.revision + 1, true, 4},
-		{"the view before", first.GetRevision(), true, 1},
+		{"earlier version", first.GetRevision(), false, 4},
+		{"no view", 0, true, 4},
+		{"view of an earlier leader", first.GetRevision() - 1, true, 4},
+		{"view of a later leader", m.revision + 1, true, 4},
+		{"previous view", first.GetRevision(), true, 1},
 	} {
-		require.Len(t, m.ask(c.have, c.reads).GetRunners(), c.told, c.name)
+		require.Len(t, m.query(c.have, c.readsDifferences).GetRunners(), c.want, c.name)
 	}
-	require.Nil(t, m.ask(m.revision, true))
+	require.Nil(t, m.query(m.revision, true))
 }
 
-// Two entries under one name can't be told as differences.
-func TestDoubledNamesAreToldWhole(t *testing.T) {
-	log := &Log{}
-	log.Take(&toucanhingev1.FleetView{Revision: 1, Runners: []*toucanhingev1.Runner{{Id: "a"}}})
-	log.Take(&toucanhingev1.FleetView{Revision: 2, Runners: []*toucanhingev1.Runner{{Id: "a"}, {Id: "a", Slots: 2}}})
+// Two entries with the same name can't be sent as differences.
+func TestDuplicateNamesCauseFullView(t *testing.T) {
+	log := &ChangeLog{}
+	log.Apply(&toucanhingev1.FleetView{Revision: 1, Runners: []*toucanhingev1.Runner{{Id: "a"}}})
+	log.Apply(&toucanhingev1.FleetView{Revision: 2, Runners: []*toucanhingev1.Runner{{Id: "a"}, {Id: "a", Slots: 2}}})
 	require.Len(t, log.Since(1, true).GetRunners(), 2)
 	require.Zero(t, log.Since(1, true).GetSince())
 }
 
-// Thousands of runners come and go: what is remembered of them stays bounded, and a gateway that
-// missed all of it gets the whole.
-func TestWhatIsGoneIsForgotten(t *testing.T) {
+// Thousands of runners are added and removed. The log must stay within its limit, and a gateway
+// that missed all changes must get the full view.
+func TestRemovedEntriesAreLimited(t *testing.T) {
 	m := newModel()
-	m.ask(0, true)
+	m.query(0, true)
 	old := m.revision
-	for n := range 3 * mostGone {
+	for n := range 3 * maxRemoved {
 		m.runners = map[string]*toucanhingev1.Runner{fmt.Sprint(n): {Id: fmt.Sprint(n)}}
 		m.revision++
-		m.ask(0, true)
+		m.query(0, true)
 	}
-	require.LessOrEqual(t, len(m.log.runners.gone), mostGone)
+	require.LessOrEqual(t, len(m.log.runners.removed), maxRemoved)
 	require.Len(t, m.log.runners.changed, 1)
-	require.Zero(t, m.ask(old, true).GetSince())
+	require.Zero(t, m.query(old, true).GetSince())
 }
--- a/control/pkg/core/fleet.go
+++ b/control/pkg/core/fleet.go
@@ -52,7 +52,7 @@
 	vms   map[string]announced
 	cores []string
 	// told is what gateways were told, for differences.
-	told fleetview.Log
+	told fleetview.ChangeLog
 }
 
 type gateway struct {
@@ -89,7 +89,7 @@
 	f.gateways = map[string]gateway{}
 	f.carrying, f.tree = nil, nil
 	f.vms = map[string]announced{}
-	f.told = fleetview.Log{}
+	f.told = fleetview.ChangeLog{}
 }
 
 func (f *fleet) list() []*toucanhingev1.Runner {
@@ -269,8 +269,8 @@
 	if !f.known || f.lacks(now, m) {
 		return nil
 	}
-	if f.told.Newest() != f.revision {
-		f.told.Take(f.whole(self))
+	if f.told.Revision() != f.revision {
+		f.told.Apply(f.whole(self))
 	}
 	return f.told.Since(m.GetHaveFleet(), m.GetReadsDifferences())
 }
--- a/gateway/pkg/core/follower.go
+++ b/gateway/pkg/core/follower.go
@@ -73,7 +73,7 @@
 type Follower struct {
 	config   Config
 	version  uint64
-	fleet    fleetview.Picture
+	fleet    fleetview.Cache
 	upstream *upstream
 	relays   relays
 	// begun says that a first view was taken.
@@ -230,7 +230,7 @@
 		// An earlier leader, or a gateway that hears one, doesn't know yet that there is another.
 		return true
 	}
-	fleet, ok := f.fleet.Take(told)
+	fleet, ok := f.fleet.Apply(told)
 	if !ok {
 		level.Error(f.config.Logger).Log(logs.KeyEvent, "fleet-unusable", "since", told.GetSince(), "revision", told.GetRevision(),
 			"reason", "differences to another view than the one held; the whole is asked for")
--- a/gateway/pkg/news/board.go
+++ b/gateway/pkg/news/board.go
@@ -42,7 +42,7 @@
 	table *routing.Table
 	fleet *toucanhingev1.FleetView
 	// log has the differences between views, nil until somebody asks for them.
-	log *fleetview.Log
+	log *fleetview.ChangeLog
 	// point is the moment, by the boot clock, up to which all that the leader knew is here; 0
 	// before anything was heard.
 	point   clock.Millis
@@ -75,7 +75,7 @@
 	defer b.mu.Unlock()
 	b.fleet = v
 	if b.log != nil {
-		b.log.Take(v)
+		b.log.Apply(v)
 	}
 }
 
@@ -141,8 +141,8 @@
 		return nil
 	}
 	if b.log == nil {
-		b.log = &fleetview.Log{}
-		b.log.Take(b.fleet)
+		b.log = &fleetview.ChangeLog{}
+		b.log.Apply(b.fleet)
 	}
 	return b.log.Since(have, true)
 }
