--- a/common/pkg/clock/boot.go
+++ b/common/pkg/clock/boot.go
@@ -2,16 +2,15 @@
 
 import "golang.org/x/sys/unix"
 
-// Boot returns a clock that goes on while the machine is suspended, and that no change of the
-// wall clock moves. What must not be believed after a time, counted by System, would be
-// believed for longer by as much as the machine slept. Its points are spans since the
-// machine's start.
+// Boot returns a clock that continues while the machine is suspended and that is independent of the
+// wall clock. Use it for expiry: an expiry counted by System would be extended by the time that the
+// machine is suspended. Its times are durations since the machine's start.
 func Boot() Clock {
 	fallback := System()
 	return Clock{now: func() Millis {
 		var at unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
-			// No kernel that we run on lacks it.
+			// All supported kernels have CLOCK_BOOTTIME.
 			return fallback.Now()
 		}
 		return Millis(at.Nano() / nanosPerMilli)
--- a/common/pkg/clock/clock.go
+++ b/common/pkg/clock/clock.go
@@ -1,49 +1,48 @@
-// Package clock is the one source of time of every process. Times are whole
-// milliseconds, so that decisions can be stepped and compared without rounding.
+// Package clock is the only source of time of every process. Times are whole milliseconds, so that
+// state machines can be stepped in tests and times compared without rounding.
 package clock
 
 import "time"
 
-// Millis is a point in time in milliseconds since the Unix epoch, or a span in
-// milliseconds where a name says so.
+// Millis is a time in milliseconds since the Unix epoch, or a duration in milliseconds where the
+// name of a value implies one.
 type Millis int64
 
-// Duration turns a span into the standard library's type.
+// Duration converts a duration to the standard library's type.
 func (m Millis) Duration() time.Duration {
 	return time.Duration(m) * time.Millisecond
 }
 
-// Time turns a point into the standard library's type.
+// Time converts a time to the standard library's type.
 func (m Millis) Time() time.Time {
 	return time.UnixMilli(int64(m))
 }
 
-// Span turns the standard library's duration into whole milliseconds.
-func Span(d time.Duration) Millis {
+// FromDuration converts the standard library's duration to whole milliseconds.
+func FromDuration(d time.Duration) Millis {
 	return Millis(d.Milliseconds())
 }
 
-// Clock tells the time. The zero value is not usable; take System or Fixed.
+// Clock provides the current time. The zero value is not usable; use System, Boot or FromFunc.
 type Clock struct {
 	now func() Millis
 }
 
-// Now returns the present.
+// Now returns the current time.
 func (c Clock) Now() Millis {
 	return c.now()
 }
 
-// System returns the clock of this machine. It never goes back within one
-// process: we add the monotonic time since the start to the wall clock at the
-// start. An operator or NTP that sets the wall clock back would otherwise make
-// leases live longer than granted.
+// System returns the clock of this machine. It never goes back within one process, because it adds
+// the monotonic time since its creation to the wall clock at its creation. Otherwise leases would
+// last longer than granted if an operator or NTP set the wall clock back.
 func System() Clock {
 	start := time.Now()
 	base := Millis(start.UnixMilli())
-	return Clock{now: func() Millis { return base + Span(time.Since(start)) }}
+	return Clock{now: func() Millis { return base + FromDuration(time.Since(start)) }}
 }
 
-// Of returns a clock that asks the given function, for tests.
-func Of(now func() Millis) Clock {
+// FromFunc returns a clock that calls the given function, for tests.
+func FromFunc(now func() Millis) Clock {
 	return Clock{now: now}
 }
--- a/control/pkg/batchrun/driver_test.go
+++ b/control/pkg/batchrun/driver_test.go
@@ -379,7 +379,7 @@
 		return ok(&hanging{source: strings.NewReader(events(1, 1))})
 	})
 	now := clock.Millis(1_000_000)
-	f.driver.config.Clock = clock.Of(func() clock.Millis { f.mu.Lock(); defer f.mu.Unlock(); return now })
+	f.driver.config.Clock = clock.FromFunc(func() clock.Millis { f.mu.Lock(); defer f.mu.Unlock(); return now })
 	f.run()
 	f.submit(1)
 	f.do(&toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_ReplaceTable{ReplaceTable: table(2, "/other/")}})
--- a/control/pkg/carrier/carrier_test.go
+++ b/control/pkg/carrier/carrier_test.go
@@ -259,7 +259,7 @@
 
 	now := clock.Millis(1_000)
 	c := carrierOf()
-	c.config.Clock = clock.Of(func() clock.Millis { return now })
+	c.config.Clock = clock.FromFunc(func() clock.Millis { return now })
 	for range 3 {
 		_, err = c.Calls().Open(context.Background(), callOf(""))
 		require.ErrorIs(t, err, ErrNobody)
