--- a/common/pkg/digest/crashes.go
+++ b/common/pkg/digest/crashes.go
@@ -150,7 +150,7 @@
 	c := crashes.Clearance{Fingerprint: fingerprint, At: now}
 	x.crashState.machine.Clear(now, c)
 	x.crashState.outbox.clearances = append(x.crashState.outbox.clearances, c)
-	level.Info(x.config.Logger).Log(logs.KeyEvent, "request-cleared", logs.KeyContent, fingerprint)
+	level.Info(x.config.Logger).Log(logs.KeyEvent, "request-cleared", logs.KeyFingerprint, fingerprint)
 	x.crashState.wake()
 }
 
@@ -178,7 +178,7 @@
 func (x *Exchange) QuarantineCount() int { return len(x.Quarantines()) }
 
 func (x *Exchange) logQuarantine(q crashes.Quarantine, foundBy string) {
-	level.Warn(x.config.Logger).Log(logs.KeyEvent, "request-quarantined", logs.KeyContent, q.Fingerprint, "terms", q.Count,
+	level.Warn(x.config.Logger).Log(logs.KeyEvent, "request-quarantined", logs.KeyFingerprint, q.Fingerprint, "terms", q.Count,
 		"span-ms", q.Until-q.Since, "found-by", foundBy)
 }
 
--- a/common/pkg/digest/exchange.go
+++ b/common/pkg/digest/exchange.go
@@ -314,7 +314,7 @@
 	loads := x.table.Loads(x.config.Clock.Now())
 	promised := x.promisedInterval()
 	x.mu.Unlock()
-	unsent := x.config.Quota.Awake(x.bootNow())
+	unsent := x.config.Quota.MarkAlive(x.bootNow())
 	// The empty state is sent twice, in case one datagram is lost, and then no more.
 	if len(loads) > 0 || unsent || heartbeats {
 		x.emptySent = 0
@@ -327,7 +327,7 @@
 	x.sequence++
 	data, err := proto.Marshal(&toucanhingev1.LoadDigest{
 		Source: x.config.Source, Epoch: x.epoch, Sequence: x.sequence, Version: x.config.Version(), Loads: loads,
-		NextMs: uint32(promised), Uses: x.config.Quota.Tell(false), CountingMs: x.countingMs(),
+		NextMs: uint32(promised), Uses: x.config.Quota.Publish(false), CountingMs: x.countingMs(),
 	})
 	if err != nil {
 		level.Error(x.config.Logger).Log(logs.KeyEvent, "digest-unencodable", logs.KeyError, err)
--- a/common/pkg/digest/quota.go
+++ b/common/pkg/digest/quota.go
@@ -10,12 +10,12 @@
 // AcquireQuota counts one request of a team, or refuses it if the quota is used up; see package
 // quota.
 func (x *Exchange) AcquireQuota(l quota.Limit) quota.Verdict {
-	now, surroundings := x.bootNow(), quota.Surroundings{Age: x.Age()}
+	now, surroundings := x.bootNow(), quota.Peers{Age: x.Age()}
 	x.mu.Lock()
 	surroundings.Gateways = x.gateways
 	surroundings.Isolated = len(x.all) > 0 && x.isolation.isolated(now, x.relay.usesSummaries())
 	x.mu.Unlock()
-	verdict := x.config.Quota.Ask(now, l, surroundings)
+	verdict := x.config.Quota.Admit(now, l, surroundings)
 	if verdict.Admitted {
 		x.wake()
 	}
@@ -25,7 +25,7 @@
 // ReleaseQuota releases the quota of a request that was admitted at the given time of the boot
 // clock and never ran.
 func (x *Exchange) ReleaseQuota(at clock.Millis, team string) {
-	x.config.Quota.GiveBack(x.bootNow(), at, team)
+	x.config.Quota.Release(x.bootNow(), at, team)
 	x.wake()
 }
 
@@ -50,7 +50,7 @@
 func (x *Exchange) resendUsage(peers map[string]netip.AddrPort) {
 	for address := range peers {
 		if _, known := x.all[address]; !known {
-			x.config.Quota.Retell(x.bootNow())
+			x.config.Quota.Republish(x.bootNow())
 			return
 		}
 	}
--- a/common/pkg/digest/quota_test.go
+++ b/common/pkg/digest/quota_test.go
@@ -14,12 +14,12 @@
 
 // acquireQuota requests quota for some requests at a daemon and returns how many were admitted.
 func (f *fleet) acquireQuota(d *daemon, l quota.Limit, requests int) (admitted int) {
-	surroundings := quota.Surroundings{Gateways: len(f.addresses), Age: 60}
+	surroundings := quota.Peers{Gateways: len(f.addresses), Age: 60}
 	for range requests {
-		v := d.counter.Ask(f.now, l, surroundings)
+		v := d.counter.Admit(f.now, l, surroundings)
 		for v.Wait > 0 {
 			f.run(v.Wait)
-			v = d.counter.Ask(f.now, l, surroundings)
+			v = d.counter.Admit(f.now, l, surroundings)
 		}
 		if v.Admitted {
 			admitted++
@@ -124,7 +124,7 @@
 func TestIdleGatewayIsNotIsolated(t *testing.T) {
 	now := clock.System()
 	listen := func(name string, core bool) *Exchange {
-		counter := quota.NewCounter(quota.Config{Window: 5_000, Slack: 16})
+		counter := quota.NewCounter(quota.Config{Window: 5_000, OverrunRequests: 16})
 		counter.Restore(now.Now(), nil, 5_000)
 		x, err := Listen(Config{
 			Address: "127.0.0.1:0", Source: name, Core: core, Clock: now, Boot: now, Logger: log.NewNopLogger(),
--- a/common/pkg/digest/relay_loop.go
+++ b/common/pkg/digest/relay_loop.go
@@ -62,7 +62,7 @@
 
 // dataCentreUsage lists the quota usage in this data centre that others may not know yet.
 func (x *Exchange) dataCentreUsage() ([]*toucanhingev1.TeamUse, uint32) {
-	return x.config.Quota.Tell(true), x.countingMs()
+	return x.config.Quota.Publish(true), x.countingMs()
 }
 
 // apply applies a received digest and lists the peers to forward the datagram to unchanged.
@@ -78,7 +78,7 @@
 	case !d.GetRelays():
 		if x.relay.acceptsDigest(from, d.GetSource()) {
 			x.table.ApplyDigest(now, d)
-			x.config.Quota.Heard(boot, d, false)
+			x.config.Quota.Receive(boot, d, false)
 		}
 		return nil
 	}
@@ -93,7 +93,7 @@
 			// Only summaries of other data centres prove that this data centre isn't partitioned.
 			x.isolation.remoteAt = boot
 			x.table.ApplySummary(now, summary)
-			x.config.Quota.Heard(boot, summary, true)
+			x.config.Quota.Receive(boot, summary, true)
 		}
 	}
 	return forwardTo
--- a/common/pkg/digest/relay_test.go
+++ b/common/pkg/digest/relay_test.go
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, p := range peers {
-		d := &daemon{peer: p, table: occupancy.New(), relay: newRelay(p.Address, p), counter: quota.NewCounter(quota.Config{Slack: 20})}
+		d := &daemon{peer: p, table: occupancy.New(), relay: newRelay(p.Address, p), counter: quota.NewCounter(quota.Config{OverrunRequests: 20})}
 		d.counter.Begin(f.now)
 		var others []Peer
 		for _, other := range peers {
@@ -101,12 +101,12 @@
 	d.sequence++
 	f.send(d, addresses(d.relay.local), &toucanhingev1.LoadDigest{
 		Source: d.peer.Address, Epoch: 1, Sequence: d.sequence, Loads: d.table.Loads(f.now), NextMs: 50,
-		Uses: d.counter.Tell(false), CountingMs: uint32(f.now - fleetStart),
+		Uses: d.counter.Publish(false), CountingMs: uint32(f.now - fleetStart),
 	})
 }
 
 func (f *fleet) dataCentreUsage(d *daemon) usageFunc {
-	return func() ([]*toucanhingev1.TeamUse, uint32) { return d.counter.Tell(true), uint32(f.now - fleetStart) }
+	return func() ([]*toucanhingev1.TeamUse, uint32) { return d.counter.Publish(true), uint32(f.now - fleetStart) }
 }
 
 // fleetStart is the time at which all daemons start.
@@ -137,7 +137,7 @@
 	if !message.GetRelays() {
 		if d.relay.acceptsDigest(from, message.GetSource()) {
 			d.table.ApplyDigest(f.now, message)
-			d.counter.Heard(f.now, message, false)
+			d.counter.Receive(f.now, message, false)
 		}
 		return
 	}
@@ -146,7 +146,7 @@
 	for _, summary := range summaries {
 		if summary.GetDataCentre() != d.peer.DataCentre {
 			d.table.ApplySummary(f.now, summary)
-			d.counter.Heard(f.now, summary, true)
+			d.counter.Receive(f.now, summary, true)
 		}
 	}
 }
--- a/control/pkg/app/groups.go
+++ b/control/pkg/app/groups.go
@@ -106,7 +106,7 @@
 	c := replica.Config{
 		Group: number, Name: settings.Name, Identity: identity, Folder: groupFolder(settings, number),
 		Clock: now, Logger: logger, Registerer: set.Registry,
-		HeartbeatEvery:    clock.Millis(settings.Consensus.HeartbeatMS),
+		HeartbeatInterval:    clock.Millis(settings.Consensus.HeartbeatMS),
 		ElectionTimeout:   clock.Millis(settings.Consensus.ElectionMS),
 		CheckpointEntries: settings.Consensus.CheckpointEntries,
 	}
@@ -158,7 +158,7 @@
 		if _, _, self := g.Leader(); !self || len(g.Status().GetReplicas()) < 2 {
 			continue
 		}
-		if handErr := g.Handover(ctx); handErr != nil {
+		if handErr := g.TransferLeadership(ctx); handErr != nil {
 			err = fmt.Errorf("hand over a group: %w", handErr)
 			continue
 		}
--- a/control/pkg/batchrun/crash.go
+++ b/control/pkg/batchrun/crash.go
@@ -44,7 +44,7 @@
 	}
 	sign := crashes.PhaseOf(running, asked, true)
 	level.Info(config.Logger).Log(logs.KeyEvent, logs.EventRunnerCrashed, logs.KeyJob, r.key.Job, "index", r.key.Index,
-		logs.KeyItem, call.Request, logs.KeyContent, contentOf(call), "runner", call.Runner.GetId(), "running-ms", running)
+		logs.KeyItem, call.Request, logs.KeyFingerprint, contentOf(call), "runner", call.Runner.GetId(), "running-ms", running)
 	if sign == crashes.Late {
 		config.Exchange.RecordSuccess(contentOf(call))
 	}
--- a/control/pkg/batchrun/driver.go
+++ b/control/pkg/batchrun/driver.go
@@ -59,8 +59,8 @@
 	// Runners lists the running instances as far as known.
 	Runners    func() []*toucanhingev1.Runner
 	DataCentre string
-	// Late is told how late this process is with its decisions, a span; may be nil.
-	Late    func(lag clock.Millis)
+	// OnLag is told how late this process is with its decisions, a span; may be nil.
+	OnLag    func(lag clock.Millis)
 	Clock   clock.Clock
 	Logger  log.Logger
 	Metrics *Metrics
@@ -148,8 +148,8 @@
 	time.Sleep(early)
 	lag := clock.Millis((time.Since(before) - early).Milliseconds())
 	d.limiter.note(lag)
-	if d.config.Late != nil {
-		d.config.Late(lag)
+	if d.config.OnLag != nil {
+		d.config.OnLag(lag)
 	}
 }
 
@@ -181,15 +181,15 @@
 func (d *Driver) addJob(s *systemstate.State, j *systemstate.Job) {
 	due, expires, rank := j.Accepted, j.Accepted+expirySlack, uint32(0)
 	if route, found := s.Route(j); found {
-		rank = s.Rank(j, route)
+		rank = s.Priority(j, route)
 		due += clock.Millis(route.CompletionMs)
 		expires += clock.Millis(route.RetentionMs)
 	}
 	for i := range j.Items {
 		if !j.Items[i].Done {
 			d.machine.Add(dispatch.Item{
-				Key: dispatch.Key{Job: j.Name, Index: uint32(i)}, Due: due, Expires: expires, Tokens: j.Items[i].Tokens,
-				Team: j.Team, Rank: rank,
+				Key: dispatch.Key{Job: j.Name, Index: uint32(i)}, Deadline: due, Expires: expires, Tokens: j.Items[i].Tokens,
+				Team: j.Team, Priority: rank,
 			})
 		}
 	}
@@ -223,7 +223,7 @@
 		return left
 	}
 	allowed := d.limiter.allowed(now)
-	around.MostStarts = &allowed
+	around.MaxStarts = &allowed
 	actions := d.machine.Step(now, around)
 	d.pace.took(began, time.Now())
 	d.limiter.spent(len(actions.Start))
@@ -276,12 +276,12 @@
 func loadAt(now clock.Millis, id string, t *occupancy.Table) dispatch.Load {
 	total, own := t.Load(id), t.Own(id)
 	return dispatch.Load{
-		Online: total.Online, Batch: total.Batch - own.Batch, Foreign: t.Foreign(now, id), Silent: t.Unresponsive(now, id),
+		Online: total.Online, Batch: total.Batch - own.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Unresponsive(now, id),
 	}
 }
 
-func (d *Driver) surroundings(runners []*toucanhingev1.Runner) dispatch.Surroundings {
-	return dispatch.Surroundings{
+func (d *Driver) surroundings(runners []*toucanhingev1.Runner) dispatch.Environment {
+	return dispatch.Environment{
 		Runners:  runners,
 		Load:     d.loads.Get,
 		Services: d.routes.services,
--- a/control/pkg/batchrun/driver_test.go
+++ b/control/pkg/batchrun/driver_test.go
@@ -248,7 +248,7 @@
 			case 2:
 				return nil, &runner.BrokenError{Runner: call.Runner.GetId(), Err: errWire}
 			case 3:
-				return &runner.Answer{Status: http.StatusMisdirectedRequest, Other: true, Body: whole("")}, nil
+				return &runner.Answer{Status: http.StatusMisdirectedRequest, OtherInstance: true, Body: whole("")}, nil
 			default:
 				return ok(whole(events(1, 4)))
 			}
@@ -326,7 +326,7 @@
 	f.submit(1)
 	require.Eventually(t, func() bool {
 		last := uint64(0)
-		f.machine.View(func(s *systemstate.State) { last = s.Job("j").Items[0].Last })
+		f.machine.View(func(s *systemstate.State) { last = s.Job("j").Items[0].LastEvent })
 		return last == 3
 	}, 3*time.Second, 5*time.Millisecond)
 	stop()
--- a/control/pkg/batchrun/keep_progress.go
+++ b/control/pkg/batchrun/keep_progress.go
@@ -25,7 +25,7 @@
 		level.Error(d.config.Logger).Log(logs.KeyEvent, "progress-unread", logs.KeyJob, key.Job, "index", key.Index, logs.KeyError, err)
 		return &progress{}
 	}
-	return &progress{last: item.Last, text: text, kept: item.Last, keptBytes: len(text)}
+	return &progress{last: item.LastEvent, text: text, kept: item.LastEvent, keptBytes: len(text)}
 }
 
 // keepProgress logs what running items have made, so that they go on from there
--- a/control/pkg/batchrun/run.go
+++ b/control/pkg/batchrun/run.go
@@ -225,15 +225,15 @@
 		switch {
 		case errors.As(err, &unsent):
 			return unreachable, err
-		case errors.Is(err, carrier.ErrNobody):
+		case errors.Is(err, carrier.ErrNoGateway):
 			return untaken, err
 		default:
 			return broken, err
 		}
 	}
 	defer func() { _ = answer.Body.Close() }()
-	if answer.Held != nil && !answer.Other && answer.Release == nil {
-		r.driver.config.Exchange.Observe(r.target.GetId(), answer.Held.All())
+	if answer.Load != nil && !answer.OtherInstance && answer.Release == nil {
+		r.driver.config.Exchange.Observe(r.target.GetId(), answer.Load.Total())
 	}
 	if kind, done := judge(answer); done {
 		return kind, fmt.Errorf("%w %d", errStatus, answer.Status)
@@ -270,7 +270,7 @@
 // judge looks at the status of an answer; done is false for a stream to read.
 func judge(answer *runner.Answer) (kind outcomeKind, done bool) {
 	switch {
-	case answer.NotRun, answer.Other:
+	case answer.NotRun, answer.OtherInstance:
 		return refused, true
 	case answer.Status == http.StatusOK:
 		return "", false
--- a/control/pkg/carrier/carrier.go
+++ b/control/pkg/carrier/carrier.go
@@ -44,8 +44,8 @@
 // own, of which most timed out.
 const desertedAfter clock.Millis = 3_000
 
-// ErrNobody tells that no gateway took a call; nothing of it was sent.
-var ErrNobody = errors.New("no gateway takes calls")
+// ErrNoGateway tells that no gateway took a call; nothing of it was sent.
+var ErrNoGateway = errors.New("no gateway takes calls")
 
 var errGone = errors.New("the gateway is gone")
 
@@ -67,8 +67,8 @@
 	Registerer prometheus.Registerer
 }
 
-// Carrier calls runners through gateways.
-type Carrier struct {
+// Client calls runners through gateways.
+type Client struct {
 	config Config
 	// calls counts who made the calls.
 	calls *prometheus.CounterVec
@@ -90,8 +90,8 @@
 }
 
 // New makes a carrier.
-func New(config Config) *Carrier {
-	c := &Carrier{
+func New(config Config) *Client {
+	c := &Client{
 		// The numbers of an earlier start of this daemon are smaller.
 		number: uint64(config.Clock.Now()) << numberBits,
 		config: config, chooser: newChooser(), sessions: map[string]*session{},
@@ -102,9 +102,9 @@
 	return c
 }
 
-// Late takes up how late this process was with its own work, a span: the later, the longer
+// ReportLag takes up how late this process was with its own work, a span: the later, the longer
 // gateways hold events back.
-func (c *Carrier) Late(lag clock.Millis) {
+func (c *Client) ReportLag(lag clock.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.gathering.note(lag)
@@ -112,7 +112,7 @@
 }
 
 // adjust follows the number of gateways at work; the caller holds the lock.
-func (c *Carrier) adjust() {
+func (c *Client) adjust() {
 	before, now := float64(c.gather.Load()), float64(c.gathering.span(len(c.sessions)))
 	if before > 0 && now < before*noticeable && now*noticeable > before {
 		return
@@ -123,12 +123,12 @@
 	}
 }
 
-// Calls is the carrier as a client of runners.
-func (c *Carrier) Calls() runner.Client {
+// RunnerClient is the carrier as a client of runners.
+func (c *Client) RunnerClient() runner.Client {
 	return runner.Client{Open: c.open, Refuses: c.config.Direct.Refuses}
 }
 
-func (c *Carrier) open(ctx context.Context, call runner.Call) (*runner.Answer, error) {
+func (c *Client) open(ctx context.Context, call runner.Call) (*runner.Answer, error) {
 	var last error
 	for range mostGateways {
 		address, found := c.choose(call.Runner.GetDataCentre())
@@ -148,7 +148,7 @@
 		// With so many there, calls that none takes are a sign of this VM's own trouble, and
 		// making them itself would add to it. The item waits.
 		c.calls.WithLabelValues("nobody").Inc()
-		return nil, errors.WithMessagef(ErrNobody, "%d gateways, the last: %s", gateways, errorText(last))
+		return nil, errors.WithMessagef(ErrNoGateway, "%d gateways, the last: %s", gateways, errorText(last))
 	}
 	c.calls.WithLabelValues("self").Inc()
 	return c.config.Direct.Open(ctx, call)
@@ -156,7 +156,7 @@
 
 // deserted says whether there has been no gateway for long. One that has just begun to lead
 // hears of them within a second.
-func (c *Carrier) deserted(gateways int) bool {
+func (c *Client) deserted(gateways int) bool {
 	now := c.config.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,7 +172,7 @@
 }
 
 // choose takes a place at a gateway; leave gives it back.
-func (c *Carrier) choose(dataCentre string) (address string, found bool) {
+func (c *Client) choose(dataCentre string) (address string, found bool) {
 	gateways := c.config.Gateways()
 	now := c.config.Clock.Now()
 	c.mu.Lock()
@@ -191,7 +191,7 @@
 
 // forget drops the connections to gateways that are gone; addresses change with each
 // replaced VM. The caller holds the lock.
-func (c *Carrier) forget(present []Gateway) {
+func (c *Client) forget(present []Gateway) {
 	known := make(map[string]bool, len(present))
 	for _, g := range present {
 		known[g.Address] = true
@@ -204,21 +204,21 @@
 	}
 }
 
-func (c *Carrier) leave(address string) {
+func (c *Client) leave(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.chooser.leave(address)
 }
 
 // accuse passes a gateway over for a while.
-func (c *Carrier) accuse(address string) {
+func (c *Client) accuse(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.chooser.accuse(c.config.Clock.Now(), address)
 }
 
 // session is the one with a gateway, a new one if there is none that works.
-func (c *Carrier) session(address string) *session {
+func (c *Client) session(address string) *session {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l, found := c.sessions[address]
@@ -231,7 +231,7 @@
 }
 
 // broken forgets a session that ended.
-func (c *Carrier) broken(address string, l *session) {
+func (c *Client) broken(address string, l *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sessions[address] == l {
@@ -240,7 +240,7 @@
 }
 
 // carry lets one gateway call the runner.
-func (c *Carrier) carry(ctx context.Context, address string, call runner.Call) (*runner.Answer, error) {
+func (c *Client) carry(ctx context.Context, address string, call runner.Call) (*runner.Answer, error) {
 	request := c.request(call)
 	l := c.session(address)
 	b := &body{
@@ -261,16 +261,16 @@
 		return nil, err
 	}
 	answer := &runner.Answer{
-		Status: int(head.GetStatus()), Header: http.Header{}, Length: -1, NotRun: head.GetNotRun(), Other: head.GetOther(), Body: b,
+		Status: int(head.GetStatus()), Header: http.Header{}, Length: -1, NotRun: head.GetNotRun(), OtherInstance: head.GetOther(), Body: b,
 		Release: b.release,
 	}
 	if head.Running != nil {
-		answer.Held = &runner.Held{Running: int(head.GetRunning()), Waiting: int(head.GetWaiting())}
+		answer.Load = &runner.Load{Running: int(head.GetRunning()), Waiting: int(head.GetWaiting())}
 	}
 	return answer, nil
 }
 
-func (c *Carrier) request(call runner.Call) *toucanhingev1.CarryRequest {
+func (c *Client) request(call runner.Call) *toucanhingev1.CarryRequest {
 	c.mu.Lock()
 	c.number++
 	number := c.number
--- a/control/pkg/carrier/carrier_test.go
+++ b/control/pkg/carrier/carrier_test.go
@@ -162,7 +162,7 @@
 
 var taken = &toucanhingev1.CarryEvent{}
 
-func carrierOf(gateways ...Gateway) *Carrier {
+func carrierOf(gateways ...Gateway) *Client {
 	return New(Config{
 		Source: "leader", Gateways: func() []Gateway { return gateways }, HTTP: web.NewClient, Clock: clock.System(), Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry(),
 		Direct: runner.Client{Open: func(context.Context, runner.Call) (*runner.Answer, error) { return nil, errDirect }},
@@ -196,7 +196,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := startGateway(t, c.answer)
-			answer, err := carrierOf(Gateway{Address: g.address}).Calls().Open(context.Background(), callOf(""))
+			answer, err := carrierOf(Gateway{Address: g.address}).RunnerClient().Open(context.Background(), callOf(""))
 			var unsent *runner.NotSentError
 			var broken *runner.BrokenError
 			require.Equal(t, c.notSent, errors.As(err, &unsent), "%v", err)
@@ -204,7 +204,7 @@
 			if err != nil {
 				return
 			}
-			require.Equal(t, &runner.Held{Running: 4, Waiting: 2}, answer.Held)
+			require.Equal(t, &runner.Load{Running: 4, Waiting: 2}, answer.Load)
 			text, err := io.ReadAll(answer.Body)
 			require.Equal(t, c.whole, err == nil, "%v", err)
 			require.Equal(t, c.text, string(text))
@@ -215,7 +215,7 @@
 
 func TestTheCallIsPassedOnWhole(t *testing.T) {
 	g := startGateway(t, play(taken, head(), end("", false)))
-	answer, err := carrierOf(Gateway{Address: g.address}).Calls().Open(context.Background(), callOf(""))
+	answer, err := carrierOf(Gateway{Address: g.address}).RunnerClient().Open(context.Background(), callOf(""))
 	require.NoError(t, err)
 	require.NoError(t, answer.Body.Close())
 	m := g.asked[0]
@@ -239,7 +239,7 @@
 	c := carrierOf(Gateway{silent.address, "here"}, Gateway{sound.address, "there"})
 	for range 3 {
 		began := time.Now()
-		answer, err := c.Calls().Open(context.Background(), callOf("here"))
+		answer, err := c.RunnerClient().Open(context.Background(), callOf("here"))
 		require.NoError(t, err)
 		require.NoError(t, answer.Body.Close())
 		require.Less(t, time.Since(began), 2*takeTime+time.Second)
@@ -254,19 +254,19 @@
 // called directly.
 func TestWithoutAGatewayTheRunnerIsCalledDirectly(t *testing.T) {
 	refusing := startGateway(t, func(_ context.Context, tell teller) error { return tell(notTaken()) })
-	_, err := carrierOf(Gateway{Address: refusing.address}).Calls().Open(context.Background(), callOf(""))
+	_, err := carrierOf(Gateway{Address: refusing.address}).RunnerClient().Open(context.Background(), callOf(""))
 	require.ErrorIs(t, err, errDirect)
 
 	now := clock.Millis(1_000)
 	c := carrierOf()
 	c.config.Clock = clock.FromFunc(func() clock.Millis { return now })
 	for range 3 {
-		_, err = c.Calls().Open(context.Background(), callOf(""))
-		require.ErrorIs(t, err, ErrNobody)
+		_, err = c.RunnerClient().Open(context.Background(), callOf(""))
+		require.ErrorIs(t, err, ErrNoGateway)
 		now += desertedAfter / 4
 	}
 	now += desertedAfter / 2
-	_, err = c.Calls().Open(context.Background(), callOf(""))
+	_, err = c.RunnerClient().Open(context.Background(), callOf(""))
 	require.ErrorIs(t, err, errDirect)
 }
 
@@ -278,8 +278,8 @@
 	for range mostSelf {
 		gateways = append(gateways, Gateway{Address: startGateway(t, refuse).address})
 	}
-	_, err := carrierOf(gateways...).Calls().Open(context.Background(), callOf(""))
-	require.ErrorIs(t, err, ErrNobody)
+	_, err := carrierOf(gateways...).RunnerClient().Open(context.Background(), callOf(""))
+	require.ErrorIs(t, err, ErrNoGateway)
 }
 
 // An item gives its place to online work: its call must end at the gateway too, or
@@ -297,7 +297,7 @@
 		close(ended)
 		return ctx.Err()
 	})
-	answer, err := carrierOf(Gateway{Address: g.address}).Calls().Open(context.Background(), callOf(""))
+	answer, err := carrierOf(Gateway{Address: g.address}).RunnerClient().Open(context.Background(), callOf(""))
 	require.NoError(t, err)
 	_, err = answer.Body.Read(make([]byte, 1))
 	require.NoError(t, err)
@@ -318,7 +318,7 @@
 	c.config.Gateways = func() []Gateway { return []Gateway{present} }
 	for _, g := range []*gateway{first, second} {
 		present.Address = g.address
-		answer, err := c.Calls().Open(context.Background(), callOf(""))
+		answer, err := c.RunnerClient().Open(context.Background(), callOf(""))
 		require.NoError(t, err)
 		require.NoError(t, answer.Body.Close())
 	}
@@ -347,7 +347,7 @@
 	c := carrierOf(Gateway{Address: g.address})
 	var answers []*runner.Answer
 	for range 2 {
-		answer, err := c.Calls().Open(context.Background(), callOf(""))
+		answer, err := c.RunnerClient().Open(context.Background(), callOf(""))
 		require.NoError(t, err)
 		answers = append(answers, answer)
 	}
@@ -374,7 +374,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	})
-	answer, err := carrierOf(Gateway{Address: g.address}).Calls().Open(context.Background(), callOf(""))
+	answer, err := carrierOf(Gateway{Address: g.address}).RunnerClient().Open(context.Background(), callOf(""))
 	require.NoError(t, err)
 	began := time.Now()
 	text, err := io.ReadAll(answer.Body)
@@ -392,7 +392,7 @@
 	const calls = 200
 	var answers []*runner.Answer
 	for len(answers) < calls {
-		answer, err := c.Calls().Open(context.Background(), callOf(""))
+		answer, err := c.RunnerClient().Open(context.Background(), callOf(""))
 		if errors.Is(err, errDirect) {
 			// This process stood still for longer than a gateway may need to take a call.
 			continue
@@ -426,7 +426,7 @@
 	c := carrierOf(Gateway{Address: g.address})
 	var answers []*runner.Answer
 	for range 3 {
-		answer, err := c.Calls().Open(context.Background(), callOf(""))
+		answer, err := c.RunnerClient().Open(context.Background(), callOf(""))
 		require.NoError(t, err)
 		answers = append(answers, answer)
 	}
@@ -437,7 +437,7 @@
 		require.Equal(t, "x", string(text))
 	}
 	require.Eventually(t, func() bool {
-		answer, err := c.Calls().Open(context.Background(), callOf(""))
+		answer, err := c.RunnerClient().Open(context.Background(), callOf(""))
 		return err == nil && answer.Status == http.StatusOK
 	}, 5*time.Second, 10*time.Millisecond)
 }
--- a/control/pkg/consensus/actions.go
+++ b/control/pkg/consensus/actions.go
@@ -53,9 +53,9 @@
 	Reason Reason
 }
 
-// HandedOver tells that the leader gave up its place after the target of this
+// LeadershipTransferred tells that the leader gave up its place after the target of this
 // Handover had been told to campaign.
-type HandedOver struct{ ID uint64 }
+type LeadershipTransferred struct{ ID uint64 }
 
 // Accepted tells where the proposal or change of this ID stands in the log. It
 // is committed if the entry at Index is delivered with this Term.
@@ -84,7 +84,7 @@
 	Accepted  []Accepted
 	Refused   []Refused
 	Reads     []ReadConfirmed
-	Handed    []HandedOver
+	Transferred    []LeadershipTransferred
 	Snapshots []InstallSnapshot
 	// DropBefore, if not 0, lets files go whose entries are all at or below it.
 	DropBefore uint64
--- a/control/pkg/consensus/compact.go
+++ b/control/pkg/consensus/compact.go
@@ -28,8 +28,8 @@
 	for index > m.log.base.Index {
 		kept++
 		bytes += len(m.log.entries[index-m.log.base.Index-1].Data)
-		wanted := kept <= e.KeepEntries && bytes <= e.KeepBytes
-		if !wanted && (index <= needed || bytes > lagFactor*e.KeepBytes) {
+		wanted := kept <= e.RetainEntries && bytes <= e.RetainBytes
+		if !wanted && (index <= needed || bytes > lagFactor*e.RetainBytes) {
 			break
 		}
 		index--
--- a/control/pkg/consensus/config.go
+++ b/control/pkg/consensus/config.go
@@ -6,16 +6,16 @@
 type Config struct {
 	Name     string
 	Identity string
-	// HeartbeatEvery is the leader's interval between heartbeats.
-	HeartbeatEvery clock.Millis
+	// HeartbeatInterval is the leader's interval between heartbeats.
+	HeartbeatInterval clock.Millis
 	// ElectionTimeout is the least silence before an election. The greatest is
 	// just under twice as much.
 	ElectionTimeout clock.Millis
-	// FirstElection is the greatest time after a start at which a replica that was
+	// MaxFirstElectionDelay is the greatest time after a start at which a replica that was
 	// a member before asks for the first time whether it could win an election. If
 	// a leader is at work, the others say no and nothing happens; if all have lost
 	// power, the one that completes a majority needn't wait for a timeout.
-	FirstElection clock.Millis
+	MaxFirstElectionDelay clock.Millis
 	// Jitter returns a number from 0 to below n.
 	Jitter func(n clock.Millis) clock.Millis
 	// MaxBatchBytes bounds the entries of one append.
@@ -51,14 +51,14 @@
 )
 
 func (c Config) withDefaults() Config {
-	if c.HeartbeatEvery == 0 {
-		c.HeartbeatEvery = defaultHeartbeat
+	if c.HeartbeatInterval == 0 {
+		c.HeartbeatInterval = defaultHeartbeat
 	}
 	if c.ElectionTimeout == 0 {
 		c.ElectionTimeout = defaultElection
 	}
-	if c.FirstElection == 0 {
-		c.FirstElection = defaultFirstElection
+	if c.MaxFirstElectionDelay == 0 {
+		c.MaxFirstElectionDelay = defaultFirstElection
 	}
 	if c.MaxBatchBytes == 0 {
 		c.MaxBatchBytes = defaultBatchBytes
--- a/control/pkg/consensus/election.go
+++ b/control/pkg/consensus/election.go
@@ -14,7 +14,7 @@
 	if m.role == RoleLeader {
 		return true
 	}
-	return m.leader != "" && m.now-m.leaderContact < m.patience.span()-m.config.HeartbeatEvery
+	return m.leader != "" && m.now-m.leaderContact < m.patience.span()-m.config.HeartbeatInterval
 }
 
 // preCampaign asks whether an election could be won, without entering a new
@@ -59,7 +59,7 @@
 
 func (m *Machine) onPreVote(msg Message) {
 	granted := msg.Term > m.state.Term && !m.hearsLeader() && m.upToDate(msg)
-	answer := Message{Kind: KindPreVoteAnswer, Reject: !granted}
+	answer := Message{Kind: KindPreVoteResponse, Reject: !granted}
 	if granted {
 		answer.Term = msg.Term
 	}
@@ -79,7 +79,7 @@
 	if granted {
 		m.resetElection()
 	}
-	m.sendSynced(Member{Name: msg.From, Identity: msg.FromIdentity}, Message{Kind: KindVoteAnswer, Reject: !granted})
+	m.sendSynced(Member{Name: msg.From, Identity: msg.FromIdentity}, Message{Kind: KindVoteResponse, Reject: !granted})
 }
 
 func (m *Machine) upToDate(msg Message) bool {
@@ -88,13 +88,13 @@
 }
 
 func (m *Machine) onVoteAnswer(msg Message) {
-	wanted := KindVoteAnswer
+	wanted := KindVoteResponse
 	term := m.state.Term
 	if m.role == RolePreCandidate {
-		wanted = KindPreVoteAnswer
+		wanted = KindPreVoteResponse
 		term++
 	}
-	if msg.Kind == KindVoteAnswer && msg.Reject && m.role == RoleCandidate && msg.Term == m.state.Term {
+	if msg.Kind == KindVoteResponse && msg.Reject && m.role == RoleCandidate && msg.Term == m.state.Term {
 		// Two replicas that come back within some milliseconds of each other, with the
 		// third one gone, each vote for themselves. With a whole timeout until the next
 		// try, there was no leader for another half second. A refusal that doesn't cost
--- a/control/pkg/consensus/event.go
+++ b/control/pkg/consensus/event.go
@@ -25,8 +25,8 @@
 // Synced tells that the Persist of this sequence, and all before, are durable.
 type Synced struct{ Sequence uint64 }
 
-// Handover asks the leader to give its place to the most advanced voter.
-type Handover struct{ ID uint64 }
+// TransferLeadership asks the leader to give its place to the most advanced voter.
+type TransferLeadership struct{ ID uint64 }
 
 // ChangeKind is the kind of a membership change.
 type ChangeKind uint32
@@ -66,17 +66,17 @@
 	Members Members
 }
 
-// Form gives a replica that holds nothing the first entry of a new group. All
+// FormGroup gives a replica that holds nothing the first entry of a new group. All
 // members write the same one, so it counts as committed.
-type Form struct{ Members Members }
+type FormGroup struct{ Members Members }
 
 // Compact lets the machine drop entries up to and with Index: a durable
 // checkpoint covers them. It keeps the last KeepEntries of them as long as they
 // are at most KeepBytes, and some more that a live member still lacks.
 type Compact struct {
 	Index       uint64
-	KeepEntries uint64
-	KeepBytes   int
+	RetainEntries uint64
+	RetainBytes   int
 }
 
 func (Tick) isEvent()              {}
@@ -84,9 +84,9 @@
 func (Propose) isEvent()           {}
 func (ReadIndex) isEvent()         {}
 func (Synced) isEvent()            {}
-func (Handover) isEvent()          {}
+func (TransferLeadership) isEvent()          {}
 func (ChangeMembers) isEvent()     {}
 func (SnapshotSent) isEvent()      {}
 func (SnapshotInstalled) isEvent() {}
-func (Form) isEvent()              {}
+func (FormGroup) isEvent()              {}
 func (Compact) isEvent()           {}
--- a/control/pkg/consensus/formation.go
+++ b/control/pkg/consensus/formation.go
@@ -43,7 +43,7 @@
 // first membership. Conflict names a member whose identity, or whose settings,
 // differ from what is pinned.
 type FormationActions struct {
-	Keep     *Hello
+	Persist     *Hello
 	Messages []Message
 	Formed   Members
 	Conflict string
@@ -54,20 +54,20 @@
 // entries.
 type FormationConfig struct {
 	Self     Member
-	Settings Members
-	Kept     Hello
+	BootstrapMembers Members
+	Persisted     Hello
 	HasLog   bool
 }
 
 // NewFormation starts a formation.
 func NewFormation(config FormationConfig) *Formation {
-	f := &Formation{self: config.Self, pins: slices.Clone(config.Kept.Pins), agreed: map[string]bool{}}
+	f := &Formation{self: config.Self, pins: slices.Clone(config.Persisted.Pins), agreed: map[string]bool{}}
 	switch {
-	case config.HasLog && config.Kept.Formed:
+	case config.HasLog && config.Persisted.Formed:
 		f.formed = true
 	case config.HasLog:
-		f.Finish()
-	case config.Kept.Formed:
+		f.MarkJoined()
+	case config.Persisted.Formed:
 		f.resumed = true
 	case len(f.pins) == 0:
 		f.pins = firstPins(config)
@@ -77,7 +77,7 @@
 
 func firstPins(config FormationConfig) Members {
 	var pins Members
-	for _, m := range config.Settings {
+	for _, m := range config.BootstrapMembers {
 		m.Identity = ""
 		if m.Name == config.Self.Name {
 			m.Identity = config.Self.Identity
@@ -91,9 +91,9 @@
 // Done says that this replica takes part.
 func (f *Formation) Done() bool { return f.formed }
 
-// Finish notes that the replica got its log from a leader instead. Its pins are
+// MarkJoined notes that the replica got its log from a leader instead. Its pins are
 // then no proof of anything, so it tells them to nobody.
-func (f *Formation) Finish() {
+func (f *Formation) MarkJoined() {
 	f.formed = true
 	f.pins = nil
 }
@@ -150,7 +150,7 @@
 			f.pins = slices.Clone(f.pins)
 			f.pins[i].Identity = msg.FromIdentity
 			f.agreed = map[string]bool{}
-			out.Keep = &Hello{Pins: f.pins}
+			out.Persist = &Hello{Pins: f.pins}
 		}
 	}
 }
@@ -166,7 +166,7 @@
 	if f.complete() && !f.formed {
 		f.formed = true
 		out.Formed = f.pins
-		out.Keep = &Hello{Pins: f.pins, Formed: true}
+		out.Persist = &Hello{Pins: f.pins, Formed: true}
 	}
 }
 
--- a/control/pkg/consensus/formation_test.go
+++ b/control/pkg/consensus/formation_test.go
@@ -44,15 +44,15 @@
 		settings = append(settings, Member{Name: o.name, Voter: true})
 	}
 	f.formation = NewFormation(FormationConfig{
-		Self: Member{Name: f.name, Identity: f.identity}, Settings: settings,
-		Kept: f.kept, HasLog: f.log != nil,
+		Self: Member{Name: f.name, Identity: f.identity}, BootstrapMembers: settings,
+		Persisted: f.kept, HasLog: f.log != nil,
 	})
 }
 
 // act carries actions out; a crash may come after any durable step.
 func (fs *founders) act(f *founder, actions FormationActions, crash func() bool) {
-	if actions.Keep != nil {
-		f.kept = *actions.Keep
+	if actions.Persist != nil {
+		f.kept = *actions.Persist
 		if crash() {
 			fs.restart(f)
 			return
@@ -198,7 +198,7 @@
 func TestJoinedReplicaVouchesForNothing(t *testing.T) {
 	pins := Members{{Name: "a", Identity: "a1", Voter: true}, {Name: "b", Identity: "b1", Voter: true}}
 	hello := Message{Kind: KindHello, From: "b", FromIdentity: "b1", To: "a"}
-	other := NewFormation(FormationConfig{Self: Member{Name: "b", Identity: "b1"}, Kept: Hello{Pins: pins}})
+	other := NewFormation(FormationConfig{Self: Member{Name: "b", Identity: "b1"}, Persisted: Hello{Pins: pins}})
 	hello.Entries = other.Tick().Messages[0].Entries
 	scenarios := []struct {
 		name    string
@@ -210,7 +210,7 @@
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
-			f := NewFormation(FormationConfig{Self: Member{Name: "a", Identity: "a1"}, Kept: sc.kept, HasLog: true})
+			f := NewFormation(FormationConfig{Self: Member{Name: "a", Identity: "a1"}, Persisted: sc.kept, HasLog: true})
 			require.Len(t, f.Receive(hello).Messages, sc.answers)
 		})
 	}
--- a/control/pkg/consensus/fuzz_test.go
+++ b/control/pkg/consensus/fuzz_test.go
@@ -49,7 +49,7 @@
 		"read":       s.readAny,
 		"change":     s.changeAny,
 		"repair":     s.repair,
-		"handover":   func() { s.step(s.any(), Handover{ID: s.id()}) },
+		"handover":   func() { s.step(s.any(), TransferLeadership{ID: s.id()}) },
 		"checkpoint": func() { s.checkpoint(s.any()) },
 	}
 }
--- a/control/pkg/consensus/leader.go
+++ b/control/pkg/consensus/leader.go
@@ -61,7 +61,7 @@
 		m.refuse(r.id, ReasonNotLeader)
 	}
 	if h := m.leading.handover; h.told {
-		m.out.Handed = append(m.out.Handed, HandedOver{ID: h.id})
+		m.out.Transferred = append(m.out.Transferred, LeadershipTransferred{ID: h.id})
 	} else if h.target != "" {
 		m.refuse(h.id, ReasonNoTarget)
 	}
@@ -155,7 +155,7 @@
 }
 
 func (m *Machine) heartbeat() {
-	m.leading.heartbeatDue = m.now + m.config.HeartbeatEvery
+	m.leading.heartbeatDue = m.now + m.config.HeartbeatInterval
 	m.others(func(p *progress) {
 		index := p.next - 1
 		term, ok := m.log.term(index)
--- a/control/pkg/consensus/machine.go
+++ b/control/pkg/consensus/machine.go
@@ -99,7 +99,7 @@
 		m.now = now
 		m.resetElection()
 		if len(m.members()) > 0 {
-			m.electionDue = now + m.config.Jitter(m.config.FirstElection)
+			m.electionDue = now + m.config.Jitter(m.config.MaxFirstElectionDelay)
 		}
 	}
 	m.now = max(m.now, now)
@@ -114,7 +114,7 @@
 		m.readIndex(e.ID)
 	case Synced:
 		m.onSynced(e.Sequence)
-	case Handover:
+	case TransferLeadership:
 		m.startHandover(e.ID)
 	case ChangeMembers:
 		m.changeMembers(e)
@@ -122,7 +122,7 @@
 		m.onSnapshotSent(e)
 	case SnapshotInstalled:
 		m.onSnapshotInstalled(e)
-	case Form:
+	case FormGroup:
 		m.form(e.Members)
 	case Compact:
 		m.compact(e)
--- a/control/pkg/consensus/machine_test.go
+++ b/control/pkg/consensus/machine_test.go
@@ -124,7 +124,7 @@
 				if sc.skipVote && away.machine.role == RolePreCandidate {
 					other := s.followers()[1]
 					s.step(away, Received{Message: Message{
-						Kind: KindPreVoteAnswer, From: other.name, FromIdentity: other.identity,
+						Kind: KindPreVoteResponse, From: other.name, FromIdentity: other.identity,
 						To: away.name, ToIdentity: away.identity, Term: away.machine.state.Term + 1,
 					}})
 				}
@@ -162,7 +162,7 @@
 				s.calm(100)
 				if sc.forged {
 					s.step(old, Received{Message: Message{
-						Kind: KindHeartbeatAnswer, From: other.name, FromIdentity: other.identity,
+						Kind: KindHeartbeatResponse, From: other.name, FromIdentity: other.identity,
 						To: old.name, ToIdentity: old.identity, Term: old.machine.state.Term,
 					}})
 				}
@@ -225,7 +225,7 @@
 	s := newCalm(t, 3, 0)
 	old := s.leader()
 	term := old.machine.state.Term
-	s.step(old, Handover{ID: s.id()})
+	s.step(old, TransferLeadership{ID: s.id()})
 	s.deliverAll()
 	require.NotEqual(t, old, s.leader())
 	require.Equal(t, term+1, s.leader().machine.state.Term)
@@ -314,7 +314,7 @@
 	s.step(n, Tick{})
 	require.Equal(t, RolePreCandidate, n.machine.role)
 	answer := Message{
-		Kind: KindPreVoteAnswer, From: "n1", FromIdentity: "n1-disk9",
+		Kind: KindPreVoteResponse, From: "n1", FromIdentity: "n1-disk9",
 		To: n.name, ToIdentity: n.identity, Term: n.machine.state.Term + 1,
 	}
 	s.step(n, Received{Message: answer})
--- a/control/pkg/consensus/message.go
+++ b/control/pkg/consensus/message.go
@@ -8,26 +8,26 @@
 	// KindPreVote asks whether a vote would be given in Term, which the asker
 	// hasn't entered yet.
 	KindPreVote Kind = iota + 1
-	// KindPreVoteAnswer answers it: granted with the asked term, or rejected
+	// KindPreVoteResponse answers it: granted with the asked term, or rejected
 	// with the answerer's own.
-	KindPreVoteAnswer
+	KindPreVoteResponse
 	// KindVote asks for a vote in Term.
 	KindVote
-	// KindHandoverVote is KindVote of a replica that the leader itself told to
+	// KindTransferVote is KindVote of a replica that the leader itself told to
 	// campaign, so the leader's recent contact is no reason to refuse.
-	KindHandoverVote
-	// KindVoteAnswer answers either.
-	KindVoteAnswer
+	KindTransferVote
+	// KindVoteResponse answers either.
+	KindVoteResponse
 	// KindAppend carries entries that follow entry Index of LogTerm.
 	KindAppend
-	// KindAppendAnswer says that the log is synced up to Index, or rejects what
+	// KindAppendResponse says that the log is synced up to Index, or rejects what
 	// followed Index and hints at the last entry that may match.
-	KindAppendAnswer
+	KindAppendResponse
 	// KindHeartbeat keeps contact, carries the read round and the commit point,
 	// and lets a lost append be noticed.
 	KindHeartbeat
-	// KindHeartbeatAnswer echoes the read round. It promises nothing about syncs.
-	KindHeartbeatAnswer
+	// KindHeartbeatResponse echoes the read round. It promises nothing about syncs.
+	KindHeartbeatResponse
 	// KindCampaign tells a voter that holds the whole log to campaign at once.
 	KindCampaign
 	// KindHello carries the identities that a replica of a new group has seen.
@@ -55,7 +55,7 @@
 // isAnswer tells the messages that count towards a majority.
 func (m Message) isAnswer() bool {
 	switch m.Kind {
-	case KindPreVoteAnswer, KindVoteAnswer, KindAppendAnswer, KindHeartbeatAnswer:
+	case KindPreVoteResponse, KindVoteResponse, KindAppendResponse, KindHeartbeatResponse:
 		return true
 	default:
 		return false
--- a/control/pkg/consensus/receive.go
+++ b/control/pkg/consensus/receive.go
@@ -28,20 +28,20 @@
 	switch msg.Kind {
 	case KindPreVote:
 		m.onPreVote(msg)
-	case KindVote, KindHandoverVote:
+	case KindVote, KindTransferVote:
 		m.onVote(msg)
-	case KindPreVoteAnswer, KindVoteAnswer:
+	case KindPreVoteResponse, KindVoteResponse:
 		m.onVoteAnswer(msg)
 	case KindAppend:
 		m.onAppend(msg)
 	case KindHeartbeat:
 		m.onHeartbeat(msg)
-	case KindAppendAnswer:
+	case KindAppendResponse:
 		m.onAppendAnswer(msg)
-	case KindHeartbeatAnswer:
+	case KindHeartbeatResponse:
 		m.onHeartbeatAnswer(msg)
 	case KindCampaign:
-		m.campaign(KindHandoverVote)
+		m.campaign(KindTransferVote)
 	}
 }
 
@@ -51,7 +51,7 @@
 	switch msg.Kind {
 	case KindPreVote:
 		return true
-	case KindPreVoteAnswer:
+	case KindPreVoteResponse:
 		if !msg.Reject {
 			return true
 		}
@@ -76,11 +76,11 @@
 	from := Member{Name: msg.From, Identity: msg.FromIdentity}
 	switch msg.Kind {
 	case KindAppend:
-		m.sendSynced(from, Message{Kind: KindAppendAnswer, Reject: true, Index: msg.Index, Hint: m.log.last()})
+		m.sendSynced(from, Message{Kind: KindAppendResponse, Reject: true, Index: msg.Index, Hint: m.log.last()})
 	case KindHeartbeat:
-		m.sendSynced(from, Message{Kind: KindHeartbeatAnswer, Reject: true})
+		m.sendSynced(from, Message{Kind: KindHeartbeatResponse, Reject: true})
 	case KindPreVote:
-		m.sendSynced(from, Message{Kind: KindPreVoteAnswer, Reject: true})
+		m.sendSynced(from, Message{Kind: KindPreVoteResponse, Reject: true})
 	}
 }
 
@@ -113,22 +113,22 @@
 	m.heardLeader(msg.From)
 	leader := Member{Name: msg.From, Identity: msg.FromIdentity}
 	if msg.Index < m.commit {
-		m.sendSynced(leader, Message{Kind: KindAppendAnswer, Index: m.commit})
+		m.sendSynced(leader, Message{Kind: KindAppendResponse, Index: m.commit})
 		return
 	}
 	if !m.matches(msg) {
-		m.sendSynced(leader, Message{Kind: KindAppendAnswer, Reject: true, Index: msg.Index, Hint: m.hint(msg)})
+		m.sendSynced(leader, Message{Kind: KindAppendResponse, Reject: true, Index: msg.Index, Hint: m.hint(msg)})
 		return
 	}
 	last := msg.Index + uint64(len(msg.Entries))
 	m.appendMissing(msg.Entries)
 	m.commit = max(m.commit, min(msg.Commit, last))
-	m.sendSynced(leader, Message{Kind: KindAppendAnswer, Index: last})
+	m.sendSynced(leader, Message{Kind: KindAppendResponse, Index: last})
 }
 
 func (m *Machine) onHeartbeat(msg Message) {
 	m.heardLeader(msg.From)
-	answer := Message{Kind: KindHeartbeatAnswer, Read: msg.Read, Index: msg.Index}
+	answer := Message{Kind: KindHeartbeatResponse, Read: msg.Read, Index: msg.Index}
 	if msg.Index >= m.commit && !m.matches(msg) {
 		answer.Reject = true
 		answer.Hint = m.hint(msg)
--- a/control/pkg/consensus/safeguard_test.go
+++ b/control/pkg/consensus/safeguard_test.go
@@ -21,7 +21,7 @@
 func TestNothingIsAnsweredForAnotherIdentity(t *testing.T) {
 	s := newSim(3, 0, func(int) int { return 0 })
 	asker, asked := s.nodes[0], s.nodes[1]
-	for _, kind := range []Kind{KindPreVote, KindVote, KindHandoverVote, KindAppend, KindHeartbeat} {
+	for _, kind := range []Kind{KindPreVote, KindVote, KindTransferVote, KindAppend, KindHeartbeat} {
 		r := request(asker, asked, Message{Kind: kind, Term: 9, Index: 1, LogTerm: 1})
 		r.Message.ToIdentity = "n1-disk8"
 		require.Equal(t, Actions{}, asked.machine.Step(asked.clock, r))
@@ -53,7 +53,7 @@
 	s.restart(leader)
 	s.step(leader, request(leader, leader, Message{Kind: KindCampaign, Term: 2}))
 	s.sync(leader, len(leader.pending))
-	s.step(leader, request(other, leader, Message{Kind: KindVoteAnswer, Term: 3}))
+	s.step(leader, request(other, leader, Message{Kind: KindVoteResponse, Term: 3}))
 	s.sync(leader, len(leader.pending))
 	require.Equal(t, RoleLeader, leader.machine.role)
 	return s, leader, other
@@ -64,9 +64,9 @@
 // until an entry of the leader's own term is.
 func TestOnlyOwnTermIsCounted(t *testing.T) {
 	s, leader, other := newLeader(t)
-	s.step(leader, request(other, leader, Message{Kind: KindAppendAnswer, Term: 3, Index: 2}))
+	s.step(leader, request(other, leader, Message{Kind: KindAppendResponse, Term: 3, Index: 2}))
 	require.Zero(t, leader.machine.commit)
-	s.step(leader, request(other, leader, Message{Kind: KindAppendAnswer, Term: 3, Index: 3}))
+	s.step(leader, request(other, leader, Message{Kind: KindAppendResponse, Term: 3, Index: 3}))
 	require.Equal(t, uint64(3), leader.machine.commit)
 }
 
@@ -79,7 +79,7 @@
 	change := ChangeMembers{ID: 1, Kind: Remove, Member: Member{Name: other.name}}
 	actions := leader.machine.Step(leader.clock, change)
 	require.Equal(t, []Refused{{ID: 1, Reason: ReasonChangePending}}, actions.Refused)
-	s.step(leader, request(other, leader, Message{Kind: KindAppendAnswer, Term: 3, Index: 3}))
+	s.step(leader, request(other, leader, Message{Kind: KindAppendResponse, Term: 3, Index: 3}))
 	require.Len(t, leader.machine.Step(leader.clock, change).Accepted, 1)
 }
 
@@ -88,10 +88,10 @@
 func TestReadWaitsForOwnTerm(t *testing.T) {
 	s, leader, other := newLeader(t)
 	s.step(leader, ReadIndex{ID: 7})
-	s.step(leader, request(other, leader, Message{Kind: KindHeartbeatAnswer, Term: 3, Read: 1}))
+	s.step(leader, request(other, leader, Message{Kind: KindHeartbeatResponse, Term: 3, Read: 1}))
 	require.Zero(t, s.counts.reads)
-	s.step(leader, request(other, leader, Message{Kind: KindAppendAnswer, Term: 3, Index: 3}))
-	s.step(leader, request(other, leader, Message{Kind: KindHeartbeatAnswer, Term: 3, Read: 1}))
+	s.step(leader, request(other, leader, Message{Kind: KindAppendResponse, Term: 3, Index: 3}))
+	s.step(leader, request(other, leader, Message{Kind: KindHeartbeatResponse, Term: 3, Read: 1}))
 	require.Equal(t, 1, s.counts.reads)
 }
 
@@ -109,7 +109,7 @@
 		{name: "log is shorter", kind: KindVote, index: 1, logTerm: 2, term: 5},
 		{name: "log is longer but older", kind: KindVote, index: 9, logTerm: 1, term: 5},
 		{name: "a leader is at work", kind: KindVote, heard: true, index: 2, logTerm: 2, term: 2},
-		{name: "the leader told it to", kind: KindHandoverVote, heard: true, index: 2, logTerm: 2, granted: true, term: 5},
+		{name: "the leader told it to", kind: KindTransferVote, heard: true, index: 2, logTerm: 2, granted: true, term: 5},
 		{name: "pre-vote while a leader is at work", kind: KindPreVote, heard: true, index: 2, logTerm: 2, term: 2},
 		{name: "pre-vote", kind: KindPreVote, index: 2, logTerm: 2, granted: true, term: 2},
 	}
@@ -137,7 +137,7 @@
 // it for one that is ahead and send it a whole state.
 func TestAnswerBeyondTheLogIsIgnored(t *testing.T) {
 	_, leader, other := newLeader(t)
-	actions := leader.machine.Step(leader.clock, request(other, leader, Message{Kind: KindAppendAnswer, Term: 3, Index: 9}))
+	actions := leader.machine.Step(leader.clock, request(other, leader, Message{Kind: KindAppendResponse, Term: 3, Index: 9}))
 	require.Equal(t, Actions{}, actions)
 }
 
--- a/control/pkg/consensus/sim_test.go
+++ b/control/pkg/consensus/sim_test.go
@@ -173,7 +173,7 @@
 		s.network = append(s.network, parcel{from: n.name, to: m.To, message: &m})
 	}
 	s.deliver(n, actions.Committed)
-	s.counts.handed += len(actions.Handed)
+	s.counts.handed += len(actions.Transferred)
 	s.counts.reads += len(actions.Reads)
 	for _, r := range actions.Reads {
 		if r.Index < s.reads[r.ID] {
@@ -369,7 +369,7 @@
 		return
 	}
 	n.point = simPoint{index: n.applied, term: term, members: n.members}
-	s.step(n, Compact{Index: n.applied, KeepEntries: uint64(s.choose(4)), KeepBytes: s.choose(100)})
+	s.step(n, Compact{Index: n.applied, RetainEntries: uint64(s.choose(4)), RetainBytes: s.choose(100)})
 }
 
 // calm lets everything that isn't cut work for a while.
--- a/control/pkg/core/attend.go
+++ b/control/pkg/core/attend.go
@@ -113,7 +113,7 @@
 		Fleet: c.fleet.view(c.config.Clock.Now(), m, c.self()), Confirmed: m.GetConfirm(),
 	}
 	if t := c.inForce(); t != nil && t.Version > m.GetHaveVersion() {
-		answer.Table = t.Lean()
+		answer.Table = t.WithoutDocument()
 	}
 	if answer.Fleet != nil && m.GetHaveFleet() == 0 && c.config.Quota != nil {
 		uses, known := c.config.Quota.Snapshot(c.config.Boot.Now())
--- a/control/pkg/core/confirm_keys_test.go
+++ b/control/pkg/core/confirm_keys_test.go
@@ -111,7 +111,7 @@
 	require.Less(t, ask(0).GetUsesKnownMs(), uint32(5_000), "it leads for a moment only")
 	now := leader.core.config.Boot.Now()
 	leader.core.config.Quota.Reset(now - 60_000)
-	leader.core.config.Quota.Heard(now, &toucanhingev1.LoadDigest{
+	leader.core.config.Quota.Receive(now, &toucanhingev1.LoadDigest{
 		Source: "g2", Epoch: 1, Sequence: 1, CountingMs: 10, Uses: []*toucanhingev1.TeamUse{{Team: 7, Count: 3}},
 	}, false)
 	answer := ask(0)
@@ -142,7 +142,7 @@
 		return err == nil && answer.Msg.GetFleet() != nil
 	}, patience, 20*time.Millisecond)
 	core.config.Quota.Reset(core.config.Boot.Now() - 60_000)
-	core.config.Quota.Heard(core.config.Boot.Now(), &toucanhingev1.LoadDigest{
+	core.config.Quota.Receive(core.config.Boot.Now(), &toucanhingev1.LoadDigest{
 		Source: "g", Epoch: 1, Sequence: 1, CountingMs: 10, Uses: []*toucanhingev1.TeamUse{{Team: uint32(quota.IDOf("a")), Count: 3, Refused: 5}},
 	}, false)
 	answer, err := core.ListTeams(ctx, connect.NewRequest(&toucanhingev1.ListTeamsRequest{Team: "a"}))
--- a/control/pkg/core/core.go
+++ b/control/pkg/core/core.go
@@ -60,14 +60,14 @@
 	Address    string
 	DataCentre string
 	Folder     string
-	// Founders are the addresses of the VMs that form the group when the system
+	// FoundingMembers are the addresses of the VMs that form the group when the system
 	// starts for the first time; empty at every other start.
-	Founders []string
+	FoundingMembers []string
 	// Losses is how many VMs may be lost at the same time.
 	Losses int
-	// LeaveBound is how long after the directory shows that a runner leaves requests may still be
+	// DrainNoticeLimit is how long after the directory shows that a runner leaves requests may still be
 	// sent there, a span; 0 if that isn't told.
-	LeaveBound clock.Millis
+	DrainNoticeLimit clock.Millis
 
 	Clock      clock.Clock
 	Logger     log.Logger
@@ -134,19 +134,19 @@
 		Registerer: config.Registerer,
 	})
 	c.driver = batchrun.New(batchrun.Config{
-		Machine: c.machine, Propose: c.propose, Client: carries.Calls(), Late: carries.Late, Exchange: config.Exchange,
+		Machine: c.machine, Propose: c.propose, Client: carries.RunnerClient(), OnLag: carries.ReportLag, Exchange: config.Exchange,
 		Runners: c.fleet.list, DataCentre: config.DataCentre, Clock: config.Clock, Logger: config.Logger,
 		Metrics: batchrun.NewMetrics(config.Registerer),
 	})
 	var founders []replica.Peer
-	for _, address := range config.Founders {
+	for _, address := range config.FoundingMembers {
 		founders = append(founders, replica.Peer{Name: address, Address: address, Voter: true})
 	}
 	c.group, err = replica.Open(replica.Config{
 		Group: Group, Name: config.Address, Identity: identity, Address: config.Address, Folder: folder,
 		Bootstrap: founders, Clock: config.Clock, Logger: config.Logger, Registerer: config.Registerer,
-		HeartbeatEvery: heartbeat, ElectionTimeout: election,
-		CheckpointBytes: checkpointBytes, KeepBytes: keepBytes, LogFileBytes: logFileBytes, RingSize: ringSize,
+		HeartbeatInterval: heartbeat, ElectionTimeout: election,
+		CheckpointBytes: checkpointBytes, RetainBytes: keepBytes, LogFileBytes: logFileBytes, RingSize: ringSize,
 	}, replica.Machine{
 		Apply: c.machine.Apply, Checkpoint: c.machine.Checkpoint, Load: c.machine.Load,
 		Export: c.machine.Export, Import: c.machine.Import,
@@ -157,8 +157,8 @@
 	return c, nil
 }
 
-// Replicas hands the calls of other VMs to the replica.
-func (c *Core) Replicas() *replica.Server {
+// ReplicaServer hands the calls of other VMs to the replica.
+func (c *Core) ReplicaServer() *replica.Server {
 	return replica.NewServer(map[uint32]*replica.Group{Group: c.group})
 }
 
@@ -188,7 +188,7 @@
 // Stop hands the leadership over and closes the replica.
 func (c *Core) Stop(ctx context.Context) {
 	if _, _, self := c.group.Leader(); self {
-		if err := c.group.Handover(ctx); err != nil {
+		if err := c.group.TransferLeadership(ctx); err != nil {
 			level.Warn(c.config.Logger).Log(logs.KeyEvent, "handover-failed", logs.KeyError, err)
 		}
 	}
@@ -200,8 +200,8 @@
 	c.machine.Close()
 }
 
-// HeardDigest tells that another daemon's load changed.
-func (c *Core) HeardDigest(uint64) { c.driver.Wake() }
+// DigestReceived tells that another daemon's load changed.
+func (c *Core) DigestReceived(uint64) { c.driver.Wake() }
 
 // Version is the routing table in force here.
 func (c *Core) Version() uint64 {
--- a/control/pkg/core/directory.go
+++ b/control/pkg/core/directory.go
@@ -31,7 +31,7 @@
 // readDirectory follows the platform's list of runners. Its calls are limited
 // for all daemons together, so only the leader reads it.
 func (c *Core) readDirectory(ctx context.Context) {
-	ticker := time.NewTicker(directoryEvery(c.config.LeaveBound))
+	ticker := time.NewTicker(directoryEvery(c.config.DrainNoticeLimit))
 	defer ticker.Stop()
 	for {
 		c.readOnce(ctx)
--- a/control/pkg/core/fleet_test.go
+++ b/control/pkg/core/fleet_test.go
@@ -86,7 +86,7 @@
 	})
 	require.NoError(v.t, err)
 	v.core, err = Open(Config{
-		Name: v.name, Address: v.address, DataCentre: "here", Folder: v.folder, Founders: v.founders, Losses: 1,
+		Name: v.name, Address: v.address, DataCentre: "here", Folder: v.folder, FoundingMembers: v.founders, Losses: 1,
 		Clock: clock.System(), Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry(), Exchange: x,
 		Quota: quota.NewCounter(quota.Config{}), Boot: clock.Boot(),
 		Runners: runner.Client{Open: func(context.Context, runner.Call) (*runner.Answer, error) { return nil, errNoRunners }},
@@ -104,7 +104,7 @@
 	})
 	require.NoError(v.t, err)
 	mux := http.NewServeMux()
-	mux.Handle(toucanhingev1connect.NewReplicaServiceHandler(v.core.Replicas()))
+	mux.Handle(toucanhingev1connect.NewReplicaServiceHandler(v.core.ReplicaServer()))
 	mux.Handle(toucanhingev1connect.NewCoreServiceHandler(v.core))
 	v.server, err = web.Listen(v.address, mux)
 	require.NoError(v.t, err)
@@ -118,7 +118,7 @@
 }
 
 func client(addresses []string) *control.Client {
-	return control.New(control.Config{Addresses: addresses, Fresh: web.NewClient, AttemptTimeout: time.Second})
+	return control.New(control.Config{Addresses: addresses, NewHTTP: web.NewClient, AttemptTimeout: time.Second})
 }
 
 // kill ends the VM's process without a word to the others.
--- a/control/pkg/core/lead.go
+++ b/control/pkg/core/lead.go
@@ -130,7 +130,7 @@
 	case repair.Remove:
 		return c.group.Remove(ctx, step.Member.Name)
 	case repair.HandOver:
-		return c.group.Handover(ctx)
+		return c.group.TransferLeadership(ctx)
 	default:
 		return nil
 	}
--- a/control/pkg/core/lost_test.go
+++ b/control/pkg/core/lost_test.go
@@ -93,7 +93,7 @@
 	s.replace(1)
 	s.registered(3)
 	require.ErrorIs(t, s.leader().core.RetireVM(ctx, "nobody"), ErrUnknownVM)
-	require.ErrorIs(t, s.leader().core.RetireVM(ctx, s.vms[0].name), ErrTooFew)
+	require.ErrorIs(t, s.leader().core.RetireVM(ctx, s.vms[0].name), ErrTooFewVMs)
 	s.vms[3].start()
 	s.standby(s.vms[3])
 	s.registered(4)
--- a/control/pkg/core/operator.go
+++ b/control/pkg/core/operator.go
@@ -17,8 +17,8 @@
 var (
 	// ErrUnknownVM tells that no VM of the core has that name.
 	ErrUnknownVM = errors.New("no VM of the core has that name")
-	// ErrTooFew tells that too few VMs would be left.
-	ErrTooFew = errors.New("too few VMs of the core would be left")
+	// ErrTooFewVMs tells that too few VMs would be left.
+	ErrTooFewVMs = errors.New("too few VMs of the core would be left")
 	// ErrNoTable tells that there is no routing table yet.
 	ErrNoTable = errors.New("there is no routing table yet")
 )
@@ -67,7 +67,7 @@
 	now := c.config.Clock.Now()
 	decide := repair.Config{Self: c.config.Address, Losses: c.config.Losses, SilentAfter: silentAfter}
 	if !decide.MayRetire(now, vm.Address, c.vms(now, c.members())) {
-		return ErrTooFew
+		return ErrTooFewVMs
 	}
 	if _, err := proposeOne[bool](ctx, c, &toucanhingev1.SystemStep{
 		Step: &toucanhingev1.SystemStep_RetireVm{RetireVm: &toucanhingev1.RetireVMStep{Name: name}},
@@ -103,9 +103,9 @@
 	return vm, found
 }
 
-// IsElsewhere says whether the error is that this VM doesn't lead, so that the
+// IsNotLeader says whether the error is that this VM doesn't lead, so that the
 // call had no effect and the leader can be asked.
-func IsElsewhere(err error) bool {
+func IsNotLeader(err error) bool {
 	var notLeader *replica.NotLeaderError
 	return errors.As(err, &notLeader)
 }
--- a/control/pkg/core/quarantines.go
+++ b/control/pkg/core/quarantines.go
@@ -50,7 +50,7 @@
 	ctx, cancel := context.WithTimeout(parent, quarantinesTime)
 	defer cancel()
 	_, err := c.propose(ctx, &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_KeepQuarantines{
-		KeepQuarantines: &toucanhingev1.KeepQuarantinesStep{Quarantines: systemstate.SaveQuarantines(list)},
+		KeepQuarantines: &toucanhingev1.KeepQuarantinesStep{Quarantines: systemstate.EncodeQuarantines(list)},
 	}})
 	return err
 }
--- a/control/pkg/core/service_test.go
+++ b/control/pkg/core/service_test.go
@@ -37,10 +37,10 @@
 	leader, follower := s.leader(), s.follower()
 	require.Eventually(t, func() bool {
 		_, err := follower.core.ReadTable(context.Background())
-		return IsElsewhere(err) && follower.core.Leader() == leader.address
+		return IsNotLeader(err) && follower.core.Leader() == leader.address
 	}, patience, 10*time.Millisecond)
 	_, err := follower.core.ReplaceTable(context.Background(), tableOf(2))
-	require.True(t, IsElsewhere(err))
+	require.True(t, IsNotLeader(err))
 	require.Eventually(t, func() bool {
 		_, err = follower.core.Attend(context.Background(), connect.NewRequest(&toucanhingev1.AttendRequest{}))
 		address, refused := control.LeaderOf(err)
@@ -66,7 +66,7 @@
 				continue
 			}
 			_, err := v.core.ReadTable(context.Background())
-			return IsElsewhere(err) && v.core.Leader() == s.leader().address
+			return IsNotLeader(err) && v.core.Leader() == s.leader().address
 		}
 		return false
 	}, patience, 20*time.Millisecond)
--- a/control/pkg/core/teams.go
+++ b/control/pkg/core/teams.go
@@ -43,7 +43,7 @@
 		status.Used = c.config.Quota.Used(c.config.Boot.Now(), t.GetName())
 		status.Refused = c.config.Quota.Refused(t.GetName())
 	}
-	jobs, tokens := s.OpenOf(t.GetName())
+	jobs, tokens := s.TeamBacklog(t.GetName())
 	status.OpenJobs, status.WaitingTokens = uint32(jobs), tokens
 	return status
 }
--- a/control/pkg/dispatch/fill.go
+++ b/control/pkg/dispatch/fill.go
@@ -10,8 +10,8 @@
 )
 
 // fill starts items at the places that are free.
-func (m *Machine) fill(now clock.Millis, around Surroundings, order order, actions *Actions) {
-	if !m.waits(now) || around.MostStarts != nil && *around.MostStarts == 0 {
+func (m *Machine) fill(now clock.Millis, around Environment, order order, actions *Actions) {
+	if !m.waits(now) || around.MaxStarts != nil && *around.MaxStarts == 0 {
 		return
 	}
 	rooms, free := m.rooms(now, around)
@@ -19,7 +19,7 @@
 		return
 	}
 	for _, i := range m.first(now, around, order, rooms) {
-		if around.MostStarts != nil && len(actions.Start) >= *around.MostStarts {
+		if around.MaxStarts != nil && len(actions.Start) >= *around.MaxStarts {
 			return
 		}
 		p := rooms.best(around.Services(i.Key.Job))
@@ -43,7 +43,7 @@
 // first lists the waiting items that may get a place, in order. Jobs with the same
 // services compete; of each such group no more are kept than its services have places,
 // so that a decision among thousands of items doesn't sort them all.
-func (m *Machine) first(now clock.Millis, around Surroundings, order order, rooms rooms) []*item {
+func (m *Machine) first(now clock.Millis, around Environment, order order, rooms rooms) []*item {
 	groups := map[string]*front{}
 	ofJob := map[string]*front{}
 	for _, i := range m.waiting {
@@ -149,14 +149,14 @@
 }
 
 // rooms lists the free places, and counts them.
-func (m *Machine) rooms(now clock.Millis, around Surroundings) (rooms, int) {
+func (m *Machine) rooms(now clock.Millis, around Environment) (rooms, int) {
 	all, free := rooms{}, 0
 	for _, r := range around.Runners {
 		if r.GetLeaving() || m.blocked[r.GetId()] > now {
 			continue
 		}
 		load := around.Load(r.GetId())
-		if load.Silent {
+		if load.Unresponsive {
 			continue
 		}
 		left := int(r.GetSlots()) - load.all() - len(m.running[r.GetId()])
--- a/control/pkg/dispatch/machine.go
+++ b/control/pkg/dispatch/machine.go
@@ -26,14 +26,14 @@
 // Item is an item to run.
 type Item struct {
 	Key Key
-	// Due is when the result should be there, Expires when it may be given up.
-	Due     clock.Millis
+	// Deadline is when the result should be there, Expires when it may be given up.
+	Deadline     clock.Millis
 	Expires clock.Millis
 	// Tokens is its size, of the prompt and the longest answer; 0 if it isn't known.
 	Tokens int64
 	// Team handed it in, empty if none did; Rank is its priority, 0 for the most urgent.
 	Team string
-	Rank uint32
+	Priority uint32
 }
 
 // Load is what other work there is at a runner: online requests and items that
@@ -43,22 +43,22 @@
 	Batch  int
 	// Foreign work is nobody's here; it ends when it ends.
 	Foreign int
-	// Silent says that a daemon with calls there has heard nothing for too long.
-	Silent bool
+	// Unresponsive says that a daemon with calls there has heard nothing for too long.
+	Unresponsive bool
 }
 
 func (l Load) all() int { return l.Online + l.Batch + l.Foreign }
 
-// Surroundings is what the machine can see when it decides.
-type Surroundings struct {
+// Environment is what the machine can see when it decides.
+type Environment struct {
 	Runners []*toucanhingev1.Runner
 	Load    func(runner string) Load
 	// Services lists where the items of a job may run; none if its route is gone.
 	Services func(job string) []string
 	// Near says whether a runner is in the same data centre.
 	Near func(*toucanhingev1.Runner) bool
-	// MostStarts bounds the items that begin now; nil for no bound.
-	MostStarts *int
+	// MaxStarts bounds the items that begin now; nil for no bound.
+	MaxStarts *int
 }
 
 // Start is an item that begins, or goes on, at a runner.
@@ -136,13 +136,13 @@
 // in time.
 func (m *Machine) Lateness(now clock.Millis, key Key) clock.Millis {
 	if i := m.items[key]; i != nil {
-		return now - i.Due
+		return now - i.Deadline
 	}
 	return 0
 }
 
-// Left is how long an item is expected to run on, a span.
-func (m *Machine) Left(now clock.Millis, key Key) clock.Millis {
+// Remaining is how long an item is expected to run on, a span.
+func (m *Machine) Remaining(now clock.Millis, key Key) clock.Millis {
 	if i := m.items[key]; i != nil {
 		return m.measured.left(now, i)
 	}
@@ -211,8 +211,8 @@
 	return len(m.waiting), len(m.items) - len(m.waiting)
 }
 
-// Pressed says whether more items wait than can be in time.
-func (m *Machine) Pressed() bool { return m.pressure.pressed }
+// Overloaded says whether more items wait than can be in time.
+func (m *Machine) Overloaded() bool { return m.pressure.pressed }
 
 func (m *Machine) leave(i *item) {
 	if i.runner == "" {
@@ -243,7 +243,7 @@
 }
 
 // Step decides.
-func (m *Machine) Step(now clock.Millis, around Surroundings) Actions {
+func (m *Machine) Step(now clock.Millis, around Environment) Actions {
 	var actions Actions
 	m.expire(now, &actions)
 	if m.pressure.due(now) {
@@ -259,7 +259,7 @@
 }
 
 // Yield decides only which items give way at some runners; Step decides that for all.
-func (m *Machine) Yield(now clock.Millis, runners []*toucanhingev1.Runner, around Surroundings) Actions {
+func (m *Machine) Yield(now clock.Millis, runners []*toucanhingev1.Runner, around Environment) Actions {
 	var actions Actions
 	order := m.orderAt(now)
 	for _, r := range runners {
@@ -286,7 +286,7 @@
 // yield pauses items while a runner has more work than places. Engines run what
 // they get in the order of arrival, so an online request would else wait for an
 // item's end, seconds later. The items that would be started last give way.
-func (m *Machine) yield(now clock.Millis, r *toucanhingev1.Runner, around Surroundings, order order, actions *Actions) {
+func (m *Machine) yield(now clock.Millis, r *toucanhingev1.Runner, around Environment, order order, actions *Actions) {
 	mine := m.running[r.GetId()]
 	if len(mine) == 0 {
 		return
--- a/control/pkg/dispatch/machine_test.go
+++ b/control/pkg/dispatch/machine_test.go
@@ -14,8 +14,8 @@
 
 func TestMain(m *testing.M) { seed.Main(m, 22) }
 
-func around(loads map[string]Load, runners ...*toucanhingev1.Runner) Surroundings {
-	return Surroundings{
+func around(loads map[string]Load, runners ...*toucanhingev1.Runner) Environment {
+	return Environment{
 		Runners: runners, Load: func(id string) Load { return loads[id] },
 		Services: func(string) []string { return []string{"llm"} },
 		Near:     func(r *toucanhingev1.Runner) bool { return r.GetDataCentre() == "here" },
@@ -27,7 +27,7 @@
 }
 
 func itemOf(job string, index uint32, due clock.Millis) Item {
-	return Item{Key: Key{Job: job, Index: index}, Due: due, Expires: due + 60_000}
+	return Item{Key: Key{Job: job, Index: index}, Deadline: due, Expires: due + 60_000}
 }
 
 func TestItemsFillWhatOnlineWorkLeaves(t *testing.T) {
@@ -74,7 +74,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			m := New()
 			for i, due := range c.due {
-				m.Add(Item{Key: Key{Job: fmt.Sprintf("j%d", i)}, Due: due, Expires: 90_000})
+				m.Add(Item{Key: Key{Job: fmt.Sprintf("j%d", i)}, Deadline: due, Expires: 90_000})
 			}
 			actions := m.Step(c.now, around(nil, runnerOf("a", 1)))
 			require.Len(t, actions.Start, 1)
@@ -111,18 +111,18 @@
 func TestWhereItemsMayNotGo(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		prepare func(*Machine, *Surroundings, *toucanhingev1.Runner)
+		prepare func(*Machine, *Environment, *toucanhingev1.Runner)
 	}{
-		{"the runner leaves", func(_ *Machine, _ *Surroundings, r *toucanhingev1.Runner) { r.Leaving = true }},
-		{"the runner is blocked", func(m *Machine, _ *Surroundings, _ *toucanhingev1.Runner) { m.Block("a", 1_000) }},
-		{"another service", func(_ *Machine, _ *Surroundings, r *toucanhingev1.Runner) { r.Service = "other" }},
-		{"the route is gone", func(_ *Machine, s *Surroundings, _ *toucanhingev1.Runner) {
+		{"the runner leaves", func(_ *Machine, _ *Environment, r *toucanhingev1.Runner) { r.Leaving = true }},
+		{"the runner is blocked", func(m *Machine, _ *Environment, _ *toucanhingev1.Runner) { m.Block("a", 1_000) }},
+		{"another service", func(_ *Machine, _ *Environment, r *toucanhingev1.Runner) { r.Service = "other" }},
+		{"the route is gone", func(_ *Machine, s *Environment, _ *toucanhingev1.Runner) {
 			s.Services = func(string) []string { return nil }
 		}},
-		{"foreign work holds the places", func(_ *Machine, s *Surroundings, _ *toucanhingev1.Runner) {
+		{"foreign work holds the places", func(_ *Machine, s *Environment, _ *toucanhingev1.Runner) {
 			s.Load = func(string) Load { return Load{Foreign: 2} }
 		}},
-		{"another daemon's items hold the places", func(_ *Machine, s *Surroundings, _ *toucanhingev1.Runner) {
+		{"another daemon's items hold the places", func(_ *Machine, s *Environment, _ *toucanhingev1.Runner) {
 			s.Load = func(string) Load { return Load{Batch: 2} }
 		}},
 	} {
@@ -149,7 +149,7 @@
 
 func TestItemsAreGivenUpWhenTheyMayBe(t *testing.T) {
 	m := New()
-	m.Add(Item{Key: Key{Job: "j"}, Due: 10, Expires: 1_000})
+	m.Add(Item{Key: Key{Job: "j"}, Deadline: 10, Expires: 1_000})
 	m.Step(0, around(nil, runnerOf("a", 1)))
 	require.Empty(t, m.Step(999, around(nil, runnerOf("a", 1))).GiveUp)
 	require.Equal(t, []Key{{Job: "j"}}, m.Step(1_000, around(nil, runnerOf("a", 1))).GiveUp)
--- a/control/pkg/dispatch/order.go
+++ b/control/pkg/dispatch/order.go
@@ -31,7 +31,7 @@
 // all end late; then the one with the least left goes first (see TestAFleetWithTooManyItems).
 func (o order) compare(a, b *item) int {
 	leftA, leftB := o.measured.left(o.now, a), o.measured.left(o.now, b)
-	latestA, latestB := a.Due-leftA, b.Due-leftB
+	latestA, latestB := a.Deadline-leftA, b.Deadline-leftB
 	if byLate := compareBool(o.now > latestA, o.now > latestB); byLate != 0 {
 		return byLate
 	}
--- a/control/pkg/dispatch/pressure.go
+++ b/control/pkg/dispatch/pressure.go
@@ -30,12 +30,12 @@
 func (p *pressure) due(now clock.Millis) bool { return p.looked == 0 || now-p.looked >= pressureEvery }
 
 // look compares the time that the waiting items need with the time that they have.
-func (p *pressure) look(now clock.Millis, m *Machine, around Surroundings) {
+func (p *pressure) look(now clock.Millis, m *Machine, around Environment) {
 	p.measure(now, around)
 	work, slack, items := 0.0, 0.0, 0
 	for _, i := range m.waiting {
 		left := m.measured.left(now, i)
-		spare := i.Due - left - now
+		spare := i.Deadline - left - now
 		if spare < 0 {
 			continue
 		}
@@ -56,7 +56,7 @@
 }
 
 // measure averages the places that online and foreign work leaves.
-func (p *pressure) measure(now clock.Millis, around Surroundings) {
+func (p *pressure) measure(now clock.Millis, around Environment) {
 	room := 0
 	for _, r := range around.Runners {
 		if !r.GetLeaving() {
--- a/control/pkg/dispatch/team.go
+++ b/control/pkg/dispatch/team.go
@@ -55,4 +55,4 @@
 }
 
 // shift is how much later the item goes than its time says, a span.
-func (i *item) shift() clock.Millis { return i.team.shift + clock.Millis(i.Rank)*rankSpan }
+func (i *item) shift() clock.Millis { return i.team.shift + clock.Millis(i.Priority)*rankSpan }
--- a/control/pkg/replica/api.go
+++ b/control/pkg/replica/api.go
@@ -59,10 +59,10 @@
 	return v.status.Leader, v.leaderAddress, v.status.Role == consensus.RoleLeader
 }
 
-// Named is the address of a leader that still takes this replica for the one that it was
+// OldIdentityLeader is the address of a leader that still takes this replica for the one that it was
 // before it lost its disk; empty if there is none. The leader's messages aren't obeyed, but
 // they tell who leads: when all others have just lost power too, nobody else may know.
-func (g *Group) Named() string { return g.view.Load().named }
+func (g *Group) OldIdentityLeader() string { return g.view.Load().named }
 
 // Term is the term that this replica is in.
 func (g *Group) Term() uint64 { return g.view.Load().status.Term }
@@ -89,10 +89,10 @@
 	return state
 }
 
-// Handover gives the leadership to the voter that lacks least, and returns once
+// TransferLeadership gives the leadership to the voter that lacks least, and returns once
 // this replica no longer leads. No proposal is lost by it.
-func (g *Group) Handover(ctx context.Context) error {
-	return g.order(ctx, func(id uint64) consensus.Event { return consensus.Handover{ID: id} })
+func (g *Group) TransferLeadership(ctx context.Context) error {
+	return g.order(ctx, func(id uint64) consensus.Event { return consensus.TransferLeadership{ID: id} })
 }
 
 // AddLearner adds a replica that gets the log and doesn't vote.
--- a/control/pkg/replica/checkpoint.go
+++ b/control/pkg/replica/checkpoint.go
@@ -93,6 +93,6 @@
 // who lag still need.
 func (g *Group) compact(index uint64) {
 	_ = g.events.Put(g.ctx, consensus.Compact{
-		Index: index, KeepEntries: g.config.KeepEntries, KeepBytes: g.config.KeepBytes,
+		Index: index, RetainEntries: g.config.RetainEntries, RetainBytes: g.config.RetainBytes,
 	})
 }
--- a/control/pkg/replica/config.go
+++ b/control/pkg/replica/config.go
@@ -69,16 +69,16 @@
 	Logger     log.Logger
 	Registerer prometheus.Registerer
 
-	HeartbeatEvery  clock.Millis
+	HeartbeatInterval  clock.Millis
 	ElectionTimeout clock.Millis
 	// CheckpointEntries and CheckpointBytes say after how much a checkpoint is
 	// due, whichever is reached first.
 	CheckpointEntries uint64
 	CheckpointBytes   int
-	// KeepEntries, at most KeepBytes of them, stay in the log and in memory behind
+	// RetainEntries, at most KeepBytes of them, stay in the log and in memory behind
 	// a checkpoint for members that lag.
-	KeepEntries uint64
-	KeepBytes   int
+	RetainEntries uint64
+	RetainBytes   int
 	// RingSize bounds the messages that wait to be taken in, and to be sent to one
 	// peer. A ring holds its memory all the time, about 200 bytes a place.
 	RingSize int
@@ -106,8 +106,8 @@
 )
 
 func (c Config) withDefaults() Config {
-	if c.HeartbeatEvery == 0 {
-		c.HeartbeatEvery = defaultHeartbeat
+	if c.HeartbeatInterval == 0 {
+		c.HeartbeatInterval = defaultHeartbeat
 	}
 	if c.ElectionTimeout == 0 {
 		c.ElectionTimeout = defaultElection
@@ -118,11 +118,11 @@
 	if c.CheckpointBytes == 0 {
 		c.CheckpointBytes = defaultCheckpointBytes
 	}
-	if c.KeepEntries == 0 {
-		c.KeepEntries = defaultKeepEntries
+	if c.RetainEntries == 0 {
+		c.RetainEntries = defaultKeepEntries
 	}
-	if c.KeepBytes == 0 {
-		c.KeepBytes = defaultKeepBytes
+	if c.RetainBytes == 0 {
+		c.RetainBytes = defaultKeepBytes
 	}
 	if c.RingSize == 0 {
 		c.RingSize = defaultRingSize
--- a/control/pkg/replica/loop.go
+++ b/control/pkg/replica/loop.go
@@ -63,7 +63,7 @@
 	}
 	core, err := consensus.New(consensus.Config{
 		Name: g.config.Name, Identity: g.config.Identity,
-		HeartbeatEvery: g.config.HeartbeatEvery, ElectionTimeout: g.config.ElectionTimeout,
+		HeartbeatInterval: g.config.HeartbeatInterval, ElectionTimeout: g.config.ElectionTimeout,
 		Jitter: g.config.Jitter,
 	}, consensus.Restored{
 		State: content.State, Base: content.Base, Entries: content.Entries,
@@ -77,7 +77,7 @@
 		conflicts: map[string]bool{}, calls: map[uint64][]*call{},
 		formation: consensus.NewFormation(consensus.FormationConfig{
 			Self:     consensus.Member{Name: g.config.Name, Identity: g.config.Identity},
-			Settings: g.config.settings(), Kept: kept, HasLog: content.Last() > 0,
+			BootstrapMembers: g.config.settings(), Persisted: kept, HasLog: content.Last() > 0,
 		}),
 	}
 	for _, p := range g.config.Bootstrap {
@@ -88,7 +88,7 @@
 }
 
 func (g *Group) runLoop() {
-	ticker := time.NewTicker(g.config.HeartbeatEvery.Duration() / ticksPerHeartbeat)
+	ticker := time.NewTicker(g.config.HeartbeatInterval.Duration() / ticksPerHeartbeat)
 	defer ticker.Stop()
 	g.tick()
 	for {
@@ -165,7 +165,7 @@
 	}
 	g.step(consensus.Received{Message: m})
 	if !g.loop.formation.Done() && g.loop.core.Last() > 0 {
-		g.loop.formation.Finish()
+		g.loop.formation.MarkJoined()
 	}
 }
 
@@ -178,15 +178,15 @@
 		_ = level.Error(g.logger).Log("event", "identity_conflict", "peer", name,
 			"cause", "another identity or other settings than pinned; a replaced disk must be removed, added and promoted")
 	}
-	if actions.Keep != nil {
-		if err := writeJSON(formationPath(g.config.Folder), actions.Keep); err != nil {
+	if actions.Persist != nil {
+		if err := writeJSON(formationPath(g.config.Folder), actions.Persist); err != nil {
 			g.fail(err)
 			return
 		}
 	}
 	if len(actions.Formed) > 0 {
 		_ = level.Info(g.logger).Log("event", "group_formed", "members", len(actions.Formed))
-		g.step(consensus.Form{Members: actions.Formed})
+		g.step(consensus.FormGroup{Members: actions.Formed})
 	}
 	for _, m := range actions.Messages {
 		g.send(m)
@@ -237,7 +237,7 @@
 			g.waiting.read(c, r.Index)
 		}
 	}
-	for _, h := range actions.Handed {
+	for _, h := range actions.Transferred {
 		for _, c := range g.take(h.ID) {
 			c.end(nil, nil)
 		}
--- a/control/pkg/replica/repair_test.go
+++ b/control/pkg/replica/repair_test.go
@@ -18,8 +18,8 @@
 // often takes checkpoints often, and keeps little of the log behind them.
 func often(c *Config) {
 	c.CheckpointEntries = 20
-	c.KeepEntries = 5
-	c.KeepBytes = 30
+	c.RetainEntries = 5
+	c.RetainBytes = 30
 	c.LogFileBytes = 1000
 }
 
@@ -178,7 +178,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	for f.leader() != first {
-		_ = f.leader().group.Handover(ctx)
+		_ = f.leader().group.TransferLeadership(ctx)
 	}
 	f.proposeAll([]string{"before"})
 	close(failing)
@@ -219,7 +219,7 @@
 	require.Eventually(t, func() bool { return len(acknowledged) > 5 }, patience, glance)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	require.NoError(t, old.group.Handover(ctx))
+	require.NoError(t, old.group.TransferLeadership(ctx))
 	_, _, self := old.group.Leader()
 	require.False(t, self)
 	leader := f.leader()
--- a/control/pkg/systemstate/quarantine.go
+++ b/control/pkg/systemstate/quarantine.go
@@ -11,8 +11,8 @@
 // Quarantines lists the requests that are kept from all runners; some may have ended.
 func (s *State) Quarantines() []crashes.Quarantine { return slices.Clone(s.quarantines) }
 
-// SaveQuarantines writes quarantines as the log and checkpoints hold them.
-func SaveQuarantines(list []crashes.Quarantine) []*toucanhingev1.SavedQuarantine {
+// EncodeQuarantines writes quarantines as the log and checkpoints hold them.
+func EncodeQuarantines(list []crashes.Quarantine) []*toucanhingev1.SavedQuarantine {
 	var saved []*toucanhingev1.SavedQuarantine
 	for _, q := range list {
 		saved = append(saved, &toucanhingev1.SavedQuarantine{
--- a/control/pkg/systemstate/quarantine_test.go
+++ b/control/pkg/systemstate/quarantine_test.go
@@ -19,12 +19,12 @@
 			KeepQuarantines: &toucanhingev1.KeepQuarantinesStep{Quarantines: saved},
 		}})
 	}
-	keep(SaveQuarantines(list))
+	keep(EncodeQuarantines(list))
 	require.Equal(t, list, s.Quarantines())
 	restored, err := Restore(Config{}, s.Save())
 	require.NoError(t, err)
 	require.Equal(t, list, restored.Quarantines())
-	keep(append(SaveQuarantines(list[:1]), &toucanhingev1.SavedQuarantine{Content: []byte("short")}))
+	keep(append(EncodeQuarantines(list[:1]), &toucanhingev1.SavedQuarantine{Content: []byte("short")}))
 	require.Equal(t, list[:1], s.Quarantines())
 	keep(nil)
 	require.Empty(t, s.Quarantines())
--- a/control/pkg/systemstate/snapshot.go
+++ b/control/pkg/systemstate/snapshot.go
@@ -39,7 +39,7 @@
 			Name: v.Name, Address: v.Address, Identity: v.Identity, Retiring: v.Retiring,
 		})
 	}
-	snapshot.Quarantines = SaveQuarantines(s.quarantines)
+	snapshot.Quarantines = EncodeQuarantines(s.quarantines)
 	return snapshot
 }
 
@@ -51,7 +51,7 @@
 		item := &j.Items[i]
 		out := &toucanhingev1.SavedBatchItem{
 			Id: item.ID, Tokens: item.Tokens, Failures: item.Failures, Completed: item.Completed,
-			Request: uint64(item.Request), Last: item.Last,
+			Request: uint64(item.Request), Last: item.LastEvent,
 		}
 		for _, ref := range item.Parts {
 			out.Parts = append(out.Parts, uint64(ref))
@@ -91,7 +91,7 @@
 	for _, item := range saved.GetItems() {
 		in := Item{
 			ID: item.GetId(), Tokens: item.GetTokens(), Failures: item.GetFailures(), Completed: item.GetCompleted(),
-			Request: segment.Ref(item.GetRequest()), Last: item.GetLast(),
+			Request: segment.Ref(item.GetRequest()), LastEvent: item.GetLast(),
 		}
 		for _, ref := range item.GetParts() {
 			in.Parts = append(in.Parts, segment.Ref(ref))
--- a/control/pkg/systemstate/state.go
+++ b/control/pkg/systemstate/state.go
@@ -82,7 +82,7 @@
 	// Parts are the records that make up the text so far, in order, and Last is
 	// the last event in them.
 	Parts []segment.Ref
-	Last  uint64
+	LastEvent  uint64
 }
 
 // Open says whether items may still be run.
@@ -159,8 +159,8 @@
 	return list
 }
 
-// Waiting sums up the tokens of a team's items on a route that aren't finished.
-func (s *State) Waiting(route routing.Route, team string) int64 {
+// WaitingTokens sums up the tokens of a team's items on a route that aren't finished.
+func (s *State) WaitingTokens(route routing.Route, team string) int64 {
 	sum := int64(0)
 	for _, j := range s.jobs {
 		if !j.Open() || j.Team != team || !s.on(j, route) {
@@ -261,7 +261,7 @@
 	if !found {
 		return toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_NO_ROUTE
 	}
-	if route.QuotaTokens > 0 && s.Waiting(route, team)+tokens(request) > route.QuotaTokens {
+	if route.QuotaTokens > 0 && s.WaitingTokens(route, team)+tokens(request) > route.QuotaTokens {
 		return toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_OVER_QUOTA
 	}
 	j := &Job{Name: name, ID: request.GetJob(), Team: team, Host: request.GetHost(), Target: request.GetTarget(), Accepted: at}
@@ -302,7 +302,7 @@
 	switch {
 	case !step.GetCompleted() || step.GetAfter() == 0:
 		s.dropParts(item)
-	case step.GetAfter() != item.Last:
+	case step.GetAfter() != item.LastEvent:
 		return false
 	}
 	item.Done, item.Completed = true, step.GetCompleted()
@@ -318,18 +318,18 @@
 // kept already.
 func (s *State) keepProgress(step *toucanhingev1.KeepProgressStep) {
 	_, item := s.openItem(step.GetJob(), step.GetItem())
-	if item == nil || item.Last != step.GetAfter() || step.GetLast() <= step.GetAfter() {
+	if item == nil || item.LastEvent != step.GetAfter() || step.GetLast() <= step.GetAfter() {
 		return
 	}
 	item.Parts = append(item.Parts, s.config.Append(step.GetText()))
-	item.Last = step.GetLast()
+	item.LastEvent = step.GetLast()
 }
 
 func (s *State) dropParts(item *Item) {
 	for _, ref := range item.Parts {
 		s.release(ref)
 	}
-	item.Parts, item.Last = nil, 0
+	item.Parts, item.LastEvent = nil, 0
 }
 
 func (s *State) countFailure(step *toucanhingev1.CountFailureStep) {
--- a/control/pkg/systemstate/team.go
+++ b/control/pkg/systemstate/team.go
@@ -64,8 +64,8 @@
 	return holder.GetName(), known || found && route.GetOpen()
 }
 
-// Rank is the priority of a job's items, 0 for the most urgent: its team's, or its route's.
-func (s *State) Rank(j *Job, route routing.Route) uint32 {
+// Priority is the priority of a job's items, 0 for the most urgent: its team's, or its route's.
+func (s *State) Priority(j *Job, route routing.Route) uint32 {
 	for _, t := range s.table.Teams() {
 		if t.GetName() == j.Team {
 			return routing.Team{Team: t}.PriorityOn(route)
@@ -74,8 +74,8 @@
 	return route.GetPriority()
 }
 
-// OpenOf counts a team's open jobs, and the tokens of their unfinished items.
-func (s *State) OpenOf(team string) (jobs int, tokens int64) {
+// TeamBacklog counts a team's open jobs, and the tokens of their unfinished items.
+func (s *State) TeamBacklog(team string) (jobs int, tokens int64) {
 	for _, j := range s.jobs {
 		if !j.Open() || j.Team != team {
 			continue
--- a/gateway/pkg/admission/admission.go
+++ b/gateway/pkg/admission/admission.go
@@ -59,78 +59,78 @@
 type Verdict int
 
 const (
-	// Go sends it to the runner that was chosen.
-	Go Verdict = iota
+	// Admit sends it to the runner that was chosen.
+	Admit Verdict = iota
 	// Wait keeps it until a place is free.
 	Wait
 	// Refuse turns it away at once.
 	Refuse
 )
 
-// Ask describes a request for which a runner was chosen.
-type Ask struct {
+// Request describes a request for which a runner was chosen.
+type Request struct {
 	Arrived clock.Millis
-	// Ends is when its caller leaves or its route's time is up.
-	Ends clock.Millis
+	// Deadline is when its caller leaves or its route's time is up.
+	Deadline clock.Millis
 	// Objective is the span from its arrival that earns full credit, 0 for none.
 	Objective clock.Millis
-	// Returned says that it was turned away before.
-	Returned bool
-	// Expected is the expected wait for a place at the chosen runner, a span.
-	Expected clock.Millis
-	// Turn is how many of the requests that hold its Places must end before this one
+	// Retry says that it was turned away before.
+	Retry bool
+	// ExpectedWait is the expected wait for a place at the chosen runner, a span.
+	ExpectedWait clock.Millis
+	// QueuePosition is how many of the requests that hold its Places must end before this one
 	// begins, 0 if a place is free.
-	Turn, Places int
+	QueuePosition, Slots int
 	// Hold is how long such a request holds its place, a span.
 	Hold clock.Millis
 	// Gap is the longest pause between events that is in time, 0 for none.
 	Gap clock.Millis
-	// Crowded says that too many wait already.
-	Crowded bool
-	// Ran says that a runner may have run it: it can't be told truthfully that it wasn't.
-	Ran bool
+	// QueueFull says that too many wait already.
+	QueueFull bool
+	// MayHaveRun says that a runner may have run it: it can't be told truthfully that it wasn't.
+	MayHaveRun bool
 }
 
 // longestWait is how long the request may wait for a place, from its arrival.
-func (a Ask) longestWait() clock.Millis {
+func (a Request) longestWait() clock.Millis {
 	sign := max(leastSign, signObjectives*a.Objective, signGaps*a.Gap) - signSlack
-	return min((a.Ends-a.Arrived)/waitPart, sign)
+	return min((a.Deadline-a.Arrived)/waitPart, sign)
 }
 
 // chance is the probability that the request's turn comes within a span. The requests
 // that hold the places began at any time, and each holds its place for about as long: in
 // each whole hold all of them end once, and in the rest of the span each ends with the same
 // chance.
-func (a Ask) chance(span clock.Millis) float64 {
+func (a Request) chance(span clock.Millis) float64 {
 	if a.Hold <= 0 {
 		return 1
 	}
 	span = max(span, 0)
-	missing := a.Turn - int(span/a.Hold)*a.Places
+	missing := a.QueuePosition - int(span/a.Hold)*a.Slots
 	ends := float64(span%a.Hold) / float64(a.Hold)
 	fewer := 0.0
-	exactly := math.Pow(1-ends, float64(a.Places))
+	exactly := math.Pow(1-ends, float64(a.Slots))
 	for n := range max(missing, 0) {
 		fewer += exactly
-		exactly *= float64(a.Places-n) / float64(n+1) * ends / (1 - ends)
+		exactly *= float64(a.Slots-n) / float64(n+1) * ends / (1 - ends)
 	}
 	return 1 - fewer
 }
 
 // Decide says what becomes of a request.
-func Decide(now clock.Millis, a Ask) Verdict {
+func Decide(now clock.Millis, a Request) Verdict {
 	switch {
-	case a.Turn == 0:
-		return Go
-	case a.Ran && now+a.Expected+a.Hold+finishSlack <= a.Ends:
+	case a.QueuePosition == 0:
+		return Admit
+	case a.MayHaveRun && now+a.ExpectedWait+a.Hold+finishSlack <= a.Deadline:
 		// Late is better than not at all. Given up, one request in a hundred and fifty
 		// failed in the bursts of a large fleet that had lost a tenth of its runners.
-		return Go
+		return Admit
 	case a.Objective > 0 && a.chance(a.Arrived+a.Objective-now-firstEvent) >= leastChance:
-		return Go
-	case a.Objective == 0 && now+a.Expected+a.Hold <= a.Ends:
-		return Go
-	case a.Returned && !a.Crowded && now+a.Hold+finishSlack <= a.Ends && now-a.Arrived < a.longestWait():
+		return Admit
+	case a.Objective == 0 && now+a.ExpectedWait+a.Hold <= a.Deadline:
+		return Admit
+	case a.Retry && !a.QueueFull && now+a.Hold+finishSlack <= a.Deadline && now-a.Arrived < a.longestWait():
 		return Wait
 	default:
 		return Refuse
@@ -147,9 +147,9 @@
 	longestStartWait clock.Millis = 1_500
 )
 
-// StartWait is how long a request waits at a gateway that doesn't know its routes yet.
+// StartupWait is how long a request waits at a gateway that doesn't know its routes yet.
 // Patience is a span, 0 if the caller doesn't tell it.
-func StartWait(patience clock.Millis, returned bool) clock.Millis {
+func StartupWait(patience clock.Millis, returned bool) clock.Millis {
 	if !returned {
 		return startWait
 	}
@@ -159,29 +159,29 @@
 // RetryAfter tells a refused caller when to come back: not before a place may be free
 // and the overload is probably over, and spread, so that those who were refused together
 // don't return together. Draw is from 0 to below 1.
-func RetryAfter(now clock.Millis, a Ask, spells *Spells, draw float64) clock.Millis {
-	first := max(a.Expected, leastRetry)
-	last := max((a.Ends-now)/retryPart, first+retrySpread)
+func RetryAfter(now clock.Millis, a Request, spells *OverloadTracker, draw float64) clock.Millis {
+	first := max(a.ExpectedWait, leastRetry)
+	last := max((a.Deadline-now)/retryPart, first+retrySpread)
 	latest := min(clock.Millis(latePart*float64(last)), last-retrySpread)
-	if left, known := spells.Left(now); known {
+	if left, known := spells.Remaining(now); known {
 		latest = min(latest, left)
 	}
 	first = max(first, latest)
 	return first + clock.Millis(draw*float64(last-first))
 }
 
-// Patience finds requests that came back, by their callers' patience: a first
+// RetryDetector finds requests that came back, by their callers' patience: a first
 // attempt has all of it, a later one what is left.
-type Patience struct {
+type RetryDetector struct {
 	longest map[string]clock.Millis
 }
 
-// NewPatience makes one that has seen no caller.
-func NewPatience() *Patience { return &Patience{longest: map[string]clock.Millis{}} }
+// NewRetryDetector makes one that has seen no caller.
+func NewRetryDetector() *RetryDetector { return &RetryDetector{longest: map[string]clock.Millis{}} }
 
-// Returned says whether a request of a route with this patience, a span, came
+// IsRetry says whether a request of a route with this patience, a span, came
 // back. A caller that doesn't tell its patience counts as new.
-func (p *Patience) Returned(route string, patience clock.Millis) bool {
+func (p *RetryDetector) IsRetry(route string, patience clock.Millis) bool {
 	p.longest[route] = max(p.longest[route], patience)
 	return patience > 0 && patience < p.longest[route]-callerSlack
 }
--- a/gateway/pkg/admission/admission_test.go
+++ b/gateway/pkg/admission/admission_test.go
@@ -14,37 +14,37 @@
 func TestMain(m *testing.M) { seed.Main(m, 31) }
 
 func TestDecide(t *testing.T) {
-	ask := func(change func(*Ask)) Ask {
-		a := Ask{Arrived: 1_000, Ends: 6_000, Objective: 300, Hold: 800, Places: 8}
+	ask := func(change func(*Request)) Request {
+		a := Request{Arrived: 1_000, Deadline: 6_000, Objective: 300, Hold: 800, Slots: 8}
 		change(&a)
 		return a
 	}
 	for _, c := range []struct {
 		name string
 		now  clock.Millis
-		ask  Ask
+		ask  Request
 		want Verdict
 	}{
-		{"a place is free", 1_000, ask(func(*Ask) {}), Go},
-		{"a place is free, too late for the objective", 4_000, ask(func(*Ask) {}), Go},
-		{"next in the queue: in time, most likely", 1_000, ask(func(a *Ask) { a.Turn, a.Expected = 1, 100 }), Go},
-		{"the one after: late too often", 1_000, ask(func(a *Ask) { a.Turn, a.Expected = 2, 200 }), Refuse},
-		{"the one after: in time before shorter requests", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Hold = 2, 150, 600 }), Go},
-		{"next in the queue, in time no longer", 1_150, ask(func(a *Ask) { a.Turn, a.Expected = 1, 100 }), Refuse},
-		{"all before it end in time", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Hold = 8, 200, 200 }), Go},
-		{"those before it must end twice", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Hold = 16, 400, 200 }), Refuse},
-		{"came back", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned = 4, 400, true }), Wait},
-		{"came back, its caller would leave", 2_700, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned = 4, 400, true }), Refuse},
-		{"came back, its caller would stay", 2_700, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned, a.Gap = 4, 400, true, 300 }), Wait},
-		{"came back, too many wait", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned, a.Crowded = 4, 400, true, true }), Refuse},
-		{"came back, half of its time is left", 3_499, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned, a.Gap = 4, 400, true, 900 }), Wait},
-		{"came back, waited long enough", 3_500, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned, a.Gap = 4, 400, true, 900 }), Refuse},
-		{"came back, could just be served", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned, a.Hold = 4, 400, true, 4_850 }), Wait},
-		{"came back, can't be served any more", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Returned, a.Hold = 4, 400, true, 4_851 }), Refuse},
-		{"may have run, can be served late", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Ran = 40, 4_000, true }), Go},
-		{"may have run, can't be served", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Ran = 41, 4_100, true }), Refuse},
-		{"no objective", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Objective = 42, 4_200, 0 }), Go},
-		{"no objective, can't end in time", 1_000, ask(func(a *Ask) { a.Turn, a.Expected, a.Objective = 42, 4_201, 0 }), Refuse},
+		{"a place is free", 1_000, ask(func(*Request) {}), Admit},
+		{"a place is free, too late for the objective", 4_000, ask(func(*Request) {}), Admit},
+		{"next in the queue: in time, most likely", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait = 1, 100 }), Admit},
+		{"the one after: late too often", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait = 2, 200 }), Refuse},
+		{"the one after: in time before shorter requests", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Hold = 2, 150, 600 }), Admit},
+		{"next in the queue, in time no longer", 1_150, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait = 1, 100 }), Refuse},
+		{"all before it end in time", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Hold = 8, 200, 200 }), Admit},
+		{"those before it must end twice", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Hold = 16, 400, 200 }), Refuse},
+		{"came back", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Retry = 4, 400, true }), Wait},
+		{"came back, its caller would leave", 2_700, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Retry = 4, 400, true }), Refuse},
+		{"came back, its caller would stay", 2_700, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Retry, a.Gap = 4, 400, true, 300 }), Wait},
+		{"came back, too many wait", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Retry, a.QueueFull = 4, 400, true, true }), Refuse},
+		{"came back, half of its time is left", 3_499, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Retry, a.Gap = 4, 400, true, 900 }), Wait},
+		{"came back, waited long enough", 3_500, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Retry, a.Gap = 4, 400, true, 900 }), Refuse},
+		{"came back, could just be served", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Retry, a.Hold = 4, 400, true, 4_850 }), Wait},
+		{"came back, can't be served any more", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Retry, a.Hold = 4, 400, true, 4_851 }), Refuse},
+		{"may have run, can be served late", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.MayHaveRun = 40, 4_000, true }), Admit},
+		{"may have run, can't be served", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.MayHaveRun = 41, 4_100, true }), Refuse},
+		{"no objective", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Objective = 42, 4_200, 0 }), Admit},
+		{"no objective, can't end in time", 1_000, ask(func(a *Request) { a.QueuePosition, a.ExpectedWait, a.Objective = 42, 4_201, 0 }), Refuse},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			require.Equal(t, c.want, Decide(c.now, c.ask))
@@ -57,22 +57,22 @@
 func TestRapidNoRequestThatCanBeInTimeIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := rapid.Int64Range(0, 6_000)
-		a := Ask{
-			Ends: clock.Millis(span.Draw(t, "ends")), Objective: clock.Millis(span.Draw(t, "objective")),
-			Expected: clock.Millis(span.Draw(t, "expected")), Hold: clock.Millis(span.Draw(t, "hold")),
-			Returned: rapid.Bool().Draw(t, "returned"),
-			Turn:     rapid.IntRange(0, 20).Draw(t, "turn"), Places: rapid.IntRange(1, 9).Draw(t, "places"),
+		a := Request{
+			Deadline: clock.Millis(span.Draw(t, "ends")), Objective: clock.Millis(span.Draw(t, "objective")),
+			ExpectedWait: clock.Millis(span.Draw(t, "expected")), Hold: clock.Millis(span.Draw(t, "hold")),
+			Retry: rapid.Bool().Draw(t, "returned"),
+			QueuePosition:     rapid.IntRange(0, 20).Draw(t, "turn"), Slots: rapid.IntRange(1, 9).Draw(t, "places"),
 		}
 		now := clock.Millis(span.Draw(t, "now"))
 		switch Decide(now, a) {
 		case Refuse:
-			require.Positive(t, a.Turn)
+			require.Positive(t, a.QueuePosition)
 			require.Less(t, a.chance(a.Objective-now-firstEvent), leastChance)
-			require.False(t, a.Returned && now+a.Hold+finishSlack <= a.Ends && now < a.longestWait())
+			require.False(t, a.Retry && now+a.Hold+finishSlack <= a.Deadline && now < a.longestWait())
 		case Wait:
-			require.True(t, a.Returned)
-			require.LessOrEqual(t, now+a.Hold, a.Ends)
-		case Go:
+			require.True(t, a.Retry)
+			require.LessOrEqual(t, now+a.Hold, a.Deadline)
+		case Admit:
 		}
 	})
 }
@@ -82,20 +82,20 @@
 func TestRapidTheChanceIsThatOfAQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const plays = 4_000
-		a := Ask{
-			Hold: 1_000, Places: rapid.IntRange(1, 9).Draw(t, "places"), Turn: rapid.IntRange(1, 20).Draw(t, "turn"),
+		a := Request{
+			Hold: 1_000, Slots: rapid.IntRange(1, 9).Draw(t, "places"), QueuePosition: rapid.IntRange(1, 20).Draw(t, "turn"),
 		}
 		span := clock.Millis(rapid.Int64Range(-100, 3_500).Draw(t, "span"))
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		inTime := 0
 		for range plays {
 			ended := 0
-			for range a.Places {
+			for range a.Slots {
 				for end := clock.Millis(random.Int64N(int64(a.Hold))); end < span; end += a.Hold {
 					ended++
 				}
 			}
-			if ended >= a.Turn {
+			if ended >= a.QueuePosition {
 				inTime++
 			}
 		}
@@ -105,48 +105,48 @@
 
 func TestRapidCallersComeBackSpreadAndInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := Ask{Ends: clock.Millis(rapid.Int64Range(900, 9_000).Draw(t, "ends")), Expected: clock.Millis(rapid.Int64Range(0, 250).Draw(t, "expected"))}
+		a := Request{Deadline: clock.Millis(rapid.Int64Range(900, 9_000).Draw(t, "ends")), ExpectedWait: clock.Millis(rapid.Int64Range(0, 250).Draw(t, "expected"))}
 		spells := spellsOf(clock.Millis(rapid.Int64Range(0, 5_000).Draw(t, "spell")))
 		first, last := RetryAfter(0, a, spells, 0), RetryAfter(0, a, spells, 0.999)
-		require.GreaterOrEqual(t, first, max(a.Expected, leastRetry))
+		require.GreaterOrEqual(t, first, max(a.ExpectedWait, leastRetry))
 		require.GreaterOrEqual(t, last-first, retrySpread-2)
-		if a.Ends/retryPart >= first+retrySpread {
-			require.LessOrEqual(t, last, a.Ends/retryPart)
+		if a.Deadline/retryPart >= first+retrySpread {
+			require.LessOrEqual(t, last, a.Deadline/retryPart)
 		}
 	})
 }
 
 func TestRequestsThatCameBackAreKnownByTheirPatience(t *testing.T) {
-	p := NewPatience()
-	require.False(t, p.Returned("a", 5_000))
-	require.False(t, p.Returned("a", 4_990))
-	require.True(t, p.Returned("a", 4_700))
-	require.False(t, p.Returned("a", 0), "it doesn't say")
-	require.False(t, p.Returned("b", 4_700), "another route")
-	require.False(t, p.Returned("a", 8_000))
-	require.True(t, p.Returned("a", 5_000))
+	p := NewRetryDetector()
+	require.False(t, p.IsRetry("a", 5_000))
+	require.False(t, p.IsRetry("a", 4_990))
+	require.True(t, p.IsRetry("a", 4_700))
+	require.False(t, p.IsRetry("a", 0), "it doesn't say")
+	require.False(t, p.IsRetry("b", 4_700), "another route")
+	require.False(t, p.IsRetry("a", 8_000))
+	require.True(t, p.IsRetry("a", 5_000))
 }
 
 func TestTheRoomIsOrderedByTime(t *testing.T) {
-	r := &Room{}
-	late, early, same := r.Enter(Waiter{Ends: 900}), r.Enter(Waiter{Ends: 500}), r.Enter(Waiter{Ends: 500})
-	require.True(t, r.First(early))
-	r.Leave(early)
-	require.True(t, r.First(same))
-	r.Leave(same)
-	require.True(t, r.First(late))
-	r.Leave(late)
+	r := &WaitQueue{}
+	late, early, same := r.Enqueue(Waiter{Deadline: 900}), r.Enqueue(Waiter{Deadline: 500}), r.Enqueue(Waiter{Deadline: 500})
+	require.True(t, r.IsFirst(early))
+	r.Remove(early)
+	require.True(t, r.IsFirst(same))
+	r.Remove(same)
+	require.True(t, r.IsFirst(late))
+	r.Remove(late)
 	require.Zero(t, r.Len())
 	require.False(t, r.Full(96, 8, ""))
 	for range 6 {
-		r.Enter(Waiter{Ends: 1})
+		r.Enqueue(Waiter{Deadline: 1})
 	}
 	require.True(t, r.Full(96, 8, ""))
 	require.False(t, r.Full(96, 6, ""))
 	for r.Len() > 0 {
-		r.Leave(r.waiters[0].ID)
+		r.Remove(r.waiters[0].ID)
 	}
-	require.False(t, r.First(late))
+	require.False(t, r.IsFirst(late))
 }
 
 func TestStartWait(t *testing.T) {
@@ -162,7 +162,7 @@
 		{"came back with much time: as long as an election takes", 60_000, true, 1_500},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			require.Equal(t, c.want, StartWait(c.patience, c.returned))
+			require.Equal(t, c.want, StartupWait(c.patience, c.returned))
 		})
 	}
 }
@@ -170,30 +170,30 @@
 // A team of a high rank never pauses. One of a low rank is overtaken by what came a moment
 // later, and not by more.
 func TestUrgentTeamsGoFirstAndStarveNobody(t *testing.T) {
-	r := &Room{}
-	low := r.Enter(Waiter{Ends: 1_000, Rank: 1, Team: "low"})
-	high := r.Enter(Waiter{Ends: 1_399, Team: "high"})
-	require.True(t, r.First(high))
-	r.Leave(high)
+	r := &WaitQueue{}
+	low := r.Enqueue(Waiter{Deadline: 1_000, Priority: 1, Team: "low"})
+	high := r.Enqueue(Waiter{Deadline: 1_399, Team: "high"})
+	require.True(t, r.IsFirst(high))
+	r.Remove(high)
 	for ends := clock.Millis(1_401); ends < 2_000; ends += 100 {
-		r.Enter(Waiter{Ends: ends, Team: "high"})
+		r.Enqueue(Waiter{Deadline: ends, Team: "high"})
 	}
-	require.True(t, r.First(low))
+	require.True(t, r.IsFirst(low))
 }
 
 // One team's callers come back by the dozen; others' still find room.
 func TestATeamTakesHalfOfTheRoom(t *testing.T) {
-	r := &Room{}
+	r := &WaitQueue{}
 	taken := 0
 	for !r.Full(96, 8, "many") {
-		r.Enter(Waiter{Ends: 1, Team: "many"})
+		r.Enqueue(Waiter{Deadline: 1, Team: "many"})
 		taken++
 	}
 	require.Equal(t, 3, taken)
 	require.False(t, r.Full(96, 8, "other"))
-	r.Enter(Waiter{Ends: 1, Team: "other"})
+	r.Enqueue(Waiter{Deadline: 1, Team: "other"})
 	require.False(t, r.Full(96, 8, "third"))
-	r.Enter(Waiter{Ends: 1, Team: "third"})
-	r.Enter(Waiter{Ends: 1, Team: "fourth"})
+	r.Enqueue(Waiter{Deadline: 1, Team: "third"})
+	r.Enqueue(Waiter{Deadline: 1, Team: "fourth"})
 	require.True(t, r.Full(96, 8, "fifth"))
 }
--- a/gateway/pkg/admission/room.go
+++ b/gateway/pkg/admission/room.go
@@ -19,24 +19,24 @@
 // Waiter is a request that waits for a free place.
 type Waiter struct {
 	ID   uint64
-	Ends clock.Millis
-	// Rank is the request's priority, 0 for the most urgent, and Team whose it is.
-	Rank uint32
+	Deadline clock.Millis
+	// Priority is the request's priority, 0 for the most urgent, and Team whose it is.
+	Priority uint32
 	Team string
 }
 
 // turn is the moment by which waiters are put in order.
-func (w Waiter) turn() clock.Millis { return w.Ends + clock.Millis(w.Rank)*rankSpan }
+func (w Waiter) turn() clock.Millis { return w.Deadline + clock.Millis(w.Priority)*rankSpan }
 
-// Room holds the waiting requests of a gateway, the one whose time ends first in
+// WaitQueue holds the waiting requests of a gateway, the one whose time ends first in
 // front, among those of one rank.
-type Room struct {
+type WaitQueue struct {
 	waiters []Waiter
 	last    uint64
 }
 
-// Enter adds a request and returns its number here.
-func (r *Room) Enter(w Waiter) uint64 {
+// Enqueue adds a request and returns its number here.
+func (r *WaitQueue) Enqueue(w Waiter) uint64 {
 	r.last++
 	w.ID = r.last
 	r.waiters = append(r.waiters, w)
@@ -44,17 +44,17 @@
 	return r.last
 }
 
-// Leave takes a request out.
-func (r *Room) Leave(id uint64) {
+// Remove takes a request out.
+func (r *WaitQueue) Remove(id uint64) {
 	r.waiters = slices.DeleteFunc(r.waiters, func(w Waiter) bool { return w.ID == id })
 }
 
-// First says whether a request is the one in front.
-func (r *Room) First(id uint64) bool { return len(r.waiters) > 0 && r.waiters[0].ID == id }
+// IsFirst says whether a request is the one in front.
+func (r *WaitQueue) IsFirst(id uint64) bool { return len(r.waiters) > 0 && r.waiters[0].ID == id }
 
 // Full says whether no more requests of a team should wait at this gateway, one of several
 // before that many places. A caller without a team counts as one of a team of all of these.
-func (r *Room) Full(places, gateways int, team string) bool {
+func (r *WaitQueue) Full(places, gateways int, team string) bool {
 	most := max(places/roomPart/max(gateways, 1), 1)
 	if len(r.waiters) >= most {
 		return true
@@ -70,4 +70,4 @@
 }
 
 // Len is the number of waiting requests.
-func (r *Room) Len() int { return len(r.waiters) }
+func (r *WaitQueue) Len() int { return len(r.waiters) }
--- a/gateway/pkg/admission/spells.go
+++ b/gateway/pkg/admission/spells.go
@@ -15,17 +15,17 @@
 	latePart = 0.7
 )
 
-// Spells learns how long overload lasts, from the refusals of this gateway. Bursts come
+// OverloadTracker learns how long overload lasts, from the refusals of this gateway. Bursts come
 // again and again: a caller who is told to come back while one goes on is in the way of
 // new callers, and may be turned away for good. One who is told a later time than needed
 // waits for nothing.
-type Spells struct {
+type OverloadTracker struct {
 	began, last clock.Millis
 	mean        float64
 }
 
-// Refused notes a refusal.
-func (s *Spells) Refused(now clock.Millis) {
+// RecordRefusal notes a refusal.
+func (s *OverloadTracker) RecordRefusal(now clock.Millis) {
 	if s.last == 0 || now-s.last > calmAfter {
 		s.end()
 		s.began = now
@@ -34,7 +34,7 @@
 }
 
 // end takes the last spell into the mean.
-func (s *Spells) end() {
+func (s *OverloadTracker) end() {
 	length := float64(s.last - s.began)
 	switch {
 	case length <= 0:
@@ -45,9 +45,9 @@
 	}
 }
 
-// Left is how much longer the spell will probably last; known is false if none has been
+// Remaining is how much longer the spell will probably last; known is false if none has been
 // seen to its end, or if this one is longer than usual.
-func (s *Spells) Left(now clock.Millis) (span clock.Millis, known bool) {
+func (s *OverloadTracker) Remaining(now clock.Millis) (span clock.Millis, known bool) {
 	elapsed := float64(now - s.began)
 	if s.mean == 0 || elapsed > spellSlack*s.mean {
 		return 0, false
--- a/gateway/pkg/admission/spells_test.go
+++ b/gateway/pkg/admission/spells_test.go
@@ -9,37 +9,37 @@
 )
 
 // spellsOf has seen one spell of a length end, and another one begin at 0.
-func spellsOf(length clock.Millis) *Spells {
-	s := &Spells{}
+func spellsOf(length clock.Millis) *OverloadTracker {
+	s := &OverloadTracker{}
 	if length > 0 {
-		s.Refused(-20_000)
+		s.RecordRefusal(-20_000)
 		s.last = -20_000 + length
 	}
-	s.Refused(0)
+	s.RecordRefusal(0)
 	return s
 }
 
 func TestSpells(t *testing.T) {
-	s := &Spells{}
+	s := &OverloadTracker{}
 	burst := func(from clock.Millis) {
 		for at := from; at <= from+2_000; at += 200 {
-			s.Refused(at)
+			s.RecordRefusal(at)
 		}
 	}
-	_, known := s.Left(0)
+	_, known := s.Remaining(0)
 	require.False(t, known, "none was seen")
 	burst(1_000)
-	_, known = s.Left(2_000)
+	_, known = s.Remaining(2_000)
 	require.False(t, known, "none was seen to its end")
 	burst(7_000)
-	s.Refused(13_000)
-	left, known := s.Left(13_500)
+	s.RecordRefusal(13_000)
+	left, known := s.Remaining(13_500)
 	require.True(t, known)
 	require.Equal(t, clock.Millis(1_500), left)
-	left, known = s.Left(15_200)
+	left, known = s.Remaining(15_200)
 	require.True(t, known)
 	require.Zero(t, left)
-	_, known = s.Left(16_000)
+	_, known = s.Remaining(16_000)
 	require.False(t, known, "longer than usual")
 }
 
@@ -48,7 +48,7 @@
 func TestCallersComeBackAfterTheBurst(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		spells      *Spells
+		spells      *OverloadTracker
 		now         clock.Millis
 		first, last clock.Millis
 	}{
@@ -59,7 +59,7 @@
 		{"it goes on for longer than usual", spellsOf(1_000), 1_300, 1_166, 1_666},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := Ask{Arrived: c.now, Ends: c.now + 5_000}
+			a := Request{Arrived: c.now, Deadline: c.now + 5_000}
 			require.Equal(t, c.first, RetryAfter(c.now, a, c.spells, 0))
 			require.InDelta(t, float64(c.last), float64(RetryAfter(c.now, a, c.spells, 0.999)), 2)
 		})
--- a/gateway/pkg/carry/call.go
+++ b/gateway/pkg/carry/call.go
@@ -84,8 +84,8 @@
 		return err
 	}
 	defer func() { _ = answer.Body.Close() }()
-	if answer.Held != nil && !answer.Other {
-		exchange.Observe(m.GetRunner().GetId(), answer.Held.All())
+	if answer.Load != nil && !answer.OtherInstance {
+		exchange.Observe(m.GetRunner().GetId(), answer.Load.Total())
 	}
 	c.mu.Lock()
 	c.head = headOf(answer)
--- a/gateway/pkg/carry/server.go
+++ b/gateway/pkg/carry/server.go
@@ -50,9 +50,9 @@
 	Client runner.Client
 	// Exchange is told of runners that fall silent.
 	Exchange *digest.Exchange
-	// Overdue says whether a daemon has kept silent for too long, or, if it never
+	// Unresponsive says whether a daemon has kept silent for too long, or, if it never
 	// told anything, since a moment.
-	Overdue func(daemon string, since clock.Millis) bool
+	Unresponsive func(daemon string, since clock.Millis) bool
 	Clock   clock.Clock
 	Logger  log.Logger
 	// Registerer takes the counters.
@@ -103,7 +103,7 @@
 		source := ""
 		ended := l.endIf(errGone, s.ended.WithLabelValues(reasonSilent), func(c *call) bool {
 			source = c.source
-			return s.config.Overdue(c.source, c.began)
+			return s.config.Unresponsive(c.source, c.began)
 		})
 		if ended > 0 {
 			level.Warn(s.config.Logger).Log(logs.KeyEvent, "carried-calls-ended", "for", source, "calls", ended, "reason", reasonSilent)
@@ -111,9 +111,9 @@
 	}
 }
 
-// Leave takes no more calls and ends those under way: the daemon that asked lets
+// Drain takes no more calls and ends those under way: the daemon that asked lets
 // them go on from their last event elsewhere, at once.
-func (s *Server) Leave() {
+func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
@@ -203,10 +203,10 @@
 }
 
 func headOf(answer *runner.Answer) *toucanhingev1.CarryHead {
-	head := &toucanhingev1.CarryHead{Status: uint32(answer.Status), NotRun: answer.NotRun, Other: answer.Other}
-	if answer.Held != nil {
-		running := uint32(answer.Held.Running)
-		head.Running, head.Waiting = &running, uint32(answer.Held.Waiting)
+	head := &toucanhingev1.CarryHead{Status: uint32(answer.Status), NotRun: answer.NotRun, Other: answer.OtherInstance}
+	if answer.Load != nil {
+		running := uint32(answer.Load.Running)
+		head.Running, head.Waiting = &running, uint32(answer.Load.Waiting)
 	}
 	return head
 }
--- a/gateway/pkg/carry/server_test.go
+++ b/gateway/pkg/carry/server_test.go
@@ -48,7 +48,7 @@
 			context.AfterFunc(ctx, func() { close(f.ended) })
 			return open(ctx, call)
 		}},
-		Overdue: func(string, clock.Millis) bool { return f.overdue.Load() },
+		Unresponsive: func(string, clock.Millis) bool { return f.overdue.Load() },
 		Clock:   clock.System(), Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry(),
 	})
 	mux := http.NewServeMux()
@@ -128,7 +128,7 @@
 }
 
 func answerOf(body io.Reader) *runner.Answer {
-	return &runner.Answer{Status: http.StatusOK, Held: &runner.Held{Running: 3, Waiting: 1}, Body: io.NopCloser(body)}
+	return &runner.Answer{Status: http.StatusOK, Load: &runner.Load{Running: 3, Waiting: 1}, Body: io.NopCloser(body)}
 }
 
 func TestACallIsPassedOnAsItIs(t *testing.T) {
@@ -216,7 +216,7 @@
 	ended := make(chan carried, 1)
 	go func() { ended <- f.carry(&toucanhingev1.CarryRequest{Call: 1}) }()
 	require.Eventually(t, func() bool { return len(f.under()) == 1 }, time.Second, time.Millisecond)
-	f.server.Leave()
+	f.server.Drain()
 	select {
 	case c := <-ended:
 		require.NotEmpty(t, c.end.GetFailure())
--- a/gateway/pkg/forward/choose.go
+++ b/gateway/pkg/forward/choose.go
@@ -25,7 +25,7 @@
 		return choice, nil
 	}
 	switch admission.Decide(e.now(), ask) {
-	case admission.Go:
+	case admission.Admit:
 		return choice, nil
 	case admission.Wait:
 		return e.await(ctx)
@@ -35,14 +35,14 @@
 }
 
 // look chooses a runner as things are now.
-func (e *exchange) look() (place.Choice, admission.Ask, bool) {
-	choice, found := e.server.choose(place.Ask{Service: e.service, Tried: e.tried})
+func (e *exchange) look() (place.Choice, admission.Request, bool) {
+	choice, found := e.server.choose(place.Request{Service: e.service, Tried: e.tried})
 	e.wait = choice.Wait
 	hold, crowded := e.server.conditions(e.service, e.entry.Team.GetName())
-	return choice, admission.Ask{
-		Arrived: e.request.Arrived, Ends: e.ends, Objective: e.route.Objective(), Returned: e.returned,
-		Expected: choice.Wait, Turn: choice.Turn, Places: int(choice.Runner.GetSlots()), Hold: hold,
-		Gap: clock.Millis(e.route.GapObjectiveMs), Crowded: crowded && !e.inRoom, Ran: e.ran > 0,
+	return choice, admission.Request{
+		Arrived: e.request.Arrived, Deadline: e.ends, Objective: e.route.Objective(), Retry: e.returned,
+		ExpectedWait: choice.Wait, QueuePosition: choice.QueuePosition, Slots: int(choice.Runner.GetSlots()), Hold: hold,
+		Gap: clock.Millis(e.route.GapObjectiveMs), QueueFull: crowded && !e.inRoom, MayHaveRun: e.ran > 0,
 	}, found
 }
 
@@ -51,13 +51,13 @@
 	s := e.server
 	began := e.now()
 	s.mu.Lock()
-	id := s.room.Enter(admission.Waiter{Ends: e.ends, Rank: e.entry.Team.PriorityOn(e.route), Team: e.entry.Team.GetName()})
+	id := s.room.Enqueue(admission.Waiter{Deadline: e.ends, Priority: e.entry.Team.PriorityOn(e.route), Team: e.entry.Team.GetName()})
 	e.inRoom = true
 	s.mu.Unlock()
 	s.metrics.waiting.Inc()
 	defer func() {
 		s.mu.Lock()
-		s.room.Leave(id)
+		s.room.Remove(id)
 		s.mu.Unlock()
 		s.metrics.waiting.Dec()
 		e.waited += e.now() - began
@@ -65,7 +65,7 @@
 	}()
 	for {
 		s.mu.Lock()
-		first, freed := s.room.First(id), s.freed
+		first, freed := s.room.IsFirst(id), s.freed
 		s.mu.Unlock()
 		choice, ask, found := e.look()
 		if !found {
@@ -75,7 +75,7 @@
 		if verdict == admission.Refuse {
 			return choice, e.refusal(ReasonFull, ask)
 		}
-		if first && verdict == admission.Go {
+		if first && verdict == admission.Admit {
 			return choice, nil
 		}
 		select {
@@ -88,11 +88,11 @@
 }
 
 // refusal tells when to come back.
-func (e *exchange) refusal(reason string, ask admission.Ask) *Refusal {
+func (e *exchange) refusal(reason string, ask admission.Request) *Refusal {
 	s, now := e.server, e.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spells.Refused(now)
+	s.spells.RecordRefusal(now)
 	return &Refusal{
 		Status: http.StatusServiceUnavailable, Reason: reason,
 		RetryAfter: admission.RetryAfter(now, ask, &s.spells, rand.Float64()).Duration(),
--- a/gateway/pkg/forward/crash.go
+++ b/gateway/pkg/forward/crash.go
@@ -63,7 +63,7 @@
 	sign := crashes.PhaseOf(running, e.now()-began, e.route.Streams())
 	e.server.metrics.crashes.Inc()
 	level.Info(e.server.config.Logger).Log(logs.KeyEvent, logs.EventRunnerCrashed, logs.KeyRequest, e.request.ID,
-		logs.KeyContent, e.contentID(), "runner", r.GetId(), "ran", e.ran, "running-ms", running)
+		logs.KeyFingerprint, e.contentID(), "runner", r.GetId(), "ran", e.ran, "running-ms", running)
 	if sign == crashes.Late {
 		e.survived()
 	}
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -166,10 +166,10 @@
 		return e.unanswered(parent, r, began, silence.explain(parent, err))
 	}
 	defer func() { _ = answer.Body.Close() }()
-	if answer.Held != nil && !answer.Other {
-		e.server.config.Exchange.Observe(r.GetId(), answer.Held.All())
+	if answer.Load != nil && !answer.OtherInstance {
+		e.server.config.Exchange.Observe(r.GetId(), answer.Load.Total())
 	}
-	if answer.NotRun || answer.Other {
+	if answer.NotRun || answer.OtherInstance {
 		return e.notRun(r, answer)
 	}
 	e.ran++
@@ -186,7 +186,7 @@
 		e.survived()
 		e.finish(answer)
 		span := e.now() - began
-		e.server.learn(func(m *place.Machine) { m.Held(e.service, span) })
+		e.server.learn(func(m *place.Machine) { m.RecordHold(e.service, span) })
 		return false
 	}
 	return e.broken(parent, r, began, err)
@@ -196,7 +196,7 @@
 	return runner.Call{
 		Runner: r, Request: e.request.ID, Method: e.request.Method, Target: e.request.Target, Host: e.request.Host,
 		Header: e.request.Header, Team: e.entry.Team.GetName(), Body: e.request.Body, Chunked: e.request.Chunked,
-		Left: max(e.ends-e.now(), 1), Resume: e.resume, After: e.after,
+		Remaining: max(e.ends-e.now(), 1), Resume: e.resume, After: e.after,
 	}
 }
 
@@ -207,7 +207,7 @@
 		if ctx.Err() == nil {
 			e.server.learn(func(m *place.Machine) { m.Block(r.GetId(), e.now()+unreachablePause) })
 		}
-		if unsent.Silent {
+		if unsent.Unresponsive {
 			// Each gateway would else find out by a request of its own.
 			e.server.config.Exchange.SetUnresponsive(r.GetId(), true)
 		}
@@ -220,7 +220,7 @@
 // notRun handles a runner's word that it didn't run the request.
 func (e *exchange) notRun(r *toucanhingev1.Runner, answer *runner.Answer) (again bool) {
 	pause, reason := refusedPause, "runner-full"
-	if answer.Other {
+	if answer.OtherInstance {
 		pause, reason = otherPause, "other-instance"
 	}
 	e.server.learn(func(m *place.Machine) { m.Block(r.GetId(), e.now()+pause) })
@@ -238,7 +238,7 @@
 		e.giveUp(ctx, Refusal{Reason: ReasonTimeLimit})
 		return false
 	}
-	e.server.learn(func(m *place.Machine) { m.Doubt(r.GetId(), e.now()+brokenPause) })
+	e.server.learn(func(m *place.Machine) { m.Deprioritize(r.GetId(), e.now()+brokenPause) })
 	e.sightCrash(ctx, r, began, err)
 	if !e.mayRepeat() {
 		e.giveUp(ctx, Refusal{Reason: ReasonBroken})
@@ -286,7 +286,7 @@
 	}
 	if e.content != nil {
 		// The key to the lines of the request's other attempts.
-		logger = log.With(logger, logs.KeyContent, *e.content)
+		logger = log.With(logger, logs.KeyFingerprint, *e.content)
 	}
 	logger.Log(logs.KeyEvent, logs.EventRequestEnded, logs.KeyRequest, e.request.ID,
 		"route", e.route.Name, "team", e.entry.Team.GetName(), "version", e.server.Version(), "outcome", e.outcome, "reason", e.reason, "runners", e.tried, "ran", e.ran,
--- a/gateway/pkg/forward/server.go
+++ b/gateway/pkg/forward/server.go
@@ -58,9 +58,9 @@
 	loads    *occupancy.Cache[place.Load]
 	runners  []*toucanhingev1.Runner
 	gateways int
-	patience *admission.Patience
-	room     admission.Room
-	spells   admission.Spells
+	patience *admission.RetryDetector
+	room     admission.WaitQueue
+	spells   admission.OverloadTracker
 	// freed is closed and made anew when the load changes.
 	freed chan struct{}
 }
@@ -85,7 +85,7 @@
 	}, func() float64 { return float64(config.Exchange.QuarantineCount()) })
 	return &Server{
 		config: config, places: place.New(place.Config{DataCentre: config.DataCentre}),
-		loads: &occupancy.Cache[place.Load]{Read: loadAt}, patience: admission.NewPatience(), freed: make(chan struct{}), begun: make(chan struct{}),
+		loads: &occupancy.Cache[place.Load]{Read: loadAt}, patience: admission.NewRetryDetector(), freed: make(chan struct{}), begun: make(chan struct{}),
 		metrics: &metrics{
 			requests: factory.NewCounterVec(prometheus.CounterOpts{
 				Name: "toucanhinge_requests_total", Help: "Online requests by outcome.",
@@ -158,9 +158,9 @@
 func (s *Server) AwaitReady(ctx context.Context, patience clock.Millis) {
 	s.mu.Lock()
 	// Without a table all callers count as those of one route.
-	returned := s.patience.Returned("", patience)
+	returned := s.patience.IsRetry("", patience)
 	s.mu.Unlock()
-	timer := time.NewTimer(admission.StartWait(patience, returned).Duration())
+	timer := time.NewTimer(admission.StartupWait(patience, returned).Duration())
 	defer timer.Stop()
 	select {
 	case <-s.begun:
@@ -196,7 +196,7 @@
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add((limit - (s.config.Clock.Now() - request.Arrived)).Duration()))
 	defer cancel()
 	s.mu.Lock()
-	returned := s.patience.Returned(route.Name, request.Patience)
+	returned := s.patience.IsRetry(route.Name, request.Patience)
 	s.mu.Unlock()
 	e := &exchange{
 		returned: returned,
@@ -208,8 +208,8 @@
 }
 
 // choose takes a place for a call.
-func (s *Server) choose(ask place.Ask) (place.Choice, bool) {
-	ask.Tie, ask.Draw, ask.Age = rand.Float64(), rand.Float64(), s.config.Exchange.Age()
+func (s *Server) choose(ask place.Request) (place.Choice, bool) {
+	ask.TieBreak, ask.Draw, ask.Age = rand.Float64(), rand.Float64(), s.config.Exchange.Age()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var choice place.Choice
@@ -217,7 +217,7 @@
 	s.config.Exchange.View(func(t *occupancy.Table) {
 		now := s.config.Clock.Now()
 		s.loads.Refresh(now, s.runners, t)
-		choice, ok = s.places.Choose(now, ask, s.loads.Get)
+		choice, ok = s.places.Select(now, ask, s.loads.Get)
 	})
 	return choice, ok
 }
@@ -226,7 +226,7 @@
 func loadAt(now clock.Millis, id string, t *occupancy.Table) place.Load {
 	l := t.Load(id)
 	return place.Load{
-		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Silent: t.Unresponsive(now, id),
+		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Unresponsive(now, id),
 	}
 }
 
@@ -235,8 +235,8 @@
 func (s *Server) conditions(service, team string) (hold clock.Millis, crowded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	places := s.places.Places(s.config.Clock.Now(), service)
-	return clock.Millis(s.places.Hold(service)), s.room.Full(places, s.gateways, team)
+	places := s.places.Slots(s.config.Clock.Now(), service)
+	return clock.Millis(s.places.MeanHold(service)), s.room.Full(places, s.gateways, team)
 }
 
 // LoadChanged tells that places may have become free somewhere.
--- a/gateway/pkg/forward/server_test.go
+++ b/gateway/pkg/forward/server_test.go
@@ -139,13 +139,13 @@
 	if r.status == 0 {
 		r.status = http.StatusOK
 	}
-	var held *runner.Held
+	var held *runner.Load
 	if r.held > 0 {
-		held = &runner.Held{Running: r.held}
+		held = &runner.Load{Running: r.held}
 	}
 	return &runner.Answer{
-		Held:   held,
-		Status: r.status, Header: http.Header{"Seal": {call.Runner.GetId()}}, Length: -1, NotRun: r.notRun, Other: r.other,
+		Load:   held,
+		Status: r.status, Header: http.Header{"Seal": {call.Runner.GetId()}}, Length: -1, NotRun: r.notRun, OtherInstance: r.other,
 		Body: &scriptedBody{ctx: ctx, source: strings.NewReader(r.text), reply: r},
 	}, nil
 }
@@ -272,8 +272,8 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusGatewayTimeout, status, "it may have run")
 	require.InDelta(t, 300, float64(time.Since(began).Milliseconds()), 150)
-	require.LessOrEqual(t, f.sent()[0].Left, clock.Millis(300))
-	require.Greater(t, f.sent()[0].Left, clock.Millis(200))
+	require.LessOrEqual(t, f.sent()[0].Remaining, clock.Millis(300))
+	require.Greater(t, f.sent()[0].Remaining, clock.Millis(200))
 }
 
 // A caller leaves in the middle of a stream: the call to the runner must end, so
@@ -319,7 +319,7 @@
 	})
 	f.server.learn(func(m *place.Machine) {
 		for range 200 {
-			m.Held("llm", 60)
+			m.RecordHold("llm", 60)
 		}
 	})
 	status, text, _, err := f.get("/once/", 700)
--- a/gateway/pkg/forward/silence_test.go
+++ b/gateway/pkg/forward/silence_test.go
@@ -63,7 +63,7 @@
 				f.server.config.Exchange.Add(id, occupancy.Load{Online: c.held})
 			}
 			for range 100 {
-				f.server.learn(func(m *place.Machine) { m.Held("llm", 100) })
+				f.server.learn(func(m *place.Machine) { m.RecordHold("llm", 100) })
 			}
 			_, _, _, err := f.get("/stream/", 400)
 			require.NoError(t, err)
@@ -81,7 +81,7 @@
 func TestABrokenCallGoesOnInAQueue(t *testing.T) {
 	f := start(t, reply{err: &runner.BrokenError{Runner: "x", Err: errWire}}, reply{text: events(1, 3)})
 	for range 100 {
-		f.server.learn(func(m *place.Machine) { m.Held("llm", 100) })
+		f.server.learn(func(m *place.Machine) { m.RecordHold("llm", 100) })
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		f.server.config.Exchange.Add(id, occupancy.Load{Online: 2})
@@ -125,7 +125,7 @@
 		{"refused: the process is being restarted", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := start(t, reply{err: &runner.NotSentError{Runner: "x", Silent: c.silent, Err: errWire}}, reply{text: "answer"})
+			f := start(t, reply{err: &runner.NotSentError{Runner: "x", Unresponsive: c.silent, Err: errWire}}, reply{text: "answer"})
 			status, _, _, err := f.get("/once/x", 0)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, status)
--- a/gateway/pkg/forward/stream.go
+++ b/gateway/pkg/forward/stream.go
@@ -90,7 +90,7 @@
 	if !e.route.Streams() || !e.route.Resumable || e.ran+1 >= int(e.route.MaxAttempts) {
 		return t
 	}
-	ask := place.Ask{Service: e.service, Tried: slices.Clone(e.tried)}
+	ask := place.Request{Service: e.service, Tried: slices.Clone(e.tried)}
 	t.arm(e.longestFirst(), func() bool {
 		choice, found := e.server.choose(ask)
 		if !found || choice.Wait > 0 || slices.Contains(ask.Tried, choice.Runner.GetId()) {
--- a/gateway/pkg/news/board.go
+++ b/gateway/pkg/news/board.go
@@ -126,7 +126,7 @@
 		BehindMs: uint32(max(arrived-b.point, 0)), Confirmed: b.config.Confirm && m.GetConfirm(), Fleet: b.view(m.GetHaveFleet()),
 	}
 	if b.table != nil && b.table.Version > m.GetHaveVersion() {
-		answer.Table = b.table.Lean()
+		answer.Table = b.table.WithoutDocument()
 	}
 	if answer.Fleet != nil && m.GetHaveFleet() == 0 {
 		uses, known := b.config.Uses()
--- a/gateway/pkg/place/offers.go
+++ b/gateway/pkg/place/offers.go
@@ -75,7 +75,7 @@
 }
 
 // offers lists the best places, as many as requests are being placed at this moment.
-func (m *Machine) offers(now clock.Millis, able []*toucanhingev1.Runner, ask Ask, hold float64, load func(runner string) Load) []offer {
+func (m *Machine) offers(now clock.Millis, able []*toucanhingev1.Runner, ask Request, hold float64, load func(runner string) Load) []offer {
 	loads := make([]Load, len(able))
 	others := 0
 	for i, r := range able {
@@ -84,7 +84,7 @@
 	}
 	// As many requests arrive in a span as are under way, each for a hold.
 	wanted := 1 + int(spread*float64(others)*float64(ask.Age)/hold+0.5)
-	offset := int(ask.Tie * float64(len(able)))
+	offset := int(ask.TieBreak * float64(len(able)))
 	each := min(wanted, mostOffers)
 	top := best{most: wanted, list: make([]offer, 0, min(wanted, len(able)*each))}
 	for i := range able {
--- a/gateway/pkg/place/offers_test.go
+++ b/gateway/pkg/place/offers_test.go
@@ -14,13 +14,13 @@
 )
 
 // sortedOffers puts all places of all runners in order, and takes the first.
-func sortedOffers(m *Machine, able []*toucanhingev1.Runner, ask Ask, hold float64, load func(string) Load) []offer {
+func sortedOffers(m *Machine, able []*toucanhingev1.Runner, ask Request, hold float64, load func(string) Load) []offer {
 	others := 0
 	for _, r := range able {
 		others += load(r.GetId()).Online - load(r.GetId()).Own
 	}
 	wanted := 1 + int(spread*float64(others)*float64(ask.Age)/hold+0.5)
-	offset := int(ask.Tie * float64(len(able)))
+	offset := int(ask.TieBreak * float64(len(able)))
 	var list []offer
 	for i := range able {
 		r := able[(i+offset)%len(able)]
@@ -47,11 +47,11 @@
 			own := rapid.IntRange(0, 2).Draw(t, "own")
 			loads[r.Id] = Load{
 				Own: own, Online: own + rapid.IntRange(0, 9).Draw(t, "online"), Batch: rapid.IntRange(0, 3).Draw(t, "batch"),
-				Foreign: rapid.IntRange(0, 1).Draw(t, "foreign"), Silent: rapid.Bool().Draw(t, "silent"),
+				Foreign: rapid.IntRange(0, 1).Draw(t, "foreign"), Unresponsive: rapid.Bool().Draw(t, "silent"),
 			}
 		}
 		m := machineOf(runners...)
-		ask := Ask{Service: "llm", Tie: rapid.Float64Range(0, 0.99).Draw(t, "tie"), Age: clock.Millis(rapid.IntRange(0, 400).Draw(t, "age"))}
+		ask := Request{Service: "llm", TieBreak: rapid.Float64Range(0, 0.99).Draw(t, "tie"), Age: clock.Millis(rapid.IntRange(0, 400).Draw(t, "age"))}
 		require.Equal(t, sortedOffers(m, runners, ask, firstHold, from(loads)), m.offers(0, runners, ask, firstHold, from(loads)))
 	})
 }
--- a/gateway/pkg/place/place.go
+++ b/gateway/pkg/place/place.go
@@ -47,17 +47,17 @@
 	Batch int
 	// Foreign work is nobody's here, so nobody can make it give way.
 	Foreign int
-	// Silent says that a daemon with calls there has heard nothing for too long.
-	Silent bool
+	// Unresponsive says that a daemon with calls there has heard nothing for too long.
+	Unresponsive bool
 }
 
-// Ask describes a request that needs a runner.
-type Ask struct {
+// Request describes a request that needs a runner.
+type Request struct {
 	Service string
 	// Tried runners are taken only if there is no other.
 	Tried []string
-	// Tie is from 0 to below 1, and spreads equal choices over the gateways.
-	Tie float64
+	// TieBreak is from 0 to below 1, and spreads equal choices over the gateways.
+	TieBreak float64
 	// Draw is from 0 to below 1, and spreads requests that other gateways place at the
 	// same time.
 	Draw float64
@@ -71,9 +71,9 @@
 	Runner *toucanhingev1.Runner
 	// Wait is the expected span.
 	Wait clock.Millis
-	// Turn is how many of the requests that hold a place there must end before this one
+	// QueuePosition is how many of the requests that hold a place there must end before this one
 	// begins, 0 if a place is free.
-	Turn int
+	QueuePosition int
 }
 
 // Config describes a machine.
@@ -120,44 +120,44 @@
 	m.blocked[id] = max(m.blocked[id], until)
 }
 
-// Doubt makes a runner a last choice until a time: a call to it broke off.
-func (m *Machine) Doubt(id string, until clock.Millis) {
+// Deprioritize makes a runner a last choice until a time: a call to it broke off.
+func (m *Machine) Deprioritize(id string, until clock.Millis) {
 	m.doubted[id] = max(m.doubted[id], until)
 }
 
-// Held notes how long a request held its place, a span.
-func (m *Machine) Held(service string, span clock.Millis) {
+// RecordHold notes how long a request held its place, a span.
+func (m *Machine) RecordHold(service string, span clock.Millis) {
 	if m.hold[service] == 0 {
 		m.hold[service] = firstHold
 	}
 	m.hold[service] += holdWeight * (float64(span) - m.hold[service])
 }
 
-// Hold is the mean time that a request of a service holds its place.
-func (m *Machine) Hold(service string) float64 {
+// MeanHold is the mean time that a request of a service holds its place.
+func (m *Machine) MeanHold(service string) float64 {
 	if m.hold[service] == 0 {
 		return firstHold
 	}
 	return max(m.hold[service], leastHold)
 }
 
-// Choose picks a runner; ok is false if the service has none that takes work. The
+// Select picks a runner; ok is false if the service has none that takes work. The
 // picture of the load is some milliseconds old, and other gateways, with the same
 // picture, choose meanwhile. If each took the place with the least cost, all would take
 // the same one, and requests would queue there with places free elsewhere. So it draws
 // among the best places, as many as requests are probably being placed unseen.
-func (m *Machine) Choose(now clock.Millis, ask Ask, load func(runner string) Load) (choice Choice, ok bool) {
+func (m *Machine) Select(now clock.Millis, ask Request, load func(runner string) Load) (choice Choice, ok bool) {
 	able := m.able(now, ask)
 	if len(able) == 0 {
 		return Choice{}, false
 	}
-	hold := m.Hold(ask.Service)
+	hold := m.MeanHold(ask.Service)
 	offers := m.offers(now, able, ask, hold, load)
 	best := offers[int(ask.Draw*float64(len(offers)))]
-	return Choice{Runner: best.runner, Wait: clock.Millis(best.wait), Turn: best.turn}, true
+	return Choice{Runner: best.runner, Wait: clock.Millis(best.wait), QueuePosition: best.turn}, true
 }
 
-func (m *Machine) able(now clock.Millis, ask Ask) []*toucanhingev1.Runner {
+func (m *Machine) able(now clock.Millis, ask Request) []*toucanhingev1.Runner {
 	able := make([]*toucanhingev1.Runner, 0, len(m.runners))
 	var tried []*toucanhingev1.Runner
 	for _, r := range m.runners {
@@ -188,7 +188,7 @@
 	if r.GetDataCentre() != m.config.DataCentre {
 		cost += farCost
 	}
-	if load.Silent || len(m.doubted) > 0 && m.doubted[r.GetId()] > now {
+	if load.Unresponsive || len(m.doubted) > 0 && m.doubted[r.GetId()] > now {
 		cost += doubtCost
 	}
 	return cost
@@ -204,10 +204,10 @@
 	return cost
 }
 
-// Places counts the places of a service at runners that take work.
-func (m *Machine) Places(now clock.Millis, service string) int {
+// Slots counts the places of a service at runners that take work.
+func (m *Machine) Slots(now clock.Millis, service string) int {
 	places := 0
-	for _, r := range m.able(now, Ask{Service: service}) {
+	for _, r := range m.able(now, Request{Service: service}) {
 		places += int(r.GetSlots())
 	}
 	return places
--- a/gateway/pkg/place/place_bench_test.go
+++ b/gateway/pkg/place/place_bench_test.go
@@ -23,7 +23,7 @@
 			}
 			m := machineOf(list...)
 			for b.Loop() {
-				m.Choose(0, Ask{Service: "llm", Tie: random.Float64(), Draw: random.Float64(), Age: 14}, from(loads))
+				m.Select(0, Request{Service: "llm", TieBreak: random.Float64(), Draw: random.Float64(), Age: 14}, from(loads))
 			}
 		})
 	}
--- a/gateway/pkg/place/place_test.go
+++ b/gateway/pkg/place/place_test.go
@@ -38,27 +38,27 @@
 		runners []*toucanhingev1.Runner
 		loads   map[string]Load
 		prepare func(*Machine)
-		ask     Ask
+		ask     Request
 		want    string
 		wait    clock.Millis
 	}{
-		{"the emptier one", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 2}}, nil, Ask{}, "b", 0},
-		{"a near one before an emptier far one", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 3}}, nil, Ask{}, "a", 0},
-		{"a free far one before a full near one", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 4}}, nil, Ask{}, "far", 0},
-		{"a free place before an item's", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 1, Batch: 3}}, nil, Ask{}, "far", 0},
-		{"an item's place before a wait", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 4}, "b": {Online: 3, Batch: 1}}, nil, Ask{}, "b", 0},
-		{"the shortest wait", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 6}, "b": {Online: 4}}, nil, Ask{}, "b", 175},
-		{"items don't add to a wait", []*toucanhingev1.Runner{a}, map[string]Load{"a": {Online: 4, Batch: 2}}, nil, Ask{}, "a", 175},
-		{"foreign work fills places", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 1, Foreign: 3}}, nil, Ask{}, "far", 0},
-		{"foreign work doesn't give way", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 2, Foreign: 2}, "b": {Online: 3, Batch: 1}}, nil, Ask{}, "b", 0},
-		{"foreign work is waited for", []*toucanhingev1.Runner{a}, map[string]Load{"a": {Online: 1, Foreign: 4}}, nil, Ask{}, "a", 350},
-		{"not one that leaves", []*toucanhingev1.Runner{leaving, far}, nil, nil, Ask{}, "far", 0},
-		{"not one of another service", []*toucanhingev1.Runner{other, far}, nil, nil, Ask{}, "far", 0},
-		{"not one that was tried", []*toucanhingev1.Runner{a, far}, nil, nil, Ask{Tried: []string{"a"}}, "far", 0},
-		{"one that was tried if there is no other", []*toucanhingev1.Runner{a, leaving}, nil, nil, Ask{Tried: []string{"a"}}, "a", 0},
-		{"not a blocked one", []*toucanhingev1.Runner{a, far}, nil, func(m *Machine) { m.Block("a", 11) }, Ask{}, "far", 0},
-		{"one that is blocked no longer", []*toucanhingev1.Runner{a, far}, nil, func(m *Machine) { m.Block("a", 10) }, Ask{}, "a", 0},
-		{"a doubted one last", []*toucanhingev1.Runner{a, far}, map[string]Load{"far": {Online: 3}}, func(m *Machine) { m.Doubt("a", 11) }, Ask{}, "far", 0},
+		{"the emptier one", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 2}}, nil, Request{}, "b", 0},
+		{"a near one before an emptier far one", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 3}}, nil, Request{}, "a", 0},
+		{"a free far one before a full near one", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 4}}, nil, Request{}, "far", 0},
+		{"a free place before an item's", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 1, Batch: 3}}, nil, Request{}, "far", 0},
+		{"an item's place before a wait", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 4}, "b": {Online: 3, Batch: 1}}, nil, Request{}, "b", 0},
+		{"the shortest wait", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 6}, "b": {Online: 4}}, nil, Request{}, "b", 175},
+		{"items don't add to a wait", []*toucanhingev1.Runner{a}, map[string]Load{"a": {Online: 4, Batch: 2}}, nil, Request{}, "a", 175},
+		{"foreign work fills places", []*toucanhingev1.Runner{a, far}, map[string]Load{"a": {Online: 1, Foreign: 3}}, nil, Request{}, "far", 0},
+		{"foreign work doesn't give way", []*toucanhingev1.Runner{a, b}, map[string]Load{"a": {Online: 2, Foreign: 2}, "b": {Online: 3, Batch: 1}}, nil, Request{}, "b", 0},
+		{"foreign work is waited for", []*toucanhingev1.Runner{a}, map[string]Load{"a": {Online: 1, Foreign: 4}}, nil, Request{}, "a", 350},
+		{"not one that leaves", []*toucanhingev1.Runner{leaving, far}, nil, nil, Request{}, "far", 0},
+		{"not one of another service", []*toucanhingev1.Runner{other, far}, nil, nil, Request{}, "far", 0},
+		{"not one that was tried", []*toucanhingev1.Runner{a, far}, nil, nil, Request{Tried: []string{"a"}}, "far", 0},
+		{"one that was tried if there is no other", []*toucanhingev1.Runner{a, leaving}, nil, nil, Request{Tried: []string{"a"}}, "a", 0},
+		{"not a blocked one", []*toucanhingev1.Runner{a, far}, nil, func(m *Machine) { m.Block("a", 11) }, Request{}, "far", 0},
+		{"one that is blocked no longer", []*toucanhingev1.Runner{a, far}, nil, func(m *Machine) { m.Block("a", 10) }, Request{}, "a", 0},
+		{"a doubted one last", []*toucanhingev1.Runner{a, far}, map[string]Load{"far": {Online: 3}}, func(m *Machine) { m.Deprioritize("a", 11) }, Request{}, "far", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := machineOf(c.runners...)
@@ -66,13 +66,13 @@
 				c.prepare(m)
 			}
 			c.ask.Service = "llm"
-			choice, found := m.Choose(10, c.ask, from(c.loads))
+			choice, found := m.Select(10, c.ask, from(c.loads))
 			require.True(t, found)
 			require.Equal(t, c.want, choice.Runner.GetId())
 			require.Equal(t, c.wait, choice.Wait)
 		})
 	}
-	_, found := machineOf(leaving, other).Choose(0, Ask{Service: "llm"}, from(nil))
+	_, found := machineOf(leaving, other).Select(0, Request{Service: "llm"}, from(nil))
 	require.False(t, found)
 }
 
@@ -80,7 +80,7 @@
 	m := machineOf(runnerAt("a", "here"), runnerAt("b", "here"), runnerAt("c", "here"), runnerAt("d", "here"))
 	counts := map[string]int{}
 	for i := range 100 {
-		choice, _ := m.Choose(0, Ask{Service: "llm", Tie: float64(i) / 100}, from(nil))
+		choice, _ := m.Select(0, Request{Service: "llm", TieBreak: float64(i) / 100}, from(nil))
 		counts[choice.Runner.GetId()]++
 	}
 	require.Equal(t, map[string]int{"a": 25, "b": 25, "c": 25, "d": 25}, counts)
@@ -112,7 +112,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			taken := map[string]bool{}
 			for i := range 100 {
-				choice, _ := m.Choose(0, Ask{Service: "llm", Draw: float64(i) / 100, Age: c.age}, from(loads))
+				choice, _ := m.Select(0, Request{Service: "llm", Draw: float64(i) / 100, Age: c.age}, from(loads))
 				taken[choice.Runner.GetId()] = true
 			}
 			require.True(t, taken["a"])
@@ -124,7 +124,7 @@
 		l.Own = l.Online
 		loads[id] = l
 	}
-	choice, _ := m.Choose(0, Ask{Service: "llm", Draw: 0.99, Age: 300}, from(loads))
+	choice, _ := m.Select(0, Request{Service: "llm", Draw: 0.99, Age: 300}, from(loads))
 	require.Equal(t, "a", choice.Runner.GetId(), "a gateway that is alone sees all")
 }
 
@@ -132,11 +132,11 @@
 	m := machineOf(runnerAt("a", "here"))
 	full := from(map[string]Load{"a": {Online: 4}})
 	for range 200 {
-		m.Held("llm", 2_000)
+		m.RecordHold("llm", 2_000)
 	}
-	choice, _ := m.Choose(0, Ask{Service: "llm"}, full)
+	choice, _ := m.Select(0, Request{Service: "llm"}, full)
 	require.InDelta(t, 500, float64(choice.Wait), 5)
-	require.Equal(t, 4, m.Places(0, "llm"))
+	require.Equal(t, 4, m.Slots(0, "llm"))
 }
 
 // TestRapidNoWorseRunnerIsChosen compares each choice with all others: none that
@@ -153,7 +153,7 @@
 			loads[id] = Load{Online: rapid.IntRange(0, 8).Draw(t, "online"), Batch: rapid.IntRange(0, 4).Draw(t, "batch")}
 		}
 		m := machineOf(runners...)
-		choice, found := m.Choose(0, Ask{Service: "llm", Tie: rapid.Float64Range(0, 0.99).Draw(t, "tie")}, from(loads))
+		choice, found := m.Select(0, Request{Service: "llm", TieBreak: rapid.Float64Range(0, 0.99).Draw(t, "tie")}, from(loads))
 		for _, r := range runners {
 			if r.GetLeaving() {
 				continue
@@ -179,12 +179,12 @@
 		}
 	}
 	choose := func() string {
-		choice, ok := m.Choose(10, Ask{Service: "llm"}, func(string) Load { return Load{} })
+		choice, ok := m.Select(10, Request{Service: "llm"}, func(string) Load { return Load{} })
 		require.True(t, ok)
 		return choice.Runner.GetId()
 	}
 	m.SetRunners(runners(1))
-	m.Doubt("a", 1_000)
+	m.Deprioritize("a", 1_000)
 	m.Block("a", 1_000)
 	require.Equal(t, "b", choose())
 	m.SetRunners(runners(1))
--- a/lab/pkg/leadload/gateways.go
+++ b/lab/pkg/leadload/gateways.go
@@ -86,7 +86,7 @@
 		return nil, fmt.Errorf("exchange: %w", err)
 	}
 	carried := carry.New(carry.Config{
-		Client: runner.Client{Open: g.answer}, Exchange: x, Overdue: x.Overdue, Clock: clock.System(), Logger: log.NewNopLogger(),
+		Client: runner.Client{Open: g.answer}, Exchange: x, Unresponsive: x.Overdue, Clock: clock.System(), Logger: log.NewNopLogger(),
 		Registerer: prometheus.NewRegistry(),
 	})
 	mux.Handle(toucanhingev1connect.NewCarryServiceHandler(carried))
--- a/lab/pkg/leadload/member.go
+++ b/lab/pkg/leadload/member.go
@@ -53,14 +53,14 @@
 	var vm *core.Core
 	exchange, err := digest.Listen(digest.Config{
 		Address: m.Address, Source: m.Address, DataCentre: dataCentre(0), Core: true, Clock: clock.System(), Logger: log.NewNopLogger(),
-		Version: func() uint64 { return 1 }, OnDigest: func(version uint64) { vm.HeardDigest(version) },
+		Version: func() uint64 { return 1 }, OnDigest: func(version uint64) { vm.DigestReceived(version) },
 	})
 	if err != nil {
 		return fmt.Errorf("exchange: %w", err)
 	}
 	vm, err = core.Open(core.Config{
 		Name: m.Address, Address: m.Address, DataCentre: dataCentre(0), Folder: filepath.Join(m.Folder, m.Address),
-		Founders: m.founders(), Losses: losses, Clock: clock.System(), Logger: log.NewJSONLogger(os.Stdout),
+		FoundingMembers: m.founders(), Losses: losses, Clock: clock.System(), Logger: log.NewJSONLogger(os.Stdout),
 		Registerer: prometheus.NewRegistry(), Exchange: exchange,
 		Runners:   runner.Client{Open: func(context.Context, runner.Call) (*runner.Answer, error) { return nil, errNoGateway }},
 		Directory: func(context.Context) ([]*toucanhingev1.Runner, error) { return m.Fleet.list(), nil },
@@ -71,7 +71,7 @@
 		return fmt.Errorf("core: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle(toucanhingev1connect.NewReplicaServiceHandler(vm.Replicas()))
+	mux.Handle(toucanhingev1connect.NewReplicaServiceHandler(vm.ReplicaServer()))
 	mux.Handle(toucanhingev1connect.NewCoreServiceHandler(vm))
 	mux.Handle(TablePath, m.takeTable(vm))
 	server, err := web.Listen(m.Address, mux)
@@ -108,7 +108,7 @@
 }
 
 func newClient(addresses []string) *control.Client {
-	return control.New(control.Config{Addresses: addresses, Fresh: web.NewClient, FindLeader: control.NamedByCore})
+	return control.New(control.Config{Addresses: addresses, NewHTTP: web.NewClient, FindLeader: control.QueryLeader})
 }
 
 // TablePath is where a member takes the fleet's routing table.
--- a/lab/pkg/newsfleet/vm.go
+++ b/lab/pkg/newsfleet/vm.go
@@ -58,7 +58,7 @@
 	}
 	v.registry = prometheus.NewRegistry()
 	v.core, err = core.Open(core.Config{
-		Name: v.name, Address: v.address, DataCentre: centre(0), Folder: v.folder, Founders: v.founders, Losses: 1,
+		Name: v.name, Address: v.address, DataCentre: centre(0), Folder: v.folder, FoundingMembers: v.founders, Losses: 1,
 		Clock: clock.System(), Boot: clock.Boot(), Logger: log.NewNopLogger(), Registerer: v.registry, Exchange: x,
 		Runners:   runner.Client{Open: func(context.Context, runner.Call) (*runner.Answer, error) { return nil, errNoRunner }},
 		Directory: func(context.Context) ([]*toucanhingev1.Runner, error) { return v.runners(), nil },
@@ -69,7 +69,7 @@
 		return fmt.Errorf("core: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle(toucanhingev1connect.NewReplicaServiceHandler(v.core.Replicas()))
+	mux.Handle(toucanhingev1connect.NewReplicaServiceHandler(v.core.ReplicaServer()))
 	mux.Handle(toucanhingev1connect.NewCoreServiceHandler(v.core))
 	if v.server, err = web.Listen(v.address, mux); err != nil {
 		return fmt.Errorf("serve: %w", err)
@@ -135,5 +135,5 @@
 }
 
 func newClient(addresses []string) *control.Client {
-	return control.New(control.Config{Addresses: addresses, Fresh: web.NewClient, FindLeader: control.NamedByCore})
+	return control.New(control.Config{Addresses: addresses, NewHTTP: web.NewClient, FindLeader: control.QueryLeader})
 }
--- a/lab/pkg/replay/play.go
+++ b/lab/pkg/replay/play.go
@@ -47,7 +47,7 @@
 		return
 	}
 	switch admission.Decide(w.now, ask) {
-	case admission.Go:
+	case admission.Admit:
 		w.send(r, choice.Runner)
 	case admission.Wait:
 		g := w.gateways[r.gateway]
@@ -66,9 +66,9 @@
 }
 
 // refuse turns a caller away, who may come back.
-func (w *world) refuse(r *request, ask admission.Ask) {
+func (w *world) refuse(r *request, ask admission.Request) {
 	spells := &w.gateways[r.gateway].spells
-	spells.Refused(w.now)
+	spells.RecordRefusal(w.now)
 	if r.attempts >= w.returns() {
 		w.result.Refused++
 		return
@@ -86,14 +86,14 @@
 	}
 }
 
-func (w *world) look(r *request) (place.Choice, admission.Ask) {
+func (w *world) look(r *request) (place.Choice, admission.Request) {
 	g := w.gateways[r.gateway]
-	choice, _ := g.place.Choose(w.now, place.Ask{
-		Service: service, Tie: w.random.Float64(), Draw: w.random.Float64(), Age: w.config.DigestDelay + tellEvery,
+	choice, _ := g.place.Select(w.now, place.Request{
+		Service: service, TieBreak: w.random.Float64(), Draw: w.random.Float64(), Age: w.config.DigestDelay + tellEvery,
 	}, w.picture(g))
-	return choice, admission.Ask{
-		Arrived: r.arrived, Ends: r.ends, Objective: w.config.Objective, Returned: r.again,
-		Expected: choice.Wait, Turn: choice.Turn, Places: w.config.Slots, Hold: w.config.Hold, Crowded: len(g.room) >= w.config.Runners*w.config.Slots/2/len(w.gateways),
+	return choice, admission.Request{
+		Arrived: r.arrived, Deadline: r.ends, Objective: w.config.Objective, Retry: r.again,
+		ExpectedWait: choice.Wait, QueuePosition: choice.QueuePosition, Slots: w.config.Slots, Hold: w.config.Hold, QueueFull: len(g.room) >= w.config.Runners*w.config.Slots/2/len(w.gateways),
 	}
 }
 
@@ -131,9 +131,9 @@
 		slices.SortStableFunc(g.room, func(a, b *request) int { return cmp.Compare(a.ends, b.ends) })
 		g.room = slices.DeleteFunc(g.room, func(r *request) bool {
 			choice, ask := w.look(r)
-			ask.Crowded = false
+			ask.QueueFull = false
 			switch admission.Decide(w.now, ask) {
-			case admission.Go:
+			case admission.Admit:
 				w.send(r, choice.Runner)
 				return true
 			case admission.Wait:
@@ -162,12 +162,12 @@
 	if w.config.TeamsUntold {
 		i.Team = ""
 	}
-	w.dispatch.Add(dispatch.Item{Key: key, Due: due, Expires: i.At + 10_000_000, Tokens: int64(i.Run), Team: i.Team, Rank: i.Rank})
+	w.dispatch.Add(dispatch.Item{Key: key, Deadline: due, Expires: i.At + 10_000_000, Tokens: int64(i.Run), Team: i.Team, Priority: i.Rank})
 }
 
 // items starts and pauses batch items.
 func (w *world) items() {
-	actions := w.dispatch.Step(w.now, dispatch.Surroundings{
+	actions := w.dispatch.Step(w.now, dispatch.Environment{
 		Runners: w.runners,
 		Load: func(id string) dispatch.Load {
 			total := w.core.table.Load(id)
--- a/lab/pkg/replay/world.go
+++ b/lab/pkg/replay/world.go
@@ -56,7 +56,7 @@
 	place *place.Machine
 	room  []*request
 	// spells are the overloads that it saw.
-	spells admission.Spells
+	spells admission.OverloadTracker
 	// changed says that its own counts differ from what it told last.
 	changed bool
 }
@@ -165,7 +165,7 @@
 		g := &gateway{table: occupancy.New(), place: place.New(place.Config{})}
 		g.place.SetRunners(w.runners)
 		for range 100 {
-			g.place.Held(service, config.Hold)
+			g.place.RecordHold(service, config.Hold)
 		}
 		w.gateways = append(w.gateways, g)
 	}
