--- a/common/pkg/record/log_test.go
+++ b/common/pkg/record/log_test.go
@@ -11,7 +11,7 @@
 
 func TestLogOverwritesOldestFirst(t *testing.T) {
 	now := clock.Millis(0)
-	l := New(Config{Clock: clock.Of(func() clock.Millis { now++; return now }), Process: "p", Size: 3})
+	l := New(Config{Clock: clock.FromFunc(func() clock.Millis { now++; return now }), Process: "p", Size: 3})
 	for i := range 5 {
 		l.Add("job/"+strconv.Itoa(i), "leased", "")
 	}
--- a/control/pkg/batchrun/run.go
+++ b/control/pkg/batchrun/run.go
@@ -249,7 +249,7 @@
 	watchdog.Reset(eventTimeout)
 	return r.readStream(answer.Body, func() {
 		watchdog.Reset(eventTimeout)
-		watch.Heard()
+		watch.RecordEvent()
 	})
 }
 
--- a/control/pkg/carrier/client_test.go
+++ b/control/pkg/carrier/client_test.go
@@ -257,7 +257,7 @@
 
 	now := clock.Millis(1_000)
 	c := newClient()
-	c.config.Clock = clock.Of(func() clock.Millis { return now })
+	c.config.Clock = clock.FromFunc(func() clock.Millis { return now })
 	for range 3 {
 		_, err = c.RunnerClient().Open(context.Background(), newCall(""))
 		require.ErrorIs(t, err, ErrNoGateway)
--- a/gateway/pkg/carry/call.go
+++ b/gateway/pkg/carry/call.go
@@ -55,7 +55,7 @@
 	defer watchdog.Stop()
 	err := c.readAnswer(ctx, client, m, exchange, func() {
 		watchdog.Reset(eventTimeout)
-		watch.Heard()
+		watch.RecordEvent()
 	})
 	var unsent *runner.NotSentError
 	end := &toucanhingev1.CarryEnd{NotSent: errors.As(err, &unsent)}
--- a/gateway/pkg/carry/server_test.go
+++ b/gateway/pkg/carry/server_test.go
@@ -292,7 +292,7 @@
 	}()
 	require.Eventually(t, func() bool {
 		unresponsive := false
-		f.server.config.Exchange.View(func(table *occupancy.Table) { unresponsive = table.Silent(clock.System().Now(), "r") })
+		f.server.config.Exchange.View(func(table *occupancy.Table) { unresponsive = table.Unresponsive(clock.System().Now(), "r") })
 		return unresponsive
 	}, eventTimeout/2, time.Millisecond)
 	c := <-ended
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -71,7 +71,7 @@
 	// heardAt is when the first event of the present call came, 0 before.
 	heardAt clock.Millis
 	// content is what the request asks for, nil until it is needed.
-	content *crashes.Content
+	content *crashes.Fingerprint
 	inRoom  bool
 	// wait is what the last choice expected, waited how long it was in the room.
 	wait   clock.Millis
@@ -209,7 +209,7 @@
 		}
 		if unsent.Unresponsive {
 			// Each gateway would else find out by a request of its own.
-			e.server.config.Exchange.SetSilent(r.GetId(), true)
+			e.server.config.Exchange.SetUnresponsive(r.GetId(), true)
 		}
 		return e.again(r, "unreachable", err)
 	}
--- a/gateway/pkg/forward/server.go
+++ b/gateway/pkg/forward/server.go
@@ -82,7 +82,7 @@
 	factory := promauto.With(config.Registerer)
 	factory.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "toucanhinge_requests_quarantined", Help: "Requests that are kept from all runners.",
-	}, func() float64 { return float64(config.Exchange.Quarantined()) })
+	}, func() float64 { return float64(config.Exchange.QuarantineCount()) })
 	return &Server{
 		config: config, places: place.New(place.Config{DataCentre: config.DataCentre}),
 		loads: &occupancy.Cache[place.Load]{Read: loadAt}, patience: admission.NewRetryDetector(), freed: make(chan struct{}), begun: make(chan struct{}),
@@ -217,7 +217,7 @@
 	s.config.Exchange.View(func(t *occupancy.Table) {
 		now := s.config.Clock.Now()
 		s.loads.Refresh(now, s.runners, t)
-		choice, ok = s.places.Select(now, ask, s.loads.At)
+		choice, ok = s.places.Select(now, ask, s.loads.Get)
 	})
 	return choice, ok
 }
@@ -226,7 +226,7 @@
 func loadAt(now clock.Millis, id string, t *occupancy.Table) place.Load {
 	l := t.Load(id)
 	return place.Load{
-		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Silent(now, id),
+		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Unresponsive(now, id),
 	}
 }
 
