--- a/common/pkg/control/slow_leader_test.go
+++ b/common/pkg/control/slow_leader_test.go
@@ -24,11 +24,15 @@
 	address      string
 	delay        atomic.Int64
 	unresponsive atomic.Bool
+	// ended is closed at the end of the test.
+	ended chan struct{}
 }
 
 func (l *slowLeader) wait(ctx context.Context, delay time.Duration) {
+	// Returning at the call's deadline would send an answer, which may arrive before the client
+	// notices its timeout.
 	if l.unresponsive.Load() {
-		<-ctx.Done()
+		<-l.ended
 		return
 	}
 	select {
@@ -66,7 +70,8 @@
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	listener := &countingListener{Listener: raw}
-	leader := &slowLeader{address: raw.Addr().String()}
+	leader := &slowLeader{address: raw.Addr().String(), ended: make(chan struct{})}
+	t.Cleanup(func() { close(leader.ended) })
 	mux := http.NewServeMux()
 	mux.Handle(toucanhingev1connect.NewCoreServiceHandler(leader))
 	protocols := new(http.Protocols)
