--- a/gateway/pkg/forward/pass.go
+++ b/gateway/pkg/forward/body.go
@@ -10,16 +10,16 @@
 	"toucanhinge.example/common/pkg/runner"
 )
 
-// wholeBody is the largest body of an answer that is read whole before it is
-// passed on, so that a runner that breaks off can be replaced unseen.
-const wholeBody = 64 << 10
+// maxBufferedBody is the largest body of an answer that is read completely before the header is
+// sent, so that the request can still be retried if the call breaks.
+const maxBufferedBody = 64 << 10
 
-// begin sends the answer's header to the caller.
-func (e *exchange) begin(answer *runner.Answer) {
-	if e.begun {
+// sendHeader sends the answer's header to the caller, once.
+func (e *exchange) sendHeader(answer *runner.Answer) {
+	if e.headerSent {
 		return
 	}
-	e.begun = true
+	e.headerSent = true
 	header := e.w.Header()
 	for name, values := range answer.Header {
 		if !hopByHop[name] {
@@ -30,53 +30,53 @@
 		header.Set("Content-Length", strconv.FormatInt(answer.Length, 10))
 	}
 	if header.Get("Date") == "" {
-		// The answer's header is the runner's; we add none of our own.
+		// The header of the answer is the runner's; a nil value keeps net/http from adding its own.
 		header["Date"] = nil
 	}
 	if header.Get("Content-Type") == "" {
 		header["Content-Type"] = nil
 	}
-	e.server.closeIfLeaving(header)
+	e.server.closeIfDraining(header)
 	e.w.WriteHeader(answer.Status)
 }
 
-// hopByHop are the fields that concern one connection only.
+// hopByHop lists the header fields that apply to a single connection.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
 
-// pass passes an answer on that is no stream.
-func (e *exchange) pass(answer *runner.Answer) error {
-	head, err := io.ReadAll(io.LimitReader(answer.Body, wholeBody))
+// copyBody forwards an answer that isn't a stream.
+func (e *exchange) copyBody(answer *runner.Answer) error {
+	head, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody))
 	if err != nil {
 		return fmt.Errorf("read answer: %w", err)
 	}
-	e.begin(answer)
+	e.sendHeader(answer)
 	if _, err := e.w.Write(head); err != nil {
-		return fmt.Errorf("%w: %w", errLeft, err)
+		return fmt.Errorf("%w: %w", errCallerLeft, err)
 	}
-	if len(head) < wholeBody {
+	if len(head) < maxBufferedBody {
 		return nil
 	}
-	rest := &sourceError{source: answer.Body}
+	rest := &errorRecorder{source: answer.Body}
 	if _, err := io.Copy(e.w, rest); err != nil {
 		if rest.err != nil {
 			return fmt.Errorf("read answer: %w", rest.err)
 		}
-		return fmt.Errorf("%w: %w", errLeft, err)
+		return fmt.Errorf("%w: %w", errCallerLeft, err)
 	}
 	return nil
 }
 
-// sourceError remembers whether a copy failed because of its source.
-type sourceError struct {
+// errorRecorder records an error of the source, to distinguish it from an error of the destination.
+type errorRecorder struct {
 	source io.Reader
 	err    error
 }
 
 // Read implements io.Reader.
-func (s *sourceError) Read(p []byte) (int, error) {
+func (s *errorRecorder) Read(p []byte) (int, error) {
 	n, err := s.source.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
 		s.err = err
--- a/gateway/pkg/forward/crash.go
+++ b/gateway/pkg/forward/crash.go
@@ -14,18 +14,18 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// refusalTime is how long a runner has to refuse a connection: two ways between data centres
-// and a slow VM's turn. The request waits so long before it goes on elsewhere, where a
-// machine is cut off and answers nothing.
-const refusalTime = 40 * time.Millisecond
+// connectCheckTimeout is how long a runner has to refuse a connection: a round trip between data
+// centres, and scheduling delay on a slow VM. A retry is delayed by this time if the runner's VM is
+// unreachable and answers nothing.
+const connectCheckTimeout = 40 * time.Millisecond
 
-// quarantined refuses a request that crashes the runners that run it, under whatever id and
-// at whatever gateway it comes. One that is in doubt waits until all gateways have told what
-// they know: without that, one that comes again 70 ms after a crash crashes a runner more.
-func (e *exchange) quarantined(ctx context.Context) *Refusal {
+// checkQuarantine refuses a request that crashes runners, independent of its ID and of the gateways
+// that served it before. A suspected request waits until the crash reports of all gateways have
+// arrived: otherwise a retry 70 ms after a crash would crash one more runner.
+func (e *exchange) checkQuarantine(ctx context.Context) *Refusal {
 	x := e.server.config.Exchange
 	for x.Suspects() {
-		verdict := x.Standing(e.contentID())
+		verdict := x.Standing(e.requestFingerprint())
 		wait := (verdict.Until - e.now()).Duration()
 		switch verdict.Standing {
 		case crashes.Quarantined:
@@ -44,43 +44,44 @@
 	return nil
 }
 
-// sightCrash notes it if a call broke off because its runner crashed. A runner may also
-// break one connection and live on; one that refuses a new connection at once doesn't.
-func (e *exchange) sightCrash(ctx context.Context, r *toucanhingev1.Runner, began clock.Millis, err error) {
+// detectCrash reports a crash if a call broke because its runner crashed. A runner that is still
+// running may also break a connection; only a crashed one refuses a new connection.
+func (e *exchange) detectCrash(ctx context.Context, r *toucanhingev1.Runner, startedAt clock.Millis, err error) {
 	refuses := e.server.config.Client.Refuses
-	if refuses == nil || errors.Is(err, errStatus) || errors.Is(err, errSilent) || errors.Is(err, errGap) {
+	if refuses == nil || errors.Is(err, errRunnerFailed) || errors.Is(err, errEventTimeout) || errors.Is(err, errMissingEvent) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, refusalTime)
+	ctx, cancel := context.WithTimeout(ctx, connectCheckTimeout)
 	defer cancel()
 	if !refuses(ctx, r) {
 		return
 	}
 	running := clock.Millis(-1)
-	if e.heardAt > 0 {
-		running = e.now() - e.heardAt
+	if e.callFirstEventAt > 0 {
+		running = e.now() - e.callFirstEventAt
 	}
-	sign := crashes.SignOf(running, e.now()-began, e.route.Streams())
+	phase := crashes.SignOf(running, e.now()-startedAt, e.route.Streams())
 	e.server.metrics.crashes.Inc()
 	level.Info(e.server.config.Logger).Log(logs.KeyEvent, logs.EventRunnerCrashed, logs.KeyRequest, e.request.ID,
-		logs.KeyContent, e.contentID(), "runner", r.GetId(), "ran", e.ran, "running-ms", running)
-	if sign == crashes.Late {
-		e.survived()
+		logs.KeyContent, e.requestFingerprint(), "runner", r.GetId(), "ran", e.runs, "running-ms", running)
+	if phase == crashes.Late {
+		e.recordSuccess()
 	}
-	e.server.config.Exchange.Crashed(r, e.contentID(), sign)
+	e.server.config.Exchange.Crashed(r, e.requestFingerprint(), phase)
 }
 
-// survived clears a request that ran without crashing its runner, if it was suspected.
-func (e *exchange) survived() {
+// recordSuccess clears the suspicion of a request that ran without crashing its runner.
+func (e *exchange) recordSuccess() {
 	if x := e.server.config.Exchange; x.Suspects() {
-		x.Survived(e.contentID())
+		x.Survived(e.requestFingerprint())
 	}
 }
 
-func (e *exchange) contentID() crashes.Content {
-	if e.content == nil {
-		content := crashes.ContentOf(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
-		e.content = &content
+// requestFingerprint returns the fingerprint of the request, which is computed on first use.
+func (e *exchange) requestFingerprint() crashes.Content {
+	if e.fingerprint == nil {
+		fingerprint := crashes.ContentOf(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
+		e.fingerprint = &fingerprint
 	}
-	return *e.content
+	return *e.fingerprint
 }
--- a/gateway/pkg/forward/crash_test.go
+++ b/gateway/pkg/forward/crash_test.go
@@ -27,41 +27,41 @@
 )
 
 const (
-	// downTime is how long a crashed runner is gone, and crashDelay how long a run lasts
-	// that crashes it: as seen, with the first shortened.
-	downTime   = 800 * time.Millisecond
-	crashDelay = 40 * time.Millisecond
-	eventEvery = 20 * time.Millisecond
+	// restartTime is how long a crashed runner is down, shorter than in production; crashDelay is the
+	// time from the start of a call until it crashes its runner.
+	restartTime   = 800 * time.Millisecond
+	crashDelay    = 40 * time.Millisecond
+	eventInterval = 20 * time.Millisecond
 )
 
-// errCrashed is what a gateway sees of a runner that ends.
+// errCrashed is the error of a call whose runner crashed.
 var errCrashed = errors.New("unexpected EOF")
 
-// fakeRunner runs streams, and crashes under some.
+// fakeRunner answers with streams, and crashes on some requests.
 type fakeRunner struct {
 	mu      sync.Mutex
 	crashed chan struct{}
 	backAt  time.Time
 }
 
-// incarnation is closed when the runner crashes; up is false while it is gone.
-func (r *fakeRunner) incarnation() (gone chan struct{}, up bool) {
+// incarnation returns a channel that is closed when the runner crashes; up is false while it is down.
+func (r *fakeRunner) incarnation() (crashed chan struct{}, up bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.crashed, time.Now().After(r.backAt)
 }
 
-func (r *fakeRunner) crash(gone chan struct{}) {
+func (r *fakeRunner) crash(crashed chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.crashed != gone {
+	if r.crashed != crashed {
 		return
 	}
-	close(gone)
-	r.crashed, r.backAt = make(chan struct{}), time.Now().Add(downTime)
+	close(crashed)
+	r.crashed, r.backAt = make(chan struct{}), time.Now().Add(restartTime)
 }
 
-// crashFleet is some gateways before the same runners.
+// crashFleet is a group of gateways with the same runners.
 type crashFleet struct {
 	t        *testing.T
 	runners  map[string]*fakeRunner
@@ -73,7 +73,7 @@
 	runs map[string]int
 }
 
-// startCrashFleet starts gateways before twelve runners.
+// startCrashFleet starts gateways with twelve runners.
 func startCrashFleet(t *testing.T, gateways int) *crashFleet {
 	t.Helper()
 	f := &crashFleet{t: t, runners: map[string]*fakeRunner{}, runs: map[string]int{}}
@@ -84,8 +84,8 @@
 		known = append(known, &toucanhingev1.Runner{Id: id, Service: "llm", DataCentre: "here", Slots: 8, BornMs: 1})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
-	t.Cleanup(func() { cancel(); duties.Wait() })
+	var wg sync.WaitGroup
+	t.Cleanup(func() { cancel(); wg.Wait() })
 	var peers []digest.Peer
 	var exchanges []*digest.Exchange
 	for n := range gateways {
@@ -97,16 +97,16 @@
 		require.NoError(t, err)
 		peers = append(peers, digest.Peer{Address: address, DataCentre: "here"})
 		exchanges = append(exchanges, x)
-		duties.Go(func() { x.Run(ctx) })
+		wg.Go(func() { x.Run(ctx) })
 	}
 	for _, x := range exchanges {
 		x.SetPeers(peers)
-		f.serve(x, known)
+		f.startGateway(x, known)
 	}
 	return f
 }
 
-func (f *crashFleet) serve(x *digest.Exchange, known []*toucanhingev1.Runner) {
+func (f *crashFleet) startGateway(x *digest.Exchange, known []*toucanhingev1.Runner) {
 	server := New(Config{
 		Client: runner.Client{Open: f.open, Refuses: f.refuses}, Exchange: x, DataCentre: "here", Clock: clock.System(),
 		Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry(),
@@ -133,10 +133,10 @@
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		require.NoError(f.t, err)
-		entry, refusal := server.Enter("q", "team", r.RequestURI, "")
+		auth, refusal := server.Authorize("q", "team", r.RequestURI, "")
 		require.Nil(f.t, refusal)
-		server.Serve(r.Context(), w, entry, Request{
-			ID: r.Header.Get("Id"), Method: r.Method, Target: r.RequestURI, Host: "team", Body: body, Patience: 5_000,
+		server.Serve(r.Context(), w, auth, Request{
+			ID: r.Header.Get("Id"), Method: r.Method, Target: r.RequestURI, Host: "team", Body: body, Timeout: 5_000,
 			Arrived: server.config.Clock.Now(),
 		})
 	}))
@@ -147,22 +147,22 @@
 
 func (f *crashFleet) open(ctx context.Context, call runner.Call) (*runner.Answer, error) {
 	r := f.runners[call.Runner.GetId()]
-	gone, up := r.incarnation()
+	crashed, up := r.incarnation()
 	if !up {
-		return nil, &runner.NotSentError{Runner: call.Runner.GetId(), Err: errWire}
+		return nil, &runner.NotSentError{Runner: call.Runner.GetId(), Err: errConnReset}
 	}
 	f.mu.Lock()
 	f.runs[string(call.Body)]++
 	f.mu.Unlock()
 	switch {
 	case string(call.Body) == "crash":
-		time.AfterFunc(crashDelay, func() { r.crash(gone) })
+		time.AfterFunc(crashDelay, func() { r.crash(crashed) })
 	case strings.HasPrefix(string(call.Body), "reset"):
-		return nil, &runner.BrokenError{Runner: call.Runner.GetId(), Err: errWire}
+		return nil, &runner.BrokenError{Runner: call.Runner.GetId(), Err: errConnReset}
 	}
 	return &runner.Answer{
 		Status: http.StatusOK, Header: http.Header{"Seal": {call.Runner.GetId()}}, Length: -1,
-		Body: &crashBody{ctx: ctx, gone: gone, silent: string(call.Body) == "crash", next: call.After + 1, last: 12},
+		Body: &crashBody{ctx: ctx, crashed: crashed, noEvents: string(call.Body) == "crash", next: call.After + 1, last: 12},
 	}, nil
 }
 
@@ -171,27 +171,27 @@
 	return !up
 }
 
-// crashBody is a stream that ends with its runner.
+// crashBody is a stream that breaks when its runner crashes.
 type crashBody struct {
-	ctx    context.Context
-	gone   chan struct{}
-	silent bool
-	next   uint64
-	last   uint64
+	ctx      context.Context
+	crashed  chan struct{}
+	noEvents bool
+	next     uint64
+	last     uint64
 }
 
 func (b *crashBody) Read(p []byte) (int, error) {
 	if b.next > b.last {
 		return 0, io.EOF
 	}
-	event := time.After(eventEvery)
-	if b.silent {
+	event := time.After(eventInterval)
+	if b.noEvents {
 		event = nil
 	}
 	select {
 	case <-b.ctx.Done():
 		return 0, b.ctx.Err()
-	case <-b.gone:
+	case <-b.crashed:
 		return 0, errCrashed
 	case <-event:
 	}
@@ -202,7 +202,7 @@
 
 func (b *crashBody) Close() error { return nil }
 
-// answer is what a caller got.
+// answer is the answer that a caller received.
 type answer struct {
 	status int
 	after  string
@@ -210,7 +210,7 @@
 	err    error
 }
 
-func (f *crashFleet) ask(gateway int, path, id, body string) answer {
+func (f *crashFleet) send(gateway int, path, id, body string) answer {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, f.gateways[gateway%len(f.gateways)].URL+path, strings.NewReader(body))
 	require.NoError(f.t, err)
 	request.Header.Set("Id", id)
@@ -223,54 +223,53 @@
 	return answer{status: response.StatusCode, after: response.Header.Get("Retry-After"), body: string(text), err: err}
 }
 
+// ran returns how many calls with a body reached a runner.
 func (f *crashFleet) ran(body string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runs[body]
 }
 
-// A request crashes each runner that begins to run it. Its caller sends it again, some
-// 70 ms after each answer and at another gateway each time, and each gateway tried two
-// more runners, since neither knew the request again. Of twelve runners none was left
-// within three seconds, and each took along the streams of others: "request-ended" with
-// "runner-broke-off" at ends 0.11, 0.17, 0.10 and 0.20 s apart, under ids that had
-// nothing in common, 34 and 36 crashes in all.
+// A request crashes each runner that runs it. Its caller retries it 70 ms after each answer, at another
+// gateway and with another ID each time. Gateways that don't recognize the request try two more runners
+// each: all twelve runners were down within three seconds, with 34 and 36 crashes in total, and the
+// streams of other requests broke with them, 0.1 to 0.2 s apart.
 //
-// Three crashes prove it. Three runs more are borne, so that the news can travel.
-func TestARequestThatCrashesRunnersIsRefusedEverywhere(t *testing.T) {
+// Three crashes suffice for a quarantine. Three more runs are allowed until all gateways know of it.
+func TestCrashingRequestIsQuarantinedAtAllGateways(t *testing.T) {
 	f := startCrashFleet(t, 3)
 	stop := make(chan struct{})
 	var others sync.WaitGroup
 	for n := range 10 {
 		others.Go(func() {
-			for turn := 0; ; turn++ {
+			for i := 0; ; i++ {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				got := f.ask(n, "/stream/others", fmt.Sprintf("o%d-%d", n, turn), fmt.Sprintf("sound %d %d", n, turn))
+				got := f.send(n, "/stream/others", fmt.Sprintf("o%d-%d", n, i), fmt.Sprintf("sound %d %d", n, i))
 				if strings.Contains(got.body, "crashes-runners") {
-					t.Errorf("a sound request was taken for the cause: %+v", got)
+					t.Errorf("a harmless request was quarantined: %+v", got)
 				}
 			}
 		})
 	}
 	var answers []answer
-	for turn := range 25 {
-		answers = append(answers, f.ask(turn, "/stream/bad", fmt.Sprintf("q%d", turn), "crash"))
+	for i := range 25 {
+		answers = append(answers, f.send(i, "/stream/bad", fmt.Sprintf("q%d", i), "crash"))
 		time.Sleep(70 * time.Millisecond)
 	}
 	close(stop)
 	others.Wait()
 	require.LessOrEqual(t, f.ran("crash"), 6)
 	last := answers[len(answers)-1]
-	require.Equal(t, http.StatusServiceUnavailable, last.status, "not run, and said so")
-	require.NotEmpty(t, last.after, "and when it would be tried again")
+	require.Equal(t, http.StatusServiceUnavailable, last.status, "the answer must say that the request wasn't run")
+	require.NotEmpty(t, last.after, "the answer must say when to retry")
 	require.Contains(t, last.body, "crashes-runners")
 }
 
-// freeAddress is a loopback address with a free UDP port.
+// freeAddress returns a loopback address with a free UDP port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	socket, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -279,15 +278,14 @@
 	return socket.LocalAddr().String()
 }
 
-// The same request may run once for each of its attempts, so a gateway never sends it on
-// to another runner; its caller does, by asking again. Each crash counts all the same, and
-// what is refused at last hasn't run.
-func TestACrashingRequestThatMayRunOnce(t *testing.T) {
+// A request that isn't idempotent is never retried by a gateway, only by its caller. Each of its crashes
+// counts as evidence nevertheless, and once it is quarantined it must not run.
+func TestCrashingNonIdempotentRequestIsQuarantined(t *testing.T) {
 	f := startCrashFleet(t, 3)
 	refused := 0
-	for turn := range 10 {
+	for i := range 10 {
 		before := f.ran("crash")
-		got := f.ask(turn, "/once/bad", fmt.Sprintf("q%d", turn), "crash")
+		got := f.send(i, "/once/bad", fmt.Sprintf("q%d", i), "crash")
 		require.NoError(t, got.err)
 		switch got.status {
 		case http.StatusBadGateway:
@@ -303,39 +301,39 @@
 	require.Positive(t, refused)
 }
 
-// Connections break off under a request again and again, but the runners live on and take
-// new ones. It isn't the cause of anything, and is tried as often as its caller asks.
-func TestBrokenConnectionsAreNoCrashes(t *testing.T) {
+// The connections of a request break repeatedly, but the runners stay up and accept new connections.
+// The request isn't a suspect, and each retry is served.
+func TestBrokenConnectionsAreNotCrashes(t *testing.T) {
 	f := startCrashFleet(t, 3)
-	for turn := range 10 {
-		got := f.ask(turn, "/stream/reset", fmt.Sprintf("q%d", turn), "reset")
+	for i := range 10 {
+		got := f.send(i, "/stream/reset", fmt.Sprintf("q%d", i), "reset")
 		require.Equal(t, http.StatusBadGateway, got.status)
 		require.Contains(t, got.body, ReasonBroken)
 	}
-	require.Equal(t, 20, f.ran("reset"), "two runners each time")
+	require.Equal(t, 20, f.ran("reset"), "each request must run at two runners")
 	require.Zero(t, f.servers[0].config.Exchange.Quarantined())
 }
 
-// Two attempts of a request are under way at two gateways while its third crash becomes
-// known. The one that has run is told that it may have; the one that waits is refused at once.
-// Both are told when it is tried again.
-func TestAnAttemptUnderWayWhenItsRequestIsQuarantined(t *testing.T) {
+// A request is quarantined by its third crash, during an attempt. The attempt that caused the crash
+// ends with an error for a request that may have run; the next one is refused at once. Both answers
+// say when to retry.
+func TestQuarantineDuringAttempt(t *testing.T) {
 	f := startCrashFleet(t, 1)
 	x := f.servers[0].config.Exchange
-	bad := crashes.ContentOf(http.MethodPost, "team", "/stream/bad", []byte("crash"))
+	fingerprint := crashes.ContentOf(http.MethodPost, "team", "/stream/bad", []byte("crash"))
 	for n := range 2 {
-		x.Crashed(&toucanhingev1.Runner{Id: fmt.Sprint("earlier", n)}, bad, crashes.Silent)
+		x.Crashed(&toucanhingev1.Runner{Id: fmt.Sprint("earlier", n)}, fingerprint, crashes.Silent)
 	}
-	began := time.Now()
-	waits := f.ask(0, "/stream/bad", "q1", "crash")
-	require.Equal(t, http.StatusBadGateway, waits.status, "it rested, ran, and crashed its runner")
-	require.Greater(t, time.Since(began), 300*time.Millisecond)
-	require.Contains(t, waits.body, ReasonCrashes)
-	require.NotEmpty(t, waits.after)
-	began = time.Now()
-	refused := f.ask(0, "/stream/bad", "q2", "crash")
+	startedAt := time.Now()
+	delayed := f.send(0, "/stream/bad", "q1", "crash")
+	require.Equal(t, http.StatusBadGateway, delayed.status, "the request must be delayed, then run and crash its runner")
+	require.Greater(t, time.Since(startedAt), 300*time.Millisecond)
+	require.Contains(t, delayed.body, ReasonCrashes)
+	require.NotEmpty(t, delayed.after)
+	startedAt = time.Now()
+	refused := f.send(0, "/stream/bad", "q2", "crash")
 	require.Equal(t, http.StatusServiceUnavailable, refused.status)
-	require.Less(t, time.Since(began), 100*time.Millisecond)
+	require.Less(t, time.Since(startedAt), 100*time.Millisecond)
 	after, err := strconv.ParseFloat(refused.after, 64)
 	require.NoError(t, err)
 	require.Greater(t, after, 60.0)
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -21,77 +21,78 @@
 )
 
 const (
-	// refusedPause keeps requests off a runner that was full when we thought it
-	// wasn't: about the time in which one of its places becomes free.
-	refusedPause clock.Millis = 60
-	// unreachablePause keeps requests off a runner that can't be reached. It is
-	// tried again about once a second, by a request that can go elsewhere.
-	unreachablePause clock.Millis = 1_000
-	// otherPause keeps requests off an address that another instance has: the
-	// list of runners will say so within a second or two.
-	otherPause clock.Millis = 5_000
-	// brokenPause is how long a runner that broke a call off is a last choice.
-	brokenPause clock.Millis = 1_000
-	// mostTries bounds the runners that are asked for one request, those that
-	// didn't run it included.
-	mostTries = 6
+	// fullBlockDuration is how long a runner is blocked after it refused a call because it was
+	// full: about the time until one of its slots becomes free.
+	fullBlockDuration clock.Millis = 60
+	// unreachableBlockDuration is how long a runner that can't be reached is blocked. It is
+	// tried again about once a second, by a request that can be retried at another runner.
+	unreachableBlockDuration clock.Millis = 1_000
+	// otherInstanceBlockDuration is how long a runner is blocked if another instance uses its
+	// address. The list of runners is updated within one or two seconds.
+	otherInstanceBlockDuration clock.Millis = 5_000
+	// deprioritizeDuration is how long a runner is deprioritized after one of its calls broke.
+	deprioritizeDuration clock.Millis = 1_000
+	// maxTries limits the runners to which a request is sent, including runners that
+	// didn't run it.
+	maxTries = 6
 )
 
 var (
-	errSilent = errors.New("the runner sent nothing for too long")
-	errGap    = errors.New("an event of the stream is missing")
-	errLeft   = errors.New("the caller left")
-	errStatus = errors.New("the runner failed the request")
+	errEventTimeout = errors.New("call runner: no event within the timeout")
+	errMissingEvent = errors.New("read stream: an event is missing")
+	errCallerLeft   = errors.New("write answer: the caller disconnected")
+	errRunnerFailed = errors.New("call runner: unexpected status")
 )
 
-// exchange is one request on its way.
+// exchange serves one request, from its placement to the end of its answer.
 type exchange struct {
-	server  *Server
-	w       http.ResponseWriter
-	route   routing.Route
-	entry   Entry
-	request Request
-	service string
-	ends    clock.Millis
-	// returned says that the caller was turned away before.
-	returned bool
+	server   *Server
+	w        http.ResponseWriter
+	route    routing.Route
+	auth     Authorization
+	request  Request
+	service  string
+	deadline clock.Millis
+	// retry is set if the caller retries a request that was refused before.
+	retry bool
 
-	// tried are the runners asked, ran how many of them may have run it.
+	// tried lists the runners to which the request was sent; runs counts those that may have run it.
 	tried []string
-	ran   int
-	// begun says that the answer's header went to the caller.
-	begun  bool
-	resume bool
-	after  uint64
-	events int
+	runs  int
+	// headerSent is set once the answer's header was sent to the caller.
+	headerSent  bool
+	resume      bool
+	lastEventID uint64
+	events      int
 
-	outcome string
-	reason  string
-	firstAt clock.Millis
-	// heardAt is when the first event of the present call came, 0 before.
-	heardAt clock.Millis
-	// content is what the request asks for, nil until it is needed.
-	content *crashes.Content
-	inRoom  bool
-	// wait is what the last choice expected, waited how long it was in the room.
-	wait   clock.Millis
-	waited clock.Millis
-	err    error
+	outcome      string
+	reason       string
+	firstEventAt clock.Millis
+	// callFirstEventAt is when the first event of the current call arrived, 0 before.
+	callFirstEventAt clock.Millis
+	// fingerprint identifies equal requests; it is nil until it is needed.
+	fingerprint *crashes.Content
+	queued      bool
+	// expectedWait is the wait for a slot that the last placement estimated, and waited the time spent
+	// in the wait queue.
+	expectedWait clock.Millis
+	waited       clock.Millis
+	err          error
 }
 
 func (e *exchange) now() clock.Millis { return e.server.config.Clock.Now() }
 
-// serve tries runners until the request is answered or given up.
+// serve sends the request to runners until it is answered or refused, or fails.
 func (e *exchange) serve(ctx context.Context) {
-	for len(e.tried) < mostTries {
-		// What is kept from all runners is turned away before it waits for one, and after.
-		refusal := e.quarantined(ctx)
+	for len(e.tried) < maxTries {
+		// A request may be quarantined before it waits for a slot or meanwhile.
+		refusal := e.checkQuarantine(ctx)
 		var choice place.Choice
 		if refusal == nil {
-			choice, refusal = e.choose(ctx)
+			choice, refusal = e.admit(ctx)
 		}
-		if refusal == nil && e.inRoom {
-			refusal = e.quarantined(ctx)
+		if refusal == nil && e.queued {
+			refusal = e.checkQuarantine(ctx)
 		}
 		if refusal != nil {
 			e.giveUp(ctx, *refusal)
@@ -106,20 +107,20 @@
 			return
 		}
 	}
-	_, ask, _ := e.look()
-	e.giveUp(ctx, *e.refusal(ReasonNoRunner, ask))
+	_, req, _ := e.selectRunner()
+	e.giveUp(ctx, *e.unavailableRefusal(ReasonNoRunner, req))
 }
 
-// giveUp ends a request that can't be served, with the truth about whether it
-// may have run.
+// giveUp ends a request that can't be served. The answer distinguishes a request that wasn't run
+// from one that may have run.
 func (e *exchange) giveUp(ctx context.Context, refusal Refusal) {
 	e.reason = refusal.Reason
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		e.outcome = outcomeLeft
-	case e.begun:
-		e.cut()
-	case e.ran > 0:
+		e.outcome = outcomeCallerLeft
+	case e.headerSent:
+		e.cutOff()
+	case e.runs > 0:
 		e.fail(refusal)
 	default:
 		e.outcome = outcomeRefused
@@ -127,7 +128,7 @@
 	}
 }
 
-// fail answers that the request failed, and may have run.
+// fail answers that the request failed and may have run.
 func (e *exchange) fail(refusal Refusal) {
 	e.outcome, e.reason = outcomeFailed, refusal.Reason
 	answer := Refusal{Status: http.StatusBadGateway, Reason: refusal.Reason}
@@ -140,160 +141,162 @@
 	e.server.Refuse(e.w, answer)
 }
 
-// cut ends an answer whose beginning has gone out, so that it can't look whole.
-func (e *exchange) cut() {
-	e.outcome = outcomeCut
+// cutOff marks an answer as incomplete whose header was sent, so that report breaks the connection.
+func (e *exchange) cutOff() {
+	e.outcome = outcomeCutOff
 }
 
-// attempt asks one runner; again says that another one should be asked.
+// attempt sends the request to one runner, and reports whether to send it to another one.
 func (e *exchange) attempt(parent context.Context, r *toucanhingev1.Runner) (again bool) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	e.tried = append(e.tried, r.GetId())
 	e.server.config.Exchange.Add(r.GetId(), occupancy.Load{Online: 1})
 	defer e.server.config.Exchange.Add(r.GetId(), occupancy.Load{Online: -1})
-	began := e.now()
-	e.heardAt = 0
-	silence := e.watch(cancel)
-	defer silence.stop()
+	startedAt := e.now()
+	e.callFirstEventAt = 0
+	timer := e.startEventTimer(cancel)
+	defer timer.stop()
 	var watch *digest.Watch
 	if e.route.Streams() {
-		watch = e.server.config.Exchange.Watch(r, e.wait)
+		watch = e.server.config.Exchange.Watch(r, e.expectedWait)
 		defer watch.Stop()
 	}
 	answer, err := e.server.config.Client.Open(ctx, e.call(r))
 	if err != nil {
-		return e.unanswered(parent, r, began, silence.explain(parent, err))
+		return e.handleCallError(parent, r, startedAt, timer.resolveError(parent, err))
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.Held != nil && !answer.Other {
 		e.server.config.Exchange.Observe(r.GetId(), answer.Held.All())
 	}
 	if answer.NotRun || answer.Other {
-		return e.notRun(r, answer)
+		return e.handleNotRun(r, answer)
 	}
-	e.ran++
-	// What has begun can only go on with events, and a failure may be repeated.
-	if e.begun && answer.Status != http.StatusOK || answer.Status >= http.StatusInternalServerError && e.mayRepeat() {
-		return e.broken(parent, r, began, fmt.Errorf("%w: %d", errStatus, answer.Status))
+	e.runs++
+	// An answer whose header was sent can only continue with events; a failure may be retried.
+	if e.headerSent && answer.Status != http.StatusOK || answer.Status >= http.StatusInternalServerError && e.mayRetry() {
+		return e.handleBrokenCall(parent, r, startedAt, fmt.Errorf("%w: %d", errRunnerFailed, answer.Status))
 	}
 	if e.route.Streams() && answer.Status == http.StatusOK {
-		err = silence.explain(parent, e.stream(answer, silence, watch))
+		err = timer.resolveError(parent, e.stream(answer, timer, watch))
 	} else {
-		err = e.pass(answer)
+		err = e.copyBody(answer)
 	}
 	if err == nil {
-		e.survived()
-		e.finish(answer)
-		span := e.now() - began
-		e.server.learn(func(m *place.Machine) { m.RecordHold(e.service, span) })
+		e.recordSuccess()
+		e.setOutcome(answer)
+		duration := e.now() - startedAt
+		e.server.updatePlacement(func(m *place.Machine) { m.RecordHold(e.service, duration) })
 		return false
 	}
-	return e.broken(parent, r, began, err)
+	return e.handleBrokenCall(parent, r, startedAt, err)
 }
 
 func (e *exchange) call(r *toucanhingev1.Runner) runner.Call {
 	return runner.Call{
 		Runner: r, Request: e.request.ID, Method: e.request.Method, Target: e.request.Target, Host: e.request.Host,
-		Header: e.request.Header, Team: e.entry.Team.GetName(), Body: e.request.Body, Chunked: e.request.Chunked,
-		Left: max(e.ends-e.now(), 1), Resume: e.resume, After: e.after,
+		Header: e.request.Header, Team: e.auth.Team.GetName(), Body: e.request.Body, Chunked: e.request.Chunked,
+		Left: max(e.deadline-e.now(), 1), Resume: e.resume, After: e.lastEventID,
 	}
 }
 
-// unanswered handles a call without an answer.
-func (e *exchange) unanswered(ctx context.Context, r *toucanhingev1.Runner, began clock.Millis, err error) (again bool) {
+// handleCallError handles a call that ended without an answer, and reports whether to retry it.
+func (e *exchange) handleCallError(ctx context.Context, r *toucanhingev1.Runner, startedAt clock.Millis, err error) (again bool) {
 	var unsent *runner.NotSentError
 	if errors.As(err, &unsent) {
 		if ctx.Err() == nil {
-			e.server.learn(func(m *place.Machine) { m.Block(r.GetId(), e.now()+unreachablePause) })
+			e.server.updatePlacement(func(m *place.Machine) { m.Block(r.GetId(), e.now()+unreachableBlockDuration) })
 		}
 		if unsent.Silent {
-			// Each gateway would else find out by a request of its own.
+			// Otherwise each gateway would lose time with a request of its own at this runner.
 			e.server.config.Exchange.SetSilent(r.GetId(), true)
 		}
-		return e.again(r, "unreachable", err)
+		return e.recordRetry(r, "unreachable", err)
 	}
-	e.ran++
-	return e.broken(ctx, r, began, err)
+	e.runs++
+	return e.handleBrokenCall(ctx, r, startedAt, err)
 }
 
-// notRun handles a runner's word that it didn't run the request.
-func (e *exchange) notRun(r *toucanhingev1.Runner, answer *runner.Answer) (again bool) {
-	pause, reason := refusedPause, "runner-full"
+// handleNotRun handles the answer of a runner that didn't run the request.
+func (e *exchange) handleNotRun(r *toucanhingev1.Runner, answer *runner.Answer) (again bool) {
+	block, reason := fullBlockDuration, "runner-full"
 	if answer.Other {
-		pause, reason = otherPause, "other-instance"
+		block, reason = otherInstanceBlockDuration, "other-instance"
 	}
-	e.server.learn(func(m *place.Machine) { m.Block(r.GetId(), e.now()+pause) })
-	return e.again(r, reason, nil)
+	e.server.updatePlacement(func(m *place.Machine) { m.Block(r.GetId(), e.now()+block) })
+	return e.recordRetry(r, reason, nil)
 }
 
-// broken handles a call that ended early, after it was sent.
-func (e *exchange) broken(ctx context.Context, r *toucanhingev1.Runner, began clock.Millis, err error) (again bool) {
+// handleBrokenCall handles a call that broke after it was sent, and reports whether to retry it.
+func (e *exchange) handleBrokenCall(ctx context.Context, r *toucanhingev1.Runner, startedAt clock.Millis, err error) (again bool) {
 	e.err = err
-	if errors.Is(err, errLeft) || errors.Is(ctx.Err(), context.Canceled) {
-		e.outcome = outcomeLeft
+	if errors.Is(err, errCallerLeft) || errors.Is(ctx.Err(), context.Canceled) {
+		e.outcome = outcomeCallerLeft
 		return false
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		e.giveUp(ctx, Refusal{Reason: ReasonTimeLimit})
 		return false
 	}
-	e.server.learn(func(m *place.Machine) { m.Deprioritize(r.GetId(), e.now()+brokenPause) })
-	e.sightCrash(ctx, r, began, err)
-	if !e.mayRepeat() {
+	e.server.updatePlacement(func(m *place.Machine) { m.Deprioritize(r.GetId(), e.now()+deprioritizeDuration) })
+	e.detectCrash(ctx, r, startedAt, err)
+	if !e.mayRetry() {
 		e.giveUp(ctx, Refusal{Reason: ReasonBroken})
 		return false
 	}
-	return e.again(r, "broke-off", err)
+	return e.recordRetry(r, "broke-off", err)
 }
 
-func (e *exchange) again(r *toucanhingev1.Runner, reason string, err error) bool {
+// recordRetry counts and logs that the request is retried at another runner. It returns true.
+func (e *exchange) recordRetry(r *toucanhingev1.Runner, reason string, err error) bool {
 	e.err = err
 	e.server.metrics.retried.WithLabelValues(reason).Inc()
 	level.Info(e.server.config.Logger).Log(logs.KeyEvent, logs.EventRequestElsewhere, logs.KeyRequest, e.request.ID,
-		"runner", r.GetId(), "reason", reason, "ran", e.ran, logs.KeyError, err)
+		"runner", r.GetId(), "reason", reason, "ran", e.runs, logs.KeyError, err)
 	return true
 }
 
-// mayRepeat says whether the request may run at one more runner.
-func (e *exchange) mayRepeat() bool {
-	return e.route.Repeatable() && e.ran < int(max(e.route.MaxAttempts, 1))
+// mayRetry reports whether the request may run at one more runner.
+func (e *exchange) mayRetry() bool {
+	return e.route.Repeatable() && e.runs < int(max(e.route.MaxAttempts, 1))
 }
 
-func (e *exchange) finish(answer *runner.Answer) {
+func (e *exchange) setOutcome(answer *runner.Answer) {
 	e.outcome = outcomeServed
 	if answer.Status >= http.StatusInternalServerError {
-		e.outcome = outcomePassedOn
+		e.outcome = outcomeRunnerFailed
 	}
 }
 
-// report logs how the request ended. A cut answer ends by breaking the caller's
-// connection: its beginning has gone out, and it must not look whole.
+// report logs and counts the outcome of the request. If the answer is incomplete, it panics to break
+// the caller's connection, so that the answer can't be taken for a complete one.
 func (e *exchange) report() {
-	if e.ran == 0 {
-		e.server.GiveBack(e.entry)
+	if e.runs == 0 {
+		e.server.ReleaseQuota(e.auth)
 	}
 	e.server.metrics.requests.WithLabelValues(e.outcome).Inc()
 	now := e.now()
-	first := clock.Millis(-1)
-	if e.firstAt > 0 {
-		first = e.firstAt - e.request.Arrived
-		e.server.metrics.first.Observe(first.Duration().Seconds())
+	firstEvent := clock.Millis(-1)
+	if e.firstEventAt > 0 {
+		firstEvent = e.firstEventAt - e.request.Arrived
+		e.server.metrics.firstEvent.Observe(firstEvent.Duration().Seconds())
 	}
 	logger := level.Info(e.server.config.Logger)
-	if e.outcome != outcomeServed && e.outcome != outcomeLeft {
+	if e.outcome != outcomeServed && e.outcome != outcomeCallerLeft {
 		logger = level.Warn(e.server.config.Logger)
 	}
-	if e.content != nil {
-		// The key to the lines of the request's other attempts.
-		logger = log.With(logger, logs.KeyContent, *e.content)
+	if e.fingerprint != nil {
+		// Identifies the log lines of the request's other attempts.
+		logger = log.With(logger, logs.KeyContent, *e.fingerprint)
 	}
 	logger.Log(logs.KeyEvent, logs.EventRequestEnded, logs.KeyRequest, e.request.ID,
-		"route", e.route.Name, "team", e.entry.Team.GetName(), "version", e.server.Version(), "outcome", e.outcome, "reason", e.reason, "runners", e.tried, "ran", e.ran,
-		"expected-wait-ms", e.wait, "returned", e.returned, "waited-ms", e.waited, "first-ms", first,
+		"route", e.route.Name, "team", e.auth.Team.GetName(), "version", e.server.Version(),
+		"outcome", e.outcome, "reason", e.reason, "runners", e.tried, "ran", e.runs,
+		"expected-wait-ms", e.expectedWait, "returned", e.retry, "waited-ms", e.waited, "first-ms", firstEvent,
 		"objective-ms", e.route.Objective(), "took-ms", now-e.request.Arrived, "events", e.events,
-		"left-ms", e.ends-now, logs.KeyError, e.err)
-	if e.outcome == outcomeCut {
+		"left-ms", e.deadline-now, logs.KeyError, e.err)
+	if e.outcome == outcomeCutOff {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/gateway/pkg/forward/quota.go
+++ b/gateway/pkg/forward/quota.go
@@ -12,49 +12,50 @@
 	"toucanhinge.example/common/pkg/quota"
 )
 
-// mostQuotaWait bounds the wait until other gateways know of the team's requests here. It takes
-// some 20 ms, 60 where data centres tell one another sums.
-const mostQuotaWait clock.Millis = 100
+// maxQuotaWait limits the wait until other gateways know of the team's requests here. This takes
+// about 20 ms, or 60 ms if data centres exchange summed digests.
+const maxQuotaWait clock.Millis = 100
 
-// Count counts a request for its team's quota, or refuses it. One that isn't served afterwards
-// must be given back.
-func (s *Server) Count(ctx context.Context, id string, entry *Entry) *Refusal {
+// AcquireQuota counts a request for its team's quota, or refuses it. A request that isn't run
+// afterwards must be released with ReleaseQuota.
+func (s *Server) AcquireQuota(ctx context.Context, id string, entry *Authorization) *Refusal {
 	if !entry.Keyed || entry.Route.GetOpen() || entry.Route.Batch() || !entry.Team.Limited() || !s.config.Exchange.Limits() {
 		return nil
 	}
 	limit := quota.Limit{Team: entry.Team.GetName(), Rate: entry.Team.GetRate(), Burst: entry.Team.GetBurst()}
-	began := s.config.Boot.Now()
+	startedAt := s.config.Boot.Now()
 	for {
 		verdict := s.config.Exchange.LetIn(limit)
 		now := s.config.Boot.Now()
 		if verdict.Admitted {
-			entry.counted = now
+			entry.countedAt = now
 			return nil
 		}
-		if verdict.Wait == 0 || now+verdict.Wait-began > mostQuotaWait || !pause(ctx, verdict.Wait) {
-			return s.overQuota(id, limit, verdict)
+		if verdict.Wait == 0 || now+verdict.Wait-startedAt > maxQuotaWait || !sleep(ctx, verdict.Wait) {
+			return s.overQuotaRefusal(id, limit, verdict)
 		}
 	}
 }
 
-// GiveBack takes a request back that was counted for its team's quota and never ran.
-func (s *Server) GiveBack(entry Entry) {
-	if entry.counted > 0 {
-		s.config.Exchange.GiveBack(entry.counted, entry.Team.GetName())
+// ReleaseQuota releases the quota of a request that was counted and never ran.
+func (s *Server) ReleaseQuota(entry Authorization) {
+	if entry.countedAt > 0 {
+		s.config.Exchange.GiveBack(entry.countedAt, entry.Team.GetName())
 	}
 }
 
-func (s *Server) overQuota(id string, limit quota.Limit, verdict quota.Verdict) *Refusal {
+func (s *Server) overQuotaRefusal(id string, limit quota.Limit, verdict quota.Verdict) *Refusal {
 	level.Info(s.config.Logger).Log(logs.KeyEvent, "quota-used-up", logs.KeyRequest, id, "team", limit.Team, "used", verdict.Used,
-		"limit", verdict.Limit, "rate", limit.Rate, "burst", limit.Burst, "age-ms", s.config.Exchange.Age(), "retry-after-ms", verdict.RetryAfter)
+		"limit", verdict.Limit, "rate", limit.Rate, "burst", limit.Burst, "age-ms", s.config.Exchange.Age(),
+		"retry-after-ms", verdict.RetryAfter)
 	return &Refusal{
 		Status: http.StatusTooManyRequests, Reason: ReasonTeamQuota, RetryAfter: max(verdict.RetryAfter, verdict.Wait, 1).Duration(),
 	}
 }
 
-// pause waits, and says whether the caller is still there.
-func pause(ctx context.Context, span clock.Millis) bool {
-	timer := time.NewTimer(span.Duration())
+// sleep waits for a duration, and reports whether the context is still alive.
+func sleep(ctx context.Context, duration clock.Millis) bool {
+	timer := time.NewTimer(duration.Duration())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/gateway/pkg/forward/request.go
+++ b/gateway/pkg/forward/request.go
@@ -1,6 +1,6 @@
-// Package forward serves one online request: it finds the route, a place at a
-// runner, and passes the answer on as it comes; it goes on at another runner
-// where the request may run again, and tells honestly where it may not.
+// Package forward serves online requests. It authorizes a request, places it on a runner and forwards
+// the answer as it arrives. A request whose call fails is retried at another runner if its route
+// allows it; otherwise the caller receives an error that tells whether the request may have run.
 package forward
 
 import (
@@ -10,33 +10,33 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// Request is a caller's request, read whole.
+// Request is a caller's request with its complete body.
 type Request struct {
-	// ID is the caller's, for this attempt; it may be empty.
+	// ID is the caller's ID of this attempt; it may be empty.
 	ID     string
 	Method string
-	// Target is the path with the query, byte for byte.
+	// Target is the path with the query, as received.
 	Target string
 	Host   string
-	// Header is passed on unchanged.
+	// Header is forwarded unchanged.
 	Header  http.Header
 	Body    []byte
 	Chunked bool
-	// Patience is how long the caller waits in all, a span; 0 means unknown.
-	Patience clock.Millis
-	// Resume says that a stream is to go on after the event After.
+	// Timeout is how long the caller waits in total; 0 means unknown.
+	Timeout clock.Millis
+	// Resume is set if a stream is to continue after the event with the ID After.
 	Resume bool
 	After  uint64
-	// Arrived is when the request's header was there.
+	// Arrived is when the request's header was received.
 	Arrived clock.Millis
 }
 
-// Refusal tells a caller that its request wasn't run.
+// Refusal is an error answer to a caller.
 type Refusal struct {
 	Status int
-	// Reason is a short word for the body, the logs and the counters.
+	// Reason is a short text for the body, the logs and the metrics.
 	Reason string
-	// RetryAfter is when to come back; 0 says nothing of it.
+	// RetryAfter is the time after which to retry; if it is 0, no Retry-After header is sent.
 	RetryAfter time.Duration
 }
 
@@ -49,24 +49,24 @@
 	ReasonTimeLimit = "time-limit"
 	ReasonBroken    = "runner-broke-off"
 	ReasonAttempts  = "attempts-used-up"
-	// ReasonCrashes says that the request crashes the runners that run it, and is kept from
-	// all of them until it is time to come back.
+	// ReasonCrashes means that the request crashes runners and is quarantined until the time of its
+	// Retry-After header.
 	ReasonCrashes = "crashes-runners"
-	// ReasonNoKey and ReasonUnknownKey say that no team's key came with the request.
+	// ReasonNoKey and ReasonUnknownKey mean that the request has no key, or one that no team holds.
 	ReasonNoKey      = "no-key"
 	ReasonUnknownKey = "unknown-key"
-	// ReasonStale says that this gateway can't tell whether the key is still valid.
-	ReasonStale = "key-unconfirmed"
-	// ReasonTeamQuota says that the team's requests are beyond its rate.
+	// ReasonKeyUnconfirmed means that this gateway doesn't know whether the key is still valid.
+	ReasonKeyUnconfirmed = "key-unconfirmed"
+	// ReasonTeamQuota means that the team's requests exceed its quota.
 	ReasonTeamQuota = "team-quota-used-up"
 )
 
 // Outcomes in the log line of a request.
 const (
-	outcomeServed   = "served"
-	outcomeRefused  = "refused"
-	outcomeFailed   = "failed"
-	outcomeCut      = "cut-off"
-	outcomeLeft     = "caller-left"
-	outcomePassedOn = "runner-failed"
+	outcomeServed       = "served"
+	outcomeRefused      = "refused"
+	outcomeFailed       = "failed"
+	outcomeCutOff       = "cut-off"
+	outcomeCallerLeft   = "caller-left"
+	outcomeRunnerFailed = "runner-failed"
 )
--- a/gateway/pkg/forward/server.go
+++ b/gateway/pkg/forward/server.go
@@ -32,60 +32,60 @@
 	Exchange   *digest.Exchange
 	DataCentre string
 	Clock      clock.Clock
-	// Boot goes on while the machine is suspended. Keys says by it whether what is known of
-	// callers' keys may be believed; nil if it always may.
+	// Boot is a clock that continues while the machine is suspended. KeyLease reports by it whether
+	// the callers' keys in the routing table are still confirmed; nil if they always are.
 	Boot       clock.Clock
-	Keys       *lease.Lease
+	KeyLease   *lease.Lease
 	Logger     log.Logger
 	Registerer prometheus.Registerer
 }
 
-// Server serves requests by the routing table and the runners that it was given
-// last.
+// Server serves requests by the current routing table and list of runners.
 type Server struct {
-	config  Config
-	table   atomic.Pointer[routing.Table]
-	metrics *metrics
-	leaving atomic.Bool
-	// fleetKnown says that the runners have been told once.
+	config   Config
+	table    atomic.Pointer[routing.Table]
+	metrics  *metrics
+	draining atomic.Bool
+	// fleetKnown is set once a list of runners was received.
 	fleetKnown atomic.Bool
-	// begun is closed when requests can be served for the first time.
-	begun     chan struct{}
-	beginOnce sync.Once
+	// ready is closed once requests can be served.
+	ready     chan struct{}
+	readyOnce sync.Once
 
-	mu       sync.Mutex
-	places   *place.Machine
-	loads    *occupancy.Cache[place.Load]
-	runners  []*toucanhingev1.Runner
-	gateways int
-	patience *admission.RetryDetector
-	room     admission.WaitQueue
-	spells   admission.OverloadTracker
-	// freed is closed and made anew when the load changes.
-	freed chan struct{}
+	mu        sync.Mutex
+	placement *place.Machine
+	loads     *occupancy.Cache[place.Load]
+	runners   []*toucanhingev1.Runner
+	gateways  int
+	retries   *admission.RetryDetector
+	queue     admission.WaitQueue
+	overload  admission.OverloadTracker
+	// loadChanged is closed and replaced when the load changes while requests are queued.
+	loadChanged chan struct{}
 }
 
 type metrics struct {
-	requests *prometheus.CounterVec
-	refused  *prometheus.CounterVec
-	retried  *prometheus.CounterVec
-	first    prometheus.Histogram
-	waiting  prometheus.Gauge
-	crashes  prometheus.Counter
+	requests   *prometheus.CounterVec
+	refused    *prometheus.CounterVec
+	retried    *prometheus.CounterVec
+	firstEvent prometheus.Histogram
+	waiting    prometheus.Gauge
+	crashes    prometheus.Counter
 }
 
-// New makes a server without routes.
+// New returns a server without a routing table.
 func New(config Config) *Server {
-	if config.Keys == nil {
-		config.Boot, config.Keys = config.Clock, lease.New(0)
+	if config.KeyLease == nil {
+		config.Boot, config.KeyLease = config.Clock, lease.New(0)
 	}
 	factory := promauto.With(config.Registerer)
 	factory.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "toucanhinge_requests_quarantined", Help: "Requests that are kept from all runners.",
+		Name: "toucanhinge_requests_quarantined", Help: "Quarantined requests, which no runner may run.",
 	}, func() float64 { return float64(config.Exchange.Quarantined()) })
 	return &Server{
-		config: config, places: place.New(place.Config{DataCentre: config.DataCentre}),
-		loads: &occupancy.Cache[place.Load]{Read: loadAt}, patience: admission.NewRetryDetector(), freed: make(chan struct{}), begun: make(chan struct{}),
+		config: config, placement: place.New(place.Config{DataCentre: config.DataCentre}),
+		loads: &occupancy.Cache[place.Load]{Read: runnerLoad}, retries: admission.NewRetryDetector(),
+		loadChanged: make(chan struct{}), ready: make(chan struct{}),
 		metrics: &metrics{
 			requests: factory.NewCounterVec(prometheus.CounterOpts{
 				Name: "toucanhinge_requests_total", Help: "Online requests by outcome.",
@@ -94,14 +94,14 @@
 				Name: "toucanhinge_requests_refused_total", Help: "Requests that were refused or failed, by reason.",
 			}, []string{"reason"}),
 			retried: factory.NewCounterVec(prometheus.CounterOpts{
-				Name: "toucanhinge_requests_retried_total", Help: "Calls that went on at another runner, by reason.",
+				Name: "toucanhinge_requests_retried_total", Help: "Requests that were retried at another runner, by reason.",
 			}, []string{"reason"}),
-			first: factory.NewHistogram(prometheus.HistogramOpts{
+			firstEvent: factory.NewHistogram(prometheus.HistogramOpts{
 				Name: "toucanhinge_first_event_seconds", Help: "Time from a request's arrival to its first event.",
 				Buckets: []float64{.01, .02, .05, .1, .2, .3, .5, 1, 2, 5},
 			}),
 			waiting: factory.NewGauge(prometheus.GaugeOpts{
-				Name: "toucanhinge_requests_waiting", Help: "Requests that came back and wait for a free place.",
+				Name: "toucanhinge_requests_waiting", Help: "Retried requests that wait for a free slot.",
 			}),
 			crashes: factory.NewCounter(prometheus.CounterOpts{
 				Name: "toucanhinge_calls_crashed_total", Help: "Calls whose runner crashed.",
@@ -110,25 +110,25 @@
 	}
 }
 
-// SetTable puts a routing table in force, unless it is older than the present one.
+// SetTable applies a routing table, unless it isn't newer than the current one.
 func (s *Server) SetTable(table *routing.Table) {
 	for {
-		present := s.table.Load()
-		if present != nil && present.Version >= table.Version {
+		current := s.table.Load()
+		if current != nil && current.Version >= table.Version {
 			return
 		}
-		if s.table.CompareAndSwap(present, table) {
+		if s.table.CompareAndSwap(current, table) {
 			level.Info(s.config.Logger).Log(logs.KeyEvent, "table-in-force", "version", table.Version)
-			s.begin()
+			s.signalReady()
 			return
 		}
 	}
 }
 
-// Table is the routing table in force, nil before the first.
+// Table returns the current routing table, nil before the first.
 func (s *Server) Table() *routing.Table { return s.table.Load() }
 
-// Version of the routing table in force, 0 before the first.
+// Version returns the version of the current routing table, 0 before the first.
 func (s *Server) Version() uint64 {
 	if t := s.table.Load(); t != nil {
 		return t.Version
@@ -136,80 +136,80 @@
 	return 0
 }
 
-// SetRunners replaces the known runners, and how many gateways there are.
+// SetRunners sets the known runners and the number of gateways.
 func (s *Server) SetRunners(runners []*toucanhingev1.Runner, gateways int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.places.SetRunners(runners)
+	s.placement.SetRunners(runners)
 	s.runners = runners
 	s.gateways = gateways
 	s.fleetKnown.Store(true)
-	s.begin()
+	s.signalReady()
 }
 
-func (s *Server) begin() {
+// signalReady wakes the callers of AwaitReady if requests can be served.
+func (s *Server) signalReady() {
 	if s.Ready() {
-		s.beginOnce.Do(func() { close(s.begun) })
+		s.readyOnce.Do(func() { close(s.ready) })
 	}
 }
 
-// AwaitReady waits until requests can be served, for as long as is good for a caller
-// of this patience, a span.
-func (s *Server) AwaitReady(ctx context.Context, patience clock.Millis) {
+// AwaitReady waits until requests can be served, but no longer than is useful for a caller with this
+// timeout.
+func (s *Server) AwaitReady(ctx context.Context, timeout clock.Millis) {
 	s.mu.Lock()
-	// Without a table all callers count as those of one route.
-	returned := s.patience.IsRetry("", patience)
+	// Without a routing table, all callers are counted as callers of one route.
+	retry := s.retries.IsRetry("", timeout)
 	s.mu.Unlock()
-	timer := time.NewTimer(admission.StartupWait(patience, returned).Duration())
+	timer := time.NewTimer(admission.StartupWait(timeout, retry).Duration())
 	defer timer.Stop()
 	select {
-	case <-s.begun:
+	case <-s.ready:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// Ready says whether requests can be served: routes and runners are known. A
-// gateway that said so before would refuse what another one could serve.
+// Ready reports whether requests can be served: routes and runners are known. A gateway that was ready
+// earlier would refuse requests that another gateway can serve.
 func (s *Server) Ready() bool { return s.table.Load() != nil && s.fleetKnown.Load() }
 
-// Leave makes every answer from now on the last of its connection.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// Drain makes the server close the connection of a caller with its next answer.
+func (s *Server) Drain() { s.draining.Store(true) }
 
-// tableRetry is when a gateway that has just started knows its routes at the
-// latest, in most cases: after 50 ms if the core runs, after a second if all
-// machines have lost power and the core elects a leader. Callers come back once,
-// within a third of their time; told to come back after half a second, they were
-// turned away again by a fleet that was ready a moment later.
+// A caller that is refused for lack of a routing table retries after tableRetryDelay plus a random part
+// of tableRetryJitter. A gateway that starts knows its routes after 50 ms if the core has a leader, and
+// after a second if all machines lost power and the core elects one. Callers retry only once, within a
+// third of their timeout: after half a second they were refused again by a fleet that was almost ready.
 const (
-	tableRetry  = 900 * time.Millisecond
-	tableSpread = 700 * time.Millisecond
+	tableRetryDelay  = 900 * time.Millisecond
+	tableRetryJitter = 700 * time.Millisecond
 )
 
-// Serve answers a request that was let in.
-func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, entry Entry, request Request) {
-	route := entry.Route
+// Serve answers an authorized request.
+func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, auth Authorization, request Request) {
+	route := auth.Route
 	limit := route.TimeLimit()
-	if request.Patience > 0 {
-		limit = min(limit, request.Patience)
+	if request.Timeout > 0 {
+		limit = min(limit, request.Timeout)
 	}
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add((limit - (s.config.Clock.Now() - request.Arrived)).Duration()))
 	defer cancel()
 	s.mu.Lock()
-	returned := s.patience.IsRetry(route.Name, request.Patience)
+	retry := s.retries.IsRetry(route.Name, request.Timeout)
 	s.mu.Unlock()
 	e := &exchange{
-		returned: returned,
-		server:   s, w: w, route: route, entry: entry, request: request, ends: request.Arrived + limit,
-		service: route.Service(rand.Float64()), after: request.After, resume: request.Resume,
+		retry:  retry,
+		server: s, w: w, route: route, auth: auth, request: request, deadline: request.Arrived + limit,
+		service: route.Service(rand.Float64()), lastEventID: request.After, resume: request.Resume,
 	}
 	e.serve(ctx)
 	e.report()
 }
 
-// choose takes a place for a call.
-func (s *Server) choose(ask place.Request) (place.Choice, bool) {
-	ask.TieBreak, ask.Draw, ask.Age = rand.Float64(), rand.Float64(), s.config.Exchange.Age()
+// selectRunner selects a runner for a call by the current loads.
+func (s *Server) selectRunner(req place.Request) (place.Choice, bool) {
+	req.TieBreak, req.Draw, req.Age = rand.Float64(), rand.Float64(), s.config.Exchange.Age()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var choice place.Choice
@@ -217,53 +217,53 @@
 	s.config.Exchange.View(func(t *occupancy.Table) {
 		now := s.config.Clock.Now()
 		s.loads.Refresh(now, s.runners, t)
-		choice, ok = s.places.Select(now, ask, s.loads.At)
+		choice, ok = s.placement.Select(now, req, s.loads.At)
 	})
 	return choice, ok
 }
 
-// loadAt is what all daemons have under way at a runner.
-func loadAt(now clock.Millis, id string, t *occupancy.Table) place.Load {
+// runnerLoad returns the load of a runner by all daemons.
+func runnerLoad(now clock.Millis, id string, t *occupancy.Table) place.Load {
 	l := t.Load(id)
 	return place.Load{
 		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Silent(now, id),
 	}
 }
 
-// conditions tells how long a request of a service holds its place, and whether
-// enough of a team wait for one here.
-func (s *Server) conditions(service, team string) (hold clock.Millis, crowded bool) {
+// queueState returns how long a request of a service holds its slot on average, and whether the wait
+// queue is full for a team.
+func (s *Server) queueState(service, team string) (hold clock.Millis, full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	places := s.places.Slots(s.config.Clock.Now(), service)
-	return clock.Millis(s.places.MeanHold(service)), s.room.Full(places, s.gateways, team)
+	slots := s.placement.Slots(s.config.Clock.Now(), service)
+	return clock.Millis(s.placement.MeanHold(service)), s.queue.Full(slots, s.gateways, team)
 }
 
-// LoadChanged tells that places may have become free somewhere.
+// LoadChanged wakes the queued requests, since slots may have become free.
 func (s *Server) LoadChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.room.Len() > 0 {
-		close(s.freed)
-		s.freed = make(chan struct{})
+	if s.queue.Len() > 0 {
+		close(s.loadChanged)
+		s.loadChanged = make(chan struct{})
 	}
 }
 
-// learn runs a change of what is known of the runners.
-func (s *Server) learn(change func(*place.Machine)) {
+// updatePlacement applies a change to the placement state under the lock.
+func (s *Server) updatePlacement(change func(*place.Machine)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change(s.places)
+	change(s.placement)
 }
 
-// Refuse answers that a request wasn't run.
+// Refuse sends a refusal to the caller.
 func (s *Server) Refuse(w http.ResponseWriter, refusal Refusal) {
 	s.metrics.refused.WithLabelValues(refusal.Reason).Inc()
 	header := w.Header()
 	if refusal.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(refusal.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	s.closeIfLeaving(header)
+	s.closeIfDraining(header)
 	body := `{"error":"` + refusal.Reason + `"}`
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
@@ -273,8 +273,8 @@
 	}
 }
 
-func (s *Server) closeIfLeaving(header http.Header) {
-	if s.leaving.Load() {
+func (s *Server) closeIfDraining(header http.Header) {
+	if s.draining.Load() {
 		header.Set("Connection", "close")
 	}
 }
--- a/gateway/pkg/forward/server_test.go
+++ b/gateway/pkg/forward/server_test.go
@@ -27,23 +27,23 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// reply is what a scripted runner does with one call.
+// reply is how a scripted runner answers one call.
 type reply struct {
-	err    error
-	status int
-	notRun bool
-	other  bool
-	// text is the body; fails ends it with an error, hangs leaves it open.
+	err           error
+	status        int
+	notRun        bool
+	otherInstance bool
+	// text is the body; after it, fails returns an error and hangs blocks until the call ends.
 	text  string
 	fails bool
 	hangs bool
-	// silent never answers.
-	silent bool
-	// held is what the runner says to have under way, 0 for nothing said.
-	held int
+	// noAnswer blocks until the call ends.
+	noAnswer bool
+	// load is the load that the runner reports, 0 if it reports none.
+	load int
 }
 
-// fixture is a server before scripted runners.
+// fixture is a server with scripted runners.
 type fixture struct {
 	t       *testing.T
 	server  *Server
@@ -54,7 +54,7 @@
 	calls   []runner.Call
 }
 
-var errWire = errors.New("connection reset")
+var errConnReset = errors.New("connection reset")
 
 func start(t *testing.T, replies ...reply) *fixture {
 	t.Helper()
@@ -100,21 +100,21 @@
 }
 
 func (f *fixture) handle(w http.ResponseWriter, r *http.Request) {
-	entry, refusal := f.server.Enter("q", "team", r.RequestURI, "")
+	auth, refusal := f.server.Authorize("q", "team", r.RequestURI, "")
 	if refusal != nil {
 		f.server.Refuse(w, *refusal)
 		return
 	}
-	patience := clock.Millis(0)
-	if _, err := fmt.Sscan(r.Header.Get("Patience"), &patience); err != nil {
-		patience = 0
+	timeout := clock.Millis(0)
+	if _, err := fmt.Sscan(r.Header.Get("Patience"), &timeout); err != nil {
+		timeout = 0
 	}
-	f.server.Serve(r.Context(), w, entry, Request{
-		ID: "q", Method: r.Method, Target: r.RequestURI, Host: "team", Arrived: f.server.config.Clock.Now(), Patience: patience,
+	f.server.Serve(r.Context(), w, auth, Request{
+		ID: "q", Method: r.Method, Target: r.RequestURI, Host: "team", Arrived: f.server.config.Clock.Now(), Timeout: timeout,
 	})
 }
 
-// sent lists the calls so far.
+// sent returns the calls so far.
 func (f *fixture) sent() []runner.Call {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,12 +124,12 @@
 func (f *fixture) open(ctx context.Context, call runner.Call) (*runner.Answer, error) {
 	f.mu.Lock()
 	f.calls = append(f.calls, call)
-	r := reply{err: &runner.NotSentError{Runner: call.Runner.GetId(), Err: errWire}}
+	r := reply{err: &runner.NotSentError{Runner: call.Runner.GetId(), Err: errConnReset}}
 	if len(f.replies) > 0 {
 		r, f.replies = f.replies[0], f.replies[1:]
 	}
 	f.mu.Unlock()
-	if r.silent {
+	if r.noAnswer {
 		<-ctx.Done()
 		return nil, &runner.BrokenError{Runner: call.Runner.GetId(), Err: ctx.Err()}
 	}
@@ -139,13 +139,13 @@
 	if r.status == 0 {
 		r.status = http.StatusOK
 	}
-	var held *runner.Held
-	if r.held > 0 {
-		held = &runner.Held{Running: r.held}
+	var load *runner.Held
+	if r.load > 0 {
+		load = &runner.Held{Running: r.load}
 	}
 	return &runner.Answer{
-		Held:   held,
-		Status: r.status, Header: http.Header{"Seal": {call.Runner.GetId()}}, Length: -1, NotRun: r.notRun, Other: r.other,
+		Held:   load,
+		Status: r.status, Header: http.Header{"Seal": {call.Runner.GetId()}}, Length: -1, NotRun: r.notRun, Other: r.otherInstance,
 		Body: &scriptedBody{ctx: ctx, source: strings.NewReader(r.text), reply: r},
 	}, nil
 }
@@ -174,11 +174,11 @@
 
 func (b *scriptedBody) Close() error { return nil }
 
-func (f *fixture) get(path string, patience int) (status int, text string, header http.Header, err error) {
+func (f *fixture) get(path string, timeout int) (status int, text string, header http.Header, err error) {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, f.url+path, nil)
 	require.NoError(f.t, err)
-	if patience > 0 {
-		request.Header.Set("Patience", fmt.Sprint(patience))
+	if timeout > 0 {
+		request.Header.Set("Patience", fmt.Sprint(timeout))
 	}
 	response, err := f.client.Do(request)
 	if err != nil {
@@ -198,17 +198,17 @@
 }
 
 var (
-	unsent  = reply{err: &runner.NotSentError{Runner: "x", Err: errWire}}
-	broken  = reply{err: &runner.BrokenError{Runner: "x", Err: errWire}}
+	unsent  = reply{err: &runner.NotSentError{Runner: "x", Err: errConnReset}}
+	broken  = reply{err: &runner.BrokenError{Runner: "x", Err: errConnReset}}
 	full    = reply{status: http.StatusServiceUnavailable, notRun: true}
-	other   = reply{status: http.StatusMisdirectedRequest, notRun: true, other: true}
+	other   = reply{status: http.StatusMisdirectedRequest, notRun: true, otherInstance: true}
 	failing = reply{status: http.StatusInternalServerError, text: "no"}
 )
 
-// TestFaults says, for each kind of route and each fault of a runner, what the
-// caller sees and how many runners were asked. A request that may run once is
-// never sent on after it was sent, and what a caller gets as whole is whole.
-func TestFaults(t *testing.T) {
+// TestRunnerFaults checks, for each kind of route and each fault of a runner, the answer to the caller and
+// the number of runners that were called. A request that isn't idempotent must not be sent to a second
+// runner once it may have run, and an incomplete answer must not look complete.
+func TestRunnerFaults(t *testing.T) {
 	ok := reply{text: "answer"}
 	for _, c := range []struct {
 		name    string
@@ -217,10 +217,10 @@
 		status  int
 		text    string
 		calls   int
-		// cut: the answer must not look whole.
+		// cut is set if the answer must break off, so that it doesn't look complete.
 		cut bool
 	}{
-		{"all is well", "/once/", []reply{ok}, 200, "answer", 1, false},
+		{"no fault", "/once/", []reply{ok}, 200, "answer", 1, false},
 		{"no route", "/none/", nil, 404, "", 0, false},
 		{"unreachable, once", "/once/", []reply{unsent, ok}, 200, "answer", 2, false},
 		{"full, once", "/once/", []reply{full, ok}, 200, "answer", 2, false},
@@ -244,7 +244,7 @@
 		{"a stream with an event twice", "/stream/", []reply{{text: events(1, 2) + events(2, 3)}}, 200, events(1, 2), 1, true},
 		{"a resumable stream cut", "/resumable/", []reply{{text: events(1, 2) + "id: 3\nda", fails: true}, {text: events(3, 4)}}, 200, events(1, 4), 2, false},
 		{"a resumable stream cut, then full runners", "/resumable/", []reply{{text: events(1, 2), fails: true}, full, {text: events(3, 4)}}, 200, events(1, 4), 3, false},
-		{"a resumable stream cut, then begun anew", "/resumable/", []reply{{text: events(1, 2), fails: true}, {text: events(1, 4)}}, 200, events(1, 2), 2, true},
+		{"a resumable stream cut, then restarted", "/resumable/", []reply{{text: events(1, 2), fails: true}, {text: events(1, 4)}}, 200, events(1, 2), 2, true},
 		{"a resumable stream cut twice", "/resumable/", []reply{{text: events(1, 2), fails: true}, {text: events(3, 3), fails: true}, ok}, 200, events(1, 3), 2, true},
 		{"a resumable stream cut, then an error", "/resumable/", []reply{{text: events(1, 2), fails: true}, failing, ok}, 200, events(1, 2), 2, true},
 	} {
@@ -258,27 +258,27 @@
 				require.NotEmpty(t, header.Get("Seal"))
 			}
 			if status == http.StatusServiceUnavailable {
-				require.NotEmpty(t, header.Get("Retry-After"), "told when to come back")
+				require.NotEmpty(t, header.Get("Retry-After"), "the answer must say when to retry")
 			}
 			require.Len(t, f.sent(), c.calls)
 		})
 	}
 }
 
-func TestTheTimeLimit(t *testing.T) {
-	f := start(t, reply{silent: true})
-	began := time.Now()
+func TestTimeLimit(t *testing.T) {
+	f := start(t, reply{noAnswer: true})
+	startedAt := time.Now()
 	status, _, _, err := f.get("/once/", 300)
 	require.NoError(t, err)
-	require.Equal(t, http.StatusGatewayTimeout, status, "it may have run")
-	require.InDelta(t, 300, float64(time.Since(began).Milliseconds()), 150)
+	require.Equal(t, http.StatusGatewayTimeout, status, "the answer must say that the request may have run")
+	require.InDelta(t, 300, float64(time.Since(startedAt).Milliseconds()), 150)
 	require.LessOrEqual(t, f.sent()[0].Left, clock.Millis(300))
 	require.Greater(t, f.sent()[0].Left, clock.Millis(200))
 }
 
-// A caller leaves in the middle of a stream: the call to the runner must end, so
-// that it stops working for nobody.
-func TestACallerLeaves(t *testing.T) {
+// A caller disconnects during a stream. The call to the runner must end, so that the runner doesn't
+// continue to generate events that nobody reads.
+func TestCallerDisconnectEndsRunnerCall(t *testing.T) {
 	f := start(t, reply{text: events(1, 1), hangs: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url+"/stream/", nil)
@@ -298,18 +298,17 @@
 	}, time.Second, 5*time.Millisecond)
 }
 
-// All places are taken. A new request is refused at once and told when to come
-// back; when it comes back it isn't refused again, but waits for a place that
-// becomes free.
-func TestARequestThatCameBackWaitsForAPlace(t *testing.T) {
+// All slots are in use. A new request is refused at once, with the time after which to retry. The retry
+// isn't refused, but waits for a free slot.
+func TestRetryWaitsForSlot(t *testing.T) {
 	f := start(t, reply{text: "answer"})
 	for _, id := range []string{"a", "b", "c"} {
 		f.server.config.Exchange.Add(id, occupancy.Load{Online: 2})
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	status, _, header, _ := f.get("/once/", 1_000)
 	require.Equal(t, http.StatusServiceUnavailable, status)
-	require.Less(t, time.Since(began), 100*time.Millisecond)
+	require.Less(t, time.Since(startedAt), 100*time.Millisecond)
 	require.NotEmpty(t, header.Get("Retry-After"))
 	require.Empty(t, f.sent())
 
@@ -317,7 +316,7 @@
 		f.server.config.Exchange.Add("b", occupancy.Load{Online: -1})
 		f.server.LoadChanged()
 	})
-	f.server.learn(func(m *place.Machine) {
+	f.server.updatePlacement(func(m *place.Machine) {
 		for range 200 {
 			m.RecordHold("llm", 60)
 		}
@@ -328,22 +327,22 @@
 	require.Equal(t, "answer", text)
 }
 
-func TestAGatewayThatKnowsNothingSaysSo(t *testing.T) {
+func TestNotReadyWithoutTableAndRunners(t *testing.T) {
 	s := New(Config{Clock: clock.System(), Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry()})
-	_, refusal := s.Enter("q", "team", "/once/", "")
-	require.Equal(t, http.StatusServiceUnavailable, refusal.Status, "a 404 would say that the route doesn't exist")
+	_, refusal := s.Authorize("q", "team", "/once/", "")
+	require.Equal(t, http.StatusServiceUnavailable, refusal.Status, "404 would mean that the route doesn't exist")
 	require.False(t, s.Ready())
 	table, err := routing.New(&toucanhingev1.RoutingTable{Version: 5})
 	require.NoError(t, err)
 	s.SetTable(table)
-	require.False(t, s.Ready(), "it knows no runner yet, and would refuse what others can serve")
+	require.False(t, s.Ready(), "without runners it would refuse requests that other gateways can serve")
 	s.SetRunners(nil, 1)
 	require.True(t, s.Ready())
 }
 
-// A gateway gets an older routing table from a core VM that lags. It must not go
-// back: a route that was removed would be served again.
-func TestAnOlderTableIsNotTaken(t *testing.T) {
+// A gateway receives an older routing table from a core VM that lags. If it applied the table, a route
+// that was removed would be served again.
+func TestSetTableIgnoresOlderVersion(t *testing.T) {
 	s := New(Config{Clock: clock.System(), Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry()})
 	for _, c := range []struct{ version, want uint64 }{{5, 5}, {3, 5}, {5, 5}, {9, 9}} {
 		table, err := routing.New(&toucanhingev1.RoutingTable{Version: c.version})
@@ -353,9 +352,9 @@
 	}
 }
 
-func TestALeavingGatewayEndsItsConnections(t *testing.T) {
+func TestDrainClosesConnections(t *testing.T) {
 	f := start(t, reply{text: "answer"}, reply{text: "answer"})
-	f.server.Leave()
+	f.server.Drain()
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, f.url+"/once/", nil)
 	require.NoError(t, err)
 	response, err := f.client.Do(request)
--- a/gateway/pkg/forward/stream.go
+++ b/gateway/pkg/forward/stream.go
@@ -19,123 +19,124 @@
 )
 
 const (
-	// eventBuffer holds some events of about 100 bytes.
+	// eventBuffer has room for some events of about 100 bytes.
 	eventBuffer = 2 << 10
-	// gapShare is the part of the route's longest pause after which a stream
-	// goes on elsewhere: the rest is left for the new runner's first event.
-	gapShare = 0.6
-	// firstShare is the same part of the route's objective for the first event,
-	// counted after the wait for a place that was expected.
-	firstShare = 0.5
-	// leastGap is the shortest silence that counts. Runners make an event every
-	// 20 ms, 80 when slow, and our own processor may be busy for some tens.
-	leastGap clock.Millis = 100
+	// gapTimeoutShare is the part of the route's objective for the gap between events after which a
+	// stream continues at another runner: the rest is left for that runner's first event.
+	gapTimeoutShare = 0.6
+	// firstEventTimeoutShare is the same part of the route's objective for the first event. The time
+	// counts from the end of the expected wait for a slot.
+	firstEventTimeoutShare = 0.5
+	// minEventTimeout is the shortest time without an event after which a stream continues at another
+	// runner. Runners send an event every 20 ms, or every 80 ms when slow, and the gateway's own
+	// processor may be busy for some tens of ms.
+	minEventTimeout clock.Millis = 100
 )
 
-// stream passes events on, one by one, each whole. An event that broke off in
-// the middle never reaches the caller, so that the stream can go on at another
-// runner right after the last one.
-func (e *exchange) stream(answer *runner.Answer, silence *silenceTimer, watch *digest.Watch) error {
+// stream forwards complete events, one at a time. An event that was received in part never reaches the
+// caller, so that the stream can continue at another runner after the last complete event.
+func (e *exchange) stream(answer *runner.Answer, timer *eventTimer, watch *digest.Watch) error {
 	reader := sse.NewReader(answer.Body, eventBuffer)
 	flusher := http.NewResponseController(e.w)
 	for {
 		event, err := reader.Next()
 		if errors.Is(err, io.EOF) {
-			e.begin(answer)
+			e.sendHeader(answer)
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		silence.restart(e.longestGap())
+		timer.reset(e.gapTimeout())
 		watch.Heard()
 		if event.Numbered {
-			if e.resume && event.ID != e.after+1 {
-				return errGap
+			if e.resume && event.ID != e.lastEventID+1 {
+				return errMissingEvent
 			}
-			e.after, e.resume = event.ID, true
+			e.lastEventID, e.resume = event.ID, true
 		}
-		if e.heardAt == 0 {
-			e.heardAt = e.now()
+		if e.callFirstEventAt == 0 {
+			e.callFirstEventAt = e.now()
 		}
-		if e.firstAt == 0 {
-			e.firstAt = e.now()
+		if e.firstEventAt == 0 {
+			e.firstEventAt = e.now()
 		}
-		e.begin(answer)
+		e.sendHeader(answer)
 		e.events++
 		if _, err := e.w.Write(event.Raw); err != nil {
-			return fmt.Errorf("%w: %w", errLeft, err)
+			return fmt.Errorf("%w: %w", errCallerLeft, err)
 		}
 		if err := flusher.Flush(); err != nil {
-			return fmt.Errorf("%w: %w", errLeft, err)
+			return fmt.Errorf("%w: %w", errCallerLeft, err)
 		}
 	}
 }
 
-func (e *exchange) longestGap() clock.Millis {
-	return max(clock.Millis(gapShare*float64(e.route.GapObjectiveMs)), leastGap)
+// gapTimeout returns the maximum time between two events of a stream.
+func (e *exchange) gapTimeout() clock.Millis {
+	return max(clock.Millis(gapTimeoutShare*float64(e.route.GapObjectiveMs)), minEventTimeout)
 }
 
-func (e *exchange) longestFirst() clock.Millis {
-	return e.wait + max(clock.Millis(firstShare*float64(e.route.Objective())), leastGap)
+// firstEventTimeout returns the maximum time until the first event of a call.
+func (e *exchange) firstEventTimeout() clock.Millis {
+	return e.expectedWait + max(clock.Millis(firstEventTimeoutShare*float64(e.route.Objective())), minEventTimeout)
 }
 
-// watch breaks a call off after a silence, if the request may go on elsewhere and
-// a place is free there. A runner that can't be replaced is waited for: its
-// silence proves nothing, and in a burst it is only busy. Breaking off calls that
-// merely queued there, with no place free elsewhere, failed one request in ten at
-// three times the usual load.
-func (e *exchange) watch(breakOff func()) *silenceTimer {
-	t := &silenceTimer{}
-	if !e.route.Streams() || !e.route.Resumable || e.ran+1 >= int(e.route.MaxAttempts) {
+// startEventTimer cancels a call that sends no event in time, if the request may continue at another
+// runner that has a free slot. Without a free slot the call continues: in a burst the runner is
+// probably only busy. Canceling calls that wait in the runner's queue while no slot was free elsewhere
+// failed one request in ten at three times the usual load.
+func (e *exchange) startEventTimer(cancel func()) *eventTimer {
+	t := &eventTimer{}
+	if !e.route.Streams() || !e.route.Resumable || e.runs+1 >= int(e.route.MaxAttempts) {
 		return t
 	}
-	ask := place.Request{Service: e.service, Tried: slices.Clone(e.tried)}
-	t.arm(e.longestFirst(), func() bool {
-		choice, found := e.server.choose(ask)
-		if !found || choice.Wait > 0 || slices.Contains(ask.Tried, choice.Runner.GetId()) {
+	req := place.Request{Service: e.service, Tried: slices.Clone(e.tried)}
+	t.start(e.firstEventTimeout(), func() bool {
+		choice, found := e.server.selectRunner(req)
+		if !found || choice.Wait > 0 || slices.Contains(req.Tried, choice.Runner.GetId()) {
 			return false
 		}
-		breakOff()
+		cancel()
 		return true
 	})
 	return t
 }
 
-// silenceTimer runs out when no event comes; one that isn't armed never does.
-type silenceTimer struct {
+// eventTimer fires if no event arrives in time. A timer that wasn't started never fires.
+type eventTimer struct {
 	mu      sync.Mutex
 	timer   *time.Timer
 	stopped bool
 	fired   bool
 }
 
-// arm starts the timer. When it runs out, act says whether it broke the call off;
-// if not, it is asked again a moment later.
-func (t *silenceTimer) arm(span clock.Millis, act func() bool) {
+// start starts the timer. When it fires, it calls tryCancel, which reports whether it canceled the call;
+// if not, the timer calls it again after minEventTimeout.
+func (t *eventTimer) start(timeout clock.Millis, tryCancel func() bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.timer = time.AfterFunc(span.Duration(), func() {
+	t.timer = time.AfterFunc(timeout.Duration(), func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		if t.stopped {
 			return
 		}
-		if t.fired = act(); !t.fired {
-			t.timer.Reset(leastGap.Duration())
+		if t.fired = tryCancel(); !t.fired {
+			t.timer.Reset(minEventTimeout.Duration())
 		}
 	})
 }
 
-func (t *silenceTimer) restart(span clock.Millis) {
+func (t *eventTimer) reset(timeout clock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.timer != nil && !t.fired {
-		t.timer.Reset(span.Duration())
+		t.timer.Reset(timeout.Duration())
 	}
 }
 
-func (t *silenceTimer) stop() {
+func (t *eventTimer) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stopped = true
@@ -144,13 +145,13 @@
 	}
 }
 
-// explain names the silence as the cause of an error that it led to.
-func (t *silenceTimer) explain(ctx context.Context, err error) error {
+// resolveError returns errEventTimeout instead of an error that the timer caused.
+func (t *eventTimer) resolveError(ctx context.Context, err error) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var unsent *runner.NotSentError
 	if err != nil && t.fired && ctx.Err() == nil && !errors.As(err, &unsent) {
-		return errSilent
+		return errEventTimeout
 	}
 	return err
 }
