--- a/gateway/pkg/core/fleet_differences_test.go
+++ b/gateway/pkg/core/fleet_differences_test.go
@@ -12,43 +12,43 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// A gateway is told the fleet, then only what changed. An answer that builds on another view
-// than its own must not be laid over it: runners that are gone would get requests. It counts
-// for nothing, and the gateway asks for the whole.
-func TestDifferencesAreLaidOverTheViewTheyBuildOn(t *testing.T) {
-	var seen []*toucanhingev1.FleetView
-	used := 0
-	f := New(Config{
-		Board: board(), Name: "g", Core: control.New(control.Config{Addresses: []string{"127.0.0.1:9"}, Fresh: web.NewClient, FindLeader: control.NamedByCore}),
-		Logger: log.NewNopLogger(), Fleet: func(v *toucanhingev1.FleetView) { seen = append(seen, v) },
-		Uses: func([]*toucanhingev1.TeamUse, clock.Millis) { used++ },
+// A gateway receives the complete fleet view, then only differences. Differences to another revision than
+// its own must not be applied: runners that are gone would get requests. The gateway must discard them
+// and request the complete view.
+func TestFleetDifferencesRequireMatchingRevision(t *testing.T) {
+	var views []*toucanhingev1.FleetView
+	usageCalls := 0
+	s := New(Config{
+		Publisher: newPublisher(), Name: "g", Core: control.New(control.Config{Addresses: []string{"127.0.0.1:9"}, Fresh: web.NewClient, FindLeader: control.NamedByCore}),
+		Logger: log.NewNopLogger(), OnFleet: func(v *toucanhingev1.FleetView) { views = append(views, v) },
+		OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) { usageCalls++ },
 	})
-	tell := func(v *toucanhingev1.FleetView) bool { return f.take(&toucanhingev1.AttendResponse{Fleet: v}) }
+	apply := func(v *toucanhingev1.FleetView) bool { return s.apply(&toucanhingev1.AttendResponse{Fleet: v}) }
 	runner := func(id string, slots uint32) *toucanhingev1.Runner {
 		return &toucanhingev1.Runner{Id: id, Slots: slots}
 	}
 
-	require.True(t, tell(&toucanhingev1.FleetView{
+	require.True(t, apply(&toucanhingev1.FleetView{
 		Revision: 5, Runners: []*toucanhingev1.Runner{runner("a", 1), runner("b", 1), runner("c", 1)}, CoreAddresses: []string{"127.0.0.1:9"},
 		DigestPeers: []*toucanhingev1.DigestPeer{{Address: "10.0.0.1:1"}, {Address: "10.0.0.2:1"}},
 	}))
-	require.True(t, tell(&toucanhingev1.FleetView{
+	require.True(t, apply(&toucanhingev1.FleetView{
 		Revision: 7, Since: 5, Runners: []*toucanhingev1.Runner{runner("b", 2), runner("d", 1)}, GoneRunners: []string{"c"},
 		GonePeers: []string{"10.0.0.1:1"}, CoreAddresses: []string{"127.0.0.1:9"},
 	}))
 	var ids []string
-	for _, r := range seen[1].GetRunners() {
+	for _, r := range views[1].GetRunners() {
 		ids = append(ids, r.GetId())
 	}
 	require.Equal(t, []string{"a", "b", "d"}, ids)
-	require.EqualValues(t, 2, seen[1].GetRunners()[1].GetSlots())
-	require.Len(t, seen[1].GetDigestPeers(), 1)
-	require.EqualValues(t, 7, f.fleet.Revision())
+	require.EqualValues(t, 2, views[1].GetRunners()[1].GetSlots())
+	require.Len(t, views[1].GetDigestPeers(), 1)
+	require.EqualValues(t, 7, s.fleet.Revision())
 
-	require.False(t, tell(&toucanhingev1.FleetView{Revision: 9, Since: 6, GoneRunners: []string{"a"}}))
-	require.Len(t, seen, 2)
-	require.Zero(t, f.fleet.Revision(), "the whole is asked for")
-	require.True(t, tell(&toucanhingev1.FleetView{Revision: 9, Runners: []*toucanhingev1.Runner{runner("b", 2)}}))
-	require.Len(t, seen[2].GetRunners(), 1)
-	require.Equal(t, 1, used, "what the teams have used is taken over only at the start")
+	require.False(t, apply(&toucanhingev1.FleetView{Revision: 9, Since: 6, GoneRunners: []string{"a"}}))
+	require.Len(t, views, 2)
+	require.Zero(t, s.fleet.Revision(), "the next query must request the complete view")
+	require.True(t, apply(&toucanhingev1.FleetView{Revision: 9, Runners: []*toucanhingev1.Runner{runner("b", 2)}}))
+	require.Len(t, views[2].GetRunners(), 1)
+	require.Equal(t, 1, usageCalls, "quota usage must be applied only with the first view")
 }
--- a/gateway/pkg/core/board_test.go
+++ b/gateway/pkg/core/publisher_test.go
@@ -8,8 +8,8 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// board passes on what a follower hears.
-func board() *news.Board {
+// newPublisher returns a publisher for the updates of a subscriber.
+func newPublisher() *news.Board {
 	return news.New(news.Config{
 		Boot: clock.System(), Registerer: prometheus.NewRegistry(),
 		Uses: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
--- a/gateway/pkg/core/upstream.go
+++ b/gateway/pkg/core/upstream.go
@@ -8,87 +8,87 @@
 )
 
 const (
-	// suspectTime is how long a gateway that gave no news is passed over. The leader forgets one
-	// that is gone after four seconds; one that was frozen is asked again soon enough.
-	suspectTime clock.Millis = 3_000
-	// behindTime is the same for one whose news were too old: while there is no leader all are,
-	// and a moment after the next one begins none is any more.
-	behindTime clock.Millis = 500
-	// mostBehind is how far a gateway's news may be behind before another one is asked. Each
-	// hears something every 0.4 s. While a leader that lost power is replaced all are behind,
-	// by 1.2 s as a rule; if all turned to the next one, it would begin with a crowd.
-	mostBehind clock.Millis = 1_500
+	// failureBlockDuration is how long a gateway is blocked after a failed call. The leader removes a
+	// gateway that is gone after four seconds; one that was frozen is queried again soon enough.
+	failureBlockDuration clock.Millis = 3_000
+	// lagBlockDuration is how long a gateway is blocked because its state lagged. Without a leader all
+	// gateways lag, and shortly after the next leader starts none does.
+	lagBlockDuration clock.Millis = 500
+	// maxLag is the maximum lag of a gateway's state before another one is queried. Each gateway
+	// receives an answer every 0.4 s. While a leader that lost power is replaced, all gateways lag by
+	// about 1.2 s; if they all queried the next leader, it would start overloaded.
+	maxLag clock.Millis = 1_500
 )
 
-// upstream decides whom this gateway asks for the news of the core: a gateway before it in the
-// tree, or the leader. It answers the case that one is frozen, cut off or gone: nothing but its
-// answers tells that. It holds no goroutine, socket or clock.
+// upstream selects where this gateway queries updates of the core: a parent in the tree of gateways, or
+// the leader. It handles parents that are frozen, unreachable or gone, which only their answers show. It
+// uses no goroutine, socket or clock.
 type upstream struct {
 	self fanout.Gateway
 	tree fanout.Tree
-	// suspects are gateways that gave no news, until a moment.
-	suspects map[string]clock.Millis
-	// referred are the gateways that the leader named last, until all of them failed.
-	referred []string
-	// inVain says that those which the leader named gave none.
-	inVain bool
+	// blockedUntil is the time until which a gateway is blocked after a failure.
+	blockedUntil map[string]clock.Millis
+	// referrals are the gateways that the leader named last, until all of them have failed.
+	referrals []string
+	// referralsFailed is set if all gateways that the leader named failed.
+	referralsFailed bool
 }
 
 func newUpstream(self fanout.Gateway) *upstream {
-	return &upstream{self: self, suspects: map[string]clock.Millis{}}
+	return &upstream{self: self, blockedUntil: map[string]clock.Millis{}}
 }
 
-// setTree takes over the present fleet.
+// setTree sets the tree of the current fleet.
 func (u *upstream) setTree(t fanout.Tree) { u.tree = t }
 
-// next is the gateway to ask, empty for the leader. To insist tells the leader that those which
-// it named don't answer here.
+// next returns the address of the gateway to query, empty for the leader. With insists, the query tells
+// the leader that none of the gateways that it named answers.
 func (u *upstream) next(now clock.Millis) (gateway string, insists bool) {
-	for _, list := range [][]string{u.tree.Parents(u.self), u.referred} {
+	for _, list := range [][]string{u.tree.Parents(u.self), u.referrals} {
 		for _, address := range list {
-			if u.suspects[address] <= now {
+			if u.blockedUntil[address] <= now {
 				return address, false
 			}
 		}
 	}
-	return "", u.inVain
+	return "", u.referralsFailed
 }
 
-// refer takes over the gateways that the leader names. It has heard them a moment ago, but those
-// that gave no news here meanwhile aren't asked again: the way to them may be cut.
-func (u *upstream) refer(now clock.Millis, addresses []string) {
-	u.referred = addresses
-	u.settle(now)
+// setReferrals sets the gateways that the leader names. The leader has received calls of them recently,
+// but gateways that are blocked here aren't queried: the network to them may be cut.
+func (u *upstream) setReferrals(now clock.Millis, addresses []string) {
+	u.referrals = addresses
+	u.dropFailedReferrals(now)
 }
 
-// hasParents says whether there are gateways from which this one could hear.
+// hasParents reports whether this gateway has parents in the tree.
 func (u *upstream) hasParents() bool { return len(u.tree.Parents(u.self)) > 0 }
 
-// failed notes that a gateway gave no news, or some that are too old.
-func (u *upstream) failed(now clock.Millis, gateway string, behind bool) {
-	span := suspectTime
-	if behind {
-		span = behindTime
+// recordFailure blocks a gateway whose call failed or whose state lags too far.
+func (u *upstream) recordFailure(now clock.Millis, gateway string, lagging bool) {
+	block := failureBlockDuration
+	if lagging {
+		block = lagBlockDuration
 	}
-	for address, until := range u.suspects {
+	for address, until := range u.blockedUntil {
 		if until <= now {
-			delete(u.suspects, address)
+			delete(u.blockedUntil, address)
 		}
 	}
-	u.suspects[gateway] = now + span
-	u.settle(now)
+	u.blockedUntil[gateway] = now + block
+	u.dropFailedReferrals(now)
 }
 
-// settle gives up on the gateways that the leader named, once all of them failed.
-func (u *upstream) settle(now clock.Millis) {
-	if len(u.referred) == 0 {
+// dropFailedReferrals removes the gateways that the leader named once all of them are blocked.
+func (u *upstream) dropFailedReferrals(now clock.Millis) {
+	if len(u.referrals) == 0 {
 		return
 	}
-	if slices.ContainsFunc(u.referred, func(address string) bool { return u.suspects[address] <= now }) {
+	if slices.ContainsFunc(u.referrals, func(address string) bool { return u.blockedUntil[address] <= now }) {
 		return
 	}
-	u.referred, u.inVain = nil, true
+	u.referrals, u.referralsFailed = nil, true
 }
 
-// heard notes that whoever was asked gave news.
-func (u *upstream) heard() { u.inVain = false }
+// recordSuccess records that a query returned updates.
+func (u *upstream) recordSuccess() { u.referralsFailed = false }
--- a/gateway/pkg/core/upstream_test.go
+++ b/gateway/pkg/core/upstream_test.go
@@ -10,8 +10,8 @@
 	"toucanhinge.example/common/pkg/fanout"
 )
 
-// treeFor makes a tree in which a gateway has three parents, and lists them.
-func treeFor(t *testing.T) (u *upstream, parents []string) {
+// newUpstreamInTree returns an upstream for a gateway with three parents, and the parents.
+func newUpstreamInTree(t *testing.T) (u *upstream, parents []string) {
 	t.Helper()
 	var list []fanout.Gateway
 	for n := range 60 {
@@ -25,97 +25,97 @@
 			return u, parents
 		}
 	}
-	require.Fail(t, "all are hubs")
+	require.Fail(t, "no gateway has three parents")
 	return nil, nil
 }
 
-// The gateway from which this one hears gives no news any more; the next ones take its place one
-// after the other, at last the leader. Later the first is asked again.
-func TestWhoGivesNoNewsIsPassedOver(t *testing.T) {
-	u, parents := treeFor(t)
+// The parent of a gateway stops returning updates. The gateway must query the other parents one after the
+// other and then the leader, and the first parent again later.
+func TestUpstreamSkipsFailedGateways(t *testing.T) {
+	u, parents := newUpstreamInTree(t)
 	now := clock.Millis(1_000)
 	for _, want := range parents {
 		got, _ := u.next(now)
 		require.Equal(t, want, got)
-		u.failed(now, want, false)
+		u.recordFailure(now, want, false)
 	}
 	got, insists := u.next(now)
 	require.Empty(t, got)
-	require.False(t, insists, "the leader may know of others")
-	got, _ = u.next(now + suspectTime)
+	require.False(t, insists, "the leader may name other gateways")
+	got, _ = u.next(now + failureBlockDuration)
 	require.Equal(t, parents[0], got)
 }
 
-// The leader names gateways that it has just heard. Those that gave no news here a moment ago
-// aren't asked again, and once all have failed the leader must answer itself.
-func TestTheLeaderNamesOthersOnce(t *testing.T) {
-	u, parents := treeFor(t)
+// The leader names gateways that called it recently. Gateways that are blocked here must not be queried,
+// and once all have failed the leader must answer itself.
+func TestUpstreamInsistsWhenReferralsFail(t *testing.T) {
+	u, parents := newUpstreamInTree(t)
 	now := clock.Millis(1_000)
 	for _, p := range parents {
-		u.failed(now, p, false)
+		u.recordFailure(now, p, false)
 	}
-	u.refer(now, []string{parents[1], "10.0.1.1:7720"})
+	u.setReferrals(now, []string{parents[1], "10.0.1.1:7720"})
 	got, _ := u.next(now)
 	require.Equal(t, "10.0.1.1:7720", got)
-	u.failed(now, got, false)
+	u.recordFailure(now, got, false)
 	got, insists := u.next(now)
 	require.Empty(t, got)
 	require.True(t, insists)
-	u.refer(now, parents)
+	u.setReferrals(now, parents)
 	got, insists = u.next(now)
 	require.Empty(t, got)
 	require.True(t, insists)
-	u.heard()
+	u.recordSuccess()
 	_, insists = u.next(now)
 	require.False(t, insists)
 }
 
-// A gateway that starts knows no fleet, and is told whom to ask.
-func TestAGatewayThatStartsAsksWhomTheLeaderNames(t *testing.T) {
+// A gateway that starts has no fleet view, and must query the gateways that the leader names.
+func TestUpstreamUsesReferralsWithoutFleet(t *testing.T) {
 	u := newUpstream(fanout.Gateway{Address: "10.0.0.1:7720", DataCentre: "here"})
 	got, insists := u.next(1_000)
 	require.Empty(t, got)
 	require.False(t, insists)
-	u.refer(1_000, []string{"10.0.0.2:7720"})
+	u.setReferrals(1_000, []string{"10.0.0.2:7720"})
 	got, _ = u.next(1_000)
 	require.Equal(t, "10.0.0.2:7720", got)
-	u.heard()
+	u.recordSuccess()
 	got, _ = u.next(1_000)
 	require.Equal(t, "10.0.0.2:7720", got)
-	other, parents := treeFor(t)
+	other, parents := newUpstreamInTree(t)
 	u.tree, u.self = other.tree, other.self
 	got, _ = u.next(1_000)
-	require.Equal(t, parents[0], got, "it knows the fleet by now")
+	require.Equal(t, parents[0], got, "with a fleet view it must query its parent")
 }
 
-// All parents of a gateway gave no news, and the leader names another one, which does. The
-// gateway goes on hearing that one: asking the leader after each answer, it was sent back and
-// forth some thousand times a second.
-func TestAGatewayStaysWhereItWasSent(t *testing.T) {
-	u, parents := treeFor(t)
+// All parents of a gateway fail, and the leader names another gateway, which answers. The gateway must
+// continue with that one: a gateway that queried the leader after each answer was referred back and forth
+// some thousand times a second.
+func TestUpstreamKeepsWorkingReferral(t *testing.T) {
+	u, parents := newUpstreamInTree(t)
 	for _, p := range parents {
-		u.failed(1_000, p, false)
+		u.recordFailure(1_000, p, false)
 	}
-	u.refer(1_000, []string{"10.0.1.1:7720"})
+	u.setReferrals(1_000, []string{"10.0.1.1:7720"})
 	for range 3 {
 		got, _ := u.next(1_500)
 		require.Equal(t, "10.0.1.1:7720", got)
-		u.heard()
+		u.recordSuccess()
 	}
-	got, _ := u.next(1_000 + suspectTime)
+	got, _ := u.next(1_000 + failureBlockDuration)
 	require.Equal(t, parents[0], got)
 }
 
-// With no leader the news of all are too old. Once there is one again, the gateway hears from
-// its parents at once: if all turned to the leader for seconds, it would be late from the start.
-func TestWhoseNewsWereOldIsAskedAgainSoon(t *testing.T) {
-	u, parents := treeFor(t)
+// Without a leader the state of all gateways lags. Once there is a leader, the gateway must query its
+// parents again soon: if all gateways queried the leader for seconds, it would be overloaded at once.
+func TestUpstreamRetriesLaggingGatewaySoon(t *testing.T) {
+	u, parents := newUpstreamInTree(t)
 	now := clock.Millis(1_000)
 	for _, p := range parents {
-		u.failed(now, p, true)
+		u.recordFailure(now, p, true)
 	}
 	got, _ := u.next(now)
 	require.Empty(t, got)
-	got, _ = u.next(now + behindTime)
+	got, _ = u.next(now + lagBlockDuration)
 	require.Equal(t, parents[0], got)
 }
--- a/lab/pkg/newsfleet/gateway.go
+++ b/lab/pkg/newsfleet/gateway.go
@@ -85,9 +85,9 @@
 	})
 	mux.Handle(toucanhingev1connect.NewNewsServiceHandler(board))
 	follower := core.New(core.Config{
-		Name: g.name, DigestAddress: g.address, DataCentre: g.dataCentre, Core: newClient(g.cores), Logger: log.NewNopLogger(), Board: board,
-		Table: func(t *routing.Table) { g.table.Store(t) }, Fleet: func(v *toucanhingev1.FleetView) { g.fleet.Store(v) },
-		Uses: func([]*toucanhingev1.TeamUse, clock.Millis) {}, Boot: clock.Boot(), Heard: func(clock.Millis) {},
+		Name: g.name, DigestAddress: g.address, DataCentre: g.dataCentre, Core: newClient(g.cores), Logger: log.NewNopLogger(), Publisher: board,
+		OnTable: func(t *routing.Table) { g.table.Store(t) }, OnFleet: func(v *toucanhingev1.FleetView) { g.fleet.Store(v) },
+		OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) {}, Boot: clock.Boot(), OnFreshness: func(clock.Millis) {},
 		Seeds: func() []string { return g.cores },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
