--- a/gateway/pkg/core/publisher_test.go
+++ b/gateway/pkg/core/publisher_test.go
@@ -9,9 +9,9 @@
 )
 
 // newPublisher returns a publisher for the updates of a subscriber.
-func newPublisher() *news.Board {
+func newPublisher() *news.Publisher {
 	return news.New(news.Config{
 		Boot: clock.System(), Registerer: prometheus.NewRegistry(),
-		Uses: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
+		Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
 	})
 }
--- a/gateway/pkg/core/subscriber.go
+++ b/gateway/pkg/core/subscriber.go
@@ -53,7 +53,7 @@
 	Core   *control.Client
 	Logger log.Logger
 	// Publisher serves the received updates to other gateways.
-	Publisher *news.Board
+	Publisher *news.Publisher
 	// OnTable and OnFleet apply a new routing table and a new fleet view.
 	OnTable func(*routing.Table)
 	OnFleet func(*toucanhingev1.FleetView)
@@ -188,7 +188,7 @@
 		Name: s.config.Name, DigestAddress: s.config.DigestAddress, DataCentre: s.config.DataCentre, HaveVersion: s.tableVersion, HaveFleet: s.fleet.Revision(),
 		ReadsDifferences: true, WaitMs: uint32(maxWait.Milliseconds()), Confirm: s.config.Confirm, Insists: insists, HasParents: s.upstream.hasParents(),
 		Knows:  uint32(s.gatewayCount),
-		Passed: s.config.Publisher.Attendances(all),
+		Passed: s.config.Publisher.Subscribers(all),
 	}
 	s.reportedTo = ""
 	answer, err := call(ctx, connect.NewRequest(request))
@@ -208,7 +208,7 @@
 	}
 	asOf := s.queriedAt - clock.Millis(answer.GetBehindMs())
 	s.config.OnFreshness(asOf)
-	s.config.Publisher.Heard(asOf)
+	s.config.Publisher.SetFreshness(asOf)
 }
 
 // apply applies a new routing table and fleet view; ok is false if one of them can't be used.
--- a/gateway/pkg/news/server.go
+++ b/gateway/pkg/news/server.go
@@ -12,83 +12,83 @@
 )
 
 const (
-	// mostWait bounds how long a call may be kept waiting.
-	mostWait = 2 * time.Second
-	// mostWaiting bounds the gateways that hear from one: four times what a data centre of 256
-	// needs. One that isn't taken asks another one.
-	mostWaiting = 64
+	// maxWait limits how long a call waits for updates.
+	maxWait = 2 * time.Second
+	// maxCalls limits the concurrent calls of subscribers, to four times as many as a data centre with
+	// 256 gateways needs. A subscriber that is refused queries another gateway.
+	maxCalls = 64
 )
 
-// Outcomes under which calls are counted.
+// Outcomes of calls in the metrics.
 const (
-	outcomeNews    = "news"
+	outcomeUpdates = "news"
 	outcomeNone    = "none"
 	outcomeRefused = "refused"
 )
 
 var (
-	errNothing = errors.New("this gateway has no news, or is leaving")
-	errCrowded = errors.New("enough gateways hear from this one")
+	errNoUpdates    = errors.New("this gateway has no news, or is leaving")
+	errTooManyCalls = errors.New("enough gateways hear from this one")
 )
 
-var _ toucanhingev1connect.NewsServiceHandler = (*Board)(nil)
+var _ toucanhingev1connect.NewsServiceHandler = (*Publisher)(nil)
 
-// Attend answers with what the caller doesn't hold yet, at once if there is any. Else it waits
-// until this gateway hears from its own parent, so that all of a data centre hear at the
-// same moment that there is nothing new.
-func (b *Board) Attend(ctx context.Context, r *connect.Request[toucanhingev1.AttendRequest]) (*connect.Response[toucanhingev1.AttendResponse], error) {
-	arrived := b.config.Boot.Now()
-	if !b.enter() {
-		b.answered.WithLabelValues(outcomeRefused).Inc()
-		return nil, connect.NewError(connect.CodeResourceExhausted, errCrowded)
+// Attend returns the updates that the caller doesn't have, at once if there are any. Otherwise it waits
+// until this gateway receives an answer from its own parent, so that a new freshness point reaches all
+// gateways of a data centre without further delay.
+func (p *Publisher) Attend(ctx context.Context, r *connect.Request[toucanhingev1.AttendRequest]) (*connect.Response[toucanhingev1.AttendResponse], error) {
+	arrived := p.config.Boot.Now()
+	if !p.beginCall() {
+		p.calls.WithLabelValues(outcomeRefused).Inc()
+		return nil, connect.NewError(connect.CodeResourceExhausted, errTooManyCalls)
 	}
-	defer b.exit()
-	b.note(arrived, r.Msg)
-	pulse := b.pulse.Next()
-	answer, news := b.answer(arrived, r.Msg)
-	if !news && !b.left() {
-		timer := time.NewTimer(min(time.Duration(r.Msg.GetWaitMs())*time.Millisecond, mostWait))
+	defer p.endCall()
+	p.recordSubscribers(arrived, r.Msg)
+	changed := p.changed.Next()
+	answer, hasUpdates := p.response(arrived, r.Msg)
+	if !hasUpdates && !p.isDraining() {
+		timer := time.NewTimer(min(time.Duration(r.Msg.GetWaitMs())*time.Millisecond, maxWait))
 		defer timer.Stop()
 		select {
-		case <-pulse:
+		case <-changed:
 		case <-timer.C:
 		case <-ctx.Done():
 			return nil, connect.NewError(connect.CodeCanceled, ctx.Err())
 		}
-		answer, news = b.answer(arrived, r.Msg)
+		answer, hasUpdates = p.response(arrived, r.Msg)
 	}
 	switch {
 	case answer == nil:
-		b.answered.WithLabelValues(outcomeRefused).Inc()
-		return nil, connect.NewError(connect.CodeUnavailable, errNothing)
-	case news:
-		b.answered.WithLabelValues(outcomeNews).Inc()
+		p.calls.WithLabelValues(outcomeRefused).Inc()
+		return nil, connect.NewError(connect.CodeUnavailable, errNoUpdates)
+	case hasUpdates:
+		p.calls.WithLabelValues(outcomeUpdates).Inc()
 	default:
-		b.answered.WithLabelValues(outcomeNone).Inc()
+		p.calls.WithLabelValues(outcomeNone).Inc()
 	}
 	return connect.NewResponse(answer), nil
 }
 
-// left says whether this gateway is leaving.
-func (b *Board) left() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.leaving
+// isDraining reports whether this gateway is shutting down.
+func (p *Publisher) isDraining() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.draining
 }
 
-// enter takes a place among those who wait; exit gives it back.
-func (b *Board) enter() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.waiting >= mostWaiting {
+// beginCall counts a call, unless there are too many; endCall ends it.
+func (p *Publisher) beginCall() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.activeCalls >= maxCalls {
 		return false
 	}
-	b.waiting++
+	p.activeCalls++
 	return true
 }
 
-func (b *Board) exit() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.waiting--
+func (p *Publisher) endCall() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.activeCalls--
 }
--- a/lab/pkg/leadload/gateways.go
+++ b/lab/pkg/leadload/gateways.go
@@ -92,7 +92,7 @@
 	mux.Handle(toucanhingev1connect.NewCarryServiceHandler(carried))
 	board := news.New(news.Config{
 		Boot: clock.Boot(), Registerer: prometheus.NewRegistry(),
-		Uses: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
+		Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
 	})
 	mux.Handle(toucanhingev1connect.NewNewsServiceHandler(board))
 	follower := core.New(core.Config{
--- a/lab/pkg/newsfleet/gateway.go
+++ b/lab/pkg/newsfleet/gateway.go
@@ -81,7 +81,7 @@
 	g.table.Store(nil)
 	g.fleet.Store(nil)
 	board := news.New(news.Config{
-		Boot: clock.Boot(), Registerer: g.registry, Uses: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
+		Boot: clock.Boot(), Registerer: g.registry, Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
 	})
 	mux.Handle(toucanhingev1connect.NewNewsServiceHandler(board))
 	follower := core.New(core.Config{
