--- a/gateway/pkg/forward/authorize.go
+++ b/gateway/pkg/forward/authorize.go
@@ -87,7 +87,7 @@
 // keys are valid and will know it for a while, or needs no keys.
 func (s *Server) KeysFresh() bool {
 	table := s.table.Load()
-	return table == nil || !table.Keyed() || !s.config.KeyLease.Short(s.config.Boot.Now())
+	return table == nil || !table.Keyed() || !s.config.KeyLease.ExpiresSoon(s.config.Boot.Now())
 }
 
 // staleKeyRefusal refuses a caller whose key can't be checked, since the table was confirmed too long ago.
--- a/gateway/pkg/lease/lease.go
+++ b/gateway/pkg/lease/lease.go
@@ -1,12 +1,12 @@
-// Package lease says whether what a gateway knows of callers' keys may still be believed.
+// Package lease decides whether a gateway's state about callers' keys is still valid.
 //
-// The case that it answers: an operator takes a key away, and within a bound of some seconds
-// no gateway may let it in any more, also one that is cut off from the core, was frozen
-// or suspended, or hears an earlier leader that doesn't know of its end yet. Waiting for
-// the acknowledgement of all gateways would let one dead gateway hold up every change. So
-// each gateway has to hear again and again from a leader that a majority confirmed; the
-// time counts from when it asked, since all that was acknowledged before is in the answer.
-// A gateway that can't hear for as long as the bound would allow turns keyed requests away.
+// When an operator removes a key, no gateway may admit it after a bound of some seconds. This includes
+// gateways that are cut off from the core, were frozen or suspended, or receive updates from an earlier
+// leader that doesn't know yet that it was replaced. If a change waited for the acknowledgement of all
+// gateways, one dead gateway would block every change. Instead, each gateway must renew a lease by a
+// query that a leader answers with the confirmation of a majority. The lease runs from the time of the
+// query, since the answer contains all state that was acknowledged before. A gateway whose lease has
+// expired refuses requests with keys.
 package lease
 
 import (
@@ -16,61 +16,62 @@
 )
 
 const (
-	// spanPart is the part of the bound for which a gateway believes what it knows. The rest is
-	// kept for clocks that run at different rates.
-	spanPart = 0.9
-	// warnPart is the part of the span after which a gateway asks for no new connections. The
-	// balancer needs up to two seconds to look elsewhere.
-	warnPart = 0.4
+	// durationShare is the part of the bound for which the lease is valid. The rest allows for clocks
+	// that run at different rates.
+	durationShare = 0.9
+	// warnShare is the part of the lease's duration after which a gateway wants no new connections. The
+	// balancer needs up to two seconds to send them to another gateway.
+	warnShare = 0.4
 )
 
-// Lease is safe for concurrent use.
+// Lease records when the state about callers' keys was confirmed last. It is safe for concurrent use.
 type Lease struct {
-	span clock.Millis
-	// confirmed is the point from which on the span runs; 0 before the first confirmation.
-	confirmed atomic.Int64
+	duration clock.Millis
+	// confirmedAt is the time from which the lease runs; 0 before the first confirmation.
+	confirmedAt atomic.Int64
 }
 
-// New makes a lease that doesn't hold yet. The bound is the time after the acknowledgement of a
-// change by which no gateway may act on what was before, a span; with 0 the lease always holds.
+// New returns a lease that isn't valid yet. The bound is the maximum time after the acknowledgement of a
+// change for which a gateway may act on the previous state; with 0 the lease is always valid.
 func New(bound clock.Millis) *Lease {
-	return &Lease{span: clock.Millis(spanPart * float64(bound))}
+	return &Lease{duration: clock.Millis(durationShare * float64(bound))}
 }
 
-// Confirm notes that all that was acknowledged before a point is known here. Answers may come
-// in any order.
-func (l *Lease) Confirm(asked clock.Millis) {
+// Confirm records that all state that was acknowledged before asOf is applied. Answers may arrive in any
+// order.
+func (l *Lease) Confirm(asOf clock.Millis) {
 	for {
-		before := l.confirmed.Load()
-		if before >= int64(asked) || l.confirmed.CompareAndSwap(before, int64(asked)) {
+		before := l.confirmedAt.Load()
+		if before >= int64(asOf) || l.confirmedAt.CompareAndSwap(before, int64(asOf)) {
 			return
 		}
 	}
 }
 
-// Bounded says whether what is known must be confirmed at all.
-func (l *Lease) Bounded() bool { return l.span > 0 }
+// Bounded reports whether the lease needs confirmations.
+func (l *Lease) Bounded() bool { return l.duration > 0 }
 
-// Valid says whether what is known here may be believed.
-func (l *Lease) Valid(now clock.Millis) bool { return l.within(now, l.span) }
+// Valid reports whether the lease is valid.
+func (l *Lease) Valid(now clock.Millis) bool { return l.confirmedWithin(now, l.duration) }
 
-// Short says that the lease holds no more, or not for much longer.
-func (l *Lease) Short(now clock.Millis) bool {
-	return !l.within(now, clock.Millis(warnPart*float64(l.span)))
+// ExpiresSoon reports whether the lease has expired or will expire soon.
+func (l *Lease) ExpiresSoon(now clock.Millis) bool {
+	return !l.confirmedWithin(now, clock.Millis(warnShare*float64(l.duration)))
 }
 
-// Age is how long ago what is known here was confirmed, a span; -1 if it never was.
+// Age returns the time since the last confirmation, -1 if there was none.
 func (l *Lease) Age(now clock.Millis) clock.Millis {
-	if l.confirmed.Load() == 0 {
+	if l.confirmedAt.Load() == 0 {
 		return -1
 	}
-	return now - clock.Millis(l.confirmed.Load())
+	return now - clock.Millis(l.confirmedAt.Load())
 }
 
-func (l *Lease) within(now, span clock.Millis) bool {
+// confirmedWithin reports whether the last confirmation is younger than maxAge.
+func (l *Lease) confirmedWithin(now, maxAge clock.Millis) bool {
 	if !l.Bounded() {
 		return true
 	}
 	age := l.Age(now)
-	return age >= 0 && age < span
+	return age >= 0 && age < maxAge
 }
