--- a/gateway/pkg/jobs/service.go
+++ b/gateway/pkg/jobs/service.go
@@ -1,4 +1,4 @@
-// Package jobs hands batch jobs to the core and reads their results there.
+// Package jobs submits batch jobs to the core and reads their results.
 package jobs
 
 import (
@@ -19,25 +19,26 @@
 )
 
 const (
+	// group is the number of the core's consensus group.
 	group = 0
-	// callTime bounds a call for which the caller names no patience.
-	callTime = 3 * time.Second
-	// tryTime ends one try to hand a job in or to end one. A leader answers within
-	// some 10 ms; one that lost power answers never, and teams count on an answer
-	// within about half a second. Both calls may be repeated.
-	tryTime = 400 * time.Millisecond
-	// answerSlack is left of a caller's patience for the answer's way.
-	answerSlack = 200 * time.Millisecond
-	// quotaRetry is when a job over the quota may fit: items run for seconds.
-	quotaRetry = time.Second
+	// defaultTimeout limits a call whose caller sends no timeout.
+	defaultTimeout = 3 * time.Second
+	// attemptTimeout limits one attempt to submit or to end a job. A leader answers within about
+	// 10 ms; a leader that lost power never answers, and teams expect an answer within about half a
+	// second. Both calls may be retried.
+	attemptTimeout = 400 * time.Millisecond
+	// answerMargin is the part of a caller's timeout that is reserved for returning the answer.
+	answerMargin = 200 * time.Millisecond
+	// retryDelay is when a job that exceeds the quota may be accepted, since items run for seconds.
+	retryDelay = time.Second
 )
 
 // Reasons of refusals.
 const (
-	ReasonQuota       = "quota-used-up"
-	ReasonUnknownJob  = "unknown-job"
-	ReasonUnreachable = "core-unreachable"
-	ReasonUnknown     = "outcome-unknown"
+	ReasonQuota          = "quota-used-up"
+	ReasonUnknownJob     = "unknown-job"
+	ReasonUnreachable    = "core-unreachable"
+	ReasonOutcomeUnknown = "outcome-unknown"
 )
 
 // Config describes the service.
@@ -46,12 +47,12 @@
 	Logger log.Logger
 }
 
-// Service speaks to the core for callers.
+// Service forwards calls about jobs to the leader of the core.
 type Service struct {
 	config Config
 }
 
-// New makes the service.
+// New returns a Service.
 func New(config Config) *Service { return &Service{config: config} }
 
 // Outcome is a status without a body, or a refusal.
@@ -60,23 +61,23 @@
 	Refusal *forward.Refusal
 }
 
-// Submit hands a job in; patience is how long the caller waits, in milliseconds,
-// 0 if it doesn't say. A job of which it isn't known whether it was accepted gets
-// no promise: the caller sends it again, and it is accepted once.
-func (s *Service) Submit(ctx context.Context, route routing.Route, job *toucanhingev1.SubmitJobRequest, patience int64) Outcome {
-	span := callTime
-	if limit := time.Duration(patience) * time.Millisecond; limit > 0 {
-		span = max(limit-answerSlack, limit/2)
+// Submit submits a job. timeoutMs is how long the caller waits, 0 if it sent no timeout. If it isn't known
+// whether the job was accepted, the refusal has ReasonOutcomeUnknown; the caller submits the job again, and
+// it is accepted only once.
+func (s *Service) Submit(ctx context.Context, route routing.Route, job *toucanhingev1.SubmitJobRequest, timeoutMs int64) Outcome {
+	timeout := defaultTimeout
+	if limit := time.Duration(timeoutMs) * time.Millisecond; limit > 0 {
+		timeout = max(limit-answerMargin, limit/2)
 	}
-	ctx, cancel := context.WithTimeout(ctx, span)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	answer, err := control.Call(ctx, s.config.Core, group, "submit-job",
 		func(ctx context.Context, leader *control.Replica) (*toucanhingev1.SubmitJobResponse, error) {
-			ctx, cancel := context.WithTimeout(ctx, tryTime)
+			ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 			defer cancel()
 			return unwrap(leader.Core.SubmitJob(ctx, connect.NewRequest(job)))
 		})
-	outcome := submitted(answer.GetOutcome(), err)
+	outcome := submitOutcome(answer.GetOutcome(), err)
 	level.Info(s.config.Logger).Log(logs.KeyEvent, logs.EventJobAnswered, logs.KeyJob, job.GetJob(), "route", route.Name,
 		"items", len(job.GetItems()), "outcome", answer.GetOutcome(), "status", outcome.status(), logs.KeyError, err)
 	return outcome
@@ -89,24 +90,26 @@
 	return o.Status
 }
 
-func submitted(outcome toucanhingev1.SubmitOutcome, err error) Outcome {
+// submitOutcome returns the outcome of a submitted job for the caller.
+func submitOutcome(outcome toucanhingev1.SubmitOutcome, err error) Outcome {
 	switch {
 	case err != nil:
-		return Outcome{Refusal: &forward.Refusal{Status: http.StatusBadGateway, Reason: ReasonUnknown}}
+		return Outcome{Refusal: &forward.Refusal{Status: http.StatusBadGateway, Reason: ReasonOutcomeUnknown}}
 	case outcome == toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_ACCEPTED:
 		return Outcome{Status: http.StatusAccepted}
 	case outcome == toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_UNKNOWN_KEY:
 		return Outcome{Refusal: &forward.Refusal{Status: http.StatusUnauthorized, Reason: forward.ReasonUnknownKey}}
 	case outcome == toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_OVER_QUOTA:
-		return Outcome{Refusal: &forward.Refusal{Status: http.StatusTooManyRequests, Reason: ReasonQuota, RetryAfter: spread(quotaRetry)}}
+		return Outcome{Refusal: &forward.Refusal{Status: http.StatusTooManyRequests, Reason: ReasonQuota, RetryAfter: jitter(retryDelay)}}
 	default:
-		return Outcome{Refusal: &forward.Refusal{Status: http.StatusServiceUnavailable, Reason: forward.ReasonNoRoute, RetryAfter: spread(quotaRetry)}}
+		return Outcome{Refusal: &forward.Refusal{Status: http.StatusServiceUnavailable, Reason: forward.ReasonNoRoute, RetryAfter: jitter(retryDelay)}}
 	}
 }
 
-// spread keeps callers that were refused together from returning together.
-func spread(span time.Duration) time.Duration {
-	return span/2 + time.Duration(rand.Int64N(int64(span)))
+// jitter returns a random duration between half and one and a half times the base. It keeps callers that
+// were refused at the same time from retrying at the same time.
+func jitter(base time.Duration) time.Duration {
+	return base/2 + time.Duration(rand.Int64N(int64(base)))
 }
 
 func unwrap[T any](answer *connect.Response[T], err error) (*T, error) {
@@ -116,57 +119,58 @@
 	return answer.Msg, nil
 }
 
-// Read returns results.
+// Read returns the results of a job.
 func (s *Service) Read(ctx context.Context, request *toucanhingev1.ReadListedRequest) (*toucanhingev1.ReadListedResponse, *forward.Refusal) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, defaultTimeout)
 	defer cancel()
 	answer, err := control.Call(ctx, s.config.Core, group, "read-listed",
 		func(ctx context.Context, leader *control.Replica) (*toucanhingev1.ReadListedResponse, error) {
 			return unwrap(leader.Core.ReadListed(ctx, connect.NewRequest(request)))
 		})
-	return answer, s.unsure(request.GetJob(), answer, err)
+	return answer, s.refusalFor(request.GetJob(), answer, err)
 }
 
 // Body returns the body of an item.
 func (s *Service) Body(ctx context.Context, request *toucanhingev1.ReadBodyRequest) (*toucanhingev1.ReadBodyResponse, *forward.Refusal) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, defaultTimeout)
 	defer cancel()
 	answer, err := control.Call(ctx, s.config.Core, group, "read-body",
 		func(ctx context.Context, leader *control.Replica) (*toucanhingev1.ReadBodyResponse, error) {
 			return unwrap(leader.Core.ReadBody(ctx, connect.NewRequest(request)))
 		})
-	return answer, s.unsure(request.GetJob(), answer, err)
+	return answer, s.refusalFor(request.GetJob(), answer, err)
 }
 
-// End ends a job for a caller with a key of that hash.
+// End ends a job; key is the hash of the caller's key.
 func (s *Service) End(ctx context.Context, job string, key []byte) Outcome {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, defaultTimeout)
 	defer cancel()
 	answer, err := control.Call(ctx, s.config.Core, group, "end-job",
 		func(ctx context.Context, leader *control.Replica) (*toucanhingev1.EndJobResponse, error) {
-			ctx, cancel := context.WithTimeout(ctx, tryTime)
+			ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 			defer cancel()
 			return unwrap(leader.Core.EndJob(ctx, connect.NewRequest(&toucanhingev1.EndJobRequest{Job: job, Key: key})))
 		})
-	if refusal := s.unsure(job, answer, err); refusal != nil {
+	if refusal := s.refusalFor(job, answer, err); refusal != nil {
 		return Outcome{Refusal: refusal}
 	}
 	return Outcome{Status: http.StatusOK}
 }
 
-// finding is what the core's answers about a job have in common.
-type finding interface {
+// jobAnswer is implemented by the core's answers about a job.
+type jobAnswer interface {
 	GetFound() bool
 	GetDenied() bool
 }
 
-// unsure refuses with 503 while the core can't tell, and with 404 if it is sure
-// that the caller's team has no such job.
-func (s *Service) unsure(job string, answer finding, err error) *forward.Refusal {
+// refusalFor returns the refusal for an answer about a job, nil if there is none: 503 while the core can't
+// be reached, 401 if the key is denied, and 404 only if the core answers that the caller's team has no such
+// job.
+func (s *Service) refusalFor(job string, answer jobAnswer, err error) *forward.Refusal {
 	switch {
 	case err != nil:
 		level.Warn(s.config.Logger).Log(logs.KeyEvent, "job-unread", logs.KeyJob, job, logs.KeyError, err)
-		return &forward.Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonUnreachable, RetryAfter: spread(quotaRetry)}
+		return &forward.Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonUnreachable, RetryAfter: jitter(retryDelay)}
 	case answer.GetDenied():
 		level.Warn(s.config.Logger).Log(logs.KeyEvent, "key-denied", logs.KeyJob, job, "reason", forward.ReasonUnknownKey)
 		return &forward.Refusal{Status: http.StatusUnauthorized, Reason: forward.ReasonUnknownKey}
--- a/gateway/pkg/jobs/service_test.go
+++ b/gateway/pkg/jobs/service_test.go
@@ -20,7 +20,8 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
-// fakeCore is a VM of the core that says what a test wants.
+// fakeCore is a VM of the core whose answers a test defines. It never answers a submission if submit is
+// nil.
 type fakeCore struct {
 	toucanhingev1connect.UnimplementedCoreServiceHandler
 	submit func() (*toucanhingev1.SubmitJobResponse, error)
@@ -51,7 +52,7 @@
 	return connect.NewResponse(answer), nil
 }
 
-// serve starts fake VMs and returns a service that knows them in this order.
+// serve starts VMs of the core and returns a service that tries them in this order.
 func serve(t *testing.T, cores ...*fakeCore) *Service {
 	t.Helper()
 	var addresses []string
@@ -81,21 +82,21 @@
 	}
 }
 
-func submit(s *Service, patience int64) Outcome {
-	return s.Submit(context.Background(), routing.Route{Route: &toucanhingev1.Route{}}, &toucanhingev1.SubmitJobRequest{Job: "j"}, patience)
+func submit(s *Service, timeoutMs int64) Outcome {
+	return s.Submit(context.Background(), routing.Route{Route: &toucanhingev1.Route{}}, &toucanhingev1.SubmitJobRequest{Job: "j"}, timeoutMs)
 }
 
-// The leader loses power and answers never, without a reset. A job that comes
-// then must be answered within about half a second: it is handed to the next VM.
-func TestALeaderThatLostPowerIsPassedOver(t *testing.T) {
+// The leader loses power and never answers, without a reset. A job must still be answered within about
+// half a second, by submitting it to the next VM.
+func TestSubmitSkipsUnresponsiveLeader(t *testing.T) {
 	s := serve(t, &fakeCore{submit: accepted}, &fakeCore{})
-	began := time.Now()
+	startedAt := time.Now()
 	require.Equal(t, http.StatusAccepted, submit(s, 4_000).Status)
-	require.Less(t, time.Since(began), 700*time.Millisecond)
+	require.Less(t, time.Since(startedAt), 700*time.Millisecond)
 }
 
-// TestWhatCallersAreTold: only a sure refusal promises that nothing runs.
-func TestWhatCallersAreTold(t *testing.T) {
+// TestSubmitOutcomes checks that an answer says that the job wasn't accepted only if that is certain.
+func TestSubmitOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		submit func() (*toucanhingev1.SubmitJobResponse, error)
@@ -105,11 +106,11 @@
 	}{
 		{"accepted", accepted, http.StatusAccepted, "", false},
 		{"over the quota", outcome(toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_OVER_QUOTA), http.StatusTooManyRequests, ReasonQuota, true},
-		{"its route is gone at the core", outcome(toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_NO_ROUTE), http.StatusServiceUnavailable, "no-route", true},
-		{"the leader vanishes while it logs", func() (*toucanhingev1.SubmitJobResponse, error) {
+		{"the core has no such route", outcome(toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_NO_ROUTE), http.StatusServiceUnavailable, "no-route", true},
+		{"the leader fails while it commits the job", func() (*toucanhingev1.SubmitJobResponse, error) {
 			return nil, connect.NewError(connect.CodeUnavailable, errors.New("the outcome isn't known"))
-		}, http.StatusBadGateway, ReasonUnknown, false},
-		{"no leader", func() (*toucanhingev1.SubmitJobResponse, error) { return nil, control.NotLeader("") }, http.StatusBadGateway, ReasonUnknown, false},
+		}, http.StatusBadGateway, ReasonOutcomeUnknown, false},
+		{"no leader", func() (*toucanhingev1.SubmitJobResponse, error) { return nil, control.NotLeader("") }, http.StatusBadGateway, ReasonOutcomeUnknown, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o := submit(serve(t, &fakeCore{submit: c.submit}), 400)
@@ -122,7 +123,7 @@
 	}
 }
 
-func TestReadingAndEnding(t *testing.T) {
+func TestReadAndEnd(t *testing.T) {
 	found := false
 	s := serve(t, &fakeCore{
 		read: func() (*toucanhingev1.ReadListedResponse, error) {
@@ -141,9 +142,8 @@
 	require.Equal(t, http.StatusOK, s.End(ctx, "j", nil).status())
 }
 
-// No VM of the core answers. A job that can't be found now may exist: 404 would
-// tell its team that it was lost.
-func TestNoCoreMeansUnsure(t *testing.T) {
+// No VM of the core answers. The job may exist nevertheless: 404 would mean that it was lost.
+func TestReadWithoutCoreIsUnavailable(t *testing.T) {
 	s := serve(t, &fakeCore{
 		read: func() (*toucanhingev1.ReadListedResponse, error) { return nil, control.NotLeader("") },
 	})
