--- a/control/pkg/fleet/keeper_test.go
+++ b/control/pkg/fleet/keeper_test.go
@@ -37,7 +37,7 @@
 func newBench(t *testing.T) *bench {
 	b := &bench{t: t, now: 1_000_000, term: 1, leads: true}
 	b.machine = fleetstate.NewMachine(fleetstate.MachineConfig{Fatal: func(err error) { require.NoError(t, err) }})
-	now := clock.Of(func() clock.Millis { return b.now })
+	now := clock.FromFunc(func() clock.Millis { return b.now })
 	g := group.NewFleet(group.Group{
 		Propose: func(_ context.Context, command []byte) (any, error) {
 			b.proposals++
--- a/control/pkg/operator/handler.go
+++ b/control/pkg/operator/handler.go
@@ -52,7 +52,7 @@
 	Keeper   *fleet.Keeper
 	Replicas Replicas
 	Clock    clock.Clock
-	Book     *record.Book
+	Book     *record.Log
 	Refuser  group.Refuser
 	// LoadInterval is the time between two loads from the weight store.
 	LoadInterval clock.Millis
--- a/gateway/pkg/core/fleet_differences_test.go
+++ b/gateway/pkg/core/fleet_differences_test.go
@@ -19,7 +19,7 @@
 	var views []*toucanhingev1.FleetView
 	usageCalls := 0
 	s := New(Config{
-		Publisher: newPublisher(), Name: "g", Core: control.New(control.Config{Addresses: []string{"127.0.0.1:9"}, Fresh: web.NewClient, FindLeader: control.NamedByCore}),
+		Publisher: newPublisher(), Name: "g", Core: control.New(control.Config{Addresses: []string{"127.0.0.1:9"}, NewHTTP: web.NewClient, FindLeader: control.QueryLeader}),
 		Logger: log.NewNopLogger(), OnFleet: func(v *toucanhingev1.FleetView) { views = append(views, v) },
 		OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) { usageCalls++ },
 	})
--- a/gateway/pkg/core/freshness_test.go
+++ b/gateway/pkg/core/freshness_test.go
@@ -36,7 +36,7 @@
 	c := &confirmations{}
 	applied := &tables{}
 	s := New(Config{
-		Publisher: newPublisher(), Name: "g", Core: control.New(control.Config{Addresses: []string{core.address}, Fresh: web.NewClient, AttemptTimeout: time.Second, FindLeader: control.NamedByCore}),
+		Publisher: newPublisher(), Name: "g", Core: control.New(control.Config{Addresses: []string{core.address}, NewHTTP: web.NewClient, AttemptTimeout: time.Second, FindLeader: control.QueryLeader}),
 		Logger: log.NewNopLogger(), OnTable: applied.apply, OnFleet: func(*toucanhingev1.FleetView) {}, Seeds: func() []string { return nil },
 		OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) {},
 		Boot:    now, Confirm: true, OnFreshness: func(asOf clock.Millis) {
--- a/gateway/pkg/core/subscriber.go
+++ b/gateway/pkg/core/subscriber.go
@@ -74,7 +74,7 @@
 type Subscriber struct {
 	config       Config
 	tableVersion uint64
-	fleet        fleetview.Picture
+	fleet        fleetview.Cache
 	upstream     *upstream
 	conn         gatewayConn
 	// fleetKnown is set once a first fleet view was applied.
@@ -236,7 +236,7 @@
 		// current leader.
 		return true
 	}
-	fleet, ok := s.fleet.Take(view)
+	fleet, ok := s.fleet.Apply(view)
 	if !ok {
 		level.Error(s.config.Logger).Log(logs.KeyEvent, "fleet-unusable", "since", view.GetSince(), "revision", view.GetRevision(),
 			"reason", "the differences are to another revision than the current one; the complete view is requested")
--- a/gateway/pkg/core/subscriber_test.go
+++ b/gateway/pkg/core/subscriber_test.go
@@ -122,7 +122,7 @@
 	t.Helper()
 	applied := &tables{}
 	s := New(Config{
-		Name: "g", Publisher: newPublisher(), Core: control.New(control.Config{Addresses: known, Fresh: web.NewClient, AttemptTimeout: time.Second, FindLeader: control.NamedByCore}),
+		Name: "g", Publisher: newPublisher(), Core: control.New(control.Config{Addresses: known, NewHTTP: web.NewClient, AttemptTimeout: time.Second, FindLeader: control.QueryLeader}),
 		Logger: log.NewNopLogger(), OnTable: applied.apply, OnFleet: func(*toucanhingev1.FleetView) {}, Seeds: seeds,
 		Boot: clock.System(), OnFreshness: func(clock.Millis) {}, OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) {},
 	})
--- a/gateway/pkg/forward/authorize_test.go
+++ b/gateway/pkg/forward/authorize_test.go
@@ -27,7 +27,7 @@
 func newKeyFixture() *keyFixture {
 	f := &keyFixture{now: 100_000, keys: lease.New(5_000)}
 	f.server = New(Config{
-		Clock: clock.System(), Boot: clock.Of(func() clock.Millis { return f.now }), KeyLease: f.keys,
+		Clock: clock.System(), Boot: clock.FromFunc(func() clock.Millis { return f.now }), KeyLease: f.keys,
 		Logger: log.NewJSONLogger(&f.log), Registerer: prometheus.NewRegistry(),
 	})
 	return f
--- a/gateway/pkg/forward/crash.go
+++ b/gateway/pkg/forward/crash.go
@@ -24,13 +24,13 @@
 // arrived: otherwise a retry 70 ms after a crash would crash one more runner.
 func (e *exchange) checkQuarantine(ctx context.Context) *Refusal {
 	x := e.server.config.Exchange
-	for x.Suspects() {
-		verdict := x.Standing(e.requestFingerprint())
+	for x.HasSuspects() {
+		verdict := x.CheckRequest(e.requestFingerprint())
 		wait := (verdict.Until - e.now()).Duration()
-		switch verdict.Standing {
+		switch verdict.Status {
 		case crashes.Quarantined:
 			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonCrashes, RetryAfter: wait}
-		case crashes.Sound:
+		case crashes.Allowed:
 			return nil
 		}
 		timer := time.NewTimer(wait)
@@ -60,27 +60,27 @@
 	if e.callFirstEventAt > 0 {
 		running = e.now() - e.callFirstEventAt
 	}
-	phase := crashes.SignOf(running, e.now()-startedAt, e.route.Streams())
+	phase := crashes.PhaseOf(running, e.now()-startedAt, e.route.Streams())
 	e.server.metrics.crashes.Inc()
 	level.Info(e.server.config.Logger).Log(logs.KeyEvent, logs.EventRunnerCrashed, logs.KeyRequest, e.request.ID,
-		logs.KeyContent, e.requestFingerprint(), "runner", r.GetId(), "ran", e.runs, "running-ms", running)
+		logs.KeyFingerprint, e.requestFingerprint(), "runner", r.GetId(), "ran", e.runs, "running-ms", running)
 	if phase == crashes.Late {
 		e.recordSuccess()
 	}
-	e.server.config.Exchange.Crashed(r, e.requestFingerprint(), phase)
+	e.server.config.Exchange.ReportCrash(r, e.requestFingerprint(), phase)
 }
 
 // recordSuccess clears the suspicion of a request that ran without crashing its runner.
 func (e *exchange) recordSuccess() {
-	if x := e.server.config.Exchange; x.Suspects() {
-		x.Survived(e.requestFingerprint())
+	if x := e.server.config.Exchange; x.HasSuspects() {
+		x.RecordSuccess(e.requestFingerprint())
 	}
 }
 
 // requestFingerprint returns the fingerprint of the request, which is computed on first use.
-func (e *exchange) requestFingerprint() crashes.Content {
+func (e *exchange) requestFingerprint() crashes.Fingerprint {
 	if e.fingerprint == nil {
-		fingerprint := crashes.ContentOf(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
+		fingerprint := crashes.FingerprintOf(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
 		e.fingerprint = &fingerprint
 	}
 	return *e.fingerprint
--- a/gateway/pkg/forward/crash_test.go
+++ b/gateway/pkg/forward/crash_test.go
@@ -129,7 +129,7 @@
 	require.NoError(f.t, err)
 	server.SetTable(table)
 	server.SetRunners(known, len(f.gateways)+1)
-	x.SetRunners(len(known))
+	x.SetRunnerCount(len(known))
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		require.NoError(f.t, err)
@@ -311,7 +311,7 @@
 		require.Contains(t, got.body, ReasonBroken)
 	}
 	require.Equal(t, 20, f.ran("reset"), "each request must run at two runners")
-	require.Zero(t, f.servers[0].config.Exchange.Quarantined())
+	require.Zero(t, f.servers[0].config.Exchange.QuarantineCount())
 }
 
 // A request is quarantined by its third crash, during an attempt. The attempt that caused the crash
@@ -320,9 +320,9 @@
 func TestQuarantineDuringAttempt(t *testing.T) {
 	f := startCrashFleet(t, 1)
 	x := f.servers[0].config.Exchange
-	fingerprint := crashes.ContentOf(http.MethodPost, "team", "/stream/bad", []byte("crash"))
+	fingerprint := crashes.FingerprintOf(http.MethodPost, "team", "/stream/bad", []byte("crash"))
 	for n := range 2 {
-		x.Crashed(&toucanhingev1.Runner{Id: fmt.Sprint("earlier", n)}, fingerprint, crashes.Silent)
+		x.ReportCrash(&toucanhingev1.Runner{Id: fmt.Sprint("earlier", n)}, fingerprint, crashes.BeforeFirstEvent)
 	}
 	startedAt := time.Now()
 	delayed := f.send(0, "/stream/bad", "q1", "crash")
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -71,7 +71,7 @@
 	// callFirstEventAt is when the first event of the current call arrived, 0 before.
 	callFirstEventAt clock.Millis
 	// fingerprint identifies equal requests; it is nil until it is needed.
-	fingerprint *crashes.Content
+	fingerprint *crashes.Fingerprint
 	queued      bool
 	// expectedWait is the wait for a slot that the last placement estimated, and waited the time spent
 	// in the wait queue.
@@ -167,10 +167,10 @@
 		return e.handleCallError(parent, r, startedAt, timer.resolveError(parent, err))
 	}
 	defer func() { _ = answer.Body.Close() }()
-	if answer.Held != nil && !answer.Other {
-		e.server.config.Exchange.Observe(r.GetId(), answer.Held.All())
+	if answer.Load != nil && !answer.OtherInstance {
+		e.server.config.Exchange.Observe(r.GetId(), answer.Load.Total())
 	}
-	if answer.NotRun || answer.Other {
+	if answer.NotRun || answer.OtherInstance {
 		return e.handleNotRun(r, answer)
 	}
 	e.runs++
@@ -197,7 +197,7 @@
 	return runner.Call{
 		Runner: r, Request: e.request.ID, Method: e.request.Method, Target: e.request.Target, Host: e.request.Host,
 		Header: e.request.Header, Team: e.auth.Team.GetName(), Body: e.request.Body, Chunked: e.request.Chunked,
-		Left: max(e.deadline-e.now(), 1), Resume: e.resume, After: e.lastEventID,
+		Remaining: max(e.deadline-e.now(), 1), Resume: e.resume, After: e.lastEventID,
 	}
 }
 
@@ -208,9 +208,9 @@
 		if ctx.Err() == nil {
 			e.server.updatePlacement(func(m *place.Machine) { m.Block(r.GetId(), e.now()+unreachableBlockDuration) })
 		}
-		if unsent.Silent {
+		if unsent.Unresponsive {
 			// Otherwise each gateway would lose time with a request of its own at this runner.
-			e.server.config.Exchange.SetSilent(r.GetId(), true)
+			e.server.config.Exchange.SetUnresponsive(r.GetId(), true)
 		}
 		return e.recordRetry(r, "unreachable", err)
 	}
@@ -221,7 +221,7 @@
 // handleNotRun handles the answer of a runner that didn't run the request.
 func (e *exchange) handleNotRun(r *toucanhingev1.Runner, answer *runner.Answer) (again bool) {
 	block, reason := fullBlockDuration, "runner-full"
-	if answer.Other {
+	if answer.OtherInstance {
 		block, reason = otherInstanceBlockDuration, "other-instance"
 	}
 	e.server.updatePlacement(func(m *place.Machine) { m.Block(r.GetId(), e.now()+block) })
@@ -288,7 +288,7 @@
 	}
 	if e.fingerprint != nil {
 		// Identifies the log lines of the request's other attempts.
-		logger = log.With(logger, logs.KeyContent, *e.fingerprint)
+		logger = log.With(logger, logs.KeyFingerprint, *e.fingerprint)
 	}
 	logger.Log(logs.KeyEvent, logs.EventRequestEnded, logs.KeyRequest, e.request.ID,
 		"route", e.route.Name, "team", e.auth.Team.GetName(), "version", e.server.Version(),
--- a/gateway/pkg/forward/quota.go
+++ b/gateway/pkg/forward/quota.go
@@ -19,13 +19,13 @@
 // AcquireQuota counts a request for its team's quota, or refuses it. A request that isn't run
 // afterwards must be released with ReleaseQuota.
 func (s *Server) AcquireQuota(ctx context.Context, id string, entry *Authorization) *Refusal {
-	if !entry.Keyed || entry.Route.GetOpen() || entry.Route.Batch() || !entry.Team.Limited() || !s.config.Exchange.Limits() {
+	if !entry.Keyed || entry.Route.GetOpen() || entry.Route.Batch() || !entry.Team.Limited() || !s.config.Exchange.HasQuota() {
 		return nil
 	}
 	limit := quota.Limit{Team: entry.Team.GetName(), Rate: entry.Team.GetRate(), Burst: entry.Team.GetBurst()}
 	startedAt := s.config.Boot.Now()
 	for {
-		verdict := s.config.Exchange.LetIn(limit)
+		verdict := s.config.Exchange.AcquireQuota(limit)
 		now := s.config.Boot.Now()
 		if verdict.Admitted {
 			entry.countedAt = now
@@ -40,7 +40,7 @@
 // ReleaseQuota releases the quota of a request that was counted and never ran.
 func (s *Server) ReleaseQuota(entry Authorization) {
 	if entry.countedAt > 0 {
-		s.config.Exchange.GiveBack(entry.countedAt, entry.Team.GetName())
+		s.config.Exchange.ReleaseQuota(entry.countedAt, entry.Team.GetName())
 	}
 }
 
--- a/gateway/pkg/forward/server.go
+++ b/gateway/pkg/forward/server.go
@@ -81,7 +81,7 @@
 	factory := promauto.With(config.Registerer)
 	factory.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "toucanhinge_requests_quarantined", Help: "Quarantined requests, which no runner may run.",
-	}, func() float64 { return float64(config.Exchange.Quarantined()) })
+	}, func() float64 { return float64(config.Exchange.QuarantineCount()) })
 	return &Server{
 		config: config, placement: place.New(place.Config{DataCentre: config.DataCentre}),
 		loads: &occupancy.Cache[place.Load]{Read: runnerLoad}, retries: admission.NewRetryDetector(),
@@ -217,7 +217,7 @@
 	s.config.Exchange.View(func(t *occupancy.Table) {
 		now := s.config.Clock.Now()
 		s.loads.Refresh(now, s.runners, t)
-		choice, ok = s.placement.Select(now, req, s.loads.At)
+		choice, ok = s.placement.Select(now, req, s.loads.Get)
 	})
 	return choice, ok
 }
@@ -226,7 +226,7 @@
 func runnerLoad(now clock.Millis, id string, t *occupancy.Table) place.Load {
 	l := t.Load(id)
 	return place.Load{
-		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Silent(now, id),
+		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Unresponsive(now, id),
 	}
 }
 
--- a/gateway/pkg/forward/server_test.go
+++ b/gateway/pkg/forward/server_test.go
@@ -139,13 +139,13 @@
 	if r.status == 0 {
 		r.status = http.StatusOK
 	}
-	var load *runner.Held
+	var load *runner.Load
 	if r.load > 0 {
-		load = &runner.Held{Running: r.load}
+		load = &runner.Load{Running: r.load}
 	}
 	return &runner.Answer{
-		Held:   load,
-		Status: r.status, Header: http.Header{"Seal": {call.Runner.GetId()}}, Length: -1, NotRun: r.notRun, Other: r.otherInstance,
+		Load:   load,
+		Status: r.status, Header: http.Header{"Seal": {call.Runner.GetId()}}, Length: -1, NotRun: r.notRun, OtherInstance: r.otherInstance,
 		Body: &scriptedBody{ctx: ctx, source: strings.NewReader(r.text), reply: r},
 	}, nil
 }
@@ -272,8 +272,8 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusGatewayTimeout, status, "the answer must say that the request may have run")
 	require.InDelta(t, 300, float64(time.Since(startedAt).Milliseconds()), 150)
-	require.LessOrEqual(t, f.sent()[0].Left, clock.Millis(300))
-	require.Greater(t, f.sent()[0].Left, clock.Millis(200))
+	require.LessOrEqual(t, f.sent()[0].Remaining, clock.Millis(300))
+	require.Greater(t, f.sent()[0].Remaining, clock.Millis(200))
 }
 
 // A caller disconnects during a stream. The call to the runner must end, so that the runner doesn't
--- a/gateway/pkg/forward/stream.go
+++ b/gateway/pkg/forward/stream.go
@@ -48,7 +48,7 @@
 			return err
 		}
 		timer.reset(e.gapTimeout())
-		watch.Heard()
+		watch.RecordEvent()
 		if event.Numbered {
 			if e.resume && event.ID != e.lastEventID+1 {
 				return errMissingEvent
--- a/gateway/pkg/forward/unresponsive_test.go
+++ b/gateway/pkg/forward/unresponsive_test.go
@@ -69,7 +69,7 @@
 			require.NoError(t, err)
 			called := f.sent()[0].Runner.GetId()
 			f.server.config.Exchange.View(func(table *occupancy.Table) {
-				require.Equal(t, c.unresponsive, table.Silent(f.server.config.Clock.Now(), called))
+				require.Equal(t, c.unresponsive, table.Unresponsive(f.server.config.Clock.Now(), called))
 			})
 		})
 	}
@@ -125,13 +125,13 @@
 		{"connection refused while the process restarts", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := start(t, reply{err: &runner.NotSentError{Runner: "x", Silent: c.unresponsive, Err: errConnReset}}, reply{text: "answer"})
+			f := start(t, reply{err: &runner.NotSentError{Runner: "x", Unresponsive: c.unresponsive, Err: errConnReset}}, reply{text: "answer"})
 			status, _, _, err := f.get("/once/x", 0)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, status)
 			called := f.sent()[0].Runner.GetId()
 			f.server.config.Exchange.View(func(table *occupancy.Table) {
-				require.Equal(t, c.unresponsive, table.Silent(f.server.config.Clock.Now(), called))
+				require.Equal(t, c.unresponsive, table.Unresponsive(f.server.config.Clock.Now(), called))
 			})
 		})
 	}
--- a/gateway/pkg/jobs/service_test.go
+++ b/gateway/pkg/jobs/service_test.go
@@ -67,7 +67,7 @@
 		addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
 	}
 	return New(Config{
-		Core:   control.New(control.Config{Addresses: addresses, Fresh: web.NewClient, AttemptTimeout: time.Second}),
+		Core:   control.New(control.Config{Addresses: addresses, NewHTTP: web.NewClient, AttemptTimeout: time.Second}),
 		Logger: log.NewNopLogger(),
 	})
 }
--- a/gateway/pkg/news/publisher.go
+++ b/gateway/pkg/news/publisher.go
@@ -42,7 +42,7 @@
 	table *routing.Table
 	fleet *toucanhingev1.FleetView
 	// fleetLog has the differences between fleet views; it is nil until a subscriber needs them.
-	fleetLog *fleetview.Log
+	fleetLog *fleetview.ChangeLog
 	// freshness is the time by the boot clock up to which all state of the leader is stored here; 0
 	// before the first update.
 	freshness clock.Millis
@@ -75,7 +75,7 @@
 	defer p.mu.Unlock()
 	p.fleet = v
 	if p.fleetLog != nil {
-		p.fleetLog.Take(v)
+		p.fleetLog.Apply(v)
 	}
 }
 
@@ -128,7 +128,7 @@
 		BehindMs: uint32(max(arrived-p.freshness, 0)), Confirmed: p.config.Confirm && m.GetConfirm(), Fleet: p.fleetChanges(m.GetHaveFleet()),
 	}
 	if p.table != nil && p.table.Version > m.GetHaveVersion() {
-		answer.Table = p.table.Lean()
+		answer.Table = p.table.WithoutDocument()
 	}
 	if answer.Fleet != nil && m.GetHaveFleet() == 0 {
 		usage, known := p.config.Usage()
@@ -143,8 +143,8 @@
 		return nil
 	}
 	if p.fleetLog == nil {
-		p.fleetLog = &fleetview.Log{}
-		p.fleetLog.Take(p.fleet)
+		p.fleetLog = &fleetview.ChangeLog{}
+		p.fleetLog.Apply(p.fleet)
 	}
 	return p.fleetLog.Since(have, true)
 }
