--- a/gateway/pkg/core/board_test.go
+++ b/gateway/pkg/core/publisher_test.go
@@ -8,10 +8,10 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// board passes on what a follower hears.
-func board() *news.Board {
+// newPublisher returns a publisher for the updates of a subscriber.
+func newPublisher() *news.Publisher {
 	return news.New(news.Config{
 		Boot: clock.System(), Registerer: prometheus.NewRegistry(),
-		Uses: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
+		Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
 	})
 }
