--- a/control/pkg/fleetstate/apply.go
+++ b/control/pkg/fleetstate/apply.go
@@ -13,7 +13,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Codes that begin the reason of a refused change.
+// Codes that the reason of a refused change begins with.
 const (
 	CodeConflict  = "version-conflict"
 	CodeInvalid   = "invalid"
@@ -22,69 +22,72 @@
 	CodeNotExists = "not-found"
 )
 
-// fault is why a change is refused.
-type fault struct {
+// refusal explains why a change is refused.
+type refusal struct {
 	code string
 	text string
 }
 
-func faultOf(code, format string, args ...any) *fault {
-	return &fault{code: code, text: fmt.Sprintf(format, args...)}
+func refusalf(code, format string, args ...any) *refusal {
+	return &refusal{code: code, text: fmt.Sprintf(format, args...)}
 }
 
-// remembered is the first answer to a request id.
-type remembered struct {
-	at     clock.Millis
-	digest []byte
-	answer *toucanhingev1.ApplyResponse
+// cachedResponse is the first response to a request id. The fingerprint identifies
+// the request that it belongs to.
+type cachedResponse struct {
+	at          clock.Millis
+	fingerprint []byte
+	response    *toucanhingev1.ApplyResponse
 }
 
-// requestBook keeps first answers, oldest first.
-type requestBook struct {
-	answers map[string]remembered
-	order   []string
+// responseCache stores the first response to each request id, in order of age, oldest
+// first.
+type responseCache struct {
+	byID  map[string]cachedResponse
+	order []string
 }
 
-func (b *requestBook) add(id string, r remembered) {
-	b.answers[id] = r
-	b.order = append(b.order, id)
-	if len(b.order) > requestLimit {
-		b.forget()
+func (c *responseCache) add(id string, r cachedResponse) {
+	c.byID[id] = r
+	c.order = append(c.order, id)
+	if len(c.order) > requestLimit {
+		c.evictOldest()
 	}
 }
 
-func (b *requestBook) forget() {
-	delete(b.answers, b.order[0])
-	b.order = b.order[1:]
+func (c *responseCache) evictOldest() {
+	delete(c.byID, c.order[0])
+	c.order = c.order[1:]
 }
 
-func (b *requestBook) forgetBefore(at clock.Millis) {
-	for len(b.order) > 0 && b.answers[b.order[0]].at < at {
-		b.forget()
+func (c *responseCache) evictBefore(at clock.Millis) {
+	for len(c.order) > 0 && c.byID[c.order[0]].at < at {
+		c.evictOldest()
 	}
 }
 
-// apply accepts or refuses an operator's change. An operator who lost our
-// answer sends the same request again; without the remembered first answer the
-// resend would be refused by its own success, or undo a later change.
+// apply accepts or refuses an operator's change. An operator that lost the response
+// sends the same request again. Without the cached response, the resend would be
+// refused with a version conflict that its own first attempt caused, or would undo a
+// later change.
 func (s *State) apply(step *toucanhingev1.ApplyStep) any {
 	request := step.GetRequest()
-	digest := digestOf(request)
-	if first, known := s.requests.answers[request.GetRequestId()]; known {
-		if !bytes.Equal(first.digest, digest) {
-			return s.refuse(request, faultOf(CodeReusedID, "request id %q named another change before", request.GetRequestId()))
+	fingerprint := fingerprintOf(request)
+	if first, found := s.responses.byID[request.GetRequestId()]; found {
+		if !bytes.Equal(first.fingerprint, fingerprint) {
+			return s.refuse(request, refusalf(CodeReusedID, "request id %q named another change before", request.GetRequestId()))
 		}
 		s.counts.Resent++
-		return first.answer
+		return first.response
 	}
-	answer := s.decide(step)
-	s.requests.add(request.GetRequestId(), remembered{at: s.now, digest: digest, answer: answer})
-	return answer
+	response := s.decide(step)
+	s.responses.add(request.GetRequestId(), cachedResponse{at: s.now, fingerprint: fingerprint, response: response})
+	return response
 }
 
-func digestOf(request *toucanhingev1.ApplyRequest) []byte {
-	// The encoding of one message by one version of the library is stable, and
-	// the digest is never compared across versions for longer than a resend.
+func fingerprintOf(request *toucanhingev1.ApplyRequest) []byte {
+	// The library's encoding of a message is stable within one version of the library.
+	// Fingerprints of different versions are compared only for resends during an upgrade.
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(request)
 	if err != nil {
 		return nil
@@ -93,21 +96,21 @@
 	return sum[:16]
 }
 
-func (s *State) refuse(request *toucanhingev1.ApplyRequest, f *fault) *toucanhingev1.ApplyResponse {
+func (s *State) refuse(request *toucanhingev1.ApplyRequest, r *refusal) *toucanhingev1.ApplyResponse {
 	s.counts.Refused++
 	present := s.entries[world.Key{Kind: request.GetEntry().GetKind(), Name: request.GetEntry().GetName()}]
-	return &toucanhingev1.ApplyResponse{Entry: present, Reason: f.code + ": " + f.text}
+	return &toucanhingev1.ApplyResponse{Entry: present, Reason: r.code + ": " + r.text}
 }
 
 func (s *State) decide(step *toucanhingev1.ApplyStep) *toucanhingev1.ApplyResponse {
 	request := step.GetRequest()
-	if f := s.check(request); f != nil {
-		return s.refuse(request, f)
+	if r := s.check(request); r != nil {
+		return s.refuse(request, r)
 	}
-	asked := request.GetEntry()
+	requested := request.GetEntry()
 	entry := &toucanhingev1.Entry{
-		Kind: asked.GetKind(), Name: asked.GetName(), Removed: asked.GetRemoved(),
-		Author: request.GetAuthor(), Body: asked.GetBody(),
+		Kind: requested.GetKind(), Name: requested.GetName(), Removed: requested.GetRemoved(),
+		Author: request.GetAuthor(), Body: requested.GetBody(),
 	}
 	if entry.GetRemoved() {
 		entry.Body = nil
@@ -118,12 +121,12 @@
 	return &toucanhingev1.ApplyResponse{Accepted: true, Entry: s.put(entry)}
 }
 
-func (s *State) check(request *toucanhingev1.ApplyRequest) *fault {
-	if f := checkShape(request); f != nil {
-		return f
+func (s *State) check(request *toucanhingev1.ApplyRequest) *refusal {
+	if r := checkShape(request); r != nil {
+		return r
 	}
-	if f := s.checkVersion(request); f != nil {
-		return f
+	if r := s.checkVersion(request); r != nil {
+		return r
 	}
 	if request.GetEntry().GetRemoved() {
 		return s.checkRemoval(request.GetEntry())
@@ -131,34 +134,36 @@
 	return s.checkBody(request.GetEntry())
 }
 
-// checkVersion lets one of two changes with equal numbers win: the other sees
-// that the entry moved on, and gets what it is now.
-func (s *State) checkVersion(request *toucanhingev1.ApplyRequest) *fault {
+// checkVersion refuses a change that is based on another version than the current
+// one. Of two concurrent changes with the same base version, the first is accepted; the
+// second is refused, and its response contains the current entry.
+func (s *State) checkVersion(request *toucanhingev1.ApplyRequest) *refusal {
 	entry := request.GetEntry()
 	present, found := s.entries[world.Key{Kind: entry.GetKind(), Name: entry.GetName()}]
 	if !found {
 		if entry.GetRemoved() {
-			return faultOf(CodeNotExists, "there is no such entry to remove")
+			return refusalf(CodeNotExists, "there is no such entry to remove")
 		}
 		if request.GetBaseVersion() != 0 {
-			return faultOf(CodeConflict, "the entry does not exist, the change is based on version %d", request.GetBaseVersion())
+			return refusalf(CodeConflict, "the entry does not exist, the change is based on version %d", request.GetBaseVersion())
 		}
 		return nil
 	}
 	if present.GetRemoved() && entry.GetRemoved() {
-		return faultOf(CodeNotExists, "the entry was removed at version %d", present.GetVersion())
+		return refusalf(CodeNotExists, "the entry was removed at version %d", present.GetVersion())
 	}
 	if request.GetBaseVersion() == present.GetVersion() || (present.GetRemoved() && request.GetBaseVersion() == 0) {
 		return nil
 	}
-	return faultOf(CodeConflict, "the entry is at version %d, the change is based on %d", present.GetVersion(), request.GetBaseVersion())
+	return refusalf(CodeConflict, "the entry is at version %d, the change is based on %d", present.GetVersion(), request.GetBaseVersion())
 }
 
-// schedule spaces out what loads weights, so that a restart of all endpoints
-// can't ask more of the weight store than it gives.
-func (s *State) schedule(asked *toucanhingev1.Order, interval clock.Millis) *toucanhingev1.Order {
-	order := proto.CloneOf(asked)
-	order.NotBeforeMs = max(asked.GetNotBeforeMs(), int64(s.now))
+// schedule sets the earliest time at which an order may be carried out. Orders that load
+// weights are spaced by the interval, so that a restart of all endpoints can't exceed the
+// rate of the weight store.
+func (s *State) schedule(requested *toucanhingev1.Order, interval clock.Millis) *toucanhingev1.Order {
+	order := proto.CloneOf(requested)
+	order.NotBeforeMs = max(requested.GetNotBeforeMs(), int64(s.now))
 	if order.GetKind() == toucanhingev1.OrderKind_ORDER_KIND_SET_ROLE {
 		return order
 	}
--- a/control/pkg/fleetstate/claims.go
+++ b/control/pkg/fleetstate/claims.go
@@ -7,42 +7,44 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// settleGrace is how long after its deadline a claim that nobody settled is
-// taken for one whose holder is gone.
+// settleGrace is how long after its deadline an unsettled claim is still reported as
+// held. After that, its holder is assumed to be gone and its outcome unknown.
 const settleGrace = clock.Millis(60_000)
 
 type claimKey struct{ team, request string }
 
-// claim is one non-idempotent request that was allowed to run.
+// claim records a non-idempotent request that was allowed to run. Only the gateway that
+// sends the token holds the claim.
 type claim struct {
-	key      claimKey
-	token    string
-	deadline clock.Millis
-	state    toucanhingev1.ClaimState
-	place    int
+	key       claimKey
+	token     string
+	deadline  clock.Millis
+	state     toucanhingev1.ClaimState
+	heapIndex int
 }
 
-// claimBook finds claims by request and by age.
-type claimBook struct {
+// claimIndex finds claims by request and by deadline.
+type claimIndex struct {
 	byID  map[claimKey]*claim
 	byAge claimHeap
 }
 
-// ClaimAnswer is what a gateway may do.
-type ClaimAnswer struct {
+// ClaimResult is the result of a claim step.
+type ClaimResult struct {
 	State toucanhingev1.ClaimState
-	// Full says that nothing was recorded since too many claims are held.
+	// Full reports that the claim was not recorded because the limit of claims is reached.
 	Full bool
 }
 
-// SettleAnswer says whether the token held the claim.
-type SettleAnswer struct {
+// SettleResult reports whether a settlement was accepted, which requires the token that
+// holds the claim.
+type SettleResult struct {
 	Settled bool
 }
 
-// claim lets one try run a request. The caller of a second try, a client's
-// resend through another gateway, learns that the first holds it; the first
-// itself, when it lost our answer, gets the same answer again by its token.
+// claim allows one attempt to run a request. A second attempt, such as a client's
+// resend through another gateway, gets the state of the first. A gateway that lost the
+// response to its own claim is identified by its token and gets the same response again.
 func (s *State) claim(request *toucanhingev1.ClaimRequest) any {
 	key := claimKey{team: request.GetTeam(), request: request.GetRequestId()}
 	c := s.claims.byID[key]
@@ -51,22 +53,22 @@
 	}
 	s.counts.ClaimsRefused++
 	if c.state != toucanhingev1.ClaimState_CLAIM_STATE_HELD {
-		return ClaimAnswer{State: c.state}
+		return ClaimResult{State: c.state}
 	}
 	if c.token == request.GetToken() {
 		s.counts.ClaimsRefused--
-		return ClaimAnswer{State: toucanhingev1.ClaimState_CLAIM_STATE_GRANTED}
+		return ClaimResult{State: toucanhingev1.ClaimState_CLAIM_STATE_GRANTED}
 	}
 	if s.now > c.deadline+settleGrace {
 		c.state = toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN
 	}
-	return ClaimAnswer{State: c.state}
+	return ClaimResult{State: c.state}
 }
 
-func (s *State) grant(key claimKey, request *toucanhingev1.ClaimRequest) ClaimAnswer {
+func (s *State) grant(key claimKey, request *toucanhingev1.ClaimRequest) ClaimResult {
 	if len(s.claims.byID) >= claimLimit {
 		s.counts.ClaimsRefused++
-		return ClaimAnswer{Full: true}
+		return ClaimResult{Full: true}
 	}
 	c := &claim{
 		key: key, token: request.GetToken(), state: toucanhingev1.ClaimState_CLAIM_STATE_HELD,
@@ -75,25 +77,26 @@
 	s.claims.byID[key] = c
 	heap.Push(&s.claims.byAge, c)
 	s.counts.ClaimsGranted++
-	return ClaimAnswer{State: toucanhingev1.ClaimState_CLAIM_STATE_GRANTED}
+	return ClaimResult{State: toucanhingev1.ClaimState_CLAIM_STATE_GRANTED}
 }
 
-// settle books how a claimed request ended. Only the token that holds the claim
-// can: a gateway that thawed must not free a claim that is another's by now.
+// settle records how a claimed request ended. It requires the token that holds the
+// claim: a gateway that resumes after a long freeze must not free a claim that another
+// gateway holds by then.
 func (s *State) settle(request *toucanhingev1.SettleRequest) any {
 	c := s.claims.byID[claimKey{team: request.GetTeam(), request: request.GetRequestId()}]
 	if c == nil || c.token != request.GetToken() {
 		s.counts.SettlesRefused++
-		return SettleAnswer{}
+		return SettleResult{}
 	}
 	switch request.GetState() {
 	case toucanhingev1.ClaimState_CLAIM_STATE_UNSPECIFIED:
-		// Certainly not run. A claim that was settled as run stays so.
+		// The request was certainly not run. A claim that was already settled stays.
 		if c.state != toucanhingev1.ClaimState_CLAIM_STATE_HELD {
-			return SettleAnswer{}
+			return SettleResult{}
 		}
 		delete(s.claims.byID, c.key)
-		heap.Remove(&s.claims.byAge, c.place)
+		heap.Remove(&s.claims.byAge, c.heapIndex)
 	case toucanhingev1.ClaimState_CLAIM_STATE_RUN:
 		c.state = toucanhingev1.ClaimState_CLAIM_STATE_RUN
 	case toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN:
@@ -102,30 +105,30 @@
 		}
 	default:
 		s.counts.SettlesRefused++
-		return SettleAnswer{}
+		return SettleResult{}
 	}
-	return SettleAnswer{Settled: true}
+	return SettleResult{Settled: true}
 }
 
-// SweepAnswer says what was forgotten.
-type SweepAnswer struct {
+// SweepResult counts the claims that a sweep deleted.
+type SweepResult struct {
 	Claims int
 }
 
 func (s *State) sweep(step *toucanhingev1.FleetSweepStep) any {
-	s.requests.forgetBefore(clock.Millis(step.GetRequestsBeforeMs()))
-	var answer SweepAnswer
+	s.responses.evictBefore(clock.Millis(step.GetRequestsBeforeMs()))
+	var result SweepResult
 	for len(s.claims.byAge) > 0 && s.claims.byAge[0].deadline < clock.Millis(step.GetClaimsBeforeMs()) {
 		c := heap.Pop(&s.claims.byAge).(*claim)
 		delete(s.claims.byID, c.key)
-		answer.Claims++
+		result.Claims++
 		s.counts.ClaimsExpired++
 	}
-	return answer
+	return result
 }
 
-// Claims is how many claims are held.
-func (s *State) Claims() int {
+// ClaimCount returns the number of recorded claims.
+func (s *State) ClaimCount() int {
 	return len(s.claims.byID)
 }
 
@@ -136,17 +139,17 @@
 func (h claimHeap) Less(i, j int) bool { return h[i].deadline < h[j].deadline }
 func (h claimHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Push adds a claim; call heap.Push instead.
+// Push implements heap.Interface; call heap.Push instead.
 func (h *claimHeap) Push(x any) {
 	c := x.(*claim)
-	c.place = len(*h)
+	c.heapIndex = len(*h)
 	*h = append(*h, c)
 }
 
-// Pop removes the last claim; call heap.Pop instead.
+// Pop implements heap.Interface; call heap.Pop instead.
 func (h *claimHeap) Pop() any {
 	old := *h
 	c := old[len(old)-1]
--- a/control/pkg/fleetstate/machine.go
+++ b/control/pkg/fleetstate/machine.go
@@ -17,12 +17,12 @@
 
 // MachineConfig describes a machine.
 type MachineConfig struct {
-	// Fatal is told of a logged command that can't be read.
+	// Fatal is called when a logged command can't be decoded.
 	Fatal func(error)
 }
 
-// Machine is the state with a lock and a signal for watchers, as a consensus
-// group drives it.
+// Machine is the state machine of consensus group 0. It guards the state with a lock and
+// signals changes to watchers.
 type Machine struct {
 	config  MachineConfig
 	mu      sync.RWMutex
@@ -30,29 +30,29 @@
 	changed chan struct{}
 }
 
-// NewMachine makes a machine with the empty state.
+// NewMachine returns a machine with an empty state.
 func NewMachine(config MachineConfig) *Machine {
 	return &Machine{config: config, state: New(), changed: make(chan struct{})}
 }
 
-// Apply carries out one logged command. The answer is a []any, one for each step.
+// Apply executes one logged command. It returns a []any with one result for each step.
 func (m *Machine) Apply(_ uint64, data []byte) any {
 	command := &toucanhingev1.FleetCommand{}
 	if err := proto.Unmarshal(data, command); err != nil {
-		m.config.Fatal(fmt.Errorf("a logged command can't be read: %w", err))
+		m.config.Fatal(fmt.Errorf("decode logged command: %w", err))
 		return nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	before := m.state.version
-	answers := make([]any, 0, len(command.GetSteps()))
+	results := make([]any, 0, len(command.GetSteps()))
 	for _, step := range command.GetSteps() {
-		answers = append(answers, m.state.Step(clock.Millis(command.GetAtMs()), step))
+		results = append(results, m.state.Step(clock.Millis(command.GetAtMs()), step))
 	}
 	if m.state.version != before {
 		m.signal()
 	}
-	return answers
+	return results
 }
 
 func (m *Machine) signal() {
@@ -60,37 +60,37 @@
 	m.changed = make(chan struct{})
 }
 
-// Changed is closed at the next change of the version after this call.
+// Changed returns a channel that is closed at the next change of the version.
 func (m *Machine) Changed() <-chan struct{} {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.changed
 }
 
-// View runs a reader on the state; it must not keep or change what it finds,
-// but for entries, which are never changed in place.
+// View calls read with the state. read must not modify the state, nor retain any part of
+// it except entries, which are never modified in place.
 func (m *Machine) View(read func(*State)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	read(m.state)
 }
 
-// Checkpoint returns the whole state as the manifest.
+// Checkpoint returns the whole state, encoded as the manifest.
 func (m *Machine) Checkpoint() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	manifest, err := proto.Marshal(m.state.Save())
 	if err != nil {
-		return nil, fmt.Errorf("encode the checkpoint: %w", err)
+		return nil, fmt.Errorf("encode checkpoint: %w", err)
 	}
 	return manifest, nil
 }
 
-// Load goes back to a manifest; an empty one means the empty state.
+// Load restores the state from a manifest; an empty manifest means the empty state.
 func (m *Machine) Load(manifest []byte) error {
 	snapshot := &toucanhingev1.FleetSnapshot{}
 	if err := proto.Unmarshal(manifest, snapshot); err != nil {
-		return fmt.Errorf("decode the checkpoint: %w", err)
+		return fmt.Errorf("decode checkpoint: %w", err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,33 +99,33 @@
 	return nil
 }
 
-// Export ships a manifest, which is the whole state.
+// Export writes a manifest, which is the whole state, to w.
 func (m *Machine) Export(manifest []byte, w io.Writer) error {
 	if _, err := w.Write(manifest); err != nil {
-		return fmt.Errorf("ship the checkpoint: %w", err)
+		return fmt.Errorf("send checkpoint: %w", err)
 	}
 	return nil
 }
 
-// Import replaces the state by what Export shipped.
+// Import reads a manifest that Export wrote, and loads it.
 func (m *Machine) Import(r io.Reader) ([]byte, error) {
 	manifest, err := io.ReadAll(r)
 	if err != nil {
-		return nil, fmt.Errorf("receive the checkpoint: %w", err)
+		return nil, fmt.Errorf("receive checkpoint: %w", err)
 	}
 	return manifest, m.Load(manifest)
 }
 
-// Save writes the whole state.
+// Save returns the whole state as a snapshot.
 func (s *State) Save() *toucanhingev1.FleetSnapshot {
 	snapshot := &toucanhingev1.FleetSnapshot{
 		NowMs: int64(s.now), Version: s.version, Base: s.base, LastLoadMs: int64(s.lastLoad),
 		Entries: s.Entries(toucanhingev1.Kind_KIND_UNSPECIFIED, "", true),
 	}
-	for _, id := range s.requests.order {
-		r := s.requests.answers[id]
+	for _, id := range s.responses.order {
+		r := s.responses.byID[id]
 		snapshot.Requests = append(snapshot.Requests, &toucanhingev1.RememberedRequest{
-			Id: id, AtMs: int64(r.at), Digest: r.digest, Answer: r.answer,
+			Id: id, AtMs: int64(r.at), Digest: r.fingerprint, Answer: r.response,
 		})
 	}
 	for _, c := range s.claims.byAge {
@@ -136,7 +136,7 @@
 	return snapshot
 }
 
-// Restore makes the state that Save wrote.
+// Restore returns the state of a snapshot that Save made.
 func Restore(snapshot *toucanhingev1.FleetSnapshot) *State {
 	s := New()
 	s.now, s.lastLoad = clock.Millis(snapshot.GetNowMs()), clock.Millis(snapshot.GetLastLoadMs())
@@ -150,7 +150,7 @@
 		}
 	}
 	for _, r := range snapshot.GetRequests() {
-		s.requests.add(r.GetId(), remembered{at: clock.Millis(r.GetAtMs()), digest: r.GetDigest(), answer: r.GetAnswer()})
+		s.responses.add(r.GetId(), cachedResponse{at: clock.Millis(r.GetAtMs()), fingerprint: r.GetDigest(), response: r.GetAnswer()})
 	}
 	for _, c := range snapshot.GetClaims() {
 		key := claimKey{team: c.GetTeam(), request: c.GetRequestId()}
@@ -161,7 +161,7 @@
 	return s
 }
 
-// Members returns the members that are not forgotten, by name.
+// Members returns the members that are not removed, sorted by name.
 func (s *State) Members() []*toucanhingev1.Entry {
 	list := s.Entries(toucanhingev1.Kind_KIND_MEMBER, "", false)
 	slices.SortFunc(list, func(a, b *toucanhingev1.Entry) int { return cmp.Compare(a.GetName(), b.GetName()) })
--- a/control/pkg/fleetstate/members.go
+++ b/control/pkg/fleetstate/members.go
@@ -10,23 +10,24 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// PlatformAuthor is who drains a VM that the platform's list calls leaving.
+// PlatformAuthor is the author of the drain of a VM that the platform's list reports as
+// leaving.
 const PlatformAuthor = "platform"
 
-// MemberAnswer says whether a process is the newest of its name.
-type MemberAnswer struct {
+// MemberResult reports whether a process is the newest one of its name.
+type MemberResult struct {
 	Current bool
 	Version uint64
 }
 
-// MemberEndAnswer says whether the member was still what it was judged by.
-type MemberEndAnswer struct {
+// MemberEndResult reports whether the step changed the configuration.
+type MemberEndResult struct {
 	Changed bool
 }
 
-// Beat says what a heartbeat needs: whether a newer process of the name is
-// known, and whether the heartbeat brings anything that has to be logged.
-func (s *State) Beat(name string, m *toucanhingev1.Member) (current, changed bool) {
+// CheckHeartbeat compares a heartbeat with the member's entry. current reports that no
+// newer process of the name is known, changed that the heartbeat has to be logged.
+func (s *State) CheckHeartbeat(name string, m *toucanhingev1.Member) (current, changed bool) {
 	e, found := s.Entry(toucanhingev1.Kind_KIND_MEMBER, name)
 	if !found {
 		return true, true
@@ -37,33 +38,34 @@
 	return true, !proto.Equal(e.GetMember(), m)
 }
 
-// member registers what a process says of itself. An older process of the same
-// name, which may come back from a long freeze, changes nothing.
+// member registers a process with the state that it reports. An older process of the
+// same name, which may resume after a long freeze, changes nothing.
 func (s *State) member(step *toucanhingev1.MemberStep) any {
-	current, changed := s.Beat(step.GetName(), step.GetMember())
+	current, changed := s.CheckHeartbeat(step.GetName(), step.GetMember())
 	if changed {
 		s.put(&toucanhingev1.Entry{
 			Kind: toucanhingev1.Kind_KIND_MEMBER, Name: step.GetName(), Author: step.GetName(),
 			Body: &toucanhingev1.Entry_Member{Member: step.GetMember()},
 		})
 	}
-	return MemberAnswer{Current: current, Version: s.version}
+	return MemberResult{Current: current, Version: s.version}
 }
 
-// memberEnd books a lease that ran out. It names the incarnation that was
-// judged, so that a process which came back in between isn't ended by it.
+// memberEnd marks a member whose lease expired as dead, or removes a dead member. The
+// step names the incarnation that the leader checked, so that it doesn't apply to a
+// process that has registered since.
 func (s *State) memberEnd(step *toucanhingev1.MemberEndStep) any {
 	e, found := s.Entry(toucanhingev1.Kind_KIND_MEMBER, step.GetName())
 	if !found || e.GetMember().GetIncarnation() != step.GetIncarnation() {
-		return MemberEndAnswer{}
+		return MemberEndResult{}
 	}
 	dead := e.GetMember().GetState() == toucanhingev1.MemberState_MEMBER_STATE_DEAD
 	switch {
 	case step.GetForget() && dead:
-		// Its order stays: an accepted change never reverts, and the endpoint may
-		// come back under its name after a long repair.
+		// The order to the endpoint stays: an accepted change is never reverted, and the
+		// endpoint may return under its name after a long repair.
 		s.remove(e)
-		return MemberEndAnswer{Changed: true}
+		return MemberEndResult{Changed: true}
 	case !step.GetForget() && !dead:
 		member := proto.CloneOf(e.GetMember())
 		member.State = toucanhingev1.MemberState_MEMBER_STATE_DEAD
@@ -72,9 +74,9 @@
 			Body: &toucanhingev1.Entry_Member{Member: member},
 		})
 		s.counts.MembersDead++
-		return MemberEndAnswer{Changed: true}
+		return MemberEndResult{Changed: true}
 	default:
-		return MemberEndAnswer{}
+		return MemberEndResult{}
 	}
 }
 
@@ -82,8 +84,8 @@
 	s.put(&toucanhingev1.Entry{Kind: e.GetKind(), Name: e.GetName(), Author: e.GetAuthor(), Removed: true})
 }
 
-// platformDrain books what the platform's list says of a VM. Operators' own
-// drains are left alone.
+// platformDrain drains a VM that the platform's list reports as leaving, or ends the
+// drain. Drains that operators created are not changed.
 func (s *State) platformDrain(step *toucanhingev1.PlatformDrainStep) any {
 	key := world.Key{Kind: toucanhingev1.Kind_KIND_DRAIN, Name: step.GetVm()}
 	e := s.entries[key]
@@ -91,20 +93,21 @@
 	switch {
 	case step.GetGone() && present && e.GetAuthor() == PlatformAuthor:
 		s.remove(e)
-		return MemberEndAnswer{Changed: true}
+		return MemberEndResult{Changed: true}
 	case !step.GetGone() && !present:
 		s.put(&toucanhingev1.Entry{
 			Kind: key.Kind, Name: key.Name, Author: PlatformAuthor,
 			Body: &toucanhingev1.Entry_Drain{Drain: &toucanhingev1.Drain{Reason: "the platform's list calls this VM leaving"}},
 		})
-		return MemberEndAnswer{Changed: true}
+		return MemberEndResult{Changed: true}
 	default:
-		return MemberEndAnswer{}
+		return MemberEndResult{}
 	}
 }
 
-// Restricted returns the contracts for a service that name data centres.
-func (s *State) Restricted(service string) []*toucanhingev1.Contract {
+// RestrictedContracts returns the contracts for a service that are limited to some data
+// centres, sorted by team.
+func (s *State) RestrictedContracts(service string) []*toucanhingev1.Contract {
 	var list []*toucanhingev1.Contract
 	for key, e := range s.entries {
 		c := e.GetContract()
@@ -116,7 +119,7 @@
 	return list
 }
 
-// AllowsBatch says whether a contract lets a team's batch jobs use a service.
+// AllowsBatch reports whether a contract lets a team's batch jobs use a service.
 func (s *State) AllowsBatch(team, service string) bool {
 	for key, e := range s.entries {
 		c := e.GetContract()
--- a/control/pkg/fleetstate/order_kept_test.go
+++ b/control/pkg/fleetstate/order_test.go
@@ -9,10 +9,10 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// An endpoint's VM is away for longer than dead members stay listed, then comes
-// back under its name. The operator's order must still be in force: forgetting
-// it with the member would undo an accepted change without anybody asking.
-func TestAnOrderOutlivesItsForgottenEndpoint(t *testing.T) {
+// TestOrderOutlivesForgottenEndpoint removes a dead endpoint, which then registers again
+// under its name. The operator's order must still apply: removing it together with the
+// member would revert an accepted change.
+func TestOrderOutlivesForgottenEndpoint(t *testing.T) {
 	m := NewMachine(MachineConfig{Fatal: func(err error) { require.NoError(t, err) }})
 	step := func(s *toucanhingev1.FleetStep) any {
 		command, err := proto.Marshal(&toucanhingev1.FleetCommand{AtMs: 1_000, Steps: []*toucanhingev1.FleetStep{s}})
@@ -41,8 +41,8 @@
 		Apply: &toucanhingev1.ApplyStep{Request: &toucanhingev1.ApplyRequest{RequestId: "r", Entry: order}},
 	}}).(*toucanhingev1.ApplyResponse)
 	require.True(t, applied.GetAccepted(), applied.GetReason())
-	require.True(t, step(end(false)).(MemberEndAnswer).Changed)
-	require.True(t, step(end(true)).(MemberEndAnswer).Changed)
+	require.True(t, step(end(false)).(MemberEndResult).Changed)
+	require.True(t, step(end(true)).(MemberEndResult).Changed)
 	step(beat)
 	m.View(func(s *State) {
 		_, found := s.Entry(toucanhingev1.Kind_KIND_ORDER, "runner-1")
--- a/control/pkg/fleetstate/state.go
+++ b/control/pkg/fleetstate/state.go
@@ -1,7 +1,7 @@
-// Package fleetstate is the state of consensus group 0: the configuration, the
-// members, the orders to engines, and the claims of non-idempotent requests. It
-// is a deterministic machine that every replica steps through the same
-// commands; it knows no time but the one that commands carry.
+// Package fleetstate is the state machine of consensus group 0: the configuration, the
+// members, the orders to engines, and the claims of non-idempotent requests. It is
+// deterministic: every replica applies the same commands, and the only time it uses is
+// the one that the commands carry.
 package fleetstate
 
 import (
@@ -12,34 +12,34 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Bounds of what is remembered. They are the same on every replica.
+// Limits of the state. They must be the same on every replica.
 const (
-	// historyLimit is how many changes back a delta reaches; a watcher that is
-	// further behind gets the whole.
+	// historyLimit is the number of changes that a delta can cover. A watcher that lacks
+	// more gets the whole configuration.
 	historyLimit = 4096
-	// requestLimit is how many operators' answers are kept for resends.
+	// requestLimit is the number of responses to operators that are cached for resends.
 	requestLimit = 10_000
-	// claimLimit is how many claims are kept; a claim beyond it is refused, since
-	// forgetting an unexpired one could let a request run twice.
+	// claimLimit is the number of claims that are stored. Further claims are refused,
+	// because evicting an unexpired claim could let a request run twice.
 	claimLimit = 1_000_000
 )
 
-// State is all of group 0.
+// State is the replicated state of group 0.
 type State struct {
 	now     clock.Millis
 	version uint64
 	entries map[world.Key]*toucanhingev1.Entry
 	// recent holds the keys changed at base+1, base+2, …, version.
-	recent   []world.Key
-	base     uint64
-	requests requestBook
-	claims   claimBook
-	lastLoad clock.Millis
-	counts   Counts
+	recent    []world.Key
+	base      uint64
+	responses responseCache
+	claims    claimIndex
+	lastLoad  clock.Millis
+	counts    Counts
 }
 
-// Counts are what happened since the process started, for metrics; they are no
-// part of the replicated state.
+// Counts are event counts since the process started, for metrics. They are not part of
+// the replicated state.
 type Counts struct {
 	Applied, Resent, Refused      uint64
 	ClaimsGranted, ClaimsRefused  uint64
@@ -47,16 +47,16 @@
 	MembersDead                   uint64
 }
 
-// New makes an empty state.
+// New returns an empty state.
 func New() *State {
 	return &State{
-		entries:  map[world.Key]*toucanhingev1.Entry{},
-		requests: requestBook{answers: map[string]remembered{}},
-		claims:   claimBook{byID: map[claimKey]*claim{}},
+		entries:   map[world.Key]*toucanhingev1.Entry{},
+		responses: responseCache{byID: map[string]cachedResponse{}},
+		claims:    claimIndex{byID: map[claimKey]*claim{}},
 	}
 }
 
-// Step carries out one step of a command and returns its typed answer.
+// Step executes one step of a command and returns its typed result.
 func (s *State) Step(at clock.Millis, step *toucanhingev1.FleetStep) any {
 	s.now = max(s.now, at)
 	switch t := step.GetStep().(type) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// put makes an entry the newest version of its object.
+// put stores an entry under the next configuration version.
 func (s *State) put(e *toucanhingev1.Entry) *toucanhingev1.Entry {
 	s.version++
 	e.Version = s.version
@@ -88,13 +88,14 @@
 	s.entries[key] = e
 	s.recent = append(s.recent, key)
 	if len(s.recent) > historyLimit {
-		s.forgetHistory(historyLimit / 2)
+		s.truncateHistory(historyLimit / 2)
 	}
 	return e
 }
 
-// forgetHistory shortens the history and the tombstones that only deltas need.
-func (s *State) forgetHistory(keep int) {
+// truncateHistory drops all but the newest changes from the history, with the tombstones
+// of removed entries, which only deltas need.
+func (s *State) truncateHistory(keep int) {
 	drop := len(s.recent) - keep
 	for i, key := range s.recent[:drop] {
 		if e := s.entries[key]; e != nil && e.GetRemoved() && e.GetVersion() == s.base+uint64(i)+1 {
@@ -105,12 +106,12 @@
 	s.base += uint64(drop)
 }
 
-// Version is the configuration version; it grows with each change.
+// Version returns the configuration version, which grows with each change.
 func (s *State) Version() uint64 {
 	return s.version
 }
 
-// Entry looks a present entry up.
+// Entry returns an entry that exists and is not removed.
 func (s *State) Entry(kind toucanhingev1.Kind, name string) (*toucanhingev1.Entry, bool) {
 	e, found := s.entries[world.Key{Kind: kind, Name: name}]
 	if !found || e.GetRemoved() {
@@ -119,8 +120,8 @@
 	return e, true
 }
 
-// Entries returns the entries of a kind and name, any when unspecified or
-// empty, in order of kind and name. They are shared: don't change them.
+// Entries returns the entries of a kind and name, sorted by both. An unspecified kind or
+// an empty name matches all. The entries are shared and must not be modified.
 func (s *State) Entries(kind toucanhingev1.Kind, name string, withRemoved bool) []*toucanhingev1.Entry {
 	var list []*toucanhingev1.Entry
 	for key, e := range s.entries {
@@ -135,8 +136,8 @@
 	return list
 }
 
-// Delta returns what a watcher that has version after in force lacks: the
-// changed entries, or all present ones when the history doesn't reach back.
+// Delta returns the update for a watcher that has applied version after: the entries
+// changed since then, or all entries if the history doesn't reach back that far.
 func (s *State) Delta(after uint64) *toucanhingev1.WatchResponse {
 	response := &toucanhingev1.WatchResponse{Version: s.version}
 	if after >= s.version {
@@ -155,17 +156,17 @@
 	return response
 }
 
-// Fleet is the present configuration with its look-ups.
+// Fleet returns the current configuration with its look-up methods.
 func (s *State) Fleet() *world.Fleet {
 	return world.Empty().With(s.version, true, s.Entries(toucanhingev1.Kind_KIND_UNSPECIFIED, "", false))
 }
 
-// Counts returns what happened since the process started.
+// Counts returns the event counts since the process started.
 func (s *State) Counts() Counts {
 	return s.counts
 }
 
-// Now is the newest time that a command carried.
+// Now returns the latest time that a command carried.
 func (s *State) Now() clock.Millis {
 	return s.now
 }
--- a/control/pkg/fleetstate/validate.go
+++ b/control/pkg/fleetstate/validate.go
@@ -8,13 +8,13 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Bounds of what operators may write.
+// Limits of the values that operators may set.
 const (
-	longestID        = 128
-	longestText      = 1024
-	mostItemAttempts = 20
-	mostWeight       = 1000
-	hundredPercent   = 100
+	maxIDBytes      = 128
+	maxTextBytes    = 1024
+	maxItemAttempts = 20
+	maxWeight       = 1000
+	maxPercent      = 100
 )
 
 var (
@@ -23,17 +23,17 @@
 	hashPattern   = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// checkShape judges what needs no look at other entries.
-func checkShape(request *toucanhingev1.ApplyRequest) *fault {
+// checkShape checks a request without regard to other entries.
+func checkShape(request *toucanhingev1.ApplyRequest) *refusal {
 	entry := request.GetEntry()
-	if id := request.GetRequestId(); id == "" || len(id) > longestID {
-		return faultOf(CodeInvalid, "request_id: want 1 to %d bytes", longestID)
+	if id := request.GetRequestId(); id == "" || len(id) > maxIDBytes {
+		return refusalf(CodeInvalid, "request_id: want 1 to %d bytes", maxIDBytes)
 	}
 	if entry == nil {
-		return faultOf(CodeInvalid, "entry: missing")
+		return refusalf(CodeInvalid, "entry: missing")
 	}
-	if len(request.GetAuthor()) > longestText {
-		return faultOf(CodeInvalid, "author: longer than %d bytes", longestText)
+	if len(request.GetAuthor()) > maxTextBytes {
+		return refusalf(CodeInvalid, "author: longer than %d bytes", maxTextBytes)
 	}
 	pattern := namePattern
 	switch entry.GetKind() {
@@ -41,10 +41,10 @@
 		pattern = memberPattern
 	}
 	if !pattern.MatchString(entry.GetName()) {
-		return faultOf(CodeInvalid, "name: %q does not match %s", entry.GetName(), pattern)
+		return refusalf(CodeInvalid, "name: %q does not match %s", entry.GetName(), pattern)
 	}
 	if !entry.GetRemoved() && entry.GetKind() != kindOfBody(entry) {
-		return faultOf(CodeInvalid, "body: it does not fit the kind %s", entry.GetKind())
+		return refusalf(CodeInvalid, "body: it does not fit the kind %s", entry.GetKind())
 	}
 	return nil
 }
@@ -68,12 +68,12 @@
 	case *toucanhingev1.Entry_Drain:
 		return toucanhingev1.Kind_KIND_DRAIN
 	default:
-		// Unspecified with the unspecified kind must not pass as a match.
+		// KIND_UNSPECIFIED would match an entry that has neither a kind nor a body.
 		return -1
 	}
 }
 
-func (s *State) checkBody(entry *toucanhingev1.Entry) *fault {
+func (s *State) checkBody(entry *toucanhingev1.Entry) *refusal {
 	switch entry.GetKind() {
 	case toucanhingev1.Kind_KIND_DATA_CENTRE:
 		return checkText("region", entry.GetDataCentre().GetRegion())
@@ -90,13 +90,13 @@
 	case toucanhingev1.Kind_KIND_DRAIN:
 		return s.checkDrain(entry.GetName(), entry.GetDrain())
 	default:
-		return faultOf(CodeInvalid, "kind: members register themselves by heartbeats")
+		return refusalf(CodeInvalid, "kind: members register themselves by heartbeats")
 	}
 }
 
-func checkText(key, text string) *fault {
-	if len(text) > longestText {
-		return faultOf(CodeInvalid, "%s: longer than %d bytes", key, longestText)
+func checkText(key, text string) *refusal {
+	if len(text) > maxTextBytes {
+		return refusalf(CodeInvalid, "%s: longer than %d bytes", key, maxTextBytes)
 	}
 	return nil
 }
@@ -106,41 +106,41 @@
 	return found
 }
 
-func (s *State) checkLink(name string, l *toucanhingev1.Link) *fault {
+func (s *State) checkLink(name string, l *toucanhingev1.Link) *refusal {
 	if l.GetFrom() == l.GetTo() {
-		return faultOf(CodeInvalid, "link: from and to are both %q", l.GetFrom())
+		return refusalf(CodeInvalid, "link: from and to are both %q", l.GetFrom())
 	}
 	for _, end := range []string{l.GetFrom(), l.GetTo()} {
 		if !s.has(toucanhingev1.Kind_KIND_DATA_CENTRE, end) {
-			return faultOf(CodeInvalid, "link: there is no data centre %q", end)
+			return refusalf(CodeInvalid, "link: there is no data centre %q", end)
 		}
 	}
 	for _, e := range s.Entries(toucanhingev1.Kind_KIND_LINK, "", false) {
 		o := e.GetLink()
 		same := (o.GetFrom() == l.GetFrom() && o.GetTo() == l.GetTo()) || (o.GetFrom() == l.GetTo() && o.GetTo() == l.GetFrom())
 		if same && e.GetName() != name {
-			return faultOf(CodeInvalid, "link: %q joins the same data centres", e.GetName())
+			return refusalf(CodeInvalid, "link: %q joins the same data centres", e.GetName())
 		}
 	}
 	return nil
 }
 
-func (s *State) checkService(name string, v *toucanhingev1.Service) *fault {
+func (s *State) checkService(name string, v *toucanhingev1.Service) *refusal {
 	switch {
 	case v.GetKind() == toucanhingev1.ServiceKind_SERVICE_KIND_UNSPECIFIED:
-		return faultOf(CodeInvalid, "service: the kind is missing, want model or plain")
+		return refusalf(CodeInvalid, "service: the kind is missing, want model or plain")
 	case v.GetKind() == toucanhingev1.ServiceKind_SERVICE_KIND_MODEL && v.GetModel() == "":
-		return faultOf(CodeInvalid, "service: the model name is missing")
+		return refusalf(CodeInvalid, "service: the model name is missing")
 	case v.GetKind() == toucanhingev1.ServiceKind_SERVICE_KIND_PLAIN && v.GetModel() != "":
-		return faultOf(CodeInvalid, "service: a plain service has no model")
-	case v.GetOlderPercent() > hundredPercent:
-		return faultOf(CodeInvalid, "service: older_percent %d is not within 0 to 100", v.GetOlderPercent())
-	case v.GetBatchWeight() > hundredPercent:
-		return faultOf(CodeInvalid, "service: batch_weight %d is not within 0 to 100", v.GetBatchWeight())
-	case v.GetItemAttempts() > mostItemAttempts:
-		return faultOf(CodeInvalid, "service: item_attempts %d is above %d", v.GetItemAttempts(), mostItemAttempts)
+		return refusalf(CodeInvalid, "service: a plain service has no model")
+	case v.GetOlderPercent() > maxPercent:
+		return refusalf(CodeInvalid, "service: older_percent %d is not within 0 to 100", v.GetOlderPercent())
+	case v.GetBatchWeight() > maxPercent:
+		return refusalf(CodeInvalid, "service: batch_weight %d is not within 0 to 100", v.GetBatchWeight())
+	case v.GetItemAttempts() > maxItemAttempts:
+		return refusalf(CodeInvalid, "service: item_attempts %d is above %d", v.GetItemAttempts(), maxItemAttempts)
 	case v.GetOlderPercent() > 0 && v.GetOlderUrl() == "":
-		return faultOf(CodeInvalid, "service: older_percent needs an older_url")
+		return refusalf(CodeInvalid, "service: older_percent needs an older_url")
 	}
 	if f := checkURL(v.GetOlderUrl()); f != nil {
 		return f
@@ -148,40 +148,40 @@
 	return s.checkModelFree(name, v)
 }
 
-func checkURL(text string) *fault {
+func checkURL(text string) *refusal {
 	if text == "" {
 		return nil
 	}
 	u, err := url.Parse(text)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-		return faultOf(CodeInvalid, "service: older_url %q is no http URL", text)
+		return refusalf(CodeInvalid, "service: older_url %q is no http URL", text)
 	}
 	return nil
 }
 
-func (s *State) checkModelFree(name string, v *toucanhingev1.Service) *fault {
+func (s *State) checkModelFree(name string, v *toucanhingev1.Service) *refusal {
 	for _, e := range s.Entries(toucanhingev1.Kind_KIND_SERVICE, "", false) {
 		if v.GetModel() != "" && e.GetName() != name && e.GetService().GetModel() == v.GetModel() {
-			return faultOf(CodeInvalid, "service: model %q belongs to service %q", v.GetModel(), e.GetName())
+			return refusalf(CodeInvalid, "service: model %q belongs to service %q", v.GetModel(), e.GetName())
 		}
 	}
 	return nil
 }
 
-func (s *State) checkTeam(name string, d *toucanhingev1.TeamRecord) *fault {
+func (s *State) checkTeam(name string, d *toucanhingev1.TeamRecord) *refusal {
 	if d.GetRate() < 0 || math.IsNaN(d.GetRate()) || math.IsInf(d.GetRate(), 0) {
-		return faultOf(CodeInvalid, "team: rate %v is no rate", d.GetRate())
+		return refusalf(CodeInvalid, "team: rate %v is no rate", d.GetRate())
 	}
-	if d.GetWeight() > mostWeight {
-		return faultOf(CodeInvalid, "team: weight %d is above %d", d.GetWeight(), mostWeight)
+	if d.GetWeight() > maxWeight {
+		return refusalf(CodeInvalid, "team: weight %d is above %d", d.GetWeight(), maxWeight)
 	}
 	taken := s.keyOwners(name)
 	for _, hash := range d.GetKeyHashes() {
 		if !hashPattern.MatchString(hash) {
-			return faultOf(CodeInvalid, "team: a key hash is not 64 digits of lower-case hex")
+			return refusalf(CodeInvalid, "team: a key hash is not 64 digits of lower-case hex")
 		}
 		if owner, found := taken[hash]; found {
-			return faultOf(CodeInvalid, "team: a key belongs to team %q too", owner)
+			return refusalf(CodeInvalid, "team: a key belongs to team %q too", owner)
 		}
 		taken[hash] = name
 	}
@@ -201,34 +201,34 @@
 	return owners
 }
 
-func (s *State) checkContract(name string, c *toucanhingev1.Contract) *fault {
+func (s *State) checkContract(name string, c *toucanhingev1.Contract) *refusal {
 	if !s.has(toucanhingev1.Kind_KIND_TEAM, c.GetTeam()) {
-		return faultOf(CodeInvalid, "contract: there is no team %q", c.GetTeam())
+		return refusalf(CodeInvalid, "contract: there is no team %q", c.GetTeam())
 	}
 	if !s.has(toucanhingev1.Kind_KIND_SERVICE, c.GetService()) {
-		return faultOf(CodeInvalid, "contract: there is no service %q", c.GetService())
+		return refusalf(CodeInvalid, "contract: there is no service %q", c.GetService())
 	}
 	for _, d := range c.GetDataCentres() {
 		if !s.has(toucanhingev1.Kind_KIND_DATA_CENTRE, d) {
-			return faultOf(CodeInvalid, "contract: there is no data centre %q", d)
+			return refusalf(CodeInvalid, "contract: there is no data centre %q", d)
 		}
 	}
 	for _, e := range s.Entries(toucanhingev1.Kind_KIND_CONTRACT, "", false) {
 		o := e.GetContract()
 		if e.GetName() != name && o.GetTeam() == c.GetTeam() && o.GetService() == c.GetService() {
-			return faultOf(CodeInvalid, "contract: %q already joins this team and service", e.GetName())
+			return refusalf(CodeInvalid, "contract: %q already joins this team and service", e.GetName())
 		}
 	}
 	return nil
 }
 
-func (s *State) checkOrder(name string, o *toucanhingev1.Order) *fault {
+func (s *State) checkOrder(name string, o *toucanhingev1.Order) *refusal {
 	if o.GetEndpoint() != name {
-		return faultOf(CodeInvalid, "order: its name must be its endpoint's, %q", o.GetEndpoint())
+		return refusalf(CodeInvalid, "order: its name must be its endpoint's, %q", o.GetEndpoint())
 	}
 	e, found := s.Entry(toucanhingev1.Kind_KIND_MEMBER, name)
 	if !found || e.GetMember().GetRole() != toucanhingev1.Role_ROLE_SIDECAR {
-		return faultOf(CodeInvalid, "order: there is no endpoint %q", name)
+		return refusalf(CodeInvalid, "order: there is no endpoint %q", name)
 	}
 	needed := map[toucanhingev1.OrderKind]string{
 		toucanhingev1.OrderKind_ORDER_KIND_LOAD_MODEL:   o.GetModel(),
@@ -237,26 +237,26 @@
 		toucanhingev1.OrderKind_ORDER_KIND_SET_ROLE:     o.GetEngineRole(),
 	}
 	if needed[o.GetKind()] == "" {
-		return faultOf(CodeInvalid, "order: %s lacks what it is to set", o.GetKind())
+		return refusalf(CodeInvalid, "order: %s lacks what it is to set", o.GetKind())
 	}
 	return nil
 }
 
-func (s *State) checkDrain(name string, d *toucanhingev1.Drain) *fault {
+func (s *State) checkDrain(name string, d *toucanhingev1.Drain) *refusal {
 	for _, e := range s.Entries(toucanhingev1.Kind_KIND_MEMBER, "", false) {
 		if e.GetName() == name || e.GetMember().GetVm() == name {
 			return checkText("reason", d.GetReason())
 		}
 	}
-	return faultOf(CodeInvalid, "drain: there is no member and no VM %q", name)
+	return refusalf(CodeInvalid, "drain: there is no member and no VM %q", name)
 }
 
-// checkRemoval keeps what others refer to.
-func (s *State) checkRemoval(entry *toucanhingev1.Entry) *fault {
+// checkRemoval refuses to remove an entry that another entry refers to, or a live member.
+func (s *State) checkRemoval(entry *toucanhingev1.Entry) *refusal {
 	name := entry.GetName()
 	for _, e := range s.Entries(toucanhingev1.Kind_KIND_UNSPECIFIED, "", false) {
 		if refersTo(e, entry.GetKind(), name) {
-			return faultOf(CodeInUse, "%s %q refers to it", e.GetKind(), e.GetName())
+			return refusalf(CodeInUse, "%s %q refers to it", e.GetKind(), e.GetName())
 		}
 	}
 	if entry.GetKind() != toucanhingev1.Kind_KIND_MEMBER {
@@ -264,7 +264,7 @@
 	}
 	e, _ := s.Entry(toucanhingev1.Kind_KIND_MEMBER, name)
 	if e.GetMember().GetState() != toucanhingev1.MemberState_MEMBER_STATE_DEAD {
-		return faultOf(CodeInUse, "the member still sends heartbeats")
+		return refusalf(CodeInUse, "the member still sends heartbeats")
 	}
 	return nil
 }
--- a/control/pkg/fleetstate/validate_test.go
+++ b/control/pkg/fleetstate/validate_test.go
@@ -51,8 +51,8 @@
 	return &toucanhingev1.Service{Kind: toucanhingev1.ServiceKind_SERVICE_KIND_MODEL, Model: name}
 }
 
-// furnished is a small world to make changes in.
-func furnished(t *testing.T) *State {
+// newTestState returns a state with a small configuration.
+func newTestState(t *testing.T) *State {
 	s := New()
 	hash := strings.Repeat("a", 64)
 	for i, e := range []*toucanhingev1.Entry{
@@ -60,8 +60,8 @@
 		team("agence", &toucanhingev1.TeamRecord{KeyHashes: []string{hash}}),
 		contract("agence-servitudes", &toucanhingev1.Contract{Team: "agence", Service: "servitudes-llm", DataCentres: []string{"agdal"}}),
 	} {
-		answer := s.apply(&toucanhingev1.ApplyStep{Request: &toucanhingev1.ApplyRequest{RequestId: fmt.Sprint(i), Entry: e}}).(*toucanhingev1.ApplyResponse)
-		require.True(t, answer.GetAccepted(), answer.GetReason())
+		response := s.apply(&toucanhingev1.ApplyStep{Request: &toucanhingev1.ApplyRequest{RequestId: fmt.Sprint(i), Entry: e}}).(*toucanhingev1.ApplyResponse)
+		require.True(t, response.GetAccepted(), response.GetReason())
 	}
 	s.member(&toucanhingev1.MemberStep{Name: "s1", Member: &toucanhingev1.Member{
 		Role: toucanhingev1.Role_ROLE_SIDECAR, Vm: "vm1", DataCentre: "temara", Incarnation: 1, State: toucanhingev1.MemberState_MEMBER_STATE_READY,
@@ -69,9 +69,9 @@
 	return s
 }
 
-// TestChangesAreChecked tries one change each on the same small world; an empty
-// reason means that it is accepted.
-func TestChangesAreChecked(t *testing.T) {
+// TestApplyValidatesChanges requests one change in each scenario. An empty reason means
+// that the change must be accepted.
+func TestApplyValidatesChanges(t *testing.T) {
 	plain := toucanhingev1.ServiceKind_SERVICE_KIND_PLAIN
 	hash, other := strings.Repeat("a", 64), strings.Repeat("b", 64)
 	load := toucanhingev1.OrderKind_ORDER_KIND_LOAD_MODEL
@@ -87,79 +87,79 @@
 		{"body of another kind", &toucanhingev1.Entry{Kind: toucanhingev1.Kind_KIND_TEAM, Name: "x", Body: &toucanhingev1.Entry_Drain{}}, "does not fit the kind"},
 		{"empty name", dataCentre(""), "name:"},
 		{"name with a slash", dataCentre("a/b"), "name:"},
-		{"capital letters", dataCentre("Agdal"), "name:"},
-		{"long name", dataCentre(strings.Repeat("a", 64)), "name:"},
-		{"long region", &toucanhingev1.Entry{Kind: toucanhingev1.Kind_KIND_DATA_CENTRE, Name: "x", Body: &toucanhingev1.Entry_DataCentre{
+		{"name with capital letters", dataCentre("Agdal"), "name:"},
+		{"name too long", dataCentre(strings.Repeat("a", 64)), "name:"},
+		{"region too long", &toucanhingev1.Entry{Kind: toucanhingev1.Kind_KIND_DATA_CENTRE, Name: "x", Body: &toucanhingev1.Entry_DataCentre{
 			DataCentre: &toucanhingev1.DataCentre{Region: strings.Repeat("a", 1025)},
 		}}, "region"},
 		{"new data centre", dataCentre("hay-riad"), ""},
 		{"link to itself", link("x", "agdal", "agdal"), "both"},
-		{"link to nowhere", link("x", "agdal", "nowhere"), `no data centre "nowhere"`},
-		{"second link the other way round", link("x", "temara", "agdal"), "joins the same"},
+		{"link to unknown data centre", link("x", "agdal", "nowhere"), `no data centre "nowhere"`},
+		{"second link in the opposite direction", link("x", "temara", "agdal"), "joins the same"},
 		{"service without kind", service("x", &toucanhingev1.Service{Model: "x"}), "kind is missing"},
 		{"model service without model", service("x", model("")), "model name is missing"},
 		{"plain service with model", service("x", &toucanhingev1.Service{Kind: plain, Model: "x"}), "no model"},
-		{"more than all", service("x", &toucanhingev1.Service{Kind: plain, OlderPercent: 101, OlderUrl: "http://o"}), "0 to 100"},
-		{"share without address", service("x", &toucanhingev1.Service{Kind: plain, OlderPercent: 5}), "needs an older_url"},
-		{"address that is none", service("x", &toucanhingev1.Service{Kind: plain, OlderUrl: "ftp://o"}), "no http URL"},
-		{"too much weight", service("x", &toucanhingev1.Service{Kind: plain, BatchWeight: 101}), "0 to 100"},
+		{"older_percent above 100", service("x", &toucanhingev1.Service{Kind: plain, OlderPercent: 101, OlderUrl: "http://o"}), "0 to 100"},
+		{"older_percent without older_url", service("x", &toucanhingev1.Service{Kind: plain, OlderPercent: 5}), "needs an older_url"},
+		{"older_url without http scheme", service("x", &toucanhingev1.Service{Kind: plain, OlderUrl: "ftp://o"}), "no http URL"},
+		{"batch_weight above 100", service("x", &toucanhingev1.Service{Kind: plain, BatchWeight: 101}), "0 to 100"},
 		{"too many attempts", service("x", &toucanhingev1.Service{Kind: plain, ItemAttempts: 21}), "above 20"},
 		{"model of another service", service("x", model("m")), "belongs to"},
 		{"plain service", service("x", &toucanhingev1.Service{Kind: plain}), ""},
 		{"negative rate", team("x", &toucanhingev1.TeamRecord{Rate: -1}), "no rate"},
-		{"rate that is no number", team("x", &toucanhingev1.TeamRecord{Rate: math.NaN()}), "no rate"},
+		{"NaN rate", team("x", &toucanhingev1.TeamRecord{Rate: math.NaN()}), "no rate"},
 		{"key in plain text", team("x", &toucanhingev1.TeamRecord{KeyHashes: []string{"secret"}}), "64 digits"},
 		{"key of another team", team("x", &toucanhingev1.TeamRecord{KeyHashes: []string{hash}}), `team "agence"`},
-		{"key twice", team("x", &toucanhingev1.TeamRecord{KeyHashes: []string{other, other}}), `team "x"`},
-		{"too heavy", team("x", &toucanhingev1.TeamRecord{Weight: 1001}), "above 1000"},
+		{"key listed twice", team("x", &toucanhingev1.TeamRecord{KeyHashes: []string{other, other}}), `team "x"`},
+		{"weight above 1000", team("x", &toucanhingev1.TeamRecord{Weight: 1001}), "above 1000"},
 		{"new team", team("x", &toucanhingev1.TeamRecord{KeyHashes: []string{other}}), ""},
 		{"contract without team", contract("x", &toucanhingev1.Contract{Team: "nobody", Service: "servitudes-llm"}), `no team "nobody"`},
 		{"contract without service", contract("x", &toucanhingev1.Contract{Team: "agence", Service: "nothing"}), `no service "nothing"`},
 		{"second contract", contract("x", &toucanhingev1.Contract{Team: "agence", Service: "servitudes-llm"}), "already joins"},
-		{"order under another name", order("s2", &toucanhingev1.Order{Endpoint: "s1", Kind: load, Model: "m"}), "endpoint's"},
-		{"order to nobody", order("s2", &toucanhingev1.Order{Endpoint: "s2", Kind: load, Model: "m"}), "no endpoint"},
-		{"order of nothing", order("s1", &toucanhingev1.Order{Endpoint: "s1", Kind: load}), "lacks what"},
+		{"order not named after its endpoint", order("s2", &toucanhingev1.Order{Endpoint: "s1", Kind: load, Model: "m"}), "endpoint's"},
+		{"order to unknown endpoint", order("s2", &toucanhingev1.Order{Endpoint: "s2", Kind: load, Model: "m"}), "no endpoint"},
+		{"order without model", order("s1", &toucanhingev1.Order{Endpoint: "s1", Kind: load}), "lacks what"},
 		{"order without kind", order("s1", &toucanhingev1.Order{Endpoint: "s1"}), "lacks what"},
 		{"order", order("s1", &toucanhingev1.Order{Endpoint: "s1", Kind: load, Model: "m"}), ""},
-		{"drain of nobody", drain("vm9"), "no member and no VM"},
+		{"drain of unknown VM", drain("vm9"), "no member and no VM"},
 		{"drain of a VM", drain("vm1"), ""},
 		{"drain of a member", drain("s1"), ""},
-		{"member by hand", &toucanhingev1.Entry{Kind: toucanhingev1.Kind_KIND_MEMBER, Name: "s9", Body: &toucanhingev1.Entry_Member{}}, "register themselves"},
+		{"member written by an operator", &toucanhingev1.Entry{Kind: toucanhingev1.Kind_KIND_MEMBER, Name: "s9", Body: &toucanhingev1.Entry_Member{}}, "register themselves"},
 		{"removal of a linked data centre", removal(toucanhingev1.Kind_KIND_DATA_CENTRE, "agdal"), "refers to it"},
 		{"removal of a data centre with members", removal(toucanhingev1.Kind_KIND_DATA_CENTRE, "temara"), "refers to it"},
-		{"removal of a contracted service", removal(toucanhingev1.Kind_KIND_SERVICE, "servitudes-llm"), "refers to it"},
-		{"removal of a contracted team", removal(toucanhingev1.Kind_KIND_TEAM, "agence"), "refers to it"},
-		{"removal of nothing", removal(toucanhingev1.Kind_KIND_TEAM, "nobody"), "no such entry"},
+		{"removal of a service with a contract", removal(toucanhingev1.Kind_KIND_SERVICE, "servitudes-llm"), "refers to it"},
+		{"removal of a team with a contract", removal(toucanhingev1.Kind_KIND_TEAM, "agence"), "refers to it"},
+		{"removal of unknown team", removal(toucanhingev1.Kind_KIND_TEAM, "nobody"), "no such entry"},
 		{"removal of a live member", removal(toucanhingev1.Kind_KIND_MEMBER, "s1"), "still sends heartbeats"},
 		{"removal of a contract", removal(toucanhingev1.Kind_KIND_CONTRACT, "agence-servitudes"), ""},
 	}
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
-			s := furnished(t)
+			s := newTestState(t)
 			request := &toucanhingev1.ApplyRequest{RequestId: "x", Entry: c.entry}
 			if present, found := s.Entry(c.entry.GetKind(), c.entry.GetName()); found {
 				request.BaseVersion = present.GetVersion()
 			}
-			answer := s.apply(&toucanhingev1.ApplyStep{Request: request}).(*toucanhingev1.ApplyResponse)
-			require.Equal(t, c.reason == "", answer.GetAccepted(), answer.GetReason())
-			require.Contains(t, answer.GetReason(), c.reason)
+			response := s.apply(&toucanhingev1.ApplyStep{Request: request}).(*toucanhingev1.ApplyResponse)
+			require.Equal(t, c.reason == "", response.GetAccepted(), response.GetReason())
+			require.Contains(t, response.GetReason(), c.reason)
 		})
 	}
 }
 
-// TestPlatformDrains lets the platform's list call a VM leaving, and live again;
-// a drain that an operator asked for is none of the list's business.
-func TestPlatformDrains(t *testing.T) {
-	s := furnished(t)
-	say := func(vm string, gone bool) bool {
-		return s.platformDrain(&toucanhingev1.PlatformDrainStep{Vm: vm, Gone: gone}).(MemberEndAnswer).Changed
+// TestPlatformDrainAndUndrain reports a VM as leaving and as live again. The platform's
+// list must not end a drain that an operator created.
+func TestPlatformDrainAndUndrain(t *testing.T) {
+	s := newTestState(t)
+	report := func(vm string, gone bool) bool {
+		return s.platformDrain(&toucanhingev1.PlatformDrainStep{Vm: vm, Gone: gone}).(MemberEndResult).Changed
 	}
-	require.True(t, say("vm1", false))
-	require.False(t, say("vm1", false))
+	require.True(t, report("vm1", false))
+	require.False(t, report("vm1", false))
 	require.True(t, s.Fleet().Drained("s1", "vm1"))
-	require.True(t, say("vm1", true))
+	require.True(t, report("vm1", true))
 	require.False(t, s.Fleet().Drained("s1", "vm1"))
 	s.put(drain("vm1"))
-	require.False(t, say("vm1", true))
+	require.False(t, report("vm1", true))
 	require.True(t, s.Fleet().Drained("s1", "vm1"))
 }
--- a/control/pkg/work/handler.go
+++ b/control/pkg/work/handler.go
@@ -164,7 +164,7 @@
 		if !found {
 			return
 		}
-		for _, team := range s.Restricted(service) {
+		for _, team := range s.RestrictedContracts(service) {
 			if !(world.Contract{Contract: team}).Allows(member.GetMember().GetDataCentre()) {
 				excluded = append(excluded, team.GetTeam())
 			}
