--- a/control/pkg/app/parts.go
+++ b/control/pkg/app/parts.go
@@ -33,7 +33,7 @@
 
 // parts are what the process serves and runs.
 type parts struct {
-	members *fleet.Keeper
+	members *fleet.LeaseTracker
 	leases  *work.Keeper
 	vms     *platform.Poller
 	handler http.Handler
@@ -44,10 +44,10 @@
 	status *health.Status, gs *groups,
 ) *parts {
 	p := &parts{
-		members: fleet.NewKeeper(fleet.KeeperConfig{
+		members: fleet.NewLeaseTracker(fleet.LeaseTrackerConfig{
 			Fleet: gs.fleet, Clock: now, Logger: logger,
 			Lease: clock.Millis(settings.Members.LeaseMS), ForgetAfter: clock.Millis(settings.Members.ForgetMS),
-			ClaimsKept: clock.Millis(settings.Claims.KeepMS), RequestsKept: clock.Millis(settings.Operators.RequestsMS),
+			ClaimRetention: clock.Millis(settings.Claims.KeepMS), RequestRetention: clock.Millis(settings.Operators.RequestsMS),
 		}),
 		leases: work.NewKeeper(work.KeeperConfig{
 			Groups: gs.jobs, Clock: now, Logger: logger, Lease: clock.Millis(settings.Jobs.LeaseMS),
@@ -78,7 +78,7 @@
 		Lease: clock.Millis(settings.Jobs.LeaseMS), ResultBytes: settings.Jobs.ResultBytes,
 	})
 	members := fleet.New(fleet.Config{
-		Fleet: gs.fleet, Keeper: p.members, Clock: now, Refuser: refuser,
+		Fleet: gs.fleet, Leases: p.members, Clock: now, Refuser: refuser,
 		Groups: settings.Groups, Lease: clock.Millis(settings.Members.LeaseMS),
 	})
 	operators := operator.New(operator.Config{
--- a/control/pkg/fleet/handler.go
+++ b/control/pkg/fleet/handler.go
@@ -1,5 +1,5 @@
-// Package fleet serves gateways and sidecars: it spreads the configuration,
-// keeps the members' leases, and records claims.
+// Package fleet serves gateways and sidecars: it distributes the configuration, tracks
+// the leases of members, and records claims.
 package fleet
 
 import (
@@ -14,52 +14,53 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
+// Operation names, which label refused calls in metrics.
 const (
-	placeFloor  = "floor"
-	placeWatch  = "watch"
-	placeBeat   = "beat"
-	placeClaim  = "claim"
-	placeSettle = "settle"
-
-	reasonInvalid = "invalid"
-	reasonFull    = "claims-full"
-	reasonCutOff  = "no-leader"
-
-	longestName = 128
-	// stepBytes is a rough size of a small step in the log.
-	stepBytes = 256
+	opFloor  = "floor"
+	opWatch  = "watch"
+	opBeat   = "beat"
+	opClaim  = "claim"
+	opSettle = "settle"
+
+	reasonInvalid  = "invalid"
+	reasonFull     = "claims-full"
+	reasonNoLeader = "no-leader"
+
+	maxNameBytes = 128
+	// approxStepBytes is the approximate size of a small step in the log.
+	approxStepBytes = 256
 )
 
 // Config describes the handler.
 type Config struct {
 	Fleet   *group.Fleet
-	Keeper  *Keeper
+	Leases  *LeaseTracker
 	Clock   clock.Clock
 	Refuser group.Refuser
 	// Groups is the number of consensus groups, the one for configuration included.
 	Groups uint32
-	// Lease is how long a member is kept without a heartbeat.
+	// Lease is the time without heartbeats after which a member is declared dead.
 	Lease clock.Millis
 }
 
-// Handler is the FleetService.
+// Handler implements the FleetService.
 type Handler struct {
 	config Config
 }
 
 var _ toucanhingev1connect.FleetServiceHandler = (*Handler)(nil)
 
-// New makes the handler.
+// New returns a handler.
 func New(config Config) *Handler {
 	return &Handler{config: config}
 }
 
-// Floor tells the newest accepted version, confirmed by a quorum.
+// Floor returns the newest accepted configuration version, confirmed by a quorum.
 func (h *Handler) Floor(
 	ctx context.Context, _ *connect.Request[toucanhingev1.FloorRequest],
 ) (*connect.Response[toucanhingev1.FloorResponse], error) {
 	if err := h.config.Fleet.Read(ctx); err != nil {
-		return nil, h.config.Refuser.Refuse(placeFloor, err)
+		return nil, h.config.Refuser.Refuse(opFloor, err)
 	}
 	return connect.NewResponse(&toucanhingev1.FloorResponse{Version: h.version(), Groups: h.config.Groups}), nil
 }
@@ -70,17 +71,17 @@
 	return version
 }
 
-// Beat registers a process and renews its lease. Only what changed is logged;
-// a plain renewal stays in the leader's memory.
+// Beat registers a process and renews its lease. Only changes are logged; a renewal
+// without a change is recorded in the leader's memory alone.
 func (h *Handler) Beat(
 	ctx context.Context, request *connect.Request[toucanhingev1.BeatRequest],
 ) (*connect.Response[toucanhingev1.BeatResponse], error) {
 	beat := request.Msg
-	if reason := checkBeat(beat); reason != "" {
-		return nil, h.config.Refuser.With(placeBeat, reasonInvalid, connect.CodeInvalidArgument, "%s", reason)
+	if reason := validateHeartbeat(beat); reason != "" {
+		return nil, h.config.Refuser.With(opBeat, reasonInvalid, connect.CodeInvalidArgument, "%s", reason)
 	}
-	if err := h.leads(); err != nil {
-		return nil, h.config.Refuser.Refuse(placeBeat, err)
+	if err := h.requireLeader(); err != nil {
+		return nil, h.config.Refuser.Refuse(opBeat, err)
 	}
 	var current, changed bool
 	var version uint64
@@ -89,27 +90,27 @@
 		version = s.Version()
 	})
 	if current {
-		h.config.Keeper.Heard(beat)
+		h.config.Leases.RecordHeartbeat(beat)
 	}
 	if changed {
 		step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Member{
 			Member: &toucanhingev1.MemberStep{Name: beat.GetName(), Member: beat.GetMember()},
 		}}
-		answer, err := group.Do[fleetstate.MemberResult](ctx, h.config.Fleet.Steps, step, stepBytes)
+		result, err := group.Do[fleetstate.MemberResult](ctx, h.config.Fleet.Steps, step, approxStepBytes)
 		if err != nil {
-			return nil, h.config.Refuser.Refuse(placeBeat, err)
+			return nil, h.config.Refuser.Refuse(opBeat, err)
 		}
-		current, version = answer.Current, answer.Version
+		current, version = result.Current, result.Version
 	}
 	return connect.NewResponse(&toucanhingev1.BeatResponse{
 		LeaseMs: int64(h.config.Lease), Version: version, Current: current,
 	}), nil
 }
 
-func checkBeat(beat *toucanhingev1.BeatRequest) string {
+func validateHeartbeat(beat *toucanhingev1.BeatRequest) string {
 	m := beat.GetMember()
 	switch {
-	case beat.GetName() == "" || len(beat.GetName()) > longestName:
+	case beat.GetName() == "" || len(beat.GetName()) > maxNameBytes:
 		return "name: want 1 to 128 bytes"
 	case m == nil:
 		return "member: missing"
@@ -129,19 +130,19 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.ClaimRequest],
 ) (*connect.Response[toucanhingev1.ClaimResponse], error) {
 	c := request.Msg
-	if c.GetTeam() == "" || c.GetRequestId() == "" || c.GetToken() == "" || len(c.GetRequestId()) > longestName {
-		return nil, h.config.Refuser.With(placeClaim, reasonInvalid, connect.CodeInvalidArgument,
-			"want a team, a request id of at most %d bytes, and a token", longestName)
+	if c.GetTeam() == "" || c.GetRequestId() == "" || c.GetToken() == "" || len(c.GetRequestId()) > maxNameBytes {
+		return nil, h.config.Refuser.With(opClaim, reasonInvalid, connect.CodeInvalidArgument,
+			"want a team, a request id of at most %d bytes, and a token", maxNameBytes)
 	}
 	step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Claim{Claim: c}}
-	answer, err := group.Do[fleetstate.ClaimResult](ctx, h.config.Fleet.Steps, step, stepBytes)
+	result, err := group.Do[fleetstate.ClaimResult](ctx, h.config.Fleet.Steps, step, approxStepBytes)
 	if err != nil {
-		return nil, h.config.Refuser.Refuse(placeClaim, err)
+		return nil, h.config.Refuser.Refuse(opClaim, err)
 	}
-	if answer.Full {
-		return nil, h.config.Refuser.With(placeClaim, reasonFull, connect.CodeResourceExhausted, "too many claims are held")
+	if result.Full {
+		return nil, h.config.Refuser.With(opClaim, reasonFull, connect.CodeResourceExhausted, "too many claims are held")
 	}
-	return connect.NewResponse(&toucanhingev1.ClaimResponse{State: answer.State}), nil
+	return connect.NewResponse(&toucanhingev1.ClaimResponse{State: result.State}), nil
 }
 
 // Settle records how a claimed request ended.
@@ -149,8 +150,8 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.SettleRequest],
 ) (*connect.Response[toucanhingev1.SettleResponse], error) {
 	step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Settle{Settle: request.Msg}}
-	if _, err := group.Do[fleetstate.SettleResult](ctx, h.config.Fleet.Steps, step, stepBytes); err != nil {
-		return nil, h.config.Refuser.Refuse(placeSettle, err)
+	if _, err := group.Do[fleetstate.SettleResult](ctx, h.config.Fleet.Steps, step, approxStepBytes); err != nil {
+		return nil, h.config.Refuser.Refuse(opSettle, err)
 	}
 	return connect.NewResponse(&toucanhingev1.SettleResponse{}), nil
 }
--- a/control/pkg/fleet/watch.go
+++ b/control/pkg/fleet/watch.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// repeatEvery is how often the version is repeated without a change; watchers
-	// leave a replica that they hear nothing from for a few times as long.
-	repeatEvery = time.Second
-	// gatherFor keeps a watcher from being sent each of many changes alone, as
-	// when a whole data centre registers.
-	gatherFor = 20 * time.Millisecond
-	// cutOffLimit ends watches on a replica without a leader. It can't learn of
-	// changes, and its watchers would stay at an old configuration.
-	cutOffLimit = 3 * time.Second
+	// repeatInterval is the interval at which the version is sent again without a change.
+	// A watcher that receives nothing for a few intervals switches to another replica.
+	repeatInterval = time.Second
+	// coalesceDelay is how long an update is delayed after a change, so that many changes,
+	// as when a whole data centre registers, are sent as one update.
+	coalesceDelay = 20 * time.Millisecond
+	// maxLeaderAbsence is the time without a leader after which a replica ends its
+	// watches. Such a replica receives no changes, and its watchers would stay at an old
+	// configuration.
+	maxLeaderAbsence = 3 * time.Second
 )
 
-// Watch spreads the configuration. Every replica serves it, so that the fan-out
-// is shared among them and doesn't weigh on the leader.
+// Watch streams the configuration and its changes. Every replica serves it, so that the
+// fan-out is shared among the replicas instead of loading the leader.
 func (h *Handler) Watch(
 	ctx context.Context, request *connect.Request[toucanhingev1.WatchRequest],
 	stream *connect.ServerStream[toucanhingev1.WatchResponse],
 ) error {
 	after := request.Msg.GetAfter()
-	repeat := time.NewTicker(repeatEvery)
+	repeat := time.NewTicker(repeatInterval)
 	defer repeat.Stop()
-	contact := h.config.Clock.Now()
+	lastLeader := h.config.Clock.Now()
 	for {
 		if name, _, _ := h.config.Fleet.Leader(); name != "" {
-			contact = h.config.Clock.Now()
+			lastLeader = h.config.Clock.Now()
 		}
-		if (h.config.Clock.Now() - contact).Duration() > cutOffLimit {
-			return h.config.Refuser.With(placeWatch, reasonCutOff, connect.CodeUnavailable, "this replica has lost its leader")
+		if (h.config.Clock.Now() - lastLeader).Duration() > maxLeaderAbsence {
+			return h.config.Refuser.With(opWatch, reasonNoLeader, connect.CodeUnavailable, "this replica has lost its leader")
 		}
 		changed := h.config.Fleet.Machine.Changed()
 		var update *toucanhingev1.WatchResponse
@@ -47,33 +48,34 @@
 			return err
 		}
 		after = max(after, update.GetVersion())
-		if !h.pause(ctx, changed, repeat.C) {
+		if !h.waitForUpdate(ctx, changed, repeat.C) {
 			return nil
 		}
 	}
 }
 
-// pause waits for a change or for the next repetition.
-func (h *Handler) pause(ctx context.Context, changed <-chan struct{}, repeat <-chan time.Time) bool {
+// waitForUpdate waits for a change or for the next repetition. It returns false when the
+// watch has to end.
+func (h *Handler) waitForUpdate(ctx context.Context, changed <-chan struct{}, repeat <-chan time.Time) bool {
 	select {
 	case <-changed:
 	case <-repeat:
 		return true
 	case <-ctx.Done():
 		return false
-	case <-h.config.Keeper.stopping:
+	case <-h.config.Leases.stopped:
 		return false
 	}
 	select {
-	case <-time.After(gatherFor):
+	case <-time.After(coalesceDelay):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// leads refuses unless this replica leads group 0.
-func (h *Handler) leads() error {
+// requireLeader returns a *replica.NotLeaderError unless this replica leads group 0.
+func (h *Handler) requireLeader() error {
 	name, address, self := h.config.Fleet.Leader()
 	if !self {
 		return &replica.NotLeaderError{Leader: name, Address: address}
--- a/control/pkg/operator/handler.go
+++ b/control/pkg/operator/handler.go
@@ -49,7 +49,7 @@
 	Fleet    *group.Fleet
 	Jobs     map[uint32]*group.Jobs
 	Entry    *entry.Handler
-	Keeper   *fleet.Keeper
+	Keeper   *fleet.LeaseTracker
 	Replicas Replicas
 	Clock    clock.Clock
 	Book     *record.Book
@@ -123,7 +123,7 @@
 		response.Version = s.Version()
 		for _, e := range s.Members() {
 			process := &toucanhingev1.ProcessConfig{Name: e.GetName(), Role: e.GetMember().GetRole(), HeardMs: -1}
-			if heard, known := h.config.Keeper.Last(e.GetName()); known {
+			if heard, known := h.config.Keeper.LastHeartbeat(e.GetName()); known {
 				process.Version = heard.Version
 				process.HeardMs = int64(now - heard.At)
 			}
