--- a/control/pkg/disk/bench_test.go
+++ b/control/pkg/disk/bench_test.go
@@ -9,17 +9,17 @@
 	"toucanhinge.example/control/pkg/consensus"
 )
 
-// BenchmarkAppend measures one write with its sync, for more and more entries of
-// 200 bytes that share it.
+// BenchmarkAppend measures one write and sync for different numbers of entries of
+// 200 bytes.
 func BenchmarkAppend(b *testing.B) {
-	for _, shared := range []int{1, 10, 100, 1000} {
-		b.Run(fmt.Sprintf("entries=%d", shared), func(b *testing.B) {
+	for _, count := range []int{1, 10, 100, 1000} {
+		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) {
 			l, _ := mustOpen(b, Config{Folder: b.TempDir()})
 			index := uint64(0)
 			b.ResetTimer()
 			for range b.N {
 				p := consensus.Persist{State: consensus.HardState{Term: 1}}
-				for range shared {
+				for range count {
 					index++
 					p.Entries = append(p.Entries, consensus.Entry{Index: index, Term: 1, Kind: consensus.EntryCommand, Data: make([]byte, 200)})
 				}
@@ -30,7 +30,7 @@
 	}
 }
 
-// BenchmarkOpen measures reading back 100,000 entries of 200 bytes.
+// BenchmarkOpen measures opening a log of 100,000 entries of 200 bytes.
 func BenchmarkOpen(b *testing.B) {
 	config := Config{Folder: b.TempDir()}
 	l, _ := mustOpen(b, config)
@@ -45,7 +45,7 @@
 	b.ResetTimer()
 	for range b.N {
 		l, content := mustOpen(b, config)
-		require.Equal(b, uint64(100_000), content.Last())
+		require.Equal(b, uint64(100_000), content.LastIndex())
 		require.NoError(b, l.Close())
 	}
 }
--- a/control/pkg/disk/content.go
+++ b/control/pkg/disk/content.go
@@ -8,15 +8,15 @@
 	"toucanhinge.example/control/pkg/consensus"
 )
 
-// Content is what a log held when it was opened.
+// Content is the content that Open reads from a log.
 type Content struct {
 	State   consensus.HardState
 	Base    consensus.Base
 	Entries []consensus.Entry
 }
 
-// Last is the index of the last entry.
-func (c *Content) Last() uint64 {
+// LastIndex returns the index of the last entry.
+func (c *Content) LastIndex() uint64 {
 	return c.Base.Index + uint64(len(c.Entries))
 }
 
@@ -27,12 +27,13 @@
 	return c.Entries[len(c.Entries)-1].Term
 }
 
-var errGap = errors.New("an entry doesn't follow the one before it")
+var errGap = errors.New("gap between entries")
 
-// add takes up one record's payload, in the order of writing.
-func (c *Content) add(payload []byte) error {
+// applyRecord applies the payload of one record. Records are applied in the order in which
+// they were written.
+func (c *Content) applyRecord(payload []byte) error {
 	if len(payload) == 0 {
-		return errRecord
+		return errMalformedRecord
 	}
 	switch recordKind(payload[0]) {
 	case recordState:
@@ -44,16 +45,16 @@
 		if err != nil {
 			return err
 		}
-		return c.addEntry(e)
+		return c.applyEntry(e)
 	default:
-		return errRecord
+		return errMalformedRecord
 	}
 }
 
-// addEntry puts an entry in its place; the ones from there on are replaced.
-// Files before the first one are dropped only when a checkpoint covers them, so
-// entries at or below the base are done with, whatever their content.
-func (c *Content) addEntry(e consensus.Entry) error {
+// applyEntry stores an entry at its index and discards all later entries. A file is
+// dropped only when a checkpoint covers it, so an entry at or below the base needs no
+// storing, whatever its content.
+func (c *Content) applyEntry(e consensus.Entry) error {
 	if e.Index <= c.Base.Index {
 		c.Entries = nil
 		if e.Index == c.Base.Index {
@@ -61,19 +62,19 @@
 		}
 		return nil
 	}
-	if e.Index > c.Last()+1 {
-		return fmt.Errorf("entry %d after entry %d: %w", e.Index, c.Last(), errGap)
+	if e.Index > c.LastIndex()+1 {
+		return fmt.Errorf("entry %d after entry %d: %w", e.Index, c.LastIndex(), errGap)
 	}
 	c.Entries = append(c.Entries[:e.Index-c.Base.Index-1], e)
 	return nil
 }
 
-// Term tells the term of an entry, and false when the log doesn't hold it.
+// Term returns the term of an entry, or false if the log doesn't contain it.
 func (c *Content) Term(index uint64) (uint64, bool) {
 	if index == c.Base.Index {
 		return c.Base.Term, true
 	}
-	if index < c.Base.Index || index > c.Last() {
+	if index < c.Base.Index || index > c.LastIndex() {
 		return 0, false
 	}
 	return c.Entries[index-c.Base.Index-1].Term, true
--- a/control/pkg/disk/doc.go
+++ b/control/pkg/disk/doc.go
@@ -1,4 +1,4 @@
-// Package disk keeps the log and the hard state of one replica in files. What
-// Append returned without an error for is durable; a log that failed to write or
-// sync once takes nothing more.
+// Package disk stores the log and the hard state of one replica in files. Data is durable
+// once Append returns without an error. After a failed write or sync, a log accepts no
+// more writes.
 package disk
--- a/control/pkg/disk/file.go
+++ b/control/pkg/disk/file.go
@@ -6,14 +6,14 @@
 	"path/filepath"
 )
 
-// WriteFile puts data under a name so that a crash leaves the old or the new
-// content, whole. It is durable when it returns.
+// WriteFile replaces a file atomically: after a crash, it has either the old or the new
+// content. The new content is durable when WriteFile returns.
 func WriteFile(path string, data []byte) error {
 	return Config{}.withDefaults().replaceFile(path, appendFrame(nil, 0, data))
 }
 
-// ReadFile reads what WriteFile wrote. A file that doesn't exist gives
-// os.ErrNotExist, a damaged one a *DamageError.
+// ReadFile reads a file that WriteFile wrote. It returns os.ErrNotExist if the file
+// doesn't exist, and a *DamageError if it is damaged.
 func ReadFile(path string) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -28,7 +28,7 @@
 
 func (c Config) replaceFile(path string, data []byte) error {
 	temporary := path + ".new"
-	if err := c.writeWhole(temporary, data); err != nil {
+	if err := c.writeAndSync(temporary, data); err != nil {
 		return err
 	}
 	if err := os.Rename(temporary, path); err != nil {
@@ -37,7 +37,7 @@
 	return c.syncFolder(filepath.Dir(path))
 }
 
-func (c Config) writeWhole(path string, data []byte) error {
+func (c Config) writeAndSync(path string, data []byte) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o640)
 	if err != nil {
 		return fmt.Errorf("create: %w", err)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// syncFolder makes a new name durable; without it a crash may lose the file.
+// syncFolder makes a new file name durable; without it, a crash may lose the file.
 func (c Config) syncFolder(folder string) error {
 	file, err := os.Open(folder)
 	if err != nil {
--- a/control/pkg/disk/frame.go
+++ b/control/pkg/disk/frame.go
@@ -6,19 +6,19 @@
 	"hash/crc32"
 )
 
-// A frame is one record in a file: magic, length of the payload, checksum over
-// all that follows it, start of the batch, payload.
+// A frame is one record in a file: magic, length of the payload, checksum, offset of the
+// batch's start, payload. The checksum covers the length and everything after the checksum.
 //
-// A batch is what one write and one sync made durable, and it is written only
-// once all before it was synced. So a frame whose batch starts after a damaged
-// place proves that the damage isn't a torn tail.
+// A batch is the data of one write and one sync. It is written only after all data before
+// it was synced. So a frame whose batch starts after a damaged offset proves that the
+// damage isn't a torn tail.
 const (
-	frameHeader  = 20
-	magicAt      = 0
-	lengthAt     = 4
-	checksumAt   = 8
-	batchAt      = 12
-	maximumFrame = 1 << 30
+	frameHeaderSize = 20
+	magicOffset     = 0
+	lengthOffset    = 4
+	checksumOffset  = 8
+	batchOffset     = 12
+	maxPayloadSize  = 1 << 30
 )
 
 var (
@@ -26,7 +26,8 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// appendFrame adds a frame to a buffer.
+// appendFrame appends a frame to a buffer. batch is the file offset at which its batch
+// starts.
 func appendFrame(buffer []byte, batch int64, payload []byte) []byte {
 	start := len(buffer)
 	buffer = append(buffer, magic...)
@@ -34,39 +35,39 @@
 	buffer = binary.LittleEndian.AppendUint32(buffer, 0)
 	buffer = binary.LittleEndian.AppendUint64(buffer, uint64(batch))
 	buffer = append(buffer, payload...)
-	binary.LittleEndian.PutUint32(buffer[start+checksumAt:], checksum(buffer[start:]))
+	binary.LittleEndian.PutUint32(buffer[start+checksumOffset:], checksum(buffer[start:]))
 	return buffer
 }
 
-// checksum covers the length too, so that a damaged length is noticed.
+// checksum covers the length too, so that a damaged length is detected.
 func checksum(frame []byte) uint32 {
-	sum := crc32.Update(0, castagnoli, frame[lengthAt:checksumAt])
-	return crc32.Update(sum, castagnoli, frame[batchAt:])
+	sum := crc32.Update(0, castagnoli, frame[lengthOffset:checksumOffset])
+	return crc32.Update(sum, castagnoli, frame[batchOffset:])
 }
 
-// readFrame reads the frame at the start of data. size is 0 when there is none,
-// and then reason says why.
+// readFrame reads the frame at the start of data. If there is no valid frame, size is 0
+// and reason explains why.
 func readFrame(data []byte) (payload []byte, batch, size int64, reason string) {
-	if len(data) < frameHeader {
-		return nil, 0, 0, "the header of a record is cut short"
+	if len(data) < frameHeaderSize {
+		return nil, 0, 0, "truncated record header"
 	}
-	if !bytes.Equal(data[magicAt:lengthAt], magic) {
-		return nil, 0, 0, "no record starts here"
+	if !bytes.Equal(data[magicOffset:lengthOffset], magic) {
+		return nil, 0, 0, "no record at this offset"
 	}
-	length := int64(binary.LittleEndian.Uint32(data[lengthAt:]))
-	size = frameHeader + length
-	if length > maximumFrame || size > int64(len(data)) {
-		return nil, 0, 0, "a record is cut short"
+	length := int64(binary.LittleEndian.Uint32(data[lengthOffset:]))
+	size = frameHeaderSize + length
+	if length > maxPayloadSize || size > int64(len(data)) {
+		return nil, 0, 0, "truncated record"
 	}
-	if checksum(data[:size]) != binary.LittleEndian.Uint32(data[checksumAt:]) {
-		return nil, 0, 0, "the checksum of a record doesn't match"
+	if checksum(data[:size]) != binary.LittleEndian.Uint32(data[checksumOffset:]) {
+		return nil, 0, 0, "checksum mismatch in record"
 	}
-	return data[frameHeader:size], int64(binary.LittleEndian.Uint64(data[batchAt:])), size, ""
+	return data[frameHeaderSize:size], int64(binary.LittleEndian.Uint64(data[batchOffset:])), size, ""
 }
 
-// laterBatch says whether a whole frame after the offset belongs to a batch that
-// was begun after it.
-func laterBatch(data []byte, offset int64) bool {
+// hasLaterBatch reports whether data contains a valid frame of a batch that starts after
+// the offset.
+func hasLaterBatch(data []byte, offset int64) bool {
 	for at := offset + 1; at < int64(len(data)); at++ {
 		next := bytes.Index(data[at:], magic)
 		if next < 0 {
--- a/control/pkg/disk/log.go
+++ b/control/pkg/disk/log.go
@@ -11,11 +11,11 @@
 	"toucanhinge.example/control/pkg/consensus"
 )
 
-// Config sets up a log. Write and Sync are seams for tests; nil means the
-// operating system's.
+// Config describes a log. Tests replace Write and Sync; nil means the operating system's
+// calls.
 type Config struct {
 	Folder string
-	// FileBytes is the size after which a new file is begun.
+	// FileBytes is the size from which on a file is full and a new one is started.
 	FileBytes int64
 	Write     func(file *os.File, data []byte) (int, error)
 	Sync      func(file *os.File) error
@@ -36,7 +36,7 @@
 	return c
 }
 
-// logFile is one file of the log. base is the last entry before it.
+// logFile is one file of the log. base is the position of the last entry before it.
 type logFile struct {
 	sequence uint64
 	base     consensus.Base
@@ -46,25 +46,26 @@
 	return filepath.Join(folder, fmt.Sprintf("log-%020d", f.sequence))
 }
 
-// Log is an append-only log of one replica. It isn't safe for concurrent use.
+// Log is the append-only log of one replica. It isn't safe for concurrent use.
 type Log struct {
 	config Config
 	files  []logFile
 	file   *os.File
-	// synced is the length of the file that is known to be durable.
+	// synced is the length of the file's durable part.
 	synced int64
 	state  consensus.HardState
 	last   consensus.Base
 	failed error
 }
 
-// Append makes the persists durable in their order, with one write and one sync
-// for all of them. After an error nothing more is taken.
+// Append makes the persists durable in their order, with one write and one sync for all
+// of them. A persist with a reset is an exception: it is written to a new file. After an
+// error, the log accepts no more writes.
 //
-// After a failed sync the kernel may drop the data and report the next sync as
-// done; acknowledging on a second try would lose entries with no error shown. So
-// a failure is final, and the file is cut back to what was synced, lest a
-// restart reads from the page cache what the disk never took.
+// After a failed sync, the kernel may drop the data and report success for the next sync,
+// so acknowledging after a retry would lose entries silently. A failure is therefore
+// permanent, and the file is truncated to its synced length, so that a restart doesn't
+// read data from the page cache that never reached the disk.
 func (l *Log) Append(persists ...consensus.Persist) error {
 	if l.failed != nil {
 		return l.failed
@@ -89,18 +90,18 @@
 				return err
 			}
 		}
-		buffer = l.add(buffer, p)
+		buffer = l.appendFrames(buffer, p)
 	}
 	if err := l.flush(buffer); err != nil {
 		return err
 	}
 	if l.synced >= l.config.FileBytes {
-		return l.begin(fileStart{base: l.last, state: l.state})
+		return l.startFile(fileHeader{base: l.last, state: l.state})
 	}
 	return nil
 }
 
-func (l *Log) add(buffer []byte, p consensus.Persist) []byte {
+func (l *Log) appendFrames(buffer []byte, p consensus.Persist) []byte {
 	if p.State != l.state {
 		buffer = appendFrame(buffer, l.synced, encodeState(p.State))
 		l.state = p.State
@@ -130,29 +131,29 @@
 	return nil
 }
 
-// reset begins the log anew after a snapshot. The new file says so itself, so
-// that a crash before the old files are gone does no harm.
+// reset restarts the log after a snapshot. The header of the new file marks the reset, so
+// a crash before the old files are removed does no harm.
 func (l *Log) reset(base consensus.Base, state consensus.HardState) error {
 	old := l.files
 	l.state = state
 	l.last = base
-	if err := l.begin(fileStart{base: base, reset: true, state: state}); err != nil {
+	if err := l.startFile(fileHeader{base: base, reset: true, state: state}); err != nil {
 		return err
 	}
-	return l.remove(len(old))
+	return l.removeFiles(len(old))
 }
 
-// begin starts a new file, which appears under its name only once its first
-// record is synced.
-func (l *Log) begin(start fileStart) error {
-	next := logFile{sequence: 1, base: start.base}
+// startFile starts a new file. The file appears under its name only after its header is
+// synced.
+func (l *Log) startFile(header fileHeader) error {
+	next := logFile{sequence: 1, base: header.base}
 	if len(l.files) > 0 {
 		next.sequence = l.files[len(l.files)-1].sequence + 1
 	}
-	frame := appendFrame(nil, 0, start.encode())
+	frame := appendFrame(nil, 0, header.encode())
 	path := next.path(l.config.Folder)
 	if err := l.config.replaceFile(path, frame); err != nil {
-		return fmt.Errorf("begin log file: %w", err)
+		return fmt.Errorf("start log file: %w", err)
 	}
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
@@ -167,17 +168,17 @@
 	return nil
 }
 
-// DropBefore removes the files whose entries are all at or below the index. The
-// caller holds a durable checkpoint that covers them.
+// DropBefore removes the files whose entries are all at or below the index. A durable
+// checkpoint must cover these entries.
 func (l *Log) DropBefore(index uint64) error {
 	drop := 0
 	for drop+1 < len(l.files) && l.files[drop+1].base.Index <= index {
 		drop++
 	}
-	return l.remove(drop)
+	return l.removeFiles(drop)
 }
 
-func (l *Log) remove(count int) error {
+func (l *Log) removeFiles(count int) error {
 	for ; count > 0; count-- {
 		err := os.Remove(l.files[0].path(l.config.Folder))
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// Close closes the file; nothing unsynced is left in it.
+// Close closes the current file, which has no unsynced data.
 func (l *Log) Close() error {
 	if err := l.file.Close(); err != nil {
 		return fmt.Errorf("close log file: %w", err)
--- a/control/pkg/disk/log_test.go
+++ b/control/pkg/disk/log_test.go
@@ -34,7 +34,7 @@
 	return paths[len(paths)-1]
 }
 
-func TestLogIsReadBack(t *testing.T) {
+func TestOpenReturnsAppendedEntries(t *testing.T) {
 	folder := t.TempDir()
 	l, content := mustOpen(t, Config{Folder: folder})
 	require.Equal(t, Content{}, content)
@@ -47,12 +47,12 @@
 	require.NoError(t, l.Append(persist(2, entry(5, 2))))
 	require.NoError(t, l.Close())
 	_, content = mustOpen(t, Config{Folder: folder})
-	require.Equal(t, uint64(5), content.Last())
+	require.Equal(t, uint64(5), content.LastIndex())
 }
 
-// Many entries, and many steps of the machine, wait while a sync runs. They go
-// out together with the next one.
-func TestOneSyncForAll(t *testing.T) {
+// TestAppendSyncsOnceForAllPersists checks that the entries of several persists, which
+// collect while an earlier sync runs, are made durable by one sync.
+func TestAppendSyncsOnceForAllPersists(t *testing.T) {
 	syncs := 0
 	l, _ := mustOpen(t, Config{Folder: t.TempDir(), Sync: func(f *os.File) error {
 		syncs++
@@ -63,7 +63,7 @@
 	require.Equal(t, 1, syncs)
 }
 
-func TestOldFilesAreDropped(t *testing.T) {
+func TestDropBeforeRemovesOldFiles(t *testing.T) {
 	folder := t.TempDir()
 	config := Config{Folder: folder, FileBytes: 200}
 	l, _ := mustOpen(t, config)
@@ -80,11 +80,11 @@
 	require.Positive(t, content.Base.Index)
 	require.Equal(t, uint64(3), content.Base.Term)
 	require.Equal(t, consensus.HardState{Term: 3, Vote: "somebody"}, content.State)
-	require.Equal(t, uint64(40), content.Last())
+	require.Equal(t, uint64(40), content.LastIndex())
 	require.Equal(t, entry(40, 3), content.Entries[len(content.Entries)-1])
 }
 
-func TestResetBeginsAnew(t *testing.T) {
+func TestResetDiscardsEarlierEntries(t *testing.T) {
 	folder := t.TempDir()
 	l, _ := mustOpen(t, Config{Folder: folder})
 	require.NoError(t, l.Append(persist(1, entry(1, 1), entry(2, 1))))
@@ -98,10 +98,10 @@
 	require.Equal(t, uint64(4), content.State.Term)
 }
 
-// A crash leaves part of the last write, or nothing of it, or a hole in it.
-// Nobody was told that it is durable, so what can't be read is cut and the log
-// goes on from there.
-func TestTornTailIsCut(t *testing.T) {
+// TestOpenTruncatesTornTail simulates a crash that leaves part of the last write, nothing
+// of it, or a hole in it. The write was never acknowledged, so Open truncates its
+// unreadable part, and the log continues from there.
+func TestOpenTruncatesTornTail(t *testing.T) {
 	scenarios := []struct {
 		name string
 		tear func(data []byte, synced int) []byte
@@ -112,7 +112,7 @@
 		{name: "last byte missing", tear: func(d []byte, _ int) []byte { return d[:len(d)-1] }, left: 3},
 		{name: "zeros", tear: func(d []byte, synced int) []byte { clear(d[synced:]); return d }, left: 2},
 		{name: "hole before a whole record", tear: func(d []byte, synced int) []byte { clear(d[synced : synced+8]); return d }, left: 2},
-		{name: "garbage behind", tear: func(d []byte, _ int) []byte { return append(d, "garbage"...) }, left: 4},
+		{name: "garbage after the last record", tear: func(d []byte, _ int) []byte { return append(d, "garbage"...) }, left: 4},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
@@ -127,26 +127,26 @@
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(path, sc.tear(data, synced), 0o600))
 			l, content := mustOpen(t, Config{Folder: folder})
-			require.Equal(t, sc.left, content.Last())
+			require.Equal(t, sc.left, content.LastIndex())
 			require.NoError(t, l.Append(persist(1, entry(sc.left+1, 1))))
 			require.NoError(t, l.Close())
 			_, content = mustOpen(t, Config{Folder: folder})
-			require.Equal(t, sc.left+1, content.Last())
+			require.Equal(t, sc.left+1, content.LastIndex())
 		})
 	}
 }
 
-// Something that was synced, and acknowledged, can't be read back. Cutting it
-// off like a torn tail would lose acknowledged entries without a word; so the
-// replica refuses to start, and says which file and where.
-func TestDamageIsAnError(t *testing.T) {
+// TestOpenRejectsDamagedFile damages records that were synced and acknowledged. Truncating
+// them like a torn tail would lose acknowledged entries silently, so Open must return an
+// error that names the file and the offset.
+func TestOpenRejectsDamagedFile(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		file   int
 		damage func(data []byte, at int) []byte
 	}{
-		{name: "flipped bit in a payload", file: -1, damage: func(d []byte, at int) []byte { d[at+frameHeader+3] ^= 4; return d }},
-		{name: "flipped bit in a length", file: -1, damage: func(d []byte, at int) []byte { d[at+lengthAt+2] ^= 4; return d }},
+		{name: "flipped bit in a payload", file: -1, damage: func(d []byte, at int) []byte { d[at+frameHeaderSize+3] ^= 4; return d }},
+		{name: "flipped bit in a length", file: -1, damage: func(d []byte, at int) []byte { d[at+lengthOffset+2] ^= 4; return d }},
 		{name: "zeroed page", file: -1, damage: func(d []byte, at int) []byte { clear(d[at : at+40]); return d }},
 		{name: "cut in an earlier file", file: 0, damage: func(d []byte, at int) []byte { return d[:at+10] }},
 		{name: "first record of a file", file: -1, damage: func(d []byte, _ int) []byte { d[2] ^= 1; return d }},
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestMissingFileIsAnError(t *testing.T) {
+func TestOpenRejectsMissingFile(t *testing.T) {
 	folder := t.TempDir()
 	config := Config{Folder: folder, FileBytes: 100}
 	l, _ := mustOpen(t, config)
@@ -194,12 +194,12 @@
 	require.ErrorAs(t, err, &damage)
 }
 
-var errDisk = errors.New("the disk fails")
+var errDisk = errors.New("disk failure")
 
-// The disk refuses once and works again afterwards. The log must not go on as if
-// the refused data were there: it takes nothing more, and a restart finds what
-// was acknowledged and nothing else.
-func TestFailureIsFinal(t *testing.T) {
+// TestAppendFailureIsPermanent simulates a disk that fails once and works afterwards. The
+// log must accept no more writes, since the failed data is missing, and a restart must
+// find only the acknowledged entries.
+func TestAppendFailureIsPermanent(t *testing.T) {
 	scenarios := []struct {
 		name  string
 		write func(*os.File, []byte) (int, error)
@@ -239,13 +239,13 @@
 			require.Equal(t, err, l.Append(persist(2, entry(2, 2))))
 			require.NoError(t, l.Close())
 			_, content := mustOpen(t, config)
-			require.Equal(t, uint64(1), content.Last())
+			require.Equal(t, uint64(1), content.LastIndex())
 			require.Equal(t, uint64(1), content.State.Term)
 		})
 	}
 }
 
-func TestFileIsWhole(t *testing.T) {
+func TestWriteFileReplacesWholeFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	_, err := ReadFile(path)
 	require.ErrorIs(t, err, os.ErrNotExist)
@@ -263,9 +263,9 @@
 	require.ErrorAs(t, err, &damage)
 }
 
-// The process crashes at any moment, also between write and sync, where any part
-// of the last write may be on the disk. Everything that Append returned for must
-// be there afterwards, and nothing that was never given to it.
+// TestFuzzCrash simulates crashes at any time, including between write and sync, when any
+// part of the last write may be on the disk. After a restart, the log must contain all
+// acknowledged entries, and none that were never appended.
 func TestFuzzCrash(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		folder, err := os.MkdirTemp(t.TempDir(), "log")
@@ -280,7 +280,7 @@
 				term++
 			case 1:
 				require.NoError(t, l.Close())
-				tear(rt, t, l, consensus.Persist{
+				writeTornTail(rt, t, l, consensus.Persist{
 					State:   consensus.HardState{Term: term, Vote: "somebody"},
 					Entries: []consensus.Entry{entry(base+uint64(len(model))+1, term)},
 				})
@@ -290,8 +290,8 @@
 			case 2:
 				drop := base + uint64(rapid.IntRange(0, len(model)).Draw(rt, "drop"))
 				require.NoError(t, l.DropBefore(drop))
-				kept := l.files[0].base.Index
-				model, base = model[kept-base:], kept
+				first := l.files[0].base.Index
+				model, base = model[first-base:], first
 			default:
 				at := rapid.IntRange(0, len(model)).Draw(rt, "at")
 				if len(model)-at > 3 {
@@ -312,9 +312,10 @@
 	})
 }
 
-// tear writes any part of what a next Append would have written.
-func tear(rt *rapid.T, t *testing.T, l *Log, p consensus.Persist) {
-	frames := l.add(nil, p)
+// writeTornTail writes a random part of the data of a next Append, maybe with a damaged
+// byte.
+func writeTornTail(rt *rapid.T, t *testing.T, l *Log, p consensus.Persist) {
+	frames := l.appendFrames(nil, p)
 	part := frames[:rapid.IntRange(0, len(frames)).Draw(rt, "written")]
 	if len(part) > 0 && rapid.Bool().Draw(rt, "hole") {
 		part[rapid.IntRange(0, len(part)-1).Draw(rt, "at")] ^= 0x55
@@ -326,8 +327,8 @@
 	require.NoError(t, file.Close())
 }
 
-// checkContent compares entries. One more than acknowledged may be there: it was
-// written whole just before the crash.
+// checkContent compares the entries with the model. The log may contain one entry more
+// than was acknowledged, if it was written completely just before the crash.
 func checkContent(t *testing.T, model []consensus.Entry, base uint64, content Content) []consensus.Entry {
 	require.Equal(t, base, content.Base.Index)
 	require.GreaterOrEqual(t, len(content.Entries), len(model))
--- a/control/pkg/disk/main_test.go
+++ b/control/pkg/disk/main_test.go
@@ -6,7 +6,7 @@
 	"toucanhinge.example/common/pkg/seed"
 )
 
-// TestMain fixes the seed of the fuzzing unless a flag gives one.
+// TestMain sets the default seed of the fuzz tests; a flag overrides it.
 func TestMain(m *testing.M) {
 	seed.Main(m, 7)
 }
--- a/control/pkg/disk/record.go
+++ b/control/pkg/disk/record.go
@@ -11,24 +11,24 @@
 type recordKind byte
 
 const (
-	recordFile recordKind = iota + 1
+	recordFileHeader recordKind = iota + 1
 	recordState
 	recordEntry
 )
 
-var errRecord = errors.New("a record has no known form")
+var errMalformedRecord = errors.New("malformed record")
 
-// fileStart is the first record of a file: what must be known when all files
-// before it are gone.
-type fileStart struct {
+// fileHeader is the first record of a file. It contains what the log needs when all files
+// before it are removed.
+type fileHeader struct {
 	base consensus.Base
-	// reset tells that the files before this one no longer count.
+	// reset marks the files before this one as obsolete.
 	reset bool
 	state consensus.HardState
 }
 
-func (s fileStart) encode() []byte {
-	payload := []byte{byte(recordFile), 0}
+func (s fileHeader) encode() []byte {
+	payload := []byte{byte(recordFileHeader), 0}
 	if s.reset {
 		payload[1] = 1
 	}
@@ -37,13 +37,13 @@
 	return append(payload, encodeState(s.state)...)
 }
 
-func decodeFileStart(payload []byte) (fileStart, error) {
+func decodeFileHeader(payload []byte) (fileHeader, error) {
 	const fixed = 18
-	if len(payload) < fixed || recordKind(payload[0]) != recordFile {
-		return fileStart{}, errRecord
+	if len(payload) < fixed || recordKind(payload[0]) != recordFileHeader {
+		return fileHeader{}, errMalformedRecord
 	}
 	state, err := decodeState(payload[fixed:])
-	return fileStart{
+	return fileHeader{
 		reset: payload[1] == 1,
 		base: consensus.Base{
 			Index: binary.LittleEndian.Uint64(payload[2:]),
@@ -62,7 +62,7 @@
 func decodeState(payload []byte) (consensus.HardState, error) {
 	const fixed = 9
 	if len(payload) < fixed || recordKind(payload[0]) != recordState {
-		return consensus.HardState{}, errRecord
+		return consensus.HardState{}, errMalformedRecord
 	}
 	return consensus.HardState{
 		Term: binary.LittleEndian.Uint64(payload[1:]),
@@ -82,7 +82,7 @@
 func decodeEntry(payload []byte) (consensus.Entry, error) {
 	const fixed = 21
 	if len(payload) < fixed || recordKind(payload[0]) != recordEntry {
-		return consensus.Entry{}, errRecord
+		return consensus.Entry{}, errMalformedRecord
 	}
 	return consensus.Entry{
 		Index: binary.LittleEndian.Uint64(payload[1:]),
