--- a/control/pkg/segment/checkpoint.go
+++ b/control/pkg/segment/checkpoint.go
@@ -11,7 +11,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-func (s *Store) numbers() []uint32 {
+func (s *Store) fileNumbers() []uint32 {
 	numbers := make([]uint32, 0, len(s.files))
 	for n := range s.files {
 		numbers = append(numbers, n)
@@ -20,14 +20,14 @@
 	return numbers
 }
 
-// Checkpoint syncs all files and returns their lengths for the manifest. It
-// deletes the files that the previous checkpoint no longer named: that one was
-// made durable before this one was asked for.
+// Checkpoint syncs all files and returns their lengths for the manifest. It deletes the
+// files that the previous checkpoint no longer listed, since that checkpoint was made
+// durable before this one was requested.
 func (s *Store) Checkpoint() ([]*toucanhingev1.Segment, error) {
 	if err := s.Flush(); err != nil {
 		return nil, err
 	}
-	for _, n := range s.numbers() {
+	for _, n := range s.fileNumbers() {
 		f := s.files[n]
 		if !f.dirty {
 			continue
@@ -40,34 +40,34 @@
 	if err := syncFolder(s.config.Folder); err != nil {
 		return nil, err
 	}
-	if err := s.deleteDoomed(); err != nil {
+	if err := s.deleteObsolete(); err != nil {
 		return nil, err
 	}
 	list := s.segments()
-	s.doomed, s.dropped = append(s.doomed, s.dropped...), nil
+	s.obsolete, s.dropped = append(s.obsolete, s.dropped...), nil
 	return list, nil
 }
 
-func (s *Store) deleteDoomed() error {
+func (s *Store) deleteObsolete() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, n := range s.doomed {
+	for _, n := range s.obsolete {
 		if err := s.files[n].handle.Close(); err != nil {
 			return fmt.Errorf("close %s: %w", s.path(n), err)
 		}
 		delete(s.files, n)
 		if err := os.Remove(s.path(n)); err != nil {
-			return fmt.Errorf("delete a dropped segment: %w", err)
+			return fmt.Errorf("delete obsolete segment: %w", err)
 		}
 	}
-	s.doomed = nil
+	s.obsolete = nil
 	return nil
 }
 
 func syncFolder(folder string) error {
 	handle, err := os.Open(folder)
 	if err != nil {
-		return fmt.Errorf("open the folder to sync it: %w", err)
+		return fmt.Errorf("open segment folder: %w", err)
 	}
 	defer func() { _ = handle.Close() }()
 	if err := handle.Sync(); err != nil {
@@ -76,51 +76,51 @@
 	return nil
 }
 
-// Load opens the files that a manifest names and cuts them to its lengths;
-// other files of this store are deleted. What was appended after the manifest
-// comes again by the log's replay: left in place it would stand there twice,
-// and the places of records would differ from those on other replicas.
+// Load opens the files that a manifest lists, truncates them to the listed lengths, and
+// deletes the other files of this store. The replay of the log appends the later records
+// again: if they were still in the files, they would be stored twice, and records would
+// have other locations than on other replicas.
 func (s *Store) Load(list []*toucanhingev1.Segment) error {
 	s.Close()
 	if err := os.MkdirAll(s.config.Folder, folderMode); err != nil {
-		return fmt.Errorf("make the segments' folder: %w", err)
+		return fmt.Errorf("create segment folder: %w", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.files, s.current, s.buffer, s.dropped, s.doomed = map[uint32]*file{}, 0, nil, nil, nil
+	s.files, s.current, s.buffer, s.dropped, s.obsolete = map[uint32]*file{}, 0, nil, nil, nil
 	for _, m := range list {
-		if err := s.open(m); err != nil {
+		if err := s.openFile(m); err != nil {
 			return err
 		}
 		s.current = max(s.current, m.GetNumber())
 	}
-	return s.deleteUnnamed()
+	return s.deleteUnlisted()
 }
 
-func (s *Store) open(m *toucanhingev1.Segment) error {
+func (s *Store) openFile(m *toucanhingev1.Segment) error {
 	handle, err := os.OpenFile(s.path(m.GetNumber()), os.O_RDWR, fileMode)
 	if err != nil {
-		return fmt.Errorf("open a segment that the checkpoint names: %w", err)
+		return fmt.Errorf("open segment listed in checkpoint: %w", err)
 	}
 	s.files[m.GetNumber()] = &file{handle: handle, length: int64(m.GetLength()), live: m.GetLive()}
 	info, err := handle.Stat()
 	if err != nil {
-		return fmt.Errorf("look at %s: %w", s.path(m.GetNumber()), err)
+		return fmt.Errorf("stat %s: %w", s.path(m.GetNumber()), err)
 	}
 	if info.Size() < int64(m.GetLength()) {
-		return fmt.Errorf("%s holds %d bytes, the checkpoint names %d: %w",
+		return fmt.Errorf("%s has %d bytes, the checkpoint lists %d: %w",
 			s.path(m.GetNumber()), info.Size(), m.GetLength(), ErrDamaged)
 	}
 	if err := handle.Truncate(int64(m.GetLength())); err != nil {
-		return fmt.Errorf("cut %s to the checkpoint: %w", s.path(m.GetNumber()), err)
+		return fmt.Errorf("truncate %s to its length in the checkpoint: %w", s.path(m.GetNumber()), err)
 	}
 	return nil
 }
 
-func (s *Store) deleteUnnamed() error {
+func (s *Store) deleteUnlisted() error {
 	paths, err := filepath.Glob(filepath.Join(s.config.Folder, s.config.Name+"-*.seg"))
 	if err != nil {
-		return fmt.Errorf("list the segments: %w", err)
+		return fmt.Errorf("list segments: %w", err)
 	}
 	for _, path := range paths {
 		number := strings.TrimSuffix(strings.TrimPrefix(filepath.Base(path), s.config.Name+"-"), ".seg")
@@ -129,13 +129,13 @@
 			continue
 		}
 		if err := os.Remove(path); err != nil {
-			return fmt.Errorf("delete a segment that no checkpoint names: %w", err)
+			return fmt.Errorf("delete segment not listed in the checkpoint: %w", err)
 		}
 	}
 	return nil
 }
 
-// Close closes the files; what was not flushed is lost.
+// Close closes the files. Records that were not flushed are lost.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,48 +145,48 @@
 	s.files = map[uint32]*file{}
 }
 
-// Export writes the files of a manifest, one after another, each cut to the
-// manifest's length.
+// Export writes the files of a manifest to w, one after another, each up to the length
+// that the manifest lists.
 func (s *Store) Export(list []*toucanhingev1.Segment, w io.Writer) error {
 	for _, m := range list {
 		handle, err := os.Open(s.path(m.GetNumber()))
 		if err != nil {
-			return fmt.Errorf("open a segment to ship it: %w", err)
+			return fmt.Errorf("open segment to export: %w", err)
 		}
 		copied, err := io.Copy(w, io.LimitReader(handle, int64(m.GetLength())))
 		_ = handle.Close()
 		if err != nil {
-			return fmt.Errorf("ship %s: %w", s.path(m.GetNumber()), err)
+			return fmt.Errorf("export %s: %w", s.path(m.GetNumber()), err)
 		}
 		if copied != int64(m.GetLength()) {
-			return fmt.Errorf("ship %s: %w", s.path(m.GetNumber()), ErrDamaged)
+			return fmt.Errorf("export %s: %w", s.path(m.GetNumber()), ErrDamaged)
 		}
 	}
 	return nil
 }
 
-// Import writes the files of a manifest from what Export wrote, and syncs them.
-// The store must be in a folder of its own that nothing uses yet.
+// Import reads the files of a manifest as Export wrote them, stores them and syncs them.
+// The store's folder must not be in use yet.
 func (s *Store) Import(list []*toucanhingev1.Segment, r io.Reader) error {
 	if err := os.MkdirAll(s.config.Folder, folderMode); err != nil {
-		return fmt.Errorf("make the segments' folder: %w", err)
+		return fmt.Errorf("create segment folder: %w", err)
 	}
 	for _, m := range list {
-		if err := s.receive(m, r); err != nil {
+		if err := s.receiveFile(m, r); err != nil {
 			return err
 		}
 	}
 	return syncFolder(s.config.Folder)
 }
 
-func (s *Store) receive(m *toucanhingev1.Segment, r io.Reader) error {
+func (s *Store) receiveFile(m *toucanhingev1.Segment, r io.Reader) error {
 	handle, err := os.Create(s.path(m.GetNumber()))
 	if err != nil {
-		return fmt.Errorf("make a shipped segment: %w", err)
+		return fmt.Errorf("create imported segment: %w", err)
 	}
 	defer func() { _ = handle.Close() }()
 	if _, err := io.CopyN(handle, r, int64(m.GetLength())); err != nil {
-		return fmt.Errorf("receive %s: %w", s.path(m.GetNumber()), err)
+		return fmt.Errorf("import %s: %w", s.path(m.GetNumber()), err)
 	}
 	if err := handle.Sync(); err != nil {
 		return fmt.Errorf("sync %s: %w", s.path(m.GetNumber()), err)
--- a/control/pkg/segment/read_many.go
+++ b/control/pkg/segment/read_many.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// runGap is how far apart two records may lie to be read together, and
-	// runBytes how much is read at a time.
-	runGap   = 2 << 10
-	runBytes = 1 << 20
-	// tailBytes are read behind the start of a run's last record.
-	tailBytes = 1 << 10
+	// maxGapBytes is the maximum distance between the starts of two neighbouring records
+	// that are read together, and maxRunBytes that between the first and the last one.
+	maxGapBytes = 2 << 10
+	maxRunBytes = 1 << 20
+	// readAheadBytes is how much is read from the start of a run's last record on.
+	readAheadBytes = 1 << 10
 )
 
-// ReadMany returns the payloads of records, in the order asked for. Records of
-// one job lie close together, so reading their surroundings at once costs far
-// fewer calls to the system than reading one by one.
+// ReadMany returns the payloads of records, in the order of refs. Records of one job are
+// stored close together, so reading them in runs, with the data in between, takes far
+// fewer system calls than reading them one by one.
 func (s *Store) ReadMany(refs []Ref) ([][]byte, error) {
 	order := make([]int, len(refs))
 	for i := range order {
@@ -44,8 +44,9 @@
 func runLength(refs []Ref, order []int) int {
 	first := refs[order[0]]
 	for n := 1; n < len(order); n++ {
-		ref, before := refs[order[n]], refs[order[n-1]]
-		if ref.File() != first.File() || ref.offset()-before.offset() > runGap || ref.offset()-first.offset() > runBytes {
+		ref, previous := refs[order[n]], refs[order[n-1]]
+		if ref.File() != first.File() ||
+			ref.offset()-previous.offset() > maxGapBytes || ref.offset()-first.offset() > maxRunBytes {
 			return n
 		}
 	}
@@ -64,12 +65,12 @@
 	if f == nil || last.offset() >= length {
 		return fmt.Errorf("%s at %d: %w", s.path(first.File()), last.offset(), ErrGone)
 	}
-	piece := make([]byte, min(last.offset()+tailBytes, length)-first.offset())
+	piece := make([]byte, min(last.offset()+readAheadBytes, length)-first.offset())
 	if _, err := f.handle.ReadAt(piece, first.offset()); err != nil {
 		return s.readError(first, err)
 	}
 	for _, n := range run {
-		payload, err := s.cut(refs[n], piece[refs[n].offset()-first.offset():])
+		payload, err := s.extractPayload(refs[n], piece[refs[n].offset()-first.offset():])
 		if err != nil {
 			return err
 		}
@@ -78,9 +79,9 @@
 	return nil
 }
 
-// cut takes a record's payload out of a piece that begins with it; a record that
-// the piece doesn't hold whole is read by itself.
-func (s *Store) cut(ref Ref, piece []byte) ([]byte, error) {
+// extractPayload returns the payload of the record at the start of a piece. It reads the
+// record separately if the piece doesn't contain all of it.
+func (s *Store) extractPayload(ref Ref, piece []byte) ([]byte, error) {
 	if len(piece) < headerBytes {
 		return s.Read(ref)
 	}
--- a/control/pkg/segment/store.go
+++ b/control/pkg/segment/store.go
@@ -1,7 +1,7 @@
-// Package segment keeps records in append-only files, so that items' bodies and
-// results never stand in memory and a snapshot never rewrites them. Appends are
-// not synced one by one: the replicated log is, and its replay rebuilds whatever
-// a crash cut off after the last checkpoint.
+// Package segment stores records in append-only files, so that the bodies and results of
+// items don't occupy memory and snapshots don't rewrite them. Appends are not synced one
+// by one: the replicated log is, and its replay restores the records after the last
+// checkpoint that a crash lost.
 package segment
 
 import (
@@ -18,47 +18,48 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Sizes of the files.
 const (
-	// headerBytes stand before each record: its length and its checksum.
+	// headerBytes is the size of a record's header: its length and its checksum.
 	headerBytes = 8
-	// DefaultRoll is the length at which a new file is begun.
-	DefaultRoll = 64 << 20
-	fileMode    = 0o640
-	folderMode  = 0o750
+	// DefaultMaxFileBytes is the default of Config.MaxFileBytes.
+	DefaultMaxFileBytes = 64 << 20
+	fileMode            = 0o640
+	folderMode          = 0o750
 )
 
-// ErrDamaged is a record whose length or checksum does not hold.
+// ErrDamaged reports a record or a file whose length or checksum is wrong.
 var ErrDamaged = errors.New("damaged record")
 
-// ErrGone is a record in a file that retention dropped.
+// ErrGone reports a record in a file that was deleted after its retention time, or in a
+// store that is closed.
 var ErrGone = errors.New("the record was dropped")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Ref is the place of a record: the file's number in the upper half, the offset
-// in the lower. It is never 0, since files are numbered from 1.
+// Ref is the location of a record: the file number in the upper 32 bits, the offset in the
+// lower 32. It is never 0, since files are numbered from 1.
 type Ref uint64
 
-// File is the number of the file that holds the record.
+// File returns the number of the file that contains the record.
 func (r Ref) File() uint32 { return uint32(r >> 32) }
 
 func (r Ref) offset() int64 { return int64(uint32(r)) }
 
-func refOf(file uint32, offset int64) Ref {
+func newRef(file uint32, offset int64) Ref {
 	return Ref(file)<<32 | Ref(uint32(offset))
 }
 
 // Config describes a store.
 type Config struct {
 	Folder string
-	// Name begins the names of the files.
+	// Name is the prefix of the file names.
 	Name string
-	// Roll is the length at which a new file is begun; 0 means DefaultRoll.
-	Roll int64
+	// MaxFileBytes is the length that a file doesn't exceed unless its only record is
+	// longer; 0 means DefaultMaxFileBytes.
+	MaxFileBytes int64
 }
 
-// file is one segment. Live counts the records that somebody still refers to.
+// file is one segment. live counts the records that are still in use.
 type file struct {
 	handle *os.File
 	length int64
@@ -66,24 +67,24 @@
 	dirty  bool
 }
 
-// Store is a set of segment files. Append, Flush, Release, Checkpoint and Load
-// belong to one goroutine; Read may be called from any.
+// Store is a set of segment files. Append, Flush, Release, Checkpoint and Load must be
+// called from one goroutine; Read may be called from any.
 type Store struct {
 	config  Config
 	mu      sync.RWMutex
 	files   map[uint32]*file
 	current uint32
 	buffer  []byte
-	// dropped files are named by no record any more; doomed ones are also named
-	// by no checkpoint that a restart could load.
-	dropped []uint32
-	doomed  []uint32
+	// dropped files have no live records. obsolete files are, in addition, not listed in
+	// the latest checkpoint, so the next Checkpoint call deletes them.
+	dropped  []uint32
+	obsolete []uint32
 }
 
-// New makes a store without files; call Load before use.
+// New returns a store without files; call Load before use.
 func New(config Config) *Store {
-	if config.Roll == 0 {
-		config.Roll = DefaultRoll
+	if config.MaxFileBytes == 0 {
+		config.MaxFileBytes = DefaultMaxFileBytes
 	}
 	return &Store{config: config, files: map[uint32]*file{}}
 }
@@ -92,14 +93,14 @@
 	return filepath.Join(s.config.Folder, fmt.Sprintf("%s-%08d.seg", s.config.Name, number))
 }
 
-// Append adds a record; Flush makes it readable.
+// Append appends a record, which is readable after the next Flush.
 func (s *Store) Append(payload []byte) (Ref, error) {
 	needed := int64(headerBytes + len(payload))
 	f, err := s.writable(needed)
 	if err != nil {
 		return 0, err
 	}
-	ref := refOf(s.current, f.length+int64(len(s.buffer)))
+	ref := newRef(s.current, f.length+int64(len(s.buffer)))
 	s.buffer = binary.LittleEndian.AppendUint32(s.buffer, uint32(len(payload)))
 	s.buffer = binary.LittleEndian.AppendUint32(s.buffer, crc32.Checksum(payload, castagnoli))
 	s.buffer = append(s.buffer, payload...)
@@ -107,11 +108,11 @@
 	return ref, nil
 }
 
-// writable returns the file that the next record goes to, a new one when the
-// present one would outgrow its limit.
+// writable returns the file for the next record: the current one, or a new one if the
+// record would exceed the limit of the current one.
 func (s *Store) writable(needed int64) (*file, error) {
 	f := s.files[s.current]
-	if f != nil && (f.length+int64(len(s.buffer)) == 0 || f.length+int64(len(s.buffer))+needed <= s.config.Roll) {
+	if f != nil && (f.length+int64(len(s.buffer)) == 0 || f.length+int64(len(s.buffer))+needed <= s.config.MaxFileBytes) {
 		return f, nil
 	}
 	if err := s.Flush(); err != nil {
@@ -121,26 +122,26 @@
 	defer s.mu.Unlock()
 	handle, err := os.OpenFile(s.path(s.current+1), os.O_RDWR|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
-		return nil, fmt.Errorf("begin a segment: %w", err)
+		return nil, fmt.Errorf("create segment: %w", err)
 	}
-	full := s.current
+	previous := s.current
 	s.current++
 	f = &file{handle: handle}
 	s.files[s.current] = f
-	if old := s.files[full]; old != nil && old.live == 0 {
-		s.dropped = append(s.dropped, full)
+	if old := s.files[previous]; old != nil && old.live == 0 {
+		s.dropped = append(s.dropped, previous)
 	}
 	return f, nil
 }
 
-// Flush hands what was appended to the operating system, in one write.
+// Flush writes the appended records to the current file, in one write without a sync.
 func (s *Store) Flush() error {
 	if len(s.buffer) == 0 {
 		return nil
 	}
 	f := s.files[s.current]
 	if _, err := f.handle.WriteAt(s.buffer, f.length); err != nil {
-		return fmt.Errorf("write to %s: %w", s.path(s.current), err)
+		return fmt.Errorf("write %s: %w", s.path(s.current), err)
 	}
 	s.mu.Lock()
 	f.length += int64(len(s.buffer))
@@ -182,10 +183,9 @@
 	return fmt.Errorf("%s at %d: %w", s.path(ref.File()), ref.offset(), err)
 }
 
-// Release says that nobody refers to some records of a file any more. A file
-// without live records is deleted, but only at the second checkpoint from now: a restart
-// loads the last durable checkpoint, which may still name the file, and replays
-// the log from there.
+// Release reports that count records of a file are no longer in use. A file without live
+// records is deleted at the second checkpoint from then on: a restart loads the last
+// durable checkpoint, which may still list the file, and replays the log from there.
 func (s *Store) Release(number uint32, count uint64) {
 	f := s.files[number]
 	if f == nil || f.live == 0 {
@@ -197,7 +197,7 @@
 	}
 }
 
-// Bytes is the length of all files.
+// Bytes returns the total length of all files.
 func (s *Store) Bytes() int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -208,17 +208,17 @@
 	return total
 }
 
-// segments lists the files that a checkpoint names, in order of their numbers.
+// segments returns the files that a checkpoint lists, sorted by number.
 func (s *Store) segments() []*toucanhingev1.Segment {
 	dead := map[uint32]bool{}
 	for _, n := range s.dropped {
 		dead[n] = true
 	}
-	for _, n := range s.doomed {
+	for _, n := range s.obsolete {
 		dead[n] = true
 	}
 	var list []*toucanhingev1.Segment
-	for _, n := range s.numbers() {
+	for _, n := range s.fileNumbers() {
 		if f := s.files[n]; !dead[n] {
 			list = append(list, &toucanhingev1.Segment{Number: n, Length: uint64(f.length), Live: f.live})
 		}
--- a/control/pkg/segment/store_test.go
+++ b/control/pkg/segment/store_test.go
@@ -19,9 +19,10 @@
 	return time.Since(start).Seconds()
 }
 
-// filled is a store of some small files and the places of its records.
-func filled(t *testing.T, folder string) (*Store, []Ref, []*toucanhingev1.Segment) {
-	s := New(Config{Folder: folder, Name: "items", Roll: 100})
+// newFilledStore returns a store of several small files, the locations of its records, and
+// the segments of its checkpoint.
+func newFilledStore(t *testing.T, folder string) (*Store, []Ref, []*toucanhingev1.Segment) {
+	s := New(Config{Folder: folder, Name: "items", MaxFileBytes: 100})
 	require.NoError(t, s.Load(nil))
 	t.Cleanup(s.Close)
 	var refs []Ref
@@ -37,28 +38,28 @@
 	return s, refs, list
 }
 
-// TestDamageIsNeverReadPast changes the files of a store behind its back. A
-// reader gets an error that names the file, never another record's content.
-func TestDamageIsNeverReadPast(t *testing.T) {
+// TestReadRejectsDamagedFile damages a file of an open store. Load or Read must return an
+// error that names the file, never the content of another record.
+func TestReadRejectsDamagedFile(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		damage func(t *testing.T, path string)
 		load   bool
 	}{
-		{"a bit of the content", func(t *testing.T, path string) { flip(t, path, headerBytes+2) }, true},
-		{"a bit of the checksum", func(t *testing.T, path string) { flip(t, path, 5) }, true},
-		{"the length", func(t *testing.T, path string) { flip(t, path, 0) }, true},
-		{"cut short", func(t *testing.T, path string) { require.NoError(t, os.Truncate(path, 9)) }, false},
-		{"gone", func(t *testing.T, path string) { require.NoError(t, os.Remove(path)) }, false},
+		{"flipped bit in the payload", func(t *testing.T, path string) { flipBit(t, path, headerBytes+2) }, true},
+		{"flipped bit in the checksum", func(t *testing.T, path string) { flipBit(t, path, 5) }, true},
+		{"flipped bit in the length", func(t *testing.T, path string) { flipBit(t, path, 0) }, true},
+		{"truncated file", func(t *testing.T, path string) { require.NoError(t, os.Truncate(path, 9)) }, false},
+		{"deleted file", func(t *testing.T, path string) { require.NoError(t, os.Remove(path)) }, false},
 	}
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
 			folder := t.TempDir()
-			s, refs, list := filled(t, folder)
+			s, refs, list := newFilledStore(t, folder)
 			c.damage(t, filepath.Join(folder, "items-00000001.seg"))
-			again := New(Config{Folder: folder, Name: "items", Roll: 100})
-			t.Cleanup(again.Close)
-			err := again.Load(list)
+			reopened := New(Config{Folder: folder, Name: "items", MaxFileBytes: 100})
+			t.Cleanup(reopened.Close)
+			err := reopened.Load(list)
 			require.Equal(t, c.load, err == nil, "%v", err)
 			if err == nil {
 				_, err = s.Read(refs[0])
@@ -71,17 +72,17 @@
 	}
 }
 
-func flip(t *testing.T, path string, at int) {
+func flipBit(t *testing.T, path string, at int) {
 	content, err := os.ReadFile(path)
 	require.NoError(t, err)
 	content[at] ^= 1
 	require.NoError(t, os.WriteFile(path, content, 0o600))
 }
 
-// TestReadManyKeepsTheOrderAskedFor reads records of many sizes, backwards and
-// twice, some of them longer than what is read behind a run's last record.
-func TestReadManyKeepsTheOrderAskedFor(t *testing.T) {
-	s := New(Config{Folder: t.TempDir(), Name: "items", Roll: 50_000})
+// TestReadManyReturnsRequestedOrder reads records of many sizes in reverse order, one of
+// them twice. Some are longer than readAheadBytes.
+func TestReadManyReturnsRequestedOrder(t *testing.T) {
+	s := New(Config{Folder: t.TempDir(), Name: "items", MaxFileBytes: 50_000})
 	require.NoError(t, s.Load(nil))
 	t.Cleanup(s.Close)
 	var refs []Ref
@@ -97,18 +98,18 @@
 	got, err := s.ReadMany(refs)
 	require.NoError(t, err)
 	require.Equal(t, want, got)
-	_, err = s.ReadMany([]Ref{refs[0], refOf(99, 0)})
+	_, err = s.ReadMany([]Ref{refs[0], newRef(99, 0)})
 	require.ErrorIs(t, err, ErrGone)
-	flip(t, s.path(refs[5].File()), int(refs[5].offset())+headerBytes)
+	flipBit(t, s.path(refs[5].File()), int(refs[5].offset())+headerBytes)
 	_, err = s.ReadMany(refs)
 	require.ErrorIs(t, err, ErrDamaged)
 }
 
-// TestLoadGoesBackToTheCheckpoint appends after a checkpoint and crashes. The
-// log's replay appends the same again, and must find the same places.
-func TestLoadGoesBackToTheCheckpoint(t *testing.T) {
+// TestLoadRestoresCheckpoint appends records after a checkpoint and crashes. The replay of
+// the log appends the same records again, which must get the same locations.
+func TestLoadRestoresCheckpoint(t *testing.T) {
 	folder := t.TempDir()
-	s, refs, list := filled(t, folder)
+	s, refs, list := newFilledStore(t, folder)
 	var after []Ref
 	for range 10 {
 		ref, err := s.Append([]byte("after"))
@@ -120,27 +121,28 @@
 	_, err := s.Read(refs[0])
 	require.ErrorIs(t, err, ErrGone)
 
-	again := New(Config{Folder: folder, Name: "items", Roll: 100})
-	t.Cleanup(again.Close)
-	require.NoError(t, again.Load(list))
+	reopened := New(Config{Folder: folder, Name: "items", MaxFileBytes: 100})
+	t.Cleanup(reopened.Close)
+	require.NoError(t, reopened.Load(list))
 	for n := range 10 {
-		ref, err := again.Append([]byte("after"))
+		ref, err := reopened.Append([]byte("after"))
 		require.NoError(t, err)
 		require.Equal(t, after[n], ref)
 	}
-	require.NoError(t, again.Flush())
+	require.NoError(t, reopened.Flush())
 	for n, ref := range refs {
-		payload, err := again.Read(ref)
+		payload, err := reopened.Read(ref)
 		require.NoError(t, err)
 		require.Equal(t, fmt.Sprintf("record %d", n), string(payload))
 	}
 }
 
-// TestDroppedFilesOutliveOneCheckpoint: a restart loads the last durable
-// checkpoint, so a file that this one names must still be there.
-func TestDroppedFilesOutliveOneCheckpoint(t *testing.T) {
+// TestDroppedFilesAreDeletedAtSecondCheckpoint checks that a file without live records
+// still exists after the next checkpoint. Until that checkpoint is durable, a restart
+// loads the one before it, which lists the file.
+func TestDroppedFilesAreDeletedAtSecondCheckpoint(t *testing.T) {
 	folder := t.TempDir()
-	s, refs, _ := filled(t, folder)
+	s, refs, _ := newFilledStore(t, folder)
 	first := filepath.Join(folder, "items-00000001.seg")
 	for _, ref := range refs {
 		if ref.File() == 1 {
@@ -158,9 +160,10 @@
 	require.ErrorIs(t, err, ErrGone)
 }
 
-// TestShippedFilesAreWhole cuts the transfer to a replica at every tenth byte.
-func TestShippedFilesAreWhole(t *testing.T) {
-	s, refs, list := filled(t, t.TempDir())
+// TestImportRejectsTruncatedTransfer truncates the transfer to a replica at every tenth
+// byte, and checks that a complete transfer is readable.
+func TestImportRejectsTruncatedTransfer(t *testing.T) {
+	s, refs, list := newFilledStore(t, t.TempDir())
 	var wire bytes.Buffer
 	require.NoError(t, s.Export(list, &wire))
 	for cut := 0; cut < wire.Len(); cut += 10 {
