--- a/control/pkg/app/parts.go
+++ b/control/pkg/app/parts.go
@@ -71,7 +71,7 @@
 	refuser := group.Refuser{Refused: set.Refused}
 	jobs := entry.New(entry.Config{
 		Groups: gs.jobs, Total: settings.Groups, Fleet: gs.fleet, Book: book, Refuser: refuser,
-		MostItems: settings.Jobs.MostItems, ItemBytes: settings.Jobs.ItemBytes,
+		MostItems: settings.Jobs.MaxItems, ItemBytes: settings.Jobs.ItemBytes,
 	})
 	items := work.New(work.Config{
 		Groups: gs.jobs, Fleet: gs.fleet, Keeper: p.leases, Clock: now, Book: book, Refuser: refuser,
--- a/control/pkg/config/config.go
+++ b/control/pkg/config/config.go
@@ -1,4 +1,4 @@
-// Package config holds the settings of the control program.
+// Package config defines, loads and validates the settings of the control program.
 package config
 
 import (
@@ -32,7 +32,7 @@
 	Address string `toml:"address" doc:"IP:port where the others reach it"`
 }
 
-// Consensus holds the times of leadership.
+// Consensus holds the settings of the consensus groups.
 type Consensus struct {
 	HeartbeatMS       int64  `toml:"heartbeat_ms" doc:"a leader's heartbeat, milliseconds"`
 	ElectionMS        int64  `toml:"election_ms" doc:"silence after which another leader is elected, milliseconds"`
@@ -40,7 +40,7 @@
 	Join              bool   `toml:"join" doc:"this VM joins a fleet that exists: it founds nothing and waits to be added"`
 }
 
-// Members holds the times of membership.
+// Members holds the lease and retention times of members.
 type Members struct {
 	LeaseMS  int64 `toml:"lease_ms" doc:"silence after which a process is declared dead, milliseconds"`
 	ForgetMS int64 `toml:"forget_ms" doc:"how long a dead process stays listed, milliseconds"`
@@ -51,24 +51,24 @@
 	LeaseMS     int64  `toml:"lease_ms" doc:"silence after which leased items go to another sidecar, milliseconds"`
 	RetentionMS int64  `toml:"retention_ms" doc:"how long an ended job and its results stay, milliseconds; longer than clients resend"`
 	UploadMS    int64  `toml:"upload_ms" doc:"how long the items of a broken upload stay, milliseconds"`
-	MostItems   uint64 `toml:"most_items" doc:"items in one job"`
+	MaxItems    uint64 `toml:"most_items" doc:"items in one job"`
 	ItemBytes   int    `toml:"item_bytes" doc:"largest body of one item"`
 	ResultBytes int    `toml:"result_bytes" doc:"largest result of one item"`
 }
 
-// Platform is what the platform gives.
+// Platform holds the settings of the platform's VM list and weight store.
 type Platform struct {
 	VMListURL      string `toml:"vm_list_url" doc:"where the platform lists its VMs; empty means nowhere"`
 	PollMS         int64  `toml:"poll_ms" doc:"time between two looks at the list, milliseconds"`
 	LoadsPerMinute int64  `toml:"loads_per_minute" doc:"loads that the weight store bears in a minute; 0 means no limit"`
 }
 
-// Claims holds how long claims of non-idempotent requests are remembered.
+// Claims holds the retention time of claims of non-idempotent requests.
 type Claims struct {
 	KeepMS int64 `toml:"keep_ms" doc:"how long after its deadline a claim is remembered, milliseconds; at least a day"`
 }
 
-// Operators holds how long operators' request ids are remembered.
+// Operators holds the retention time of the responses to operators' request ids.
 type Operators struct {
 	RequestsMS int64 `toml:"requests_ms" doc:"how long the answer to a request id is remembered, milliseconds"`
 }
@@ -80,22 +80,22 @@
 	day    = 24 * hour
 	mib    = 1 << 20
 
-	mostPeers      = 8
-	mostGroups     = 64
-	fewestGroups   = 2
-	largestItem    = 512 << 10
-	heartbeatShare = 3
+	maxPeers              = 8
+	maxGroups             = 64
+	minGroups             = 2
+	maxItemBytes          = 512 << 10
+	minElectionHeartbeats = 3
 )
 
-// Default returns the settings that the file is laid over.
+// Default returns the settings that apply where the file has none.
 func Default() Config {
 	return Config{
-		LogLevel: "info", Groups: fewestGroups,
+		LogLevel: "info", Groups: minGroups,
 		Consensus: Consensus{HeartbeatMS: 100, ElectionMS: 600, CheckpointEntries: 20_000},
 		Members:   Members{LeaseMS: 10 * second, ForgetMS: 10 * minute},
 		Jobs: Jobs{
 			LeaseMS: 10 * second, RetentionMS: 7 * day, UploadMS: 10 * minute,
-			MostItems: 250_000, ItemBytes: largestItem / 2, ResultBytes: largestItem,
+			MaxItems: 250_000, ItemBytes: maxItemBytes / 2, ResultBytes: maxItemBytes,
 		},
 		Platform:  Platform{PollMS: 2 * second},
 		Claims:    Claims{KeepMS: day},
@@ -103,7 +103,7 @@
 	}
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (Config, error) {
 	config := Default()
 	if err := settings.Load(file, &config, validate); err != nil {
@@ -119,7 +119,7 @@
 	check.Need(c.Name != "", "name", "missing")
 	check.Address("listen", c.Listen)
 	check.Need(c.DataFolder != "", "data_folder", "missing")
-	check.Need(c.Groups >= fewestGroups && c.Groups <= mostGroups, "groups", "want %d to %d, got %d", fewestGroups, mostGroups, c.Groups)
+	check.Need(c.Groups >= minGroups && c.Groups <= maxGroups, "groups", "want %d to %d, got %d", minGroups, maxGroups, c.Groups)
 	switch c.LogLevel {
 	case "debug", "info", "warn", "error":
 	default:
@@ -132,7 +132,7 @@
 }
 
 func validatePeers(check *settings.Check, c *Config) {
-	check.Need(len(c.Peers) >= 1 && len(c.Peers) <= mostPeers, "peers", "want 1 to %d, got %d", mostPeers, len(c.Peers))
+	check.Need(len(c.Peers) >= 1 && len(c.Peers) <= maxPeers, "peers", "want 1 to %d, got %d", maxPeers, len(c.Peers))
 	names, addresses := map[string]bool{}, map[string]bool{}
 	for _, p := range c.Peers {
 		check.Need(p.Name != "", "peers.name", "missing")
@@ -146,10 +146,10 @@
 
 func validateTimes(check *settings.Check, c *Config) {
 	check.Need(c.Consensus.HeartbeatMS >= 10, "consensus.heartbeat_ms", "want at least 10, got %d", c.Consensus.HeartbeatMS)
-	check.Need(c.Consensus.ElectionMS >= heartbeatShare*c.Consensus.HeartbeatMS, "consensus.election_ms",
-		"want at least %d heartbeats, got %d ms", heartbeatShare, c.Consensus.ElectionMS)
+	check.Need(c.Consensus.ElectionMS >= minElectionHeartbeats*c.Consensus.HeartbeatMS, "consensus.election_ms",
+		"want at least %d heartbeats, got %d ms", minElectionHeartbeats, c.Consensus.ElectionMS)
 	check.Need(c.Consensus.CheckpointEntries >= 100, "consensus.checkpoint_entries", "want at least 100, got %d", c.Consensus.CheckpointEntries)
-	// Processes send heartbeats every 2 s; two may be lost.
+	// Processes send heartbeats every 2 s; a lease has to survive the loss of two.
 	check.Need(c.Members.LeaseMS >= 6*second, "members.lease_ms", "want at least 6000, got %d", c.Members.LeaseMS)
 	check.Need(c.Members.ForgetMS >= minute, "members.forget_ms", "want at least a minute, got %d", c.Members.ForgetMS)
 	check.Need(c.Claims.KeepMS >= day, "claims.keep_ms", "want at least a day, got %d", c.Claims.KeepMS)
@@ -160,9 +160,9 @@
 	check.Need(c.Jobs.LeaseMS >= second, "jobs.lease_ms", "want at least 1000, got %d", c.Jobs.LeaseMS)
 	check.Need(c.Jobs.RetentionMS >= minute, "jobs.retention_ms", "want at least a minute, got %d", c.Jobs.RetentionMS)
 	check.Need(c.Jobs.UploadMS >= 10*second, "jobs.upload_ms", "want at least 10000, got %d", c.Jobs.UploadMS)
-	check.Need(c.Jobs.MostItems >= 1 && c.Jobs.MostItems <= 4*mib, "jobs.most_items", "want 1 to %d, got %d", 4*mib, c.Jobs.MostItems)
-	check.Need(c.Jobs.ItemBytes >= 1 && c.Jobs.ItemBytes <= largestItem, "jobs.item_bytes", "want 1 to %d, got %d", largestItem, c.Jobs.ItemBytes)
-	check.Need(c.Jobs.ResultBytes >= 1 && c.Jobs.ResultBytes <= largestItem, "jobs.result_bytes", "want 1 to %d, got %d", largestItem, c.Jobs.ResultBytes)
+	check.Need(c.Jobs.MaxItems >= 1 && c.Jobs.MaxItems <= 4*mib, "jobs.most_items", "want 1 to %d, got %d", 4*mib, c.Jobs.MaxItems)
+	check.Need(c.Jobs.ItemBytes >= 1 && c.Jobs.ItemBytes <= maxItemBytes, "jobs.item_bytes", "want 1 to %d, got %d", maxItemBytes, c.Jobs.ItemBytes)
+	check.Need(c.Jobs.ResultBytes >= 1 && c.Jobs.ResultBytes <= maxItemBytes, "jobs.result_bytes", "want 1 to %d, got %d", maxItemBytes, c.Jobs.ResultBytes)
 }
 
 func validatePlatform(check *settings.Check, c *Config) {
--- a/control/pkg/config/page_test.go
+++ b/control/pkg/config/docs_test.go
@@ -10,8 +10,8 @@
 	"toucanhinge.example/common/pkg/settings"
 )
 
-// The settings page is written from the code; with TOUCANHINGE_UPDATE set, this
-// test writes it instead of comparing.
+// TestReferencePage checks that the settings page matches the code. With
+// TOUCANHINGE_UPDATE set, it writes the page instead.
 func TestReferencePage(t *testing.T) {
 	update := os.Getenv("TOUCANHINGE_UPDATE") != ""
 	require.NoError(t, settings.CheckPage("../../../docs/CONFIG.md", "control", Default(), update))
