--- a/control/pkg/app/parts.go
+++ b/control/pkg/app/parts.go
@@ -82,9 +82,9 @@
 		Groups: settings.Groups, Lease: clock.Millis(settings.Members.LeaseMS),
 	})
 	operators := operator.New(operator.Config{
-		Fleet: gs.fleet, Jobs: gs.jobs, Entry: jobs, Keeper: p.members, Clock: now, Book: book, Refuser: refuser,
+		Fleet: gs.fleet, Jobs: gs.jobs, Entry: jobs, Leases: p.members, Clock: now, Log: book, Refuser: refuser,
 		LoadInterval: loadInterval(settings),
-		Replicas:     operator.Replicas{Name: settings.Name, Identity: gs.identity, Status: gs.status, Change: gs.change, Handover: gs.handover},
+		Replicas:     operator.Replicas{Name: settings.Name, Identity: gs.identity, Status: gs.status, Change: gs.change, TransferLeadership: gs.handover},
 	})
 	limit := connect.WithHandlerOptions(connect.WithReadMaxBytes(readBytes), connect.WithCompressMinBytes(neverCompress))
 	mux := http.NewServeMux()
--- a/control/pkg/operator/handler.go
+++ b/control/pkg/operator/handler.go
@@ -1,4 +1,4 @@
-// Package operator serves operators, scripts and consoles.
+// Package operator implements the service for operators, scripts and consoles.
 package operator
 
 import (
@@ -18,30 +18,32 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
+// Operation names, which label refused calls in metrics.
 const (
-	placeApply    = "apply"
-	placeList     = "list-entries"
-	placeStatus   = "config-status"
-	placeChange   = "change-replica"
-	placeHandover = "handover"
+	opApply    = "apply"
+	opList     = "list-entries"
+	opStatus   = "config-status"
+	opChange   = "change-replica"
+	opHandover = "handover"
 
 	reasonInvalid = "invalid"
 	reasonRefused = "change-refused"
 
-	// stepBytes is a rough size of an operator's change in the log.
-	stepBytes = 2 << 10
-	// mostEntryBytes bounds one entry of the configuration.
-	mostEntryBytes = 256 << 10
+	// approxStepBytes is the approximate size of an operator's change in the log, without
+	// its entry.
+	approxStepBytes = 2 << 10
+	// maxEntryBytes is the largest size of a request that changes a configuration entry.
+	maxEntryBytes = 256 << 10
 )
 
-// Replicas holds what this process's replicas of all groups can be asked.
+// Replicas provides the operations on this process's replicas of all groups.
 type Replicas struct {
 	Name string
-	// Identity of this process's data folder.
-	Identity string
-	Status   func() []*toucanhingev1.GroupState
-	Change   func(ctx context.Context, request *toucanhingev1.ChangeReplicaRequest) error
-	Handover func(ctx context.Context) (moved int, err error)
+	// Identity is the identity of this process's data folder.
+	Identity           string
+	Status             func() []*toucanhingev1.GroupState
+	Change             func(ctx context.Context, request *toucanhingev1.ChangeReplicaRequest) error
+	TransferLeadership func(ctx context.Context) (moved int, err error)
 }
 
 // Config describes the handler.
@@ -49,73 +51,74 @@
 	Fleet    *group.Fleet
 	Jobs     map[uint32]*group.Jobs
 	Entry    *entry.Handler
-	Keeper   *fleet.LeaseTracker
+	Leases   *fleet.LeaseTracker
 	Replicas Replicas
 	Clock    clock.Clock
-	Book     *record.Book
+	Log      *record.Book
 	Refuser  group.Refuser
-	// LoadInterval is the time between two loads from the weight store.
+	// LoadInterval is the minimum time between two loads from the weight store.
 	LoadInterval clock.Millis
 }
 
-// Handler is the OperatorService.
+// Handler implements the OperatorService.
 type Handler struct {
 	config Config
 }
 
 var _ toucanhingev1connect.OperatorServiceHandler = (*Handler)(nil)
 
-// New makes the handler.
+// New returns a handler.
 func New(config Config) *Handler {
 	return &Handler{config: config}
 }
 
-// Apply accepts or refuses one change of the configuration.
+// Apply submits one change of the configuration. The response reports whether it was
+// accepted.
 func (h *Handler) Apply(
 	ctx context.Context, request *connect.Request[toucanhingev1.ApplyRequest],
 ) (*connect.Response[toucanhingev1.ApplyResponse], error) {
 	size := entryBytes(request.Msg)
-	if size > mostEntryBytes {
-		return nil, h.config.Refuser.With(placeApply, reasonInvalid, connect.CodeInvalidArgument,
-			"the entry is larger than %d bytes", mostEntryBytes)
+	if size > maxEntryBytes {
+		return nil, h.config.Refuser.With(opApply, reasonInvalid, connect.CodeInvalidArgument,
+			"the entry is larger than %d bytes", maxEntryBytes)
 	}
 	step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Apply{Apply: &toucanhingev1.ApplyStep{
 		Request: request.Msg, LoadIntervalMs: int64(h.config.LoadInterval),
 	}}}
-	answer, err := group.Do[*toucanhingev1.ApplyResponse](ctx, h.config.Fleet.Steps, step, stepBytes+size)
+	response, err := group.Do[*toucanhingev1.ApplyResponse](ctx, h.config.Fleet.Steps, step, approxStepBytes+size)
 	if err != nil {
-		return nil, h.config.Refuser.Refuse(placeApply, err)
+		return nil, h.config.Refuser.Refuse(opApply, err)
 	}
 	event := "accepted"
-	if !answer.GetAccepted() {
+	if !response.GetAccepted() {
 		event = "refused"
 	}
-	h.config.Book.Add(request.Msg.GetEntry().GetName(), event, request.Msg.GetAuthor()+" "+answer.GetReason())
-	return connect.NewResponse(answer), nil
+	h.config.Log.Add(request.Msg.GetEntry().GetName(), event, request.Msg.GetAuthor()+" "+response.GetReason())
+	return connect.NewResponse(response), nil
 }
 
-// ListEntries reads the accepted configuration, confirmed by a quorum.
+// ListEntries returns the accepted configuration, confirmed by a quorum.
 func (h *Handler) ListEntries(
 	ctx context.Context, request *connect.Request[toucanhingev1.ListEntriesRequest],
 ) (*connect.Response[toucanhingev1.ListEntriesResponse], error) {
 	if err := h.config.Fleet.Read(ctx); err != nil {
-		return nil, h.config.Refuser.Refuse(placeList, err)
+		return nil, h.config.Refuser.Refuse(opList, err)
 	}
-	asked, response := request.Msg, &toucanhingev1.ListEntriesResponse{}
+	query, response := request.Msg, &toucanhingev1.ListEntriesResponse{}
 	h.config.Fleet.Machine.View(func(s *fleetstate.State) {
 		response.Version = s.Version()
-		response.Entries = s.Entries(asked.GetKind(), asked.GetName(), asked.GetWithRemoved())
+		response.Entries = s.Entries(query.GetKind(), query.GetName(), query.GetWithRemoved())
 	})
 	return connect.NewResponse(response), nil
 }
 
-// ConfigStatus shows which version each process has in force, as its last
-// heartbeat said.
+// ConfigStatus returns the configuration version that each process has applied, according
+// to its last heartbeat.
 func (h *Handler) ConfigStatus(
 	ctx context.Context, _ *connect.Request[toucanhingev1.ConfigStatusRequest],
 ) (*connect.Response[toucanhingev1.ConfigStatusResponse], error) {
 	if err := h.config.Fleet.Read(ctx); err != nil {
-		return nil, h.config.Refuser.Refuse(placeStatus, err)
+		return nil, h.config.Refuser.Refuse(opStatus, err)
 	}
 	response := &toucanhingev1.ConfigStatusResponse{}
 	now := h.config.Clock.Now()
@@ -123,9 +126,9 @@
 		response.Version = s.Version()
 		for _, e := range s.Members() {
 			process := &toucanhingev1.ProcessConfig{Name: e.GetName(), Role: e.GetMember().GetRole(), HeardMs: -1}
-			if heard, known := h.config.Keeper.LastHeartbeat(e.GetName()); known {
-				process.Version = heard.Version
-				process.HeardMs = int64(now - heard.At)
+			if heartbeat, found := h.config.Leases.LastHeartbeat(e.GetName()); found {
+				process.Version = heartbeat.Version
+				process.HeardMs = int64(now - heartbeat.At)
 			}
 			process.Behind = response.Version - min(process.Version, response.Version)
 			response.Processes = append(response.Processes, process)
@@ -134,8 +137,8 @@
 	return connect.NewResponse(response), nil
 }
 
-// ListJobs shows the jobs of all groups as this replica has applied them; it may
-// lag behind the leaders by a moment.
+// ListJobs returns the jobs of all groups as this replica has applied them, which may lag
+// slightly behind the leaders.
 func (h *Handler) ListJobs(
 	_ context.Context, request *connect.Request[toucanhingev1.ListJobsRequest],
 ) (*connect.Response[toucanhingev1.ListJobsResponse], error) {
@@ -148,14 +151,14 @@
 	return connect.NewResponse(response), nil
 }
 
-// CancelAnyJob ends a job of whatever team.
+// CancelAnyJob cancels a job of any team.
 func (h *Handler) CancelAnyJob(
 	ctx context.Context, request *connect.Request[toucanhingev1.CancelJobRequest],
 ) (*connect.Response[toucanhingev1.CancelJobResponse], error) {
 	return h.config.Entry.Cancel(ctx, request)
 }
 
-// GroupStatus shows each group as this replica sees it.
+// GroupStatus returns the state of each group as this replica sees it.
 func (h *Handler) GroupStatus(
 	context.Context, *connect.Request[toucanhingev1.GroupStatusRequest],
 ) (*connect.Response[toucanhingev1.GroupStatusResponse], error) {
@@ -164,31 +167,31 @@
 	}), nil
 }
 
-// ChangeReplica adds, promotes or removes one replica in every group. Groups
-// that this replica doesn't lead refuse; the caller repeats at their leaders,
-// and what is done already is done again without effect.
+// ChangeReplica adds, promotes or removes one replica in every group. Groups that this
+// replica doesn't lead refuse the change. The caller repeats it at their leaders; groups
+// that have already applied it are not affected.
 func (h *Handler) ChangeReplica(
 	ctx context.Context, request *connect.Request[toucanhingev1.ChangeReplicaRequest],
 ) (*connect.Response[toucanhingev1.ChangeReplicaResponse], error) {
 	if request.Msg.GetName() == "" {
-		return nil, h.config.Refuser.With(placeChange, reasonInvalid, connect.CodeInvalidArgument, "the replica's name is missing")
+		return nil, h.config.Refuser.With(opChange, reasonInvalid, connect.CodeInvalidArgument, "the replica's name is missing")
 	}
-	if missing := missingInAdd(request.Msg); missing != "" {
-		return nil, h.config.Refuser.With(placeChange, reasonInvalid, connect.CodeInvalidArgument, "a newcomer needs its %s", missing)
+	if missing := missingLearnerField(request.Msg); missing != "" {
+		return nil, h.config.Refuser.With(opChange, reasonInvalid, connect.CodeInvalidArgument, "a newcomer needs its %s", missing)
 	}
 	if err := h.config.Replicas.Change(ctx, request.Msg); err != nil {
 		var refused *replica.RefusedError
 		if asRefused(err, &refused) {
-			return nil, h.config.Refuser.With(placeChange, reasonRefused, connect.CodeFailedPrecondition, "%w", err)
+			return nil, h.config.Refuser.With(opChange, reasonRefused, connect.CodeFailedPrecondition, "%w", err)
 		}
-		return nil, h.config.Refuser.Refuse(placeChange, err)
+		return nil, h.config.Refuser.Refuse(opChange, err)
 	}
 	return connect.NewResponse(&toucanhingev1.ChangeReplicaResponse{Groups: h.config.Replicas.Status()}), nil
 }
 
-// missingInAdd names what a newcomer can't be added without. Under an empty
-// identity it would be a member that no data folder answers for.
-func missingInAdd(request *toucanhingev1.ChangeReplicaRequest) string {
+// missingLearnerField returns the name of a field that is required for adding a learner and
+// is missing. With an empty identity, the learner would match no data folder.
+func missingLearnerField(request *toucanhingev1.ChangeReplicaRequest) string {
 	switch {
 	case request.GetChange() != toucanhingev1.ReplicaChange_REPLICA_CHANGE_ADD_LEARNER:
 		return ""
@@ -201,13 +204,13 @@
 	}
 }
 
-// Handover moves the leadership of this replica's groups elsewhere.
+// Handover transfers the leadership of the groups that this replica leads.
 func (h *Handler) Handover(
 	ctx context.Context, _ *connect.Request[toucanhingev1.HandoverRequest],
 ) (*connect.Response[toucanhingev1.HandoverResponse], error) {
-	moved, err := h.config.Replicas.Handover(ctx)
+	moved, err := h.config.Replicas.TransferLeadership(ctx)
 	if err != nil {
-		return nil, h.config.Refuser.Refuse(placeHandover, err)
+		return nil, h.config.Refuser.Refuse(opHandover, err)
 	}
 	return connect.NewResponse(&toucanhingev1.HandoverResponse{GroupsMoved: uint32(moved)}), nil
 }
