--- a/control/pkg/app/parts.go
+++ b/control/pkg/app/parts.go
@@ -56,7 +56,7 @@
 	}
 	if settings.Platform.VMListURL != "" {
 		p.vms = platform.New(platform.Config{
-			URL: settings.Platform.VMListURL, Every: clock.Millis(settings.Platform.PollMS).Duration(),
+			URL: settings.Platform.VMListURL, Interval: clock.Millis(settings.Platform.PollMS).Duration(),
 			HTTP: &http.Client{}, Fleet: gs.fleet, Logger: logger, Refused: set.Refused,
 		})
 	}
--- a/control/pkg/platform/poller.go
+++ b/control/pkg/platform/poller.go
@@ -1,6 +1,6 @@
-// Package platform reads the platform's list of VMs, which lags. What it says of
-// leaving VMs is believed, since a drain that comes too early harms nobody. That
-// a VM is missing is not believed to be its death: only a lease that ran out is.
+// Package platform polls the platform's list of VMs, which lags behind. VMs that the list
+// reports as leaving are drained, because an early drain does no harm. A VM that is missing
+// from the list is not considered dead: only the expiry of a lease means death.
 package platform
 
 import (
@@ -23,38 +23,38 @@
 )
 
 const (
-	requestTime = 3 * time.Second
-	mostBytes   = 4 << 20
-	mostVMs     = 10_000
-	stepBytes   = 128
+	requestTimeout  = 3 * time.Second
+	maxListBytes    = 4 << 20
+	maxVMs          = 10_000
+	approxStepBytes = 128
 
 	stateLive    = "live"
 	stateLeaving = "leaving"
 
-	placeVMs         = "vm-list"
+	opVMList         = "vm-list"
 	reasonUnreadable = "unreadable"
 )
 
-var errList = errors.New("the list is no JSON list of VMs with a name and a state")
+var errInvalidList = errors.New("invalid VM list: want a JSON list of VMs with a name and a state")
 
 // Config describes a poller.
 type Config struct {
-	// URL answers GET with a JSON list of {"name", "state": "live"|"leaving"}.
-	URL    string
-	Every  time.Duration
-	HTTP   *http.Client
-	Fleet  *group.Fleet
-	Logger log.Logger
-	// Refused counts answers that were no list; may be nil.
+	// URL returns, for a GET request, a JSON list of {"name", "state": "live"|"leaving"}.
+	URL      string
+	Interval time.Duration
+	HTTP     *http.Client
+	Fleet    *group.Fleet
+	Logger   log.Logger
+	// Refused counts failed requests and invalid lists; may be nil.
 	Refused *prometheus.CounterVec
 }
 
-// Poller reads the list while this replica leads group 0.
+// Poller polls the list while this replica leads group 0.
 type Poller struct {
 	config Config
 }
 
-// New makes a poller.
+// New returns a poller.
 func New(config Config) *Poller {
 	return &Poller{config: config}
 }
@@ -66,7 +66,7 @@
 
 // Run polls until the context ends.
 func (p *Poller) Run(ctx context.Context) {
-	ticker := time.NewTicker(p.config.Every)
+	ticker := time.NewTicker(p.config.Interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -80,7 +80,8 @@
 	}
 }
 
-// Poll reads the list once and logs what changed. An unreadable list changes nothing.
+// Poll reads the list once and logs a step for each VM whose drain begins or ends. An
+// unreadable list changes nothing. Poll does nothing on a follower.
 func (p *Poller) Poll(ctx context.Context) error {
 	if _, _, self := p.config.Fleet.Leader(); !self {
 		return nil
@@ -88,55 +89,55 @@
 	list, err := p.read(ctx)
 	if err != nil {
 		if p.config.Refused != nil {
-			p.config.Refused.WithLabelValues(placeVMs, reasonUnreadable).Inc()
+			p.config.Refused.WithLabelValues(opVMList, reasonUnreadable).Inc()
 		}
 		return err
 	}
-	for _, step := range p.steps(list) {
-		if _, err := p.config.Fleet.Steps.Do(ctx, step, stepBytes); err != nil {
-			return fmt.Errorf("log the state of a VM: %w", err)
+	for _, step := range p.drainSteps(list) {
+		if _, err := p.config.Fleet.Steps.Do(ctx, step, approxStepBytes); err != nil {
+			return fmt.Errorf("log drain of a VM: %w", err)
 		}
 	}
 	return nil
 }
 
 func (p *Poller) read(ctx context.Context) ([]vm, error) {
-	ctx, cancel := context.WithTimeout(ctx, requestTime)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.config.URL, nil)
 	if err != nil {
-		return nil, fmt.Errorf("ask for the VM list: %w", err)
+		return nil, fmt.Errorf("request VM list: %w", err)
 	}
 	response, err := p.config.HTTP.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("ask for the VM list: %w", err)
+		return nil, fmt.Errorf("request VM list: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("status %d: %w", response.StatusCode, errList)
+		return nil, fmt.Errorf("status %d: %w", response.StatusCode, errInvalidList)
 	}
 	var list []vm
-	if err := json.NewDecoder(io.LimitReader(response.Body, mostBytes)).Decode(&list); err != nil {
-		return nil, fmt.Errorf("%w: %w", errList, err)
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&list); err != nil {
+		return nil, fmt.Errorf("%w: %w", errInvalidList, err)
 	}
-	return list, check(list)
+	return list, validateList(list)
 }
 
-func check(list []vm) error {
-	if len(list) > mostVMs {
-		return fmt.Errorf("%d VMs: %w", len(list), errList)
+func validateList(list []vm) error {
+	if len(list) > maxVMs {
+		return fmt.Errorf("%d VMs: %w", len(list), errInvalidList)
 	}
 	for i, v := range list {
 		if v.Name == "" || (v.State != stateLive && v.State != stateLeaving) {
-			return fmt.Errorf("entry %d: %w", i, errList)
+			return fmt.Errorf("entry %d: %w", i, errInvalidList)
 		}
 	}
 	return nil
 }
 
-// steps are the drains to begin and, for VMs that are live again, to end. A VM
-// that the list no longer names keeps its drain.
-func (p *Poller) steps(list []vm) []*toucanhingev1.FleetStep {
+// drainSteps returns the steps that begin the drains of leaving VMs and end those of VMs
+// that are live again. A VM that is no longer listed keeps its drain.
+func (p *Poller) drainSteps(list []vm) []*toucanhingev1.FleetStep {
 	var steps []*toucanhingev1.FleetStep
 	p.config.Fleet.Machine.View(func(s *fleetstate.State) {
 		for _, v := range list {
