--- a/control/pkg/app/parts.go
+++ b/control/pkg/app/parts.go
@@ -40,7 +40,7 @@
 }
 
 func newParts(
-	settings config.Config, now clock.Clock, logger log.Logger, set *metrics.Set, book *record.Book,
+	settings config.Config, now clock.Clock, logger log.Logger, set *metrics.Set, book *record.Log,
 	status *health.Status, gs *groups,
 ) *parts {
 	p := &parts{
@@ -66,7 +66,7 @@
 }
 
 func (p *parts) routes(
-	settings config.Config, now clock.Clock, set *metrics.Set, book *record.Book, status *health.Status, gs *groups,
+	settings config.Config, now clock.Clock, set *metrics.Set, book *record.Log, status *health.Status, gs *groups,
 ) http.Handler {
 	refuser := group.Refuser{Refused: set.Refused}
 	jobs := entry.New(entry.Config{
--- a/control/pkg/entry/handler.go
+++ b/control/pkg/entry/handler.go
@@ -44,7 +44,7 @@
 	// Total is the number of consensus groups, the one for configuration included.
 	Total   uint32
 	Fleet   *group.Fleet
-	Book    *record.Book
+	Book    *record.Log
 	Refuser group.Refuser
 	// MostItems and ItemBytes bound a job and each of its items.
 	MostItems uint64
--- a/control/pkg/fleet/lease_tracker_test.go
+++ b/control/pkg/fleet/lease_tracker_test.go
@@ -37,7 +37,7 @@
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{t: t, now: 1_000_000, term: 1, leads: true}
 	f.machine = fleetstate.NewMachine(fleetstate.MachineConfig{Fatal: func(err error) { require.NoError(t, err) }})
-	now := clock.Of(func() clock.Millis { return f.now })
+	now := clock.FromFunc(func() clock.Millis { return f.now })
 	g := group.NewFleet(group.Group{
 		Propose: func(_ context.Context, command []byte) (any, error) {
 			f.proposals++
--- a/control/pkg/operator/handler.go
+++ b/control/pkg/operator/handler.go
@@ -54,7 +54,7 @@
 	Leases   *fleet.LeaseTracker
 	Replicas Replicas
 	Clock    clock.Clock
-	Log      *record.Book
+	Log      *record.Log
 	Refuser  group.Refuser
 	// LoadInterval is the minimum time between two loads from the weight store.
 	LoadInterval clock.Millis
--- a/control/pkg/work/handler.go
+++ b/control/pkg/work/handler.go
@@ -48,7 +48,7 @@
 	Fleet  *group.Fleet
 	Keeper *Keeper
 	Clock  clock.Clock
-	Book   *record.Book
+	Book   *record.Log
 	// Lease is how long a lease holds without a renewal.
 	Lease   clock.Millis
 	Refuser group.Refuser
--- a/control/pkg/work/keeper_test.go
+++ b/control/pkg/work/keeper_test.go
@@ -33,7 +33,7 @@
 	b := &bench{t: t, now: 1_000_000, term: 1, leads: true}
 	b.machine = jobstate.NewMachine(jobstate.MachineConfig{Folder: t.TempDir(), Fatal: func(err error) { require.NoError(t, err) }})
 	require.NoError(t, b.machine.Load(nil))
-	now := clock.Of(func() clock.Millis { return b.now })
+	now := clock.FromFunc(func() clock.Millis { return b.now })
 	b.jobs = group.NewJobs(group.Group{
 		Number:  1,
 		Propose: func(_ context.Context, command []byte) (any, error) { return b.machine.Apply(0, command), nil },
