--- a/control/pkg/jobstate/bench_test.go
+++ b/control/pkg/jobstate/bench_test.go
@@ -18,8 +18,8 @@
 	benchJob   = 200_000
 )
 
-// BenchmarkApply takes items through the machine in commands of 64, and reports
-// the time and the bytes of the log and of the segments for one item each.
+// BenchmarkApply accepts, leases and completes items in commands of 64. It
+// reports the time, the log bytes and the segment bytes per item.
 func BenchmarkApply(b *testing.B) {
 	for range b.N {
 		m := NewMachine(MachineConfig{Folder: b.TempDir(), Fatal: func(err error) { require.NoError(b, err) }})
@@ -31,14 +31,14 @@
 			logged += len(command)
 			return m.Apply(0, command).([]any)[0]
 		}
-		before := heap()
+		before := heapBytes()
 		start := time.Now()
 		benchStage(b, apply)
 		perItem := func(name string, since time.Time) {
 			b.ReportMetric(float64(time.Since(since).Nanoseconds())/benchJob, "ns-"+name+"/item")
 		}
 		perItem("accept", start)
-		b.ReportMetric(float64(heap()-before)/benchJob, "B-memory/item")
+		b.ReportMetric(float64(heapBytes()-before)/benchJob, "B-memory/item")
 		var leased []Leased
 		start = time.Now()
 		for len(leased) < benchJob {
@@ -64,7 +64,7 @@
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/control/pkg/jobstate/fuzz_test.go
+++ b/control/pkg/jobstate/fuzz_test.go
@@ -16,15 +16,15 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// TestMain fixes the seed and the length of the fuzzing; flags on the command
-// line win, as those of `make soak`, which takes new seeds.
+// TestMain sets the default seed and length of the fuzzing. Command line flags
+// override them; `make soak` passes new seeds.
 func TestMain(m *testing.M) {
 	seed.Main(m, 11, seed.Length{Checks: 60, Steps: 150})
 }
 
 const testService = "servitudes-llm"
 
-// modelItem is what the oracle knows of an item.
+// modelItem is the expected state of an item.
 type modelItem struct {
 	lease   uint64
 	decided bool
@@ -32,33 +32,33 @@
 	outcome toucanhingev1.Outcome
 }
 
-// modelJob is what the oracle knows of a job.
+// modelJob is the expected state of a job.
 type modelJob struct {
 	content string
 	state   toucanhingev1.JobState
 	items   []modelItem
 }
 
-// given is an item that was handed out at some time.
-type given struct {
+// leasedItem is an item that was leased at some time.
+type leasedItem struct {
 	job   string
 	index uint64
 	lease uint64
 }
 
-// trial drives a machine and the oracle side by side.
-type trial struct {
-	t       *rapid.T
-	folders func() string
-	machine *Machine
-	now     int64
-
-	jobs    map[string]*modelJob
-	history []given
-	highest uint64
-	live    map[uint64]bool
-	// manifest and log are the last checkpoint and what was applied since, with
-	// the answers that it gave.
+// modelTest runs the same operations on a machine and on a model of plain maps.
+type modelTest struct {
+	t         *rapid.T
+	newFolder func() string
+	machine   *Machine
+	now       int64
+
+	jobs         map[string]*modelJob
+	history      []leasedItem
+	highestLease uint64
+	knownLeases  map[uint64]bool
+	// manifest is the last checkpoint. log and answers are the commands applied
+	// since then and their answers.
 	manifest []byte
 	log      [][]byte
 	answers  [][]any
@@ -71,14 +71,14 @@
 	return m
 }
 
-func newTrial(t *rapid.T, folders func() string) *trial {
-	return &trial{
-		t: t, folders: folders, machine: openMachine(t, folders(), nil), now: 1,
-		jobs: map[string]*modelJob{}, live: map[uint64]bool{},
+func newModelTest(t *rapid.T, newFolder func() string) *modelTest {
+	return &modelTest{
+		t: t, newFolder: newFolder, machine: openMachine(t, newFolder(), nil), now: 1,
+		jobs: map[string]*modelJob{}, knownLeases: map[uint64]bool{},
 	}
 }
 
-func (r *trial) step(step *toucanhingev1.JobStep) any {
+func (r *modelTest) step(step *toucanhingev1.JobStep) any {
 	command, err := proto.Marshal(&toucanhingev1.JobCommand{AtMs: r.now, Steps: []*toucanhingev1.JobStep{step}})
 	require.NoError(r.t, err)
 	answers := r.machine.Apply(0, command).([]any)
@@ -86,9 +86,9 @@
 	return answers[0]
 }
 
-// Upload sends a job, sometimes again, sometimes another one under its key,
-// sometimes without a chunk.
-func (r *trial) Upload(t *rapid.T) {
+// Upload uploads a job. Some uploads are resends, some reuse the key of another
+// job, and some lack a chunk.
+func (r *modelTest) Upload(t *rapid.T) {
 	id := rapid.SampledFrom([]string{"j1-a", "j1-b", "j1-c", "j1-d"}).Draw(t, "job")
 	content := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "content")
 	lost := rapid.IntRange(0, 9).Draw(t, "lost") == 0
@@ -128,7 +128,7 @@
 
 func itemBody(content string, index int) string { return fmt.Sprintf("%s-%d", content, index) }
 
-func (r *trial) stage(upload, content string, first, end int) {
+func (r *modelTest) stage(upload, content string, first, end int) {
 	step := &toucanhingev1.StageStep{Upload: upload, First: uint64(first)}
 	for i := first; i < end; i++ {
 		payload, err := proto.Marshal(&toucanhingev1.Item{CustomId: fmt.Sprint(i), Body: []byte(itemBody(content, i))})
@@ -138,8 +138,8 @@
 	r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Stage{Stage: step}})
 }
 
-// Lease hands out items: never one that is out, decided or cancelled.
-func (r *trial) Lease(t *rapid.T) {
+// Lease leases items and checks that none is leased already, decided or cancelled.
+func (r *modelTest) Lease(t *rapid.T) {
 	sidecar := rapid.SampledFrom([]string{"s1", "s2", "s3"}).Draw(t, "sidecar")
 	var excluded []string
 	if rapid.IntRange(0, 5).Draw(t, "restricted") == 0 {
@@ -151,13 +151,13 @@
 		},
 		Excluded: excluded,
 	}}}).(LeaseAnswer)
-	known := r.highest
+	known := r.highestLease
 	for _, l := range answer.Items {
 		j := r.jobs[l.Job]
-		require.Equal(t, toucanhingev1.JobState_JOB_STATE_ACCEPTED, j.state, "leased of a job that ended")
+		require.Equal(t, toucanhingev1.JobState_JOB_STATE_ACCEPTED, j.state, "leased an item of a job that has ended")
 		i := &j.items[l.Index]
-		require.False(t, i.decided, "leased after its end")
-		require.Zero(t, i.lease, "leased twice at a time")
+		require.False(t, i.decided, "leased a decided item")
+		require.Zero(t, i.lease, "leased an item that is already leased")
 		require.Greater(t, l.Lease, known, "lease numbers must grow")
 		require.NotContains(t, excluded, l.Team)
 		require.False(t, l.Alone && len(answer.Items) > 1)
@@ -167,17 +167,17 @@
 		require.NoError(t, proto.Unmarshal(payloads[0], item))
 		require.Equal(t, itemBody(j.content, int(l.Index)), string(item.GetBody()))
 		i.lease = l.Lease
-		r.live[l.Lease] = true
-		r.highest = max(r.highest, l.Lease)
-		r.history = append(r.history, given{job: l.Job, index: uint64(l.Index), lease: l.Lease})
+		r.knownLeases[l.Lease] = true
+		r.highestLease = max(r.highestLease, l.Lease)
+		r.history = append(r.history, leasedItem{job: l.Job, index: uint64(l.Index), lease: l.Lease})
 	}
 }
 
-// Complete reports outcomes of items handed out at any time, also long ago, also
-// under a lease that never was.
-func (r *trial) Complete(t *rapid.T) {
+// Complete reports outcomes of items that were leased at any time before, some of
+// them under a lease that never existed.
+func (r *modelTest) Complete(t *rapid.T) {
 	if len(r.history) == 0 {
-		t.Skip("nothing was handed out")
+		t.Skip("nothing was leased")
 	}
 	g := rapid.SampledFrom(r.history).Draw(t, "item")
 	if rapid.IntRange(0, 15).Draw(t, "forged") == 0 {
@@ -204,12 +204,12 @@
 	case toucanhingev1.Outcome_OUTCOME_DONE, toucanhingev1.Outcome_OUTCOME_FAILED:
 		*i = modelItem{decided: true, body: body, outcome: outcome}
 	case toucanhingev1.Outcome_OUTCOME_RETRY:
-		r.learnLimit(g)
+		r.applyAttemptLimit(g)
 	}
-	r.learnEnd(g.job)
+	r.updateJobState(g.job)
 }
 
-func (r *trial) expect(g given) toucanhingev1.Verdict {
+func (r *modelTest) expect(g leasedItem) toucanhingev1.Verdict {
 	j := r.jobs[g.job]
 	switch {
 	case j == nil:
@@ -225,9 +225,9 @@
 	}
 }
 
-// learnLimit takes over that an item ended at its attempt limit; when that is
-// due is checked by the tests of poison items.
-func (r *trial) learnLimit(g given) {
+// applyAttemptLimit marks an item in the model as failed if the machine ended it at
+// its attempt limit. The tests of poison items check when this has to happen.
+func (r *modelTest) applyAttemptLimit(g leasedItem) {
 	page, err := r.machine.Results("", g.job, g.index)
 	require.NoError(r.t, err)
 	if len(page.Decided) > 0 && page.Decided[0].Index == g.index {
@@ -235,15 +235,15 @@
 	}
 }
 
-func (r *trial) learnEnd(id string) {
+func (r *modelTest) updateJobState(id string) {
 	j := r.jobs[id]
 	if !slices.ContainsFunc(j.items, func(i modelItem) bool { return !i.decided }) {
 		j.state = toucanhingev1.JobState_JOB_STATE_FINISHED
 	}
 }
 
-// Finish reports all that is out as done, so that some jobs get to their end.
-func (r *trial) Finish(*rapid.T) {
+// Finish reports all leased items as done, so that some jobs finish.
+func (r *modelTest) Finish(*rapid.T) {
 	for _, g := range slices.Clone(r.history) {
 		if r.expect(g) != toucanhingev1.Verdict_VERDICT_ACCEPTED {
 			continue
@@ -255,14 +255,14 @@
 			}},
 		}}})
 		r.jobs[g.job].items[g.index] = modelItem{decided: true, body: body, outcome: toucanhingev1.Outcome_OUTCOME_DONE}
-		r.learnEnd(g.job)
+		r.updateJobState(g.job)
 	}
 }
 
-// Expire ends leases, also some that ended already.
-func (r *trial) Expire(t *rapid.T) {
+// Expire ends a lease, possibly one that has ended already.
+func (r *modelTest) Expire(t *rapid.T) {
 	if len(r.history) == 0 {
-		t.Skip("nothing was handed out")
+		t.Skip("nothing was leased")
 	}
 	g := rapid.SampledFrom(r.history).Draw(t, "lease")
 	cause := rapid.SampledFrom([]toucanhingev1.ExpiryCause{
@@ -278,16 +278,16 @@
 			continue
 		}
 		j.items[h.index].lease = 0
-		r.learnLimit(h)
-		r.learnEnd(h.job)
+		r.applyAttemptLimit(h)
+		r.updateJobState(h.job)
 	}
 }
 
-// Cancel ends a job; a finished one stays finished.
-func (r *trial) Cancel(t *rapid.T) {
+// Cancel cancels a job. A finished job stays finished.
+func (r *modelTest) Cancel(t *rapid.T) {
 	id := rapid.SampledFrom([]string{"j1-a", "j1-b", "j1-c", "j1-d"}).Draw(t, "job")
 	if rapid.IntRange(0, 3).Draw(t, "really") != 0 {
-		t.Skip("cancelled seldom, so that jobs get far")
+		t.Skip("jobs are cancelled rarely, so that some make progress")
 	}
 	answer := r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: &toucanhingev1.CancelJobRequest{Id: id}}}).(CancelAnswer)
 	j := r.jobs[id]
@@ -304,8 +304,8 @@
 	require.Equal(t, j.state, answer.Status.GetState())
 }
 
-// Sweep lets time pass and drops what ended long ago.
-func (r *trial) Sweep(t *rapid.T) {
+// Sweep advances the time and drops jobs that ended long ago.
+func (r *modelTest) Sweep(t *rapid.T) {
 	r.now += int64(rapid.IntRange(0, 3_000).Draw(t, "passed"))
 	before := r.now - int64(rapid.IntRange(0, 20_000).Draw(t, "kept"))
 	r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Sweep{
@@ -321,55 +321,54 @@
 	})
 }
 
-// Checkpoint makes a manifest; the log before it is not needed any more.
-func (r *trial) Checkpoint(t *rapid.T) {
+// Checkpoint creates a manifest and discards the log before it.
+func (r *modelTest) Checkpoint(t *rapid.T) {
 	manifest, err := r.machine.Checkpoint()
 	require.NoError(t, err)
 	r.manifest, r.log, r.answers = manifest, nil, nil
 }
 
-// Crash loses everything in memory and whatever of the segments was written
-// after the checkpoint is there in part; the log is replayed and must give the
-// same answers.
-func (r *trial) Crash(t *rapid.T) {
+// Crash discards the state in memory. Segment records written after the checkpoint
+// may remain in part. Replaying the log must give the same answers.
+func (r *modelTest) Crash(t *rapid.T) {
 	r.machine.Close()
 	r.machine = openMachine(t, r.machine.config.Folder, r.manifest)
 	r.replay(t)
 }
 
-func (r *trial) replay(t *rapid.T) {
+func (r *modelTest) replay(t *rapid.T) {
 	for n, command := range r.log {
 		answers := r.machine.Apply(0, command).([]any)
-		require.Equal(t, fmt.Sprint(r.answers[n]...), fmt.Sprint(answers...), "a replay gave another answer")
+		require.Equal(t, fmt.Sprint(r.answers[n]...), fmt.Sprint(answers...), "the replay returned another answer")
 	}
 }
 
-// Ship moves the state to another machine, as to a replica that lost its disk.
-func (r *trial) Ship(t *rapid.T) {
+// Transfer exports the state to another machine, as to a replica that lost its disk.
+func (r *modelTest) Transfer(t *rapid.T) {
 	var wire bytes.Buffer
 	manifest, err := r.machine.Checkpoint()
 	require.NoError(t, err)
 	require.NoError(t, r.machine.Export(manifest, &wire))
-	other := openMachine(t, r.folders(), nil)
+	other := openMachine(t, r.newFolder(), nil)
 	r.manifest, err = other.Import(&wire)
 	require.NoError(t, err)
 	r.machine.Close()
 	r.machine, r.log, r.answers = other, nil, nil
 }
 
-// LostCheckpoint crashes after a checkpoint was made and before it was noted:
-// the one before it must still load.
-func (r *trial) LostCheckpoint(t *rapid.T) {
+// LostCheckpoint crashes after a checkpoint was created and before its manifest was
+// stored. The previous checkpoint must still load.
+func (r *modelTest) LostCheckpoint(t *rapid.T) {
 	_, err := r.machine.Checkpoint()
 	require.NoError(t, err)
 	r.Crash(t)
 }
 
-// LostImport crashes after a state was received over the present one and before
-// that was noted: the present one must still load.
-func (r *trial) LostImport(t *rapid.T) {
+// LostImport crashes after another state was imported and before its manifest was
+// stored. The state before the import must still load.
+func (r *modelTest) LostImport(t *rapid.T) {
 	var wire bytes.Buffer
-	empty := openMachine(t, r.folders(), nil)
+	empty := openMachine(t, r.newFolder(), nil)
 	defer empty.Close()
 	manifest, err := empty.Checkpoint()
 	require.NoError(t, err)
@@ -379,8 +378,8 @@
 	r.Crash(t)
 }
 
-// check compares all that can be read with the oracle.
-func (r *trial) check(t *rapid.T) {
+// check compares all readable state with the model.
+func (r *modelTest) check(t *rapid.T) {
 	for id, j := range r.jobs {
 		whole, err := r.machine.Results("", id, 0)
 		require.NoError(t, err)
@@ -395,7 +394,7 @@
 				}
 			}
 			require.EqualValues(t, leased, status.GetLeased())
-			require.Equal(t, j.state == toucanhingev1.JobState_JOB_STATE_FINISHED, s.jobs[id].sealed != nil && len(s.jobs[id].items) == 0, "a finished job leaves the memory")
+			require.Equal(t, j.state == toucanhingev1.JobState_JOB_STATE_FINISHED, s.jobs[id].sealed != nil && len(s.jobs[id].items) == 0, "only a finished job is sealed and has no items in memory")
 		})
 		next := 0
 		for index, i := range j.items {
@@ -407,15 +406,15 @@
 			r.checkResult(t, i, page[next])
 			next++
 		}
-		require.Len(t, page, next, "a result of an undecided item")
+		require.Len(t, page, next, "an undecided item has a result")
 		rest, err := r.machine.Results("", id, 1)
 		require.NoError(t, err)
-		want := slices.DeleteFunc(slices.Clone(page), func(d Decided) bool { return d.Index < 1 })
-		require.True(t, slices.Equal(want, rest.Decided), "%v and %v", want, rest.Decided)
+		wantRest := slices.DeleteFunc(slices.Clone(page), func(d Decided) bool { return d.Index < 1 })
+		require.True(t, slices.Equal(wantRest, rest.Decided), "want %v, got %v", wantRest, rest.Decided)
 	}
 }
 
-func (r *trial) checkResult(t *rapid.T, i modelItem, d Decided) {
+func (r *modelTest) checkResult(t *rapid.T, i modelItem, d Decided) {
 	payloads, err := r.machine.ReadResults([]segment.Ref{d.Result})
 	require.NoError(t, err)
 	result := &toucanhingev1.Result{}
@@ -425,9 +424,9 @@
 	require.Equal(t, i.body, string(result.GetBody()))
 }
 
-// drop ends and drops everything; no segment may then be held by a record that
-// nobody can reach any more.
-func (r *trial) drop(t *rapid.T) {
+// checkAllReleased cancels and drops all jobs and uploads. No segment may then count
+// a live record: such a record would be unreachable and keep its file forever.
+func (r *modelTest) checkAllReleased(t *rapid.T) {
 	for id := range r.jobs {
 		r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: &toucanhingev1.CancelJobRequest{Id: id}}})
 	}
@@ -440,32 +439,32 @@
 	snapshot := &toucanhingev1.JobSnapshot{}
 	require.NoError(t, proto.Unmarshal(manifest, snapshot))
 	for _, list := range [][]*toucanhingev1.Segment{snapshot.GetItems(), snapshot.GetResults()} {
-		require.LessOrEqual(t, len(list), 1, "more than the present segment is kept")
+		require.LessOrEqual(t, len(list), 1, "only the current segment may remain")
 		for _, f := range list {
 			require.Zero(t, f.GetLive())
 		}
 	}
 }
 
-// TestRapidJobs steps the machine through uploads and resends, leases, outcomes
-// late, doubled and forged, lost leases, cancellations, retention, crashes at
-// any moment and moves to another disk, beside an oracle of plain maps. It
-// proves: an accepted item has one result, the first under its live lease, and
-// the result stays readable; nothing of a cancelled job is leased or counted.
+// TestRapidJobs compares the machine with a model of plain maps during uploads and
+// resends, leases, late, duplicate and forged outcomes, lost leases, cancellations,
+// retention, crashes and transfers to another disk. It checks that an accepted item
+// has one result, the first one reported under its live lease, that the result stays
+// readable, and that no item of a cancelled job is leased or counted.
 func TestRapidJobs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := 0
 		root, err := os.MkdirTemp(t.TempDir(), "trial")
 		require.NoError(rt, err)
 		defer func() { _ = os.RemoveAll(root) }()
-		r := newTrial(rt, func() string { n++; return fmt.Sprintf("%s/%d", root, n) })
+		r := newModelTest(rt, func() string { n++; return fmt.Sprintf("%s/%d", root, n) })
 		defer func() { r.machine.Close() }()
 		rt.Repeat(map[string]func(*rapid.T){
 			"upload": r.Upload, "lease": r.Lease, "lease again": r.Lease, "complete": r.Complete, "complete again": r.Complete,
-			"finish": r.Finish, "expire": r.Expire, "cancel": r.Cancel, "sweep": r.Sweep, "checkpoint": r.Checkpoint, "crash": r.Crash, "ship": r.Ship,
+			"finish": r.Finish, "expire": r.Expire, "cancel": r.Cancel, "sweep": r.Sweep, "checkpoint": r.Checkpoint, "crash": r.Crash, "ship": r.Transfer,
 			"lost checkpoint": r.LostCheckpoint, "lost import": r.LostImport,
 			"": r.check,
 		})
-		r.drop(rt)
+		r.checkAllReleased(rt)
 	})
 }
--- a/control/pkg/jobstate/lease.go
+++ b/control/pkg/jobstate/lease.go
@@ -9,7 +9,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Leased is one item handed out.
+// Leased is one leased item.
 type Leased struct {
 	Job      string
 	Index    uint32
@@ -21,29 +21,29 @@
 	Alone    bool
 }
 
-// LeaseAnswer is what a sidecar got.
+// LeaseAnswer holds the items leased to a sidecar.
 type LeaseAnswer struct {
 	Items []Leased
-	// Waiting says that something waits, though not for this sidecar now.
+	// Waiting reports that items wait, but that this sidecar can't have them now.
 	Waiting bool
 }
 
-// ExpireAnswer says how many leases ended.
+// ExpireAnswer holds the number of leases that the step ended.
 type ExpireAnswer struct {
 	Ended int
 }
 
-// lease hands out items under new numbers, one for each job they come from.
+// lease leases items to a sidecar, with one new lease per job.
 func (s *State) lease(step *toucanhingev1.LeaseStep) any {
 	request := step.GetRequest()
 	v := s.services[request.GetService()]
 	if v == nil {
 		return LeaseAnswer{}
 	}
-	switch s.turnOf(v, request.GetSidecar(), step.GetExcluded()) {
-	case turnNothing:
+	switch s.chooseGrant(v, request.GetSidecar(), step.GetExcluded()) {
+	case grantNothing:
 		return LeaseAnswer{Waiting: true}
-	case turnAlone:
+	case grantAlone:
 		return LeaseAnswer{Items: s.leaseSuspect(v, request, step.GetExcluded())}
 	default:
 		return LeaseAnswer{Items: s.leaseShared(v, request, step.GetExcluded())}
@@ -51,42 +51,42 @@
 }
 
 func (s *State) leaseShared(v *service, request *toucanhingev1.LeaseRequest, excluded []string) []Leased {
-	var handed []Leased
-	for left := int(request.GetMost()); left > 0; left = int(request.GetMost()) - len(handed) {
-		d, j := v.pick(excluded)
+	var leased []Leased
+	for left := int(request.GetMost()); left > 0; left = int(request.GetMost()) - len(leased) {
+		d, j := v.pickJob(excluded)
 		if j == nil {
 			break
 		}
-		l := s.grant(j, request, j.take(left))
+		l := s.grant(j, request, j.dequeueItems(left))
 		v.charge(d, j, len(l.items), s.now)
 		if j.waiting() == 0 {
-			s.unlist(j)
+			s.dequeueJob(j)
 		}
-		handed = s.hand(handed, l)
+		leased = s.appendLeased(leased, l)
 	}
-	return handed
+	return leased
 }
 
 func (s *State) leaseSuspect(v *service, request *toucanhingev1.LeaseRequest, excluded []string) []Leased {
-	at := v.suspectFor(excluded)
+	at := v.nextSuspect(excluded)
 	p := v.suspects[at]
 	v.suspects = slices.Delete(v.suspects, at, at+1)
-	v.undrain(request.GetSidecar())
+	v.stopDraining(request.GetSidecar())
 	if len(v.suspects) == 0 {
 		v.draining = nil
 	}
 	l := s.grant(p.job, request, []uint32{p.index})
 	l.alone = true
-	s.holders[l.sidecar].alone = true
-	return s.hand(nil, l)
+	s.sidecars[l.sidecar].alone = true
+	return s.appendLeased(nil, l)
 }
 
-// take removes up to most waiting items, those that came back first.
-func (j *job) take(most int) []uint32 {
-	count := min(most, j.waiting())
-	back := min(count, len(j.returned))
-	items := slices.Clone(j.returned[:back])
-	j.returned = slices.Delete(j.returned, 0, back)
+// dequeueItems removes up to limit waiting items, returned items first.
+func (j *job) dequeueItems(limit int) []uint32 {
+	count := min(limit, j.waiting())
+	returned := min(count, len(j.returned))
+	items := slices.Clone(j.returned[:returned])
+	j.returned = slices.Delete(j.returned, 0, returned)
 	for len(items) < count {
 		items = append(items, j.cursor)
 		j.cursor++
@@ -97,53 +97,53 @@
 func (s *State) grant(j *job, request *toucanhingev1.LeaseRequest, items []uint32) *lease {
 	s.lastLease++
 	l := &lease{
-		number: s.lastLease, job: j, items: items, open: len(items),
+		number: s.lastLease, job: j, items: items, undecided: len(items),
 		sidecar: request.GetSidecar(), incarnation: request.GetIncarnation(), granted: s.now,
 	}
 	s.leases[l.number] = l
-	s.hold(l)
+	s.trackLease(l)
 	j.leased += uint32(len(items))
 	for _, index := range items {
 		j.items[index].state = itemLeased
-		j.items[index].holder = l.number
+		j.items[index].leaseOrResult = l.number
 	}
 	s.counts.Leased += uint64(len(items))
 	return l
 }
 
-func (s *State) hand(handed []Leased, l *lease) []Leased {
+func (s *State) appendLeased(leased []Leased, l *lease) []Leased {
 	for _, index := range l.items {
 		i := &l.job.items[index]
-		handed = append(handed, Leased{
-			Job: l.job.id, Index: index, Lease: l.number, Attempt: uint32(i.spent) + 1,
+		leased = append(leased, Leased{
+			Job: l.job.id, Index: index, Lease: l.number, Attempt: uint32(i.attempts) + 1,
 			Deadline: clock.Millis(l.job.header.GetDeadlineMs()), Team: l.job.header.GetTeam(),
 			Body: i.body, Alone: l.alone,
 		})
 	}
-	return handed
+	return leased
 }
 
-func (s *State) hold(l *lease) {
-	h := s.holders[l.sidecar]
+func (s *State) trackLease(l *lease) {
+	h := s.sidecars[l.sidecar]
 	if h == nil {
-		h = &holder{}
-		s.holders[l.sidecar] = h
+		h = &sidecarLeases{}
+		s.sidecars[l.sidecar] = h
 	}
-	h.leases++
+	h.count++
 	h.alone = l.alone
 }
 
 func (s *State) endLease(l *lease) {
 	delete(s.leases, l.number)
-	h := s.holders[l.sidecar]
-	h.leases--
-	if h.leases == 0 {
-		delete(s.holders, l.sidecar)
+	h := s.sidecars[l.sidecar]
+	h.count--
+	if h.count == 0 {
+		delete(s.sidecars, l.sidecar)
 	}
 }
 
-// expire ends leases that ran out. The leader watches the time and logs the end,
-// so that every replica refuses the same late results.
+// expire ends leases. The leader tracks the time and logs the expiry, so that
+// every replica refuses the same late results.
 func (s *State) expire(step *toucanhingev1.ExpireStep) any {
 	ended := 0
 	for _, number := range step.GetLeases() {
@@ -153,56 +153,57 @@
 		}
 		ended++
 		s.counts.LeasesLost++
-		s.loseLease(l, step.GetCause())
+		s.dropLease(l, step.GetCause())
 	}
 	return ExpireAnswer{Ended: ended}
 }
 
-func (s *State) loseLease(l *lease, cause toucanhingev1.ExpiryCause) {
+func (s *State) dropLease(l *lease, cause toucanhingev1.ExpiryCause) {
 	v := s.service(l.job.header.GetService())
 	s.endLease(l)
-	v.undrain(l.sidecar)
+	v.stopDraining(l.sidecar)
 	for _, index := range l.items {
 		i := &l.job.items[index]
-		if i.state != itemLeased || i.holder != l.number {
+		if i.state != itemLeased || i.leaseOrResult != l.number {
 			continue
 		}
 		l.job.leased--
 		if cause == toucanhingev1.ExpiryCause_EXPIRY_CAUSE_UNKNOWN_TO_HOLDER {
-			s.giveBack(l.job, index)
+			s.requeueItem(l.job, index)
 			continue
 		}
-		s.blame(l, index, fmt.Sprintf("lost with sidecar %s", l.sidecar))
+		s.recordEngineLoss(l, index, fmt.Sprintf("lost with sidecar %s", l.sidecar))
 	}
 }
 
-// blame books the loss of an engine on the items that it was running. One that
-// ran alone is at fault and spends an attempt. One that ran beside others
-// spends none, but runs alone from now on; so a neighbour of an item that kills
-// engines keeps its attempts, and the culprit still reaches its limit.
-func (s *State) blame(l *lease, index uint32, reason string) {
+// recordEngineLoss records the loss of an engine for an item that was running on it.
+// An item that ran alone caused the loss and uses up an attempt. An item that ran
+// beside others uses up none, but runs alone from then on. So items that shared an
+// engine with a poison item keep their attempts, and the poison item still reaches
+// its limit.
+func (s *State) recordEngineLoss(l *lease, index uint32, reason string) {
 	i := &l.job.items[index]
 	if !l.alone {
 		i.suspect = true
-		s.giveBack(l.job, index)
+		s.requeueItem(l.job, index)
 		return
 	}
-	i.spent++
-	if i.spent >= l.job.attempts {
-		s.fail(l.job, index, fmt.Sprintf("%s while run alone, attempt %d of %d", reason, i.spent, l.job.attempts))
+	i.attempts++
+	if i.attempts >= l.job.maxAttempts {
+		s.fail(l.job, index, fmt.Sprintf("%s while run alone, attempt %d of %d", reason, i.attempts, l.job.maxAttempts))
 		return
 	}
-	s.giveBack(l.job, index)
+	s.requeueItem(l.job, index)
 }
 
-// giveBack makes an item wait again.
-func (s *State) giveBack(j *job, index uint32) {
+// requeueItem puts an item back into the wait queue, or among the suspects.
+func (s *State) requeueItem(j *job, index uint32) {
 	i := &j.items[index]
 	i.state = itemPending
-	i.holder = 0
+	i.leaseOrResult = 0
 	if !i.suspect {
 		j.returned = append(j.returned, index)
-		s.list(j)
+		s.enqueueJob(j)
 		return
 	}
 	s.counts.Suspects++
--- a/control/pkg/jobstate/machine.go
+++ b/control/pkg/jobstate/machine.go
@@ -18,38 +18,38 @@
 	resultsName = "results"
 )
 
-// MachineConfig describes a machine.
+// MachineConfig configures a machine.
 type MachineConfig struct {
 	// Folder is the group's own folder on disk.
 	Folder string
-	// Fatal is told of a failed write to a segment. The state in memory is then
-	// ahead of the disk for good, so the process has to stop.
+	// Fatal is called when a write to a segment fails. The state in memory then
+	// stays ahead of the disk, so the process has to stop.
 	Fatal func(error)
-	// Roll is the length of a segment file; 0 means the default.
+	// Roll is the length at which a new segment file is started; 0 means the default.
 	Roll int64
 }
 
-// Machine is the state with its segments and a lock, as a consensus group
-// drives it. Apply, Checkpoint, Load and Import belong to one goroutine.
+// Machine combines the state of a consensus group with its segments and a lock.
+// Apply, Checkpoint, Load and Import must be called from one goroutine.
 type Machine struct {
-	config  MachineConfig
-	mu      sync.RWMutex
-	state   *State
-	items   *segment.Store
-	results *segment.Store
-	folder  string
+	config     MachineConfig
+	mu         sync.RWMutex
+	state      *State
+	items      *segment.Store
+	results    *segment.Store
+	generation string
 }
 
-// NewMachine makes a machine; call Load before use.
+// NewMachine returns a machine. Load must be called before use.
 func NewMachine(config MachineConfig) *Machine {
 	return &Machine{config: config}
 }
 
-// Apply carries out one logged command. The answer is a []any, one for each step.
+// Apply applies one logged command. It returns a []any with one answer per step.
 func (m *Machine) Apply(_ uint64, data []byte) any {
 	command := &toucanhingev1.JobCommand{}
 	if err := proto.Unmarshal(data, command); err != nil {
-		m.config.Fatal(fmt.Errorf("a logged command can't be read: %w", err))
+		m.config.Fatal(fmt.Errorf("decode a logged command: %w", err))
 		return nil
 	}
 	m.mu.Lock()
@@ -79,16 +79,16 @@
 	return ref
 }
 
-// Checkpoint syncs the segments and returns the manifest: all state in memory,
-// and the segments' names and lengths.
+// Checkpoint syncs the segments and returns the manifest, which holds all state in
+// memory and the names and lengths of the segments.
 func (m *Machine) Checkpoint() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	if err := segment.DeleteOtherGenerations(m.config.Folder, m.folder); err != nil {
+	if err := segment.DeleteOtherGenerations(m.config.Folder, m.generation); err != nil {
 		return nil, err
 	}
 	snapshot := m.state.Save()
-	snapshot.Folder = m.folder
+	snapshot.Folder = m.generation
 	var err error
 	if snapshot.Items, err = m.items.Checkpoint(); err != nil {
 		return nil, fmt.Errorf("checkpoint of the items: %w", err)
@@ -103,8 +103,8 @@
 	return manifest, nil
 }
 
-// Load goes back to a manifest; nil means the empty state. What the log holds
-// after the manifest has to be applied again.
+// Load restores the state of a manifest; nil means the empty state. The caller has
+// to apply the log entries after the manifest again.
 func (m *Machine) Load(manifest []byte) error {
 	snapshot, err := readManifest(manifest)
 	if err != nil {
@@ -115,13 +115,13 @@
 	if err := m.restore(snapshot); err != nil {
 		return err
 	}
-	return segment.DeleteOtherGenerations(m.config.Folder, m.folder)
+	return segment.DeleteOtherGenerations(m.config.Folder, m.generation)
 }
 
-// restore puts the state of a manifest in place of the present one.
+// restore replaces the current state with that of a manifest.
 func (m *Machine) restore(snapshot *toucanhingev1.JobSnapshot) error {
-	items, results := m.stores(snapshot.GetFolder())
-	if m.folder == snapshot.GetFolder() {
+	items, results := m.newStores(snapshot.GetFolder())
+	if m.generation == snapshot.GetFolder() {
 		m.closeStores()
 	}
 	if err := items.Load(snapshot.GetItems()); err != nil {
@@ -131,7 +131,7 @@
 		return fmt.Errorf("load the results: %w", err)
 	}
 	m.closeStores()
-	m.folder, m.items, m.results = snapshot.GetFolder(), items, results
+	m.generation, m.items, m.results = snapshot.GetFolder(), items, results
 	m.state = Restore(Config{
 		AppendItem:     func(payload []byte) segment.Ref { return m.appendTo(m.items, payload) },
 		AppendResult:   func(payload []byte) segment.Ref { return m.appendTo(m.results, payload) },
@@ -153,7 +153,7 @@
 	return snapshot, nil
 }
 
-func (m *Machine) stores(folder string) (items, results *segment.Store) {
+func (m *Machine) newStores(folder string) (items, results *segment.Store) {
 	path := filepath.Join(m.config.Folder, folder)
 	return segment.New(segment.Config{Folder: path, Name: itemsName, Roll: m.config.Roll}),
 		segment.New(segment.Config{Folder: path, Name: resultsName, Roll: m.config.Roll})
@@ -166,7 +166,7 @@
 	}
 }
 
-// Export ships a manifest and the segments that it names.
+// Export writes a manifest and the segments that it names.
 func (m *Machine) Export(manifest []byte, w io.Writer) error {
 	snapshot, err := readManifest(manifest)
 	if err != nil {
@@ -175,19 +175,19 @@
 	if err := segment.SendManifest(w, manifest); err != nil {
 		return err
 	}
-	items, results := m.stores(snapshot.GetFolder())
+	items, results := m.newStores(snapshot.GetFolder())
 	if err := items.Export(snapshot.GetItems(), w); err != nil {
-		return fmt.Errorf("ship the items: %w", err)
+		return fmt.Errorf("export the items: %w", err)
 	}
 	if err := results.Export(snapshot.GetResults(), w); err != nil {
-		return fmt.Errorf("ship the results: %w", err)
+		return fmt.Errorf("export the results: %w", err)
 	}
 	return nil
 }
 
-// Import replaces the state by what Export shipped, received into a folder of
-// its own and synced. The old folder stays until the next checkpoint: a crash
-// before the caller has noted the returned manifest loads the old one again.
+// Import replaces the state with one written by Export. The segments are received
+// into a new folder and synced. The old folder stays until the next checkpoint, so
+// that a crash before the caller has stored the returned manifest loads the old state.
 func (m *Machine) Import(r io.Reader) ([]byte, error) {
 	manifest, err := segment.ReceiveManifest(r)
 	if err != nil {
@@ -197,8 +197,8 @@
 	if err != nil {
 		return nil, err
 	}
-	snapshot.Folder = segment.FreeGeneration(m.config.Folder, m.folder)
-	items, results := m.stores(snapshot.GetFolder())
+	snapshot.Folder = segment.FreeGeneration(m.config.Folder, m.generation)
+	items, results := m.newStores(snapshot.GetFolder())
 	if err := items.Import(snapshot.GetItems(), r); err != nil {
 		return nil, fmt.Errorf("receive the items: %w", err)
 	}
@@ -217,14 +217,15 @@
 	return manifest, nil
 }
 
-// View runs a reader on the state; it must not keep what it points to.
+// View calls read with the state under a read lock. The function must not retain
+// pointers into the state.
 func (m *Machine) View(read func(*State)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	read(m.state)
 }
 
-// ReadItems returns encoded items, in the order asked for.
+// ReadItems returns encoded items in the order of refs.
 func (m *Machine) ReadItems(refs []segment.Ref) ([][]byte, error) {
 	m.mu.RLock()
 	store := m.items
@@ -232,7 +233,7 @@
 	return store.ReadMany(refs)
 }
 
-// ReadResults returns encoded results, in the order asked for.
+// ReadResults returns encoded results in the order of refs.
 func (m *Machine) ReadResults(refs []segment.Ref) ([][]byte, error) {
 	m.mu.RLock()
 	store := m.results
@@ -240,8 +241,8 @@
 	return store.ReadMany(refs)
 }
 
-// Results returns the decided items among the next few of a job from an index on;
-// its page has no Index.
+// Results returns the decided items of a job in the page that contains the index
+// from, starting at that index. Page.Index is always 0.
 func (m *Machine) Results(team, id string, from uint64) (Page, error) {
 	var page Page
 	var err error
--- a/control/pkg/jobstate/poison_test.go
+++ b/control/pkg/jobstate/poison_test.go
@@ -13,27 +13,28 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// ended keeps the results that a state wrote, by item.
-type ended map[uint64]*toucanhingev1.Result
-
-// plain is a state of one job that writes no segments.
-func plain(t require.TestingT) (*State, ended) {
-	results := ended{}
-	nowhere := func([]byte) segment.Ref { return 1 }
+// resultsByItem holds the results that a state wrote, by item index.
+type resultsByItem map[uint64]*toucanhingev1.Result
+
+// newStateWithoutSegments returns a state for one job that writes no segments, and
+// the results that the state appends.
+func newStateWithoutSegments(t require.TestingT) (*State, resultsByItem) {
+	results := resultsByItem{}
+	discard := func([]byte) segment.Ref { return 1 }
 	release := func(uint32, uint64) {}
 	return New(Config{
-		AppendItem: nowhere, AppendIndex: nowhere, ReleaseItems: release, ReleaseResults: release,
+		AppendItem: discard, AppendIndex: discard, ReleaseItems: release, ReleaseResults: release,
 		AppendResult: func(payload []byte) segment.Ref {
 			result := &toucanhingev1.Result{}
 			require.NoError(t, proto.Unmarshal(payload, result))
-			require.NotContains(t, results, result.GetIndex(), "a second result")
+			require.NotContains(t, results, result.GetIndex(), "the item already has a result")
 			results[result.GetIndex()] = result
 			return 1
 		},
 	}), results
 }
 
-func accept(s *State, id, team string, count, attempts, weight int, deadline clock.Millis) {
+func acceptJob(s *State, id, team string, count, attempts, weight int, deadline clock.Millis) {
 	stage := &toucanhingev1.StageStep{Upload: id}
 	for range count {
 		stage.Items = append(stage.Items, []byte("body"))
@@ -51,28 +52,28 @@
 	}}}).(LeaseAnswer).Items
 }
 
-func report(s *State, l Leased, outcome toucanhingev1.Outcome, reason string) toucanhingev1.Verdict {
+func reportOutcome(s *State, l Leased, outcome toucanhingev1.Outcome, reason string) toucanhingev1.Verdict {
 	return s.Step(s.now, &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: &toucanhingev1.CompleteRequest{
 		Completions: []*toucanhingev1.Completion{{Job: l.Job, Index: uint64(l.Index), Lease: l.Lease, Outcome: outcome, Reason: reason}},
 	}}}).(CompleteAnswer).Verdicts[0]
 }
 
-func runOut(s *State, leases ...uint64) {
+func expireLeases(s *State, leases ...uint64) {
 	s.Step(s.now, &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Expire{Expire: &toucanhingev1.ExpireStep{
 		Leases: leases, Cause: toucanhingev1.ExpiryCause_EXPIRY_CAUSE_RUN_OUT,
 	}}})
 }
 
-// TestRapidPoisonItems lets some items kill whatever engine runs them. An owner
-// of a job sees: each of these items ends as failed after its attempt limit,
-// and every other item is done. The neighbours that were on a killed engine lose
-// no attempt by it; otherwise a few poison items would fail whole jobs.
+// TestRapidPoisonItems runs jobs with items that crash every engine they run on.
+// Each poison item must fail at its attempt limit, and every other item must
+// succeed. Items that shared a crashed engine must not lose an attempt; otherwise
+// a few poison items would fail whole jobs.
 func TestRapidPoisonItems(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := rapid.IntRange(1, 3).Draw(rt, "limit")
-		s, results := plain(rt)
+		s, results := newStateWithoutSegments(rt)
 		count := rapid.IntRange(1, 60).Draw(rt, "items")
-		accept(s, "j1-a", "agence", count, limit, 1, 0)
+		acceptJob(s, "j1-a", "agence", count, limit, 1, 0)
 		poison := map[uint32]bool{}
 		for range rapid.IntRange(0, 4).Draw(rt, "poison") {
 			poison[uint32(rapid.IntRange(0, count-1).Draw(rt, "which"))] = true
@@ -90,16 +91,17 @@
 				continue
 			}
 			require.Equal(rt, toucanhingev1.Outcome_OUTCOME_DONE, results[n].GetOutcome(), "item %d", n)
-			require.True(rt, survives || results[n].GetAttempts() == 1, "an innocent item lost attempts")
+			require.True(rt, survives || results[n].GetAttempts() == 1, "item %d is not poison but lost attempts", n)
 		}
 	})
 }
 
-// runFleet steps sidecars that lease, run and die until the job has ended.
+// runFleet simulates sidecars that lease items, run them and lose their engines
+// until the job has ended.
 func runFleet(t *rapid.T, s *State, sidecars int, poison map[uint32]bool, survives bool, choose func(int) int) {
 	held := make([][]Leased, sidecars)
 	for step := 0; s.jobs["j1-a"].running(); step++ {
-		require.Less(t, step, 20_000, "the job doesn't end")
+		require.Less(t, step, 20_000, "the job does not finish")
 		s.now += 500
 		n := choose(sidecars)
 		name := fmt.Sprintf("s%d", n)
@@ -111,42 +113,42 @@
 		if poison[held[n][at].Index] {
 			for _, l := range held[n] {
 				if survives {
-					report(s, l, toucanhingev1.Outcome_OUTCOME_RETRY, "stream broken")
+					reportOutcome(s, l, toucanhingev1.Outcome_OUTCOME_RETRY, "stream broken")
 					continue
 				}
-				runOut(s, l.Lease)
+				expireLeases(s, l.Lease)
 			}
 			held[n] = nil
 			continue
 		}
-		require.Equal(t, toucanhingev1.Verdict_VERDICT_ACCEPTED, report(s, held[n][at], toucanhingev1.Outcome_OUTCOME_DONE, ""))
+		require.Equal(t, toucanhingev1.Verdict_VERDICT_ACCEPTED, reportOutcome(s, held[n][at], toucanhingev1.Outcome_OUTCOME_DONE, ""))
 		held[n] = append(held[n][:at], held[n][at+1:]...)
 	}
 }
 
-// TestEngineLostCountsLikeALostLease has a sidecar survive its engine: it hands
-// the items back as lost with the engine. That must not spend the attempts of
-// items that ran beside others, and must spend those of one that ran alone.
-func TestEngineLostCountsLikeALostLease(t *testing.T) {
+// TestEngineLossCountsLikeLostLease reports items as lost with the engine, by a
+// sidecar that survived it. The report must use up no attempts of items that ran
+// beside others, and one attempt of an item that ran alone.
+func TestEngineLossCountsLikeLostLease(t *testing.T) {
 	const engineLost = "engine-lost"
-	s, _ := plain(t)
-	accept(s, "j1-a", "agence", 2, 1, 1, 0)
+	s, _ := newStateWithoutSegments(t)
+	acceptJob(s, "j1-a", "agence", 2, 1, 1, 0)
 	for _, l := range leaseFor(s, "s1", 2) {
-		require.Equal(t, toucanhingev1.Verdict_VERDICT_ACCEPTED, report(s, l, toucanhingev1.Outcome_OUTCOME_RETRY, engineLost))
+		require.Equal(t, toucanhingev1.Verdict_VERDICT_ACCEPTED, reportOutcome(s, l, toucanhingev1.Outcome_OUTCOME_RETRY, engineLost))
 	}
 	for range 2 {
 		alone := leaseFor(s, "s1", 2)
 		require.Len(t, alone, 1)
 		require.True(t, alone[0].Alone)
-		require.Empty(t, leaseFor(s, "s1", 2), "nothing may run beside a suspect")
-		report(s, alone[0], toucanhingev1.Outcome_OUTCOME_RETRY, engineLost)
+		require.Empty(t, leaseFor(s, "s1", 2), "leased an item to a sidecar that runs a suspect")
+		reportOutcome(s, alone[0], toucanhingev1.Outcome_OUTCOME_RETRY, engineLost)
 	}
 	require.EqualValues(t, 2, s.jobs["j1-a"].failed)
 }
 
-// TestAttemptsEndAtTheLimit counts the attempts that each way of ending spends;
-// an item that hasn't ended has no result.
-func TestAttemptsEndAtTheLimit(t *testing.T) {
+// TestOutcomesUseAttempts checks how many attempts each outcome uses up, and that
+// an undecided item has no result.
+func TestOutcomesUseAttempts(t *testing.T) {
 	done, failed := toucanhingev1.Outcome_OUTCOME_DONE, toucanhingev1.Outcome_OUTCOME_FAILED
 	retry, returned := toucanhingev1.Outcome_OUTCOME_RETRY, toucanhingev1.Outcome_OUTCOME_RETURNED
 	scenarios := []struct {
@@ -157,21 +159,21 @@
 		attempts uint32
 	}{
 		{"done at once", done, 1, done, 1},
-		{"failed for good at once", failed, 1, failed, 1},
-		{"one retry is left", retry, 2, 0, 2},
-		{"no retry is left, the last one ran alone", retry, 3, failed, 3},
-		{"handing back spends nothing", returned, 9, 0, 0},
+		{"failed at once", failed, 1, failed, 1},
+		{"one retry left", retry, 2, 0, 2},
+		{"no retry left, last attempt ran alone", retry, 3, failed, 3},
+		{"return uses no attempt", returned, 9, 0, 0},
 	}
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
-			s, results := plain(t)
-			accept(s, "j1-a", "agence", 1, 3, 1, 0)
+			s, results := newStateWithoutSegments(t)
+			acceptJob(s, "j1-a", "agence", 1, 3, 1, 0)
 			for range c.repeat {
-				report(s, leaseFor(s, "s1", 1)[0], c.outcome, "why")
+				reportOutcome(s, leaseFor(s, "s1", 1)[0], c.outcome, "why")
 			}
 			require.Equal(t, c.ends, results[0].GetOutcome())
 			if c.ends == 0 {
-				require.EqualValues(t, c.attempts, s.jobs["j1-a"].items[0].spent)
+				require.EqualValues(t, c.attempts, s.jobs["j1-a"].items[0].attempts)
 				return
 			}
 			require.Equal(t, c.attempts, results[0].GetAttempts())
@@ -179,14 +181,14 @@
 	}
 }
 
-// TestTeamsShareByWeight gives one team thrice the weight of the other while
-// both have more than enough; an early deadline moves a job ahead only of its
-// own team's others.
+// TestTeamsShareByWeight gives one team three times the weight of the other while
+// both have enough waiting items. An early deadline moves a job ahead of its own
+// team's jobs only.
 func TestTeamsShareByWeight(t *testing.T) {
-	s, _ := plain(t)
-	accept(s, "j1-a", "agence", 1_000, 3, 3, 0)
-	accept(s, "j1-b", "heredia", 1_000, 3, 1, 0)
-	accept(s, "j1-c", "heredia", 20, 3, 1, 50_000)
+	s, _ := newStateWithoutSegments(t)
+	acceptJob(s, "j1-a", "agence", 1_000, 3, 3, 0)
+	acceptJob(s, "j1-b", "heredia", 1_000, 3, 1, 0)
+	acceptJob(s, "j1-c", "heredia", 20, 3, 1, 50_000)
 	got := map[string]int{}
 	for range 100 {
 		for _, l := range leaseFor(s, "s1", 4) {
@@ -194,16 +196,16 @@
 		}
 	}
 	require.InDelta(t, 300, got["j1-a"], 8)
-	require.Equal(t, 20, got["j1-c"], "the earliest deadline of the team goes first")
+	require.Equal(t, 20, got["j1-c"], "the team's job with the earliest deadline is leased first")
 	require.InDelta(t, 80, got["j1-b"], 8)
 }
 
-// TestUrgentJobGetsMore brings a job close to its deadline at the present rate:
-// its team's share grows, yet the other team isn't starved.
-func TestUrgentJobGetsMore(t *testing.T) {
-	s, _ := plain(t)
-	accept(s, "j1-a", "agence", 1_000, 3, 1, 0)
-	accept(s, "j1-b", "heredia", 1_000, 3, 1, 70_000)
+// TestUrgentJobIncreasesTeamShare has a job that barely meets its deadline at the
+// current rate. Its team's share grows without starving the other team.
+func TestUrgentJobIncreasesTeamShare(t *testing.T) {
+	s, _ := newStateWithoutSegments(t)
+	acceptJob(s, "j1-a", "agence", 1_000, 3, 1, 0)
+	acceptJob(s, "j1-b", "heredia", 1_000, 3, 1, 70_000)
 	s.services[testService].rate = 100
 	got := map[string]int{}
 	for range 100 {
@@ -214,17 +216,17 @@
 	require.InDelta(t, 4, float64(got["j1-b"])/float64(got["j1-a"]), 0.5)
 }
 
-// TestIdleTeamClaimsNoPast lets a team come back after a time without work: it
-// gets its share from now on, and nothing for the time that it was away.
-func TestIdleTeamClaimsNoPast(t *testing.T) {
-	s, _ := plain(t)
-	accept(s, "j1-b", "heredia", 1, 3, 1, 0)
+// TestIdleTeamGetsNoShareForIdleTime gives a team new items after it was idle. The
+// team gets its share from then on, and nothing extra for the idle time.
+func TestIdleTeamGetsNoShareForIdleTime(t *testing.T) {
+	s, _ := newStateWithoutSegments(t)
+	acceptJob(s, "j1-b", "heredia", 1, 3, 1, 0)
 	leaseFor(s, "s1", 1)
-	accept(s, "j1-a", "agence", 1_000, 3, 1, 0)
+	acceptJob(s, "j1-a", "agence", 1_000, 3, 1, 0)
 	for range 100 {
 		leaseFor(s, "s1", 4)
 	}
-	accept(s, "j1-c", "heredia", 1_000, 3, 1, 0)
+	acceptJob(s, "j1-c", "heredia", 1_000, 3, 1, 0)
 	got := map[string]int{}
 	for range 20 {
 		for _, l := range leaseFor(s, "s1", 4) {
--- a/control/pkg/jobstate/schedule.go
+++ b/control/pkg/jobstate/schedule.go
@@ -7,43 +7,47 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// Constants of the choice among jobs.
+// Constants of job selection. Teams share a service by stride scheduling.
 const (
-	// passUnit is what one item costs a team of weight 1.
+	// passUnit is the amount by which one item advances the pass of a team of weight 1.
 	passUnit = 1 << 20
-	// urgentSlack: a job whose items, at the service's present rate, would be
-	// done less than this before its deadline makes its team's share larger.
+	// urgentSlack is the slack below which a job is urgent: the time between the
+	// job's estimated end, at the service's current rate, and its deadline. An
+	// urgent job increases its team's share.
 	urgentSlack = clock.Millis(60_000)
-	// urgentBoost is how much larger. It is bounded, so that a team can't take
-	// the fleet by writing early deadlines on everything.
+	// urgentBoost is the factor by which an urgent job multiplies its team's weight.
+	// It is bounded, so that a team can't get the whole fleet by setting early
+	// deadlines on all its jobs.
 	urgentBoost = 4
-	// rateWindow is how long decided items are counted to learn the rate.
+	// rateWindow is the window in which decided items are counted to measure the rate.
 	rateWindow = clock.Millis(10_000)
-	// suspectPatience is how long a suspect waits for an idle sidecar before a
-	// busy one is drained for it.
-	suspectPatience = clock.Millis(5_000)
-	// drainShare is the part of the sidecars that may be drained at a time.
-	drainShare = 4
+	// suspectMaxWait is how long a suspect waits for an idle sidecar before a busy
+	// sidecar is drained for it.
+	suspectMaxWait = clock.Millis(5_000)
+	// drainDivisor limits the sidecars that drain at the same time: at most one
+	// plus a fourth of the sidecars that hold leases.
+	drainDivisor = 4
 )
 
-// suspect is an item that has to run alone.
+// suspect is an item that has to run alone because it may crash engines.
 type suspect struct {
 	job   *job
 	index uint32
 	since clock.Millis
 }
 
-// service holds what waits for one service.
+// service holds the waiting jobs and suspects of one service.
 type service struct {
 	name  string
 	teams []*teamQueue
-	// virtual is the pass of the team served last; a team that was idle starts
-	// from there, so that it can't claim the time in which it wanted nothing.
-	virtual  uint64
-	suspects []suspect
-	// draining sidecars get nothing until they hold nothing.
+	// globalPass is the pass of the team served last. A team that was idle starts
+	// from it, so that it gets no extra share for the time when it had no items.
+	globalPass uint64
+	suspects   []suspect
+	// draining lists the sidecars that get no items until they hold none.
 	draining []string
-	// window and decided count towards rate, items per window.
+	// window is the start of the current rate window, decided the number of items
+	// decided in it, and rate the number decided in the previous window.
 	window  clock.Millis
 	decided uint64
 	rate    uint64
@@ -74,7 +78,7 @@
 	return v.teams[at]
 }
 
-// compareJobs orders by deadline, none last, then by age.
+// compareJobs orders jobs by deadline, jobs without one last, then by acceptance time.
 func compareJobs(a, b *job) int {
 	return cmp.Or(
 		cmp.Compare(uint64(a.header.GetDeadlineMs()-1), uint64(b.header.GetDeadlineMs()-1)),
@@ -83,34 +87,34 @@
 	)
 }
 
-// list puts a job with waiting items among those to choose from.
-func (s *State) list(j *job) {
-	if j.listed || !j.running() || j.waiting() == 0 {
+// enqueueJob adds a running job with waiting items to its team's queue.
+func (s *State) enqueueJob(j *job) {
+	if j.queued || !j.running() || j.waiting() == 0 {
 		return
 	}
 	v := s.service(j.header.GetService())
 	d := v.team(j.header.GetTeam())
 	if len(d.jobs) == 0 {
-		d.pass = max(d.pass, v.virtual)
+		d.pass = max(d.pass, v.globalPass)
 	}
 	at, _ := slices.BinarySearchFunc(d.jobs, j, compareJobs)
 	d.jobs = slices.Insert(d.jobs, at, j)
-	j.listed = true
+	j.queued = true
 }
 
-func (s *State) unlist(j *job) {
-	if !j.listed {
+func (s *State) dequeueJob(j *job) {
+	if !j.queued {
 		return
 	}
 	d := s.service(j.header.GetService()).team(j.header.GetTeam())
 	at, _ := slices.BinarySearchFunc(d.jobs, j, compareJobs)
 	d.jobs = slices.Delete(d.jobs, at, at+1)
-	j.listed = false
+	j.queued = false
 }
 
-// pick chooses the next job: between teams by weighted shares, within a team by
-// deadline. It returns nil when nothing waits.
-func (v *service) pick(excluded []string) (*teamQueue, *job) {
+// pickJob selects the next job, between teams by weighted shares and within a team
+// by deadline. It returns nil if no items wait.
+func (v *service) pickJob(excluded []string) (*teamQueue, *job) {
 	var best *teamQueue
 	for _, d := range v.teams {
 		if len(d.jobs) == 0 || slices.Contains(excluded, d.name) {
@@ -126,17 +130,18 @@
 	return best, best.jobs[0]
 }
 
-// charge makes a team pay for the items that it was given.
+// charge advances a team's pass by the cost of the items leased to it.
 func (v *service) charge(d *teamQueue, j *job, items int, now clock.Millis) {
 	weight := uint64(d.weight)
 	if v.urgent(j, now) {
 		weight *= urgentBoost
 	}
-	v.virtual = max(v.virtual, d.pass)
+	v.globalPass = max(v.globalPass, d.pass)
 	d.pass += uint64(items) * passUnit / weight
 }
 
-// urgent says whether a job is still in time, but barely at the present rate.
+// urgent reports whether a job's deadline is still ahead, but leaves less than
+// urgentSlack at the current rate.
 func (v *service) urgent(j *job, now clock.Millis) bool {
 	deadline := clock.Millis(j.header.GetDeadlineMs())
 	if deadline == 0 || deadline < now || v.rate == 0 {
@@ -146,8 +151,8 @@
 	return deadline-now-needed < urgentSlack
 }
 
-// count learns the rate at which the service's items are decided.
-func (v *service) count(now clock.Millis) {
+// countDecided counts a decided item and updates the rate at the end of a window.
+func (v *service) countDecided(now clock.Millis) {
 	if now >= v.window+rateWindow {
 		v.rate = v.decided
 		if now >= v.window+2*rateWindow {
@@ -159,58 +164,59 @@
 	v.decided++
 }
 
-func (v *service) forgetSuspects(j *job) {
+func (v *service) removeSuspects(j *job) {
 	v.suspects = slices.DeleteFunc(v.suspects, func(p suspect) bool { return p.job == j })
 	if len(v.suspects) == 0 {
 		v.draining = nil
 	}
 }
 
-// turn is what a sidecar gets at its present request.
-type turn int
+// grantKind is the kind of lease that a sidecar gets for a request.
+type grantKind int
 
 const (
-	turnShared turn = iota
-	turnAlone
-	turnNothing
+	grantShared grantKind = iota
+	grantAlone
+	grantNothing
 )
 
-// turnOf decides between work beside others, one suspect alone, or nothing.
+// chooseGrant decides whether a sidecar gets items that run side by side, one
+// suspect that runs alone, or nothing.
 //
-// A suspect was lost together with others, and one of them kills engines. If it
-// ran beside others again, these would be lost again and would be blamed in
-// turn until they fail, though nothing is wrong with them. So a suspect is
-// leased only to a sidecar that holds nothing, and while that one holds it, it
-// gets nothing else: whoever is lost then is to blame.
-func (s *State) turnOf(v *service, sidecar string, excluded []string) turn {
-	held := s.holders[sidecar]
+// A suspect was lost together with other items, one of which crashes engines. If a
+// suspect ran beside other items again, these would be lost and suspected as well,
+// until items fail that cause no crash. So a suspect is leased only to a sidecar
+// that holds no lease, and this sidecar gets nothing else until the suspect's lease
+// ends: an engine lost during that time was crashed by the suspect.
+func (s *State) chooseGrant(v *service, sidecar string, excluded []string) grantKind {
+	held := s.sidecars[sidecar]
 	if held != nil && held.alone {
-		return turnNothing
+		return grantNothing
 	}
-	next := v.suspectFor(excluded)
+	next := v.nextSuspect(excluded)
 	if next < 0 {
-		return turnShared
+		return grantShared
 	}
 	if held == nil {
-		return turnAlone
+		return grantAlone
 	}
 	if slices.Contains(v.draining, sidecar) {
-		return turnNothing
+		return grantNothing
 	}
 	waited := s.now - v.suspects[next].since
-	if waited < suspectPatience || len(v.draining) >= 1+len(s.holders)/drainShare {
-		return turnShared
+	if waited < suspectMaxWait || len(v.draining) >= 1+len(s.sidecars)/drainDivisor {
+		return grantShared
 	}
 	v.draining = append(v.draining, sidecar)
-	return turnNothing
+	return grantNothing
 }
 
-func (v *service) suspectFor(excluded []string) int {
+func (v *service) nextSuspect(excluded []string) int {
 	return slices.IndexFunc(v.suspects, func(p suspect) bool {
 		return !slices.Contains(excluded, p.job.header.GetTeam())
 	})
 }
 
-func (v *service) undrain(sidecar string) {
+func (v *service) stopDraining(sidecar string) {
 	v.draining = slices.DeleteFunc(v.draining, func(name string) bool { return name == sidecar })
 }
--- a/control/pkg/jobstate/seal.go
+++ b/control/pkg/jobstate/seal.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// pageItems are read, and sealed, at a time.
+	// pageItems is the number of items per page. Results are read, and finished
+	// jobs sealed, one page at a time.
 	pageItems = 512
-	// placeBytes hold the places of one item's body and result.
-	placeBytes = 16
+	// refPairBytes is the size of the two references to one item's body and result.
+	refPairBytes = 16
 )
 
-// seal is what stays in memory of a finished job. Kept for days, the places of
-// all its items would outgrow by far what is still at work; they go into the
-// results' segments, a record for each page.
+// seal is the part of a finished job that stays in memory. Finished jobs are
+// retained for days, and the references to all their items would take far more
+// memory than the running jobs. The references are therefore written to the result
+// segments, one record per page.
 type seal struct {
 	index   []segment.Ref
 	bodies  []*toucanhingev1.FileCount
@@ -28,22 +30,22 @@
 func (s *State) seal(j *job) {
 	sealed := &seal{}
 	for first := 0; first < len(j.items); first += pageItems {
-		var places []byte
+		var refs []byte
 		for _, i := range j.items[first:min(first+pageItems, len(j.items))] {
-			places = binary.LittleEndian.AppendUint64(places, uint64(i.body))
-			places = binary.LittleEndian.AppendUint64(places, i.holder)
+			refs = binary.LittleEndian.AppendUint64(refs, uint64(i.body))
+			refs = binary.LittleEndian.AppendUint64(refs, i.leaseOrResult)
 		}
-		sealed.index = append(sealed.index, s.config.AppendIndex(places))
+		sealed.index = append(sealed.index, s.config.AppendIndex(refs))
 	}
 	sealed.bodies = countFiles(j.items, func(i *item) segment.Ref { return i.body })
-	sealed.results = countFiles(j.items, func(i *item) segment.Ref { return segment.Ref(i.holder) })
+	sealed.results = countFiles(j.items, func(i *item) segment.Ref { return segment.Ref(i.leaseOrResult) })
 	j.sealed, j.items, j.returned = sealed, nil, nil
 }
 
-func countFiles(items []item, place func(*item) segment.Ref) []*toucanhingev1.FileCount {
+func countFiles(items []item, refOf func(*item) segment.Ref) []*toucanhingev1.FileCount {
 	counts := map[uint32]uint64{}
 	for n := range items {
-		counts[place(&items[n]).File()]++
+		counts[refOf(&items[n]).File()]++
 	}
 	list := make([]*toucanhingev1.FileCount, 0, len(counts))
 	for file, count := range counts {
@@ -53,7 +55,7 @@
 	return list
 }
 
-func (s *State) releaseSealed(sealed *seal) {
+func (s *State) releaseSeal(sealed *seal) {
 	for _, f := range sealed.bodies {
 		s.config.ReleaseItems(f.GetFile(), f.GetCount())
 	}
@@ -65,18 +67,18 @@
 	}
 }
 
-// readIndex decodes a page's record and returns its items from an index on.
+// readIndex decodes the record of a page and returns its items from the given index on.
 func readIndex(record []byte, from uint64) ([]Decided, error) {
-	if len(record)%placeBytes != 0 {
+	if len(record)%refPairBytes != 0 {
 		return nil, fmt.Errorf("index of %d bytes: %w", len(record), segment.ErrDamaged)
 	}
 	first := from / pageItems * pageItems
 	var list []Decided
-	for n := from - first; n < uint64(len(record)/placeBytes); n++ {
-		place := record[n*placeBytes:]
+	for n := from - first; n < uint64(len(record)/refPairBytes); n++ {
+		pair := record[n*refPairBytes:]
 		list = append(list, Decided{
-			Index: first + n, Body: segment.Ref(binary.LittleEndian.Uint64(place)),
-			Result: segment.Ref(binary.LittleEndian.Uint64(place[8:])),
+			Index: first + n, Body: segment.Ref(binary.LittleEndian.Uint64(pair)),
+			Result: segment.Ref(binary.LittleEndian.Uint64(pair[8:])),
 		})
 	}
 	return list, nil
--- a/control/pkg/jobstate/snapshot.go
+++ b/control/pkg/jobstate/snapshot.go
@@ -9,7 +9,7 @@
 // suspectBit marks a suspect in the saved state byte of an item.
 const suspectBit = 0x80
 
-// Save writes the state but for the segments, which the caller adds.
+// Save returns the state without the segments, which the caller adds.
 func (s *State) Save() *toucanhingev1.JobSnapshot {
 	snapshot := &toucanhingev1.JobSnapshot{NowMs: int64(s.now), NextLease: s.lastLease}
 	for _, id := range sortedKeys(s.jobs) {
@@ -33,7 +33,7 @@
 
 func (j *job) save() *toucanhingev1.SavedJob {
 	saved := &toucanhingev1.SavedJob{
-		Header: j.header, Status: j.status(), Digest: j.digest, Attempts: uint32(j.attempts),
+		Header: j.header, Status: j.status(), Digest: j.digest, Attempts: uint32(j.maxAttempts),
 		Bodies: make([]uint64, len(j.items)), Holders: make([]uint64, len(j.items)),
 		States: make([]byte, len(j.items)), Spent: make([]byte, len(j.items)),
 		Cursor: j.cursor, Returned: j.returned, Count: j.count,
@@ -42,19 +42,19 @@
 	for n := range j.items {
 		i := &j.items[n]
 		saved.Bodies[n] = uint64(i.body)
-		saved.Holders[n] = i.holder
+		saved.Holders[n] = i.leaseOrResult
 		saved.States[n] = byte(i.state)
 		if i.suspect {
 			saved.States[n] |= suspectBit
 		}
-		saved.Spent[n] = i.spent
+		saved.Spent[n] = i.attempts
 	}
 	return saved
 }
 
 func (u *upload) save(id string) *toucanhingev1.SavedUpload {
-	saved := &toucanhingev1.SavedUpload{Id: id, TouchedMs: int64(u.touched)}
-	for _, first := range u.firsts() {
+	saved := &toucanhingev1.SavedUpload{Id: id, TouchedMs: int64(u.lastChunk)}
+	for _, first := range u.chunkStarts() {
 		chunk := &toucanhingev1.SavedChunk{First: first}
 		for _, ref := range u.chunks[first] {
 			chunk.Bodies = append(chunk.Bodies, uint64(ref))
@@ -66,7 +66,7 @@
 
 func (v *service) save() *toucanhingev1.SavedService {
 	saved := &toucanhingev1.SavedService{
-		Name: v.name, Virtual: v.virtual, Draining: v.draining,
+		Name: v.name, Virtual: v.globalPass, Draining: v.draining,
 		WindowMs: int64(v.window), WindowDecided: v.decided, Rate: v.rate,
 	}
 	for _, d := range v.teams {
@@ -78,7 +78,7 @@
 	return saved
 }
 
-// Restore makes the state that Save wrote.
+// Restore returns the state that Save wrote.
 func Restore(config Config, snapshot *toucanhingev1.JobSnapshot) *State {
 	s := New(config)
 	s.now = clock.Millis(snapshot.GetNowMs())
@@ -97,17 +97,17 @@
 		s.restoreLease(saved)
 	}
 	for _, id := range sortedKeys(s.jobs) {
-		s.relist(s.jobs[id])
+		s.restoreToQueue(s.jobs[id])
 	}
 	return s
 }
 
-// relist puts a job back among those to choose from, without the change of the
-// team's pass that a job's first listing makes.
-func (s *State) relist(j *job) {
+// restoreToQueue adds a job to its team's queue without the change to the team's pass
+// that enqueueJob makes for a team whose queue was empty.
+func (s *State) restoreToQueue(j *job) {
 	d := s.service(j.header.GetService()).team(j.header.GetTeam())
 	pass := d.pass
-	s.list(j)
+	s.enqueueJob(j)
 	d.pass = pass
 }
 
@@ -116,21 +116,21 @@
 	j := &job{
 		id: status.GetId(), header: saved.GetHeader(), digest: saved.GetDigest(), state: status.GetState(),
 		accepted: clock.Millis(status.GetAcceptedMs()), ended: clock.Millis(status.GetEndedMs()),
-		attempts: uint8(saved.GetAttempts()), items: make([]item, len(saved.GetBodies())),
+		maxAttempts: uint8(saved.GetAttempts()), items: make([]item, len(saved.GetBodies())),
 		cursor: saved.GetCursor(), returned: saved.GetReturned(),
 		count: saved.GetCount(), sealed: restoreSeal(saved), leased: uint32(status.GetLeased()), done: uint32(status.GetDone()), failed: uint32(status.GetFailed()),
 	}
 	for n := range j.items {
 		j.items[n] = item{
-			body: segment.Ref(saved.Bodies[n]), holder: saved.Holders[n],
-			state: itemState(saved.States[n] &^ suspectBit), suspect: saved.States[n]&suspectBit != 0, spent: saved.Spent[n],
+			body: segment.Ref(saved.Bodies[n]), leaseOrResult: saved.Holders[n],
+			state: itemState(saved.States[n] &^ suspectBit), suspect: saved.States[n]&suspectBit != 0, attempts: saved.Spent[n],
 		}
 	}
 	return j
 }
 
 func restoreUpload(saved *toucanhingev1.SavedUpload) *upload {
-	u := &upload{touched: clock.Millis(saved.GetTouchedMs()), chunks: map[uint64][]segment.Ref{}}
+	u := &upload{lastChunk: clock.Millis(saved.GetTouchedMs()), chunks: map[uint64][]segment.Ref{}}
 	for _, chunk := range saved.GetChunks() {
 		refs := make([]segment.Ref, 0, len(chunk.GetBodies()))
 		for _, ref := range chunk.GetBodies() {
@@ -143,7 +143,7 @@
 
 func (s *State) restoreService(saved *toucanhingev1.SavedService) {
 	v := s.service(saved.GetName())
-	v.virtual, v.draining = saved.GetVirtual(), saved.GetDraining()
+	v.globalPass, v.draining = saved.GetVirtual(), saved.GetDraining()
 	v.window, v.decided, v.rate = clock.Millis(saved.GetWindowMs()), saved.GetWindowDecided(), saved.GetRate()
 	for _, d := range saved.GetTeams() {
 		queue := v.team(d.GetTeam())
@@ -161,10 +161,10 @@
 		granted: clock.Millis(saved.GetGrantedMs()), alone: saved.GetAlone(),
 	}
 	for _, index := range l.items {
-		if i := &l.job.items[index]; i.state == itemLeased && i.holder == l.number {
-			l.open++
+		if i := &l.job.items[index]; i.state == itemLeased && i.leaseOrResult == l.number {
+			l.undecided++
 		}
 	}
 	s.leases[l.number] = l
-	s.hold(l)
+	s.trackLease(l)
 }
--- a/control/pkg/jobstate/state.go
+++ b/control/pkg/jobstate/state.go
@@ -1,7 +1,7 @@
-// Package jobstate is the state of the batch jobs of one consensus group: what
-// was uploaded, who works on which item, and how each item ended. It is a
-// deterministic machine that every replica steps through the same commands; it
-// knows no time but the one that commands carry.
+// Package jobstate holds the state of the batch jobs of one consensus group:
+// uploads, leases of items to sidecars, and results. It is a deterministic state
+// machine to which every replica applies the same commands. Its only clock is the
+// time that the commands carry.
 package jobstate
 
 import (
@@ -10,10 +10,10 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// DefaultAttempts is how often an item is tried when its service doesn't say.
+// DefaultAttempts is the attempt limit of an item if its service sets none.
 const DefaultAttempts = 3
 
-// itemState says where an item stands.
+// itemState is the state of an item.
 type itemState uint8
 
 const (
@@ -23,15 +23,16 @@
 	itemFailed
 )
 
-// item holds one item in 24 bytes; its body and its result stand in segments.
+// item holds one item in 24 bytes. Its body and its result are stored in segments.
 type item struct {
 	body segment.Ref
-	// holder is the lease number while leased, and the result's place once decided.
-	holder uint64
-	state  itemState
-	// spent counts the attempts that ended badly.
-	spent uint8
-	// suspect is an item that was lost together with others; it runs alone.
+	// leaseOrResult is the lease number while the item is leased, and the reference
+	// to the result once it is decided.
+	leaseOrResult uint64
+	state         itemState
+	// attempts counts the used attempts: failed ones and the one that decided the item.
+	attempts uint8
+	// suspect is set if the item may have crashed an engine. It runs alone from then on.
 	suspect bool
 }
 
@@ -48,25 +49,26 @@
 	state    toucanhingev1.JobState
 	accepted clock.Millis
 	ended    clock.Millis
-	// attempts is the limit for each item.
-	attempts uint8
-	items    []item
+	// maxAttempts is the attempt limit of each item.
+	maxAttempts uint8
+	items       []item
 	// sealed replaces items once the job has finished.
 	sealed *seal
-	// cursor is the first item that was never leased; returned ones wait apart.
+	// cursor is the first item that was never leased. returned lists items that
+	// were leased before and wait again.
 	cursor   uint32
 	returned []uint32
 	leased   uint32
 	done     uint32
 	failed   uint32
-	listed   bool
+	queued   bool
 }
 
 func (j *job) running() bool {
 	return j.state == toucanhingev1.JobState_JOB_STATE_ACCEPTED
 }
 
-// waiting is how many items could be leased together with others.
+// waiting returns the number of waiting items, suspects excluded.
 func (j *job) waiting() int {
 	return int(j.count) - int(j.cursor) + len(j.returned)
 }
@@ -80,33 +82,34 @@
 	}
 }
 
-// lease is a group of items of one job in one sidecar's hands.
+// lease is a group of items of one job that are leased to one sidecar.
 type lease struct {
-	number      uint64
-	job         *job
-	items       []uint32
-	open        int
+	number uint64
+	job    *job
+	items  []uint32
+	// undecided is the number of items without an outcome.
+	undecided   int
 	sidecar     string
 	incarnation uint64
 	granted     clock.Millis
 	alone       bool
 }
 
-// holder sums up the live leases of one sidecar.
-type holder struct {
-	leases int
-	// alone is set while the one lease is that of a suspect.
+// sidecarLeases counts the live leases of one sidecar.
+type sidecarLeases struct {
+	count int
+	// alone is set while the sidecar's only lease is that of a suspect.
 	alone bool
 }
 
-// upload collects the chunks of a job that is not accepted yet.
+// upload holds the chunks of a job that is not accepted yet.
 type upload struct {
-	touched clock.Millis
-	chunks  map[uint64][]segment.Ref
+	lastChunk clock.Millis
+	chunks    map[uint64][]segment.Ref
 }
 
-// Config holds the seams to the segments. Append and Release must do the same
-// on every replica.
+// Config holds the functions that append and release segment records. They must be
+// deterministic: every replica must get the same references.
 type Config struct {
 	AppendItem     func(payload []byte) segment.Ref
 	AppendResult   func(payload []byte) segment.Ref
@@ -115,7 +118,7 @@
 	ReleaseResults func(file uint32, count uint64)
 }
 
-// State is all jobs of one group.
+// State holds all jobs of one group.
 type State struct {
 	config    Config
 	now       clock.Millis
@@ -123,12 +126,12 @@
 	jobs      map[string]*job
 	uploads   map[string]*upload
 	leases    map[uint64]*lease
-	holders   map[string]*holder
+	sidecars  map[string]*sidecarLeases
 	services  map[string]*service
 	counts    Counts
 }
 
-// Counts are what happened since the process started, for metrics; they are no
+// Counts holds event counters since the process started, for metrics. They are not
 // part of the replicated state.
 type Counts struct {
 	Accepted, Resent, Conflicting uint64
@@ -140,19 +143,19 @@
 	UploadsDropped, JobsDropped   uint64
 }
 
-// New makes an empty state.
+// New returns an empty state.
 func New(config Config) *State {
 	return &State{
 		config:   config,
 		jobs:     map[string]*job{},
 		uploads:  map[string]*upload{},
 		leases:   map[uint64]*lease{},
-		holders:  map[string]*holder{},
+		sidecars: map[string]*sidecarLeases{},
 		services: map[string]*service{},
 	}
 }
 
-// Step carries out one step of a command and returns its typed answer.
+// Step applies one step of a command and returns its typed answer.
 func (s *State) Step(at clock.Millis, step *toucanhingev1.JobStep) any {
 	s.now = max(s.now, at)
 	switch t := step.GetStep().(type) {
--- a/control/pkg/jobstate/sweep.go
+++ b/control/pkg/jobstate/sweep.go
@@ -8,16 +8,16 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// SweepAnswer says what was dropped.
+// SweepAnswer holds the numbers of dropped uploads and jobs.
 type SweepAnswer struct {
 	Uploads, Jobs int
 }
 
-// sweep drops broken uploads and jobs that ended long ago.
+// sweep drops abandoned uploads and jobs that ended before the retention time.
 func (s *State) sweep(step *toucanhingev1.JobSweepStep) any {
 	var answer SweepAnswer
 	for _, id := range sortedKeys(s.uploads) {
-		if s.uploads[id].touched < clock.Millis(step.GetUploadsBeforeMs()) {
+		if s.uploads[id].lastChunk < clock.Millis(step.GetUploadsBeforeMs()) {
 			s.dropUpload(id)
 			answer.Uploads++
 		}
@@ -36,13 +36,13 @@
 
 func (s *State) dropJob(j *job) {
 	if j.sealed != nil {
-		s.releaseSealed(j.sealed)
+		s.releaseSeal(j.sealed)
 	}
 	for n := range j.items {
 		i := &j.items[n]
 		s.config.ReleaseItems(i.body.File(), 1)
 		if i.decided() {
-			s.config.ReleaseResults(segment.Ref(i.holder).File(), 1)
+			s.config.ReleaseResults(segment.Ref(i.leaseOrResult).File(), 1)
 		}
 	}
 	delete(s.jobs, j.id)
--- a/control/pkg/jobstate/upload.go
+++ b/control/pkg/jobstate/upload.go
@@ -10,41 +10,42 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Why an upload or a question about a job is refused.
+// Reasons why an upload or a request for a job is refused.
 var (
-	// ErrConflict is another job under a key that already names one.
+	// ErrConflict is returned if the upload's key already names a job with other items.
 	ErrConflict = errors.New("the key already names a job with different items")
-	// ErrIncomplete is an accept whose items did not all arrive.
+	// ErrIncomplete is returned if some items of the accepted upload are missing.
 	ErrIncomplete = errors.New("the upload is incomplete or was dropped")
-	// ErrNoJob is a job that does not exist, belongs to another team, or was dropped by retention.
+	// ErrNoJob is returned if a job does not exist, belongs to another team, or was
+	// dropped by retention.
 	ErrNoJob = errors.New("no such job")
 )
 
-// StageAnswer says that a chunk is held.
+// StageAnswer confirms that a chunk is stored.
 type StageAnswer struct{}
 
-// AcceptAnswer is a job's state after its accept.
+// AcceptAnswer holds a job's state after its accept step.
 type AcceptAnswer struct {
 	Status *toucanhingev1.JobStatus
 	Resend bool
 	Err    error
 }
 
-// CancelAnswer is a job's state after its cancellation.
+// CancelAnswer holds a job's state after its cancellation.
 type CancelAnswer struct {
 	Status *toucanhingev1.JobStatus
 	Err    error
 }
 
-// stage keeps a chunk out of everybody's sight until its upload is accepted. A
-// chunk that comes twice, because its proposal's outcome was unknown, counts once.
+// stage stores a chunk, which stays invisible until its upload is accepted. A chunk
+// that arrives twice, because the outcome of its proposal was unknown, counts once.
 func (s *State) stage(step *toucanhingev1.StageStep) any {
 	u := s.uploads[step.GetUpload()]
 	if u == nil {
 		u = &upload{chunks: map[uint64][]segment.Ref{}}
 		s.uploads[step.GetUpload()] = u
 	}
-	u.touched = s.now
+	u.lastChunk = s.now
 	if _, known := u.chunks[step.GetFirst()]; known {
 		return StageAnswer{}
 	}
@@ -56,9 +57,9 @@
 	return StageAnswer{}
 }
 
-// accept makes a job of an upload. A key names one job for as long as the job
-// is kept: a client that lost our answer sends everything again, and must get
-// the first job's state instead of a second job.
+// accept creates a job from an upload. A key names one job for as long as the job
+// is retained: a client that did not get the answer uploads the job again, and must
+// get the state of the first job instead of a second job.
 func (s *State) accept(step *toucanhingev1.AcceptStep) any {
 	if j := s.jobs[step.GetId()]; j != nil {
 		s.dropUpload(step.GetUpload())
@@ -81,20 +82,20 @@
 	j := &job{
 		id: step.GetId(), header: step.GetHeader(), digest: step.GetDigest(),
 		state: toucanhingev1.JobState_JOB_STATE_ACCEPTED, accepted: s.now,
-		attempts: attemptLimit(step.GetAttempts()), items: items, count: uint32(len(items)),
+		maxAttempts: attemptLimit(step.GetAttempts()), items: items, count: uint32(len(items)),
 	}
 	s.jobs[j.id] = j
 	s.counts.Accepted++
 	s.service(j.header.GetService()).team(j.header.GetTeam()).weight = max(step.GetWeight(), 1)
-	s.list(j)
+	s.enqueueJob(j)
 	return AcceptAnswer{Status: j.status()}
 }
 
-func attemptLimit(asked uint32) uint8 {
-	if asked == 0 {
+func attemptLimit(requested uint32) uint8 {
+	if requested == 0 {
 		return DefaultAttempts
 	}
-	return uint8(min(asked, 255))
+	return uint8(min(requested, 255))
 }
 
 func (u *upload) assemble(count uint64) ([]item, bool) {
@@ -116,7 +117,7 @@
 	if u == nil {
 		return
 	}
-	for _, first := range u.firsts() {
+	for _, first := range u.chunkStarts() {
 		for _, ref := range u.chunks[first] {
 			s.config.ReleaseItems(ref.File(), 1)
 		}
@@ -124,7 +125,7 @@
 	delete(s.uploads, id)
 }
 
-func (u *upload) firsts() []uint64 {
+func (u *upload) chunkStarts() []uint64 {
 	firsts := make([]uint64, 0, len(u.chunks))
 	for first := range u.chunks {
 		firsts = append(firsts, first)
@@ -133,8 +134,8 @@
 	return firsts
 }
 
-// cancel ends a job for good: nothing of it is leased again, and results that
-// are still on their way are refused. What was decided before stays readable.
+// cancel ends a job: its items are not leased again, and results that arrive later
+// are refused. Results decided before stay readable.
 func (s *State) cancel(request *toucanhingev1.CancelJobRequest) any {
 	j := s.jobs[request.GetId()]
 	if j == nil || (request.GetTeam() != "" && request.GetTeam() != j.header.GetTeam()) {
@@ -146,13 +147,13 @@
 	j.state = toucanhingev1.JobState_JOB_STATE_CANCELLED
 	j.ended = s.now
 	j.leased = 0
-	s.unlist(j)
+	s.dequeueJob(j)
 	for _, number := range s.leaseNumbers() {
 		if l := s.leases[number]; l.job == j {
 			s.endLease(l)
 		}
 	}
-	s.service(j.header.GetService()).forgetSuspects(j)
+	s.service(j.header.GetService()).removeSuspects(j)
 	return CancelAnswer{Status: j.status()}
 }
 
--- a/control/pkg/jobstate/view.go
+++ b/control/pkg/jobstate/view.go
@@ -6,7 +6,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// LeaseView is one live lease as the leader watches it.
+// LeaseView is the part of a live lease that the leader needs to track its expiry.
 type LeaseView struct {
 	Number      uint64
 	Sidecar     string
@@ -14,14 +14,14 @@
 	Granted     clock.Millis
 }
 
-// Decided is one decided item: where its body and its result stand.
+// Decided refers to the body and the result of one decided item.
 type Decided struct {
 	Index  uint64
 	Body   segment.Ref
 	Result segment.Ref
 }
 
-// Job returns a job's status; an empty team means any.
+// Job returns the status of a job; an empty team matches any team.
 func (s *State) Job(team, id string) (*toucanhingev1.JobStatus, error) {
 	j := s.jobs[id]
 	if j == nil || (team != "" && team != j.header.GetTeam()) {
@@ -30,7 +30,8 @@
 	return j.status(), nil
 }
 
-// Jobs returns the status of all jobs of a team, or of all teams, by id.
+// Jobs returns the status of a team's jobs, ordered by id; an empty team matches any
+// team.
 func (s *State) Jobs(team string) []*toucanhingev1.JobStatus {
 	var list []*toucanhingev1.JobStatus
 	for _, id := range sortedKeys(s.jobs) {
@@ -41,16 +42,18 @@
 	return list
 }
 
-// Page is a part of a job's decided items.
+// Page is one page of a job's decided items.
 type Page struct {
 	Decided []Decided
-	// Next is the index to go on from; it equals the asked one at the end.
+	// Next is the index at which the next page starts. At the end of the job it
+	// equals the requested index.
 	Next uint64
-	// Index, if not 0, is the record that holds the places instead of Decided.
+	// Index, if not 0, refers to the record that holds the page instead of Decided.
 	Index segment.Ref
 }
 
-// Results returns the decided items among the next few of a job from an index on.
+// Results returns the decided items of a job in the page that contains the index
+// from, starting at that index.
 func (s *State) Results(team, id string, from uint64) (Page, error) {
 	j := s.jobs[id]
 	if j == nil || (team != "" && team != j.header.GetTeam()) {
@@ -66,7 +69,7 @@
 	}
 	for n := from; n < page.Next; n++ {
 		if i := &j.items[n]; i.decided() {
-			page.Decided = append(page.Decided, Decided{Index: n, Body: i.body, Result: segment.Ref(i.holder)})
+			page.Decided = append(page.Decided, Decided{Index: n, Body: i.body, Result: segment.Ref(i.leaseOrResult)})
 		}
 	}
 	return page, nil
@@ -76,7 +79,7 @@
 	return (from/pageItems + 1) * pageItems
 }
 
-// Leases returns all live leases, in order of their numbers.
+// Leases returns all live leases, ordered by number.
 func (s *State) Leases() []LeaseView {
 	list := make([]LeaseView, 0, len(s.leases))
 	for _, number := range s.leaseNumbers() {
@@ -86,14 +89,14 @@
 	return list
 }
 
-// Live says whether a lease still holds.
+// Live reports whether a lease is live.
 func (s *State) Live(number uint64) bool {
 	return s.leases[number] != nil
 }
 
-// Waiting says whether a service has anything to lease, so that an idle
-// sidecar's question costs no entry in the log.
-func (s *State) Waiting(name string) bool {
+// HasWaitingItems reports whether a service has items to lease. The leader checks it
+// first, so that the requests of idle sidecars add no log entries.
+func (s *State) HasWaitingItems(name string) bool {
 	v := s.services[name]
 	if v == nil {
 		return false
@@ -109,12 +112,12 @@
 	return false
 }
 
-// Totals is how much the state holds now.
+// Totals holds the sizes of the current state.
 type Totals struct {
 	Jobs, Items, Leases, Uploads int
 }
 
-// Totals counts what is held.
+// Totals returns the sizes of the current state.
 func (s *State) Totals() Totals {
 	t := Totals{Jobs: len(s.jobs), Leases: len(s.leases), Uploads: len(s.uploads)}
 	for _, j := range s.jobs {
@@ -123,12 +126,12 @@
 	return t
 }
 
-// Counts returns what happened since the process started.
+// Counts returns the event counters since the process started.
 func (s *State) Counts() Counts {
 	return s.counts
 }
 
-// Now is the newest time that a command carried.
+// Now returns the latest time that a command carried.
 func (s *State) Now() clock.Millis {
 	return s.now
 }
--- a/control/pkg/work/handler.go
+++ b/control/pkg/work/handler.go
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	waiting := false
-	g.Machine.View(func(s *jobstate.State) { waiting = s.Waiting(asked.GetService()) })
+	g.Machine.View(func(s *jobstate.State) { waiting = s.HasWaitingItems(asked.GetService()) })
 	if !waiting {
 		return connect.NewResponse(&toucanhingev1.LeaseResponse{LeaseMs: int64(h.config.Lease), RetryMs: retryIdle}), nil
 	}
