--- a/control/pkg/jobstate/lease.go
+++ b/control/pkg/jobstate/lease.go
@@ -84,9 +84,9 @@
 // dequeueItems removes up to limit waiting items, returned items first.
 func (j *job) dequeueItems(limit int) []uint32 {
 	count := min(limit, j.waiting())
-	returned := min(count, len(j.returned))
-	items := slices.Clone(j.returned[:returned])
-	j.returned = slices.Delete(j.returned, 0, returned)
+	requeued := min(count, len(j.returned))
+	items := slices.Clone(j.returned[:requeued])
+	j.returned = slices.Delete(j.returned, 0, requeued)
 	for len(items) < count {
 		items = append(items, j.cursor)
 		j.cursor++
--- a/control/pkg/jobstate/poison_test.go
+++ b/control/pkg/jobstate/poison_test.go
@@ -91,7 +91,7 @@
 				continue
 			}
 			require.Equal(rt, toucanhingev1.Outcome_OUTCOME_DONE, results[n].GetOutcome(), "item %d", n)
-			require.True(rt, survives || results[n].GetAttempts() == 1, "item %d is not poison but lost attempts", n)
+			require.True(rt, survives || results[n].GetAttempts() == 1, "an item that is not poison lost attempts")
 		}
 	})
 }
