--- a/control/pkg/app/parts.go
+++ b/control/pkg/app/parts.go
@@ -34,7 +34,7 @@
 // parts are what the process serves and runs.
 type parts struct {
 	members *fleet.Keeper
-	leases  *work.Keeper
+	leases  *work.LeaseTracker
 	vms     *platform.Poller
 	handler http.Handler
 }
@@ -49,9 +49,9 @@
 			Lease: clock.Millis(settings.Members.LeaseMS), ForgetAfter: clock.Millis(settings.Members.ForgetMS),
 			ClaimsKept: clock.Millis(settings.Claims.KeepMS), RequestsKept: clock.Millis(settings.Operators.RequestsMS),
 		}),
-		leases: work.NewKeeper(work.KeeperConfig{
+		leases: work.NewLeaseTracker(work.LeaseTrackerConfig{
 			Groups: gs.jobs, Clock: now, Logger: logger, Lease: clock.Millis(settings.Jobs.LeaseMS),
-			UploadsKept: clock.Millis(settings.Jobs.UploadMS), JobsKept: clock.Millis(settings.Jobs.RetentionMS),
+			UploadRetention: clock.Millis(settings.Jobs.UploadMS), JobRetention: clock.Millis(settings.Jobs.RetentionMS),
 		}),
 	}
 	if settings.Platform.VMListURL != "" {
@@ -74,7 +74,7 @@
 		MostItems: settings.Jobs.MostItems, ItemBytes: settings.Jobs.ItemBytes,
 	})
 	items := work.New(work.Config{
-		Groups: gs.jobs, Fleet: gs.fleet, Keeper: p.leases, Clock: now, Book: book, Refuser: refuser,
+		Groups: gs.jobs, Fleet: gs.fleet, Leases: p.leases, Clock: now, Book: book, Refuser: refuser,
 		Lease: clock.Millis(settings.Jobs.LeaseMS), ResultBytes: settings.Jobs.ResultBytes,
 	})
 	members := fleet.New(fleet.Config{
--- a/control/pkg/work/handler.go
+++ b/control/pkg/work/handler.go
@@ -1,5 +1,5 @@
-// Package work serves sidecars: it leases batch items to them and takes their
-// outcomes.
+// Package work implements WorkService for sidecars: it leases batch items to them
+// and records the outcomes they report.
 package work
 
 import (
@@ -22,122 +22,126 @@
 )
 
 const (
-	placeLease    = "lease"
-	placeComplete = "complete"
-	placeRenew    = "renew"
+	callLease    = "lease"
+	callComplete = "complete"
+	callRenew    = "renew"
 
 	reasonInvalid  = "invalid"
 	reasonGroup    = "no-such-group"
 	reasonStorage  = "storage"
 	reasonTooLarge = "too-large"
 
-	// retryIdle and retryBusy are when to ask again, milliseconds: if nothing
-	// waits at all, and if something waits that the sidecar can't have yet.
-	retryIdle = 500
-	retryBusy = 50
-
-	mostLeased      = 256
-	mostCompletions = 1024
-	stepBytes       = 128
+	// retryIdleMillis and retryBusyMillis are the retry intervals sent to a sidecar
+	// that got no items: if no items wait, and if items wait that the sidecar can't
+	// have yet.
+	retryIdleMillis = 500
+	retryBusyMillis = 50
+
+	maxLeased      = 256
+	maxCompletions = 1024
+	// stepOverheadBytes is the assumed size of a step, and of a completion, without
+	// its payload.
+	stepOverheadBytes = 128
 )
 
-// Config describes the handler.
+// Config configures a handler.
 type Config struct {
 	// Groups are the job groups by number.
 	Groups map[uint32]*group.Jobs
 	Fleet  *group.Fleet
-	Keeper *Keeper
+	Leases *LeaseTracker
 	Clock  clock.Clock
 	Book   *record.Book
-	// Lease is how long a lease holds without a renewal.
+	// Lease is the time after which a lease expires without a renewal.
 	Lease   clock.Millis
 	Refuser group.Refuser
-	// ResultBytes is the largest result of one item.
+	// ResultBytes is the maximum size of one item's result.
 	ResultBytes int
 }
 
-// Handler is the WorkService.
+// Handler implements WorkService.
 type Handler struct {
 	config Config
 }
 
 var _ toucanhingev1connect.WorkServiceHandler = (*Handler)(nil)
 
-// New makes the handler.
+// New returns a handler.
 func New(config Config) *Handler {
 	return &Handler{config: config}
 }
 
-func (h *Handler) group(place string, number uint32) (*group.Jobs, error) {
+// leaderGroup returns a job group if this replica leads it.
+func (h *Handler) leaderGroup(call string, number uint32) (*group.Jobs, error) {
 	g := h.config.Groups[number]
 	if g == nil {
-		return nil, h.config.Refuser.With(place, reasonGroup, connect.CodeInvalidArgument, "there is no job group %d", number)
+		return nil, h.config.Refuser.With(call, reasonGroup, connect.CodeInvalidArgument, "there is no job group %d", number)
 	}
 	name, address, self := g.Leader()
 	if !self {
-		return nil, h.config.Refuser.Refuse(place, &replica.NotLeaderError{Leader: name, Address: address})
+		return nil, h.config.Refuser.Refuse(call, &replica.NotLeaderError{Leader: name, Address: address})
 	}
 	return g, nil
 }
 
-// Lease hands out items. An idle sidecar's question is answered from the
-// leader's state and costs no log entry.
+// Lease leases items to a sidecar. If no items wait, the leader answers from its
+// state without a log entry.
 func (h *Handler) Lease(
 	ctx context.Context, request *connect.Request[toucanhingev1.LeaseRequest],
 ) (*connect.Response[toucanhingev1.LeaseResponse], error) {
-	asked := request.Msg
-	if asked.GetSidecar() == "" || asked.GetService() == "" || asked.GetMost() == 0 || asked.GetMost() > mostLeased {
-		return nil, h.config.Refuser.With(placeLease, reasonInvalid, connect.CodeInvalidArgument,
-			"want a sidecar, a service and 1 to %d items", mostLeased)
+	msg := request.Msg
+	if msg.GetSidecar() == "" || msg.GetService() == "" || msg.GetMost() == 0 || msg.GetMost() > maxLeased {
+		return nil, h.config.Refuser.With(callLease, reasonInvalid, connect.CodeInvalidArgument,
+			"want a sidecar, a service and 1 to %d items", maxLeased)
 	}
-	g, err := h.group(placeLease, asked.GetGroup())
+	g, err := h.leaderGroup(callLease, msg.GetGroup())
 	if err != nil {
 		return nil, err
 	}
 	waiting := false
-	g.Machine.View(func(s *jobstate.State) { waiting = s.HasWaitingItems(asked.GetService()) })
+	g.Machine.View(func(s *jobstate.State) { waiting = s.HasWaitingItems(msg.GetService()) })
 	if !waiting {
-		return connect.NewResponse(&toucanhingev1.LeaseResponse{LeaseMs: int64(h.config.Lease), RetryMs: retryIdle}), nil
+		return connect.NewResponse(&toucanhingev1.LeaseResponse{LeaseMs: int64(h.config.Lease), RetryMs: retryIdleMillis}), nil
 	}
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
-		Request: asked, Excluded: h.excluded(asked.GetService(), asked.GetSidecar()),
+		Request: msg, Excluded: h.excludedTeams(msg.GetService(), msg.GetSidecar()),
 	}}}
-	answer, err := group.Do[jobstate.LeaseAnswer](ctx, g.Steps, step, stepBytes)
+	answer, err := group.Do[jobstate.LeaseAnswer](ctx, g.Steps, step, stepOverheadBytes)
 	if err != nil {
-		return nil, h.config.Refuser.Refuse(placeLease, err)
+		return nil, h.config.Refuser.Refuse(callLease, err)
 	}
-	return h.handOut(g, asked, answer)
+	return h.leaseResponse(g, msg, answer)
 }
 
-func (h *Handler) handOut(
-	g *group.Jobs, asked *toucanhingev1.LeaseRequest, answer jobstate.LeaseAnswer,
+func (h *Handler) leaseResponse(
+	g *group.Jobs, msg *toucanhingev1.LeaseRequest, answer jobstate.LeaseAnswer,
 ) (*connect.Response[toucanhingev1.LeaseResponse], error) {
 	response := &toucanhingev1.LeaseResponse{LeaseMs: int64(h.config.Lease)}
 	if len(answer.Items) == 0 {
-		response.RetryMs = retryIdle
+		response.RetryMs = retryIdleMillis
 		if answer.Waiting {
-			response.RetryMs = retryBusy
+			response.RetryMs = retryBusyMillis
 		}
 		return connect.NewResponse(response), nil
 	}
 	items, err := readItems(g, answer.Items)
 	if err != nil {
-		return nil, h.config.Refuser.With(placeLease, reasonStorage, connect.CodeDataLoss, "read leased items: %w", err)
+		return nil, h.config.Refuser.With(callLease, reasonStorage, connect.CodeDataLoss, "read leased items: %w", err)
 	}
 	for _, l := range items {
-		h.config.Keeper.Granted(g.Number, l.GetLease())
+		h.config.Leases.Granted(g.Number, l.GetLease())
 	}
 	response.Items = items
-	h.config.Book.Add(items[0].GetJob(), "leased", asked.GetSidecar())
+	h.config.Book.Add(items[0].GetJob(), "leased", msg.GetSidecar())
 	return connect.NewResponse(response), nil
 }
 
 func readItems(g *group.Jobs, leased []jobstate.Leased) ([]*toucanhingev1.LeasedItem, error) {
-	places := make([]segment.Ref, 0, len(leased))
+	refs := make([]segment.Ref, 0, len(leased))
 	for _, l := range leased {
-		places = append(places, l.Body)
+		refs = append(refs, l.Body)
 	}
-	payloads, err := g.Machine.ReadItems(places)
+	payloads, err := g.Machine.ReadItems(refs)
 	if err != nil {
 		return nil, err
 	}
@@ -155,9 +159,8 @@
 	return items, nil
 }
 
-// excluded lists the teams whose contract keeps their work out of the sidecar's
-// data centre.
-func (h *Handler) excluded(service, sidecar string) []string {
+// excludedTeams returns the teams whose contract excludes the sidecar's data centre.
+func (h *Handler) excludedTeams(service, sidecar string) []string {
 	var excluded []string
 	h.config.Fleet.Machine.View(func(s *fleetstate.State) {
 		member, found := s.Entry(toucanhingev1.Kind_KIND_MEMBER, sidecar)
@@ -173,44 +176,44 @@
 	return excluded
 }
 
-// Complete takes outcomes; each gets its own verdict.
+// Complete records outcomes and returns one verdict for each.
 func (h *Handler) Complete(
 	ctx context.Context, request *connect.Request[toucanhingev1.CompleteRequest],
 ) (*connect.Response[toucanhingev1.CompleteResponse], error) {
-	if len(request.Msg.GetCompletions()) > mostCompletions {
-		return nil, h.config.Refuser.With(placeComplete, reasonInvalid, connect.CodeInvalidArgument,
-			"want at most %d completions", mostCompletions)
+	if len(request.Msg.GetCompletions()) > maxCompletions {
+		return nil, h.config.Refuser.With(callComplete, reasonInvalid, connect.CodeInvalidArgument,
+			"want at most %d completions", maxCompletions)
 	}
-	size := stepBytes
+	size := stepOverheadBytes
 	for _, c := range request.Msg.GetCompletions() {
 		if len(c.GetBody())+len(c.GetReason()) > h.config.ResultBytes {
-			return nil, h.config.Refuser.With(placeComplete, reasonTooLarge, connect.CodeInvalidArgument,
+			return nil, h.config.Refuser.With(callComplete, reasonTooLarge, connect.CodeInvalidArgument,
 				"the result of item %s/%d is larger than %d bytes", c.GetJob(), c.GetIndex(), h.config.ResultBytes)
 		}
-		size += len(c.GetBody()) + len(c.GetReason()) + stepBytes
+		size += len(c.GetBody()) + len(c.GetReason()) + stepOverheadBytes
 	}
-	g, err := h.group(placeComplete, request.Msg.GetGroup())
+	g, err := h.leaderGroup(callComplete, request.Msg.GetGroup())
 	if err != nil {
 		return nil, err
 	}
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: request.Msg}}
 	answer, err := group.Do[jobstate.CompleteAnswer](ctx, g.Steps, step, size)
 	if err != nil {
-		return nil, h.config.Refuser.Refuse(placeComplete, err)
+		return nil, h.config.Refuser.Refuse(callComplete, err)
 	}
 	return connect.NewResponse(&toucanhingev1.CompleteResponse{Verdicts: answer.Verdicts}), nil
 }
 
-// Renew keeps leases alive and names those that no longer hold.
+// Renew renews leases and returns the leases that are no longer live.
 func (h *Handler) Renew(
 	ctx context.Context, request *connect.Request[toucanhingev1.RenewRequest],
 ) (*connect.Response[toucanhingev1.RenewResponse], error) {
-	g, err := h.group(placeRenew, request.Msg.GetGroup())
+	g, err := h.leaderGroup(callRenew, request.Msg.GetGroup())
 	if err != nil {
 		return nil, err
 	}
-	if err := h.config.Keeper.Confirm(ctx, g); err != nil {
-		return nil, h.config.Refuser.Refuse(placeRenew, err)
+	if err := h.config.Leases.Confirm(ctx, g); err != nil {
+		return nil, h.config.Refuser.Refuse(callRenew, err)
 	}
 	response := &toucanhingev1.RenewResponse{LeaseMs: int64(h.config.Lease)}
 	g.Machine.View(func(s *jobstate.State) {
@@ -220,6 +223,6 @@
 			}
 		}
 	})
-	h.config.Keeper.Renewed(g.Number, request.Msg)
+	h.config.Leases.Renewed(g.Number, request.Msg)
 	return connect.NewResponse(response), nil
 }
