--- a/control/pkg/app/parts.go
+++ b/control/pkg/app/parts.go
@@ -70,8 +70,8 @@
 ) http.Handler {
 	refuser := group.Refuser{Refused: set.Refused}
 	jobs := entry.New(entry.Config{
-		Groups: gs.jobs, Total: settings.Groups, Fleet: gs.fleet, Book: book, Refuser: refuser,
-		MostItems: settings.Jobs.MostItems, ItemBytes: settings.Jobs.ItemBytes,
+		Groups: gs.jobs, GroupCount: settings.Groups, Fleet: gs.fleet, Book: book, Refuser: refuser,
+		MaxItems: settings.Jobs.MostItems, ItemBytes: settings.Jobs.ItemBytes,
 	})
 	items := work.New(work.Config{
 		Groups: gs.jobs, Fleet: gs.fleet, Leases: p.leases, Clock: now, Book: book, Refuser: refuser,
--- a/control/pkg/entry/handler.go
+++ b/control/pkg/entry/handler.go
@@ -1,5 +1,5 @@
-// Package entry serves gateways: it takes uploads of batch jobs, and tells and
-// cancels jobs and reads their results.
+// Package entry implements JobService for gateways: it accepts uploads of batch jobs,
+// returns the status and the results of jobs, and cancels jobs.
 package entry
 
 import (
@@ -20,10 +20,10 @@
 )
 
 const (
-	placeUpload  = "upload"
-	placeGet     = "get-job"
-	placeCancel  = "cancel-job"
-	placeResults = "read-results"
+	callUpload  = "upload"
+	callGet     = "get-job"
+	callCancel  = "cancel-job"
+	callResults = "read-results"
 
 	reasonInvalid  = "invalid"
 	reasonBroken   = "broken-off"
@@ -32,68 +32,71 @@
 	reasonNoJob    = "no-such-job"
 	reasonStorage  = "storage"
 
-	stepBytes = 256
-	// contractWait is how long an upload waits for its contract to arrive here.
-	contractWait = time.Second
+	// stepOverheadBytes is the assumed size of a step, and of a result, without its
+	// payload.
+	stepOverheadBytes = 256
+	// contractTimeout is how long an upload waits for its contract to reach this replica.
+	contractTimeout = time.Second
 )
 
-// Config describes the handler.
+// Config configures a handler.
 type Config struct {
 	// Groups are the job groups by number.
 	Groups map[uint32]*group.Jobs
-	// Total is the number of consensus groups, the one for configuration included.
-	Total   uint32
-	Fleet   *group.Fleet
-	Book    *record.Book
-	Refuser group.Refuser
-	// MostItems and ItemBytes bound a job and each of its items.
-	MostItems uint64
+	// GroupCount is the number of consensus groups, including the configuration group.
+	GroupCount uint32
+	Fleet      *group.Fleet
+	Book       *record.Book
+	Refuser    group.Refuser
+	// MaxItems is the maximum number of items of a job, ItemBytes the maximum size of
+	// each item's body.
+	MaxItems  uint64
 	ItemBytes int
 }
 
-// Handler is the JobService.
+// Handler implements JobService.
 type Handler struct {
 	config Config
 }
 
 var _ toucanhingev1connect.JobServiceHandler = (*Handler)(nil)
 
-// New makes the handler.
+// New returns a handler.
 func New(config Config) *Handler {
 	return &Handler{config: config}
 }
 
-// lead returns the job's group if this replica leads it.
-func (h *Handler) lead(place, id string) (*group.Jobs, error) {
+// leaderGroup returns the job's group if this replica leads it.
+func (h *Handler) leaderGroup(call, id string) (*group.Jobs, error) {
 	number, err := jobname.GroupOf(id)
 	g := h.config.Groups[number]
 	if err != nil || g == nil {
-		return nil, h.config.Refuser.With(place, reasonNoJob, connect.CodeNotFound, "%q is no job here", id)
+		return nil, h.config.Refuser.With(call, reasonNoJob, connect.CodeNotFound, "%q is no job here", id)
 	}
 	name, address, self := g.Leader()
 	if !self {
-		return nil, h.config.Refuser.Refuse(place, &replica.NotLeaderError{Leader: name, Address: address})
+		return nil, h.config.Refuser.Refuse(call, &replica.NotLeaderError{Leader: name, Address: address})
 	}
 	return g, nil
 }
 
-// permission is what an upload needs to know of the configuration.
+// permission holds the configuration that applies to an upload.
 type permission struct {
 	allowed bool
 	service *toucanhingev1.Service
 	weight  uint32
 }
 
-// permit refuses an upload without a contract for batch work. This replica leads
-// the job's group but may follow in group 0, and then lag behind a contract that
-// the gateway has in force already; a refusal would be final for the caller, so
-// we wait a little for the contract to arrive here too.
-func (h *Handler) permit(ctx context.Context, header *toucanhingev1.UploadHeader) (permission, error) {
-	timer := time.NewTimer(contractWait)
+// requireContract refuses an upload without a contract for batch work. This replica
+// leads the job's group but may be a follower in group 0, and then may not have
+// applied a contract that the gateway applies already. A refusal would be final for
+// the caller, so the upload waits up to contractTimeout for the contract.
+func (h *Handler) requireContract(ctx context.Context, header *toucanhingev1.UploadHeader) (permission, error) {
+	timer := time.NewTimer(contractTimeout)
 	defer timer.Stop()
 	for {
 		changed := h.config.Fleet.Machine.Changed()
-		if p := h.permission(header); p.allowed {
+		if p := h.readPermission(header); p.allowed {
 			return p, nil
 		}
 		select {
@@ -102,12 +105,12 @@
 		case <-timer.C:
 		case <-ctx.Done():
 		}
-		return permission{}, h.config.Refuser.With(placeUpload, reasonContract, connect.CodePermissionDenied,
+		return permission{}, h.config.Refuser.With(callUpload, reasonContract, connect.CodePermissionDenied,
 			"team %q has no contract for batch work on service %q", header.GetTeam(), header.GetService())
 	}
 }
 
-func (h *Handler) permission(header *toucanhingev1.UploadHeader) permission {
+func (h *Handler) readPermission(header *toucanhingev1.UploadHeader) permission {
 	var p permission
 	h.config.Fleet.Machine.View(func(s *fleetstate.State) {
 		service, found := s.Entry(toucanhingev1.Kind_KIND_SERVICE, header.GetService())
@@ -120,27 +123,27 @@
 	return p
 }
 
-// GetJob tells how far a job is, confirmed by a quorum.
+// GetJob returns the status of a job, confirmed by a quorum.
 func (h *Handler) GetJob(
 	ctx context.Context, request *connect.Request[toucanhingev1.GetJobRequest],
 ) (*connect.Response[toucanhingev1.GetJobResponse], error) {
-	g, err := h.lead(placeGet, request.Msg.GetId())
+	g, err := h.leaderGroup(callGet, request.Msg.GetId())
 	if err != nil {
 		return nil, err
 	}
 	if err := g.Read(ctx); err != nil {
-		return nil, h.config.Refuser.Refuse(placeGet, err)
+		return nil, h.config.Refuser.Refuse(callGet, err)
 	}
 	var status *toucanhingev1.JobStatus
 	g.Machine.View(func(s *jobstate.State) { status, err = s.Job(request.Msg.GetTeam(), request.Msg.GetId()) })
 	if err != nil {
-		return nil, h.noJob(placeGet, request.Msg.GetId(), err)
+		return nil, h.noJobError(callGet, request.Msg.GetId(), err)
 	}
 	return connect.NewResponse(&toucanhingev1.GetJobResponse{Job: status}), nil
 }
 
-func (h *Handler) noJob(place, id string, err error) error {
-	return h.config.Refuser.With(place, reasonNoJob, connect.CodeNotFound, "%q: %w", id, err)
+func (h *Handler) noJobError(call, id string, err error) error {
+	return h.config.Refuser.With(call, reasonNoJob, connect.CodeNotFound, "%q: %w", id, err)
 }
 
 // CancelJob ends a job for good.
@@ -148,26 +151,26 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.CancelJobRequest],
 ) (*connect.Response[toucanhingev1.CancelJobResponse], error) {
 	if request.Msg.GetTeam() == "" {
-		return nil, h.config.Refuser.With(placeCancel, reasonInvalid, connect.CodeInvalidArgument, "the team is missing")
+		return nil, h.config.Refuser.With(callCancel, reasonInvalid, connect.CodeInvalidArgument, "the team is missing")
 	}
 	return h.Cancel(ctx, request)
 }
 
-// Cancel is CancelJob for operators, who may leave the team empty.
+// Cancel cancels a job for an operator; an empty team matches any team.
 func (h *Handler) Cancel(
 	ctx context.Context, request *connect.Request[toucanhingev1.CancelJobRequest],
 ) (*connect.Response[toucanhingev1.CancelJobResponse], error) {
-	g, err := h.lead(placeCancel, request.Msg.GetId())
+	g, err := h.leaderGroup(callCancel, request.Msg.GetId())
 	if err != nil {
 		return nil, err
 	}
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: request.Msg}}
-	answer, err := group.Do[jobstate.CancelAnswer](ctx, g.Steps, step, stepBytes)
+	answer, err := group.Do[jobstate.CancelAnswer](ctx, g.Steps, step, stepOverheadBytes)
 	if err != nil {
-		return nil, h.config.Refuser.Refuse(placeCancel, err)
+		return nil, h.config.Refuser.Refuse(callCancel, err)
 	}
 	if errors.Is(answer.Err, jobstate.ErrNoJob) {
-		return nil, h.noJob(placeCancel, request.Msg.GetId(), answer.Err)
+		return nil, h.noJobError(callCancel, request.Msg.GetId(), answer.Err)
 	}
 	h.config.Book.Add(request.Msg.GetId(), "cancelled", answer.Status.GetState().String())
 	return connect.NewResponse(&toucanhingev1.CancelJobResponse{Job: answer.Status}), nil
--- a/control/pkg/entry/handler_test.go
+++ b/control/pkg/entry/handler_test.go
@@ -14,19 +14,19 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// TestUploadWaitsForItsContract: an operator makes a contract, a gateway has it
-// in force and forwards an upload, and this replica, which follows in group 0,
-// learns of the contract only then. The upload must not be refused for good.
-func TestUploadWaitsForItsContract(t *testing.T) {
+// TestUploadWaitsForContract checks that an upload is not refused if its contract
+// reaches this replica late. A gateway may apply a new contract and forward an upload
+// before this replica, a follower in group 0, has applied the contract.
+func TestUploadWaitsForContract(t *testing.T) {
 	machine := fleetstate.NewMachine(fleetstate.MachineConfig{})
 	h := New(Config{Fleet: group.NewFleet(group.Group{}, machine, clock.System(), nil)})
 	header := &toucanhingev1.UploadHeader{Team: "agence", Service: "svc"}
-	_, err := h.permit(context.Background(), header)
+	_, err := h.requireContract(context.Background(), header)
 	require.Equal(t, connect.CodePermissionDenied, connect.CodeOf(err))
 
 	permitted := make(chan error)
 	go func() {
-		_, err := h.permit(context.Background(), header)
+		_, err := h.requireContract(context.Background(), header)
 		permitted <- err
 	}()
 	for i, e := range []*toucanhingev1.Entry{
--- a/control/pkg/entry/results.go
+++ b/control/pkg/entry/results.go
@@ -14,28 +14,28 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// messageBytes is about how much one message of the stream holds.
-const messageBytes = 256 << 10
+// responseBytes is the approximate size of one message of the stream.
+const responseBytes = 256 << 10
 
-// ReadResults streams what is decided, in item order. Undecided items are left
-// out: the index tells. Losing attempts never reach the results' files, so there
-// is nothing to filter and nothing to hold back.
+// ReadResults streams the results of decided items in item order. It leaves out
+// undecided items, which the client recognizes by the missing indexes. Only an
+// attempt that decides its item writes to the result files, so no result is filtered.
 func (h *Handler) ReadResults(
 	ctx context.Context, request *connect.Request[toucanhingev1.ReadResultsRequest],
 	stream *connect.ServerStream[toucanhingev1.ReadResultsResponse],
 ) error {
-	asked := request.Msg
-	g, err := h.lead(placeResults, asked.GetId())
+	msg := request.Msg
+	g, err := h.leaderGroup(callResults, msg.GetId())
 	if err != nil {
 		return err
 	}
 	if err := g.Read(ctx); err != nil {
-		return h.config.Refuser.Refuse(placeResults, err)
+		return h.config.Refuser.Refuse(callResults, err)
 	}
-	for from := asked.GetFrom(); ; {
-		page, err := g.Machine.Results(asked.GetTeam(), asked.GetId(), from)
+	for from := msg.GetFrom(); ; {
+		page, err := g.Machine.Results(msg.GetTeam(), msg.GetId(), from)
 		if err != nil {
-			return h.unread(asked.GetId(), err)
+			return h.readError(msg.GetId(), err)
 		}
 		if page.Next <= from {
 			return nil
@@ -43,30 +43,30 @@
 		from = page.Next
 		results, err := readPage(g, page.Decided)
 		if err != nil {
-			return h.unread(asked.GetId(), err)
+			return h.readError(msg.GetId(), err)
 		}
-		if err := send(results, stream); err != nil {
+		if err := sendResults(results, stream); err != nil {
 			return err
 		}
 	}
 }
 
-// unread tells a job that retention dropped, maybe under the reader, from
+// readError distinguishes a job that retention dropped, possibly during the read, from
 // damaged files.
-func (h *Handler) unread(id string, err error) error {
+func (h *Handler) readError(id string, err error) error {
 	if errors.Is(err, jobstate.ErrNoJob) || errors.Is(err, segment.ErrGone) {
-		return h.noJob(placeResults, id, jobstate.ErrNoJob)
+		return h.noJobError(callResults, id, jobstate.ErrNoJob)
 	}
-	return h.config.Refuser.With(placeResults, reasonStorage, connect.CodeDataLoss, "read results: %w", err)
+	return h.config.Refuser.With(callResults, reasonStorage, connect.CodeDataLoss, "read results: %w", err)
 }
 
-func send(results []*toucanhingev1.Result, stream *connect.ServerStream[toucanhingev1.ReadResultsResponse]) error {
+func sendResults(results []*toucanhingev1.Result, stream *connect.ServerStream[toucanhingev1.ReadResultsResponse]) error {
 	response := &toucanhingev1.ReadResultsResponse{}
 	size := 0
 	for _, result := range results {
 		response.Results = append(response.Results, result)
-		size += len(result.GetBody()) + stepBytes
-		if size < messageBytes {
+		size += len(result.GetBody()) + stepOverheadBytes
+		if size < responseBytes {
 			continue
 		}
 		if err := stream.Send(response); err != nil {
@@ -81,15 +81,15 @@
 }
 
 func readPage(g *group.Jobs, page []jobstate.Decided) ([]*toucanhingev1.Result, error) {
-	var bodies, places []segment.Ref
+	var itemRefs, resultRefs []segment.Ref
 	for _, d := range page {
-		bodies, places = append(bodies, d.Body), append(places, d.Result)
+		itemRefs, resultRefs = append(itemRefs, d.Body), append(resultRefs, d.Result)
 	}
-	payloads, err := g.Machine.ReadResults(places)
+	payloads, err := g.Machine.ReadResults(resultRefs)
 	if err != nil {
 		return nil, err
 	}
-	items, err := g.Machine.ReadItems(bodies)
+	items, err := g.Machine.ReadItems(itemRefs)
 	if err != nil {
 		return nil, err
 	}
--- a/control/pkg/entry/upload.go
+++ b/control/pkg/entry/upload.go
@@ -23,184 +23,188 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Limits of staging. One chunk is one step of the log; a few are under way at a
-// time, so that an upload isn't slowed by one sync after another.
+// Limits of staging. Each chunk is one step in the log. Several chunks are in flight
+// at a time, so that an upload does not wait for one disk sync after another.
 const (
-	chunkItems     = 256
-	chunkBytes     = 256 << 10
-	chunksInFlight = 8
-	stageTries     = 3
-	longestName    = 256
+	maxChunkItems     = 256
+	maxChunkBytes     = 256 << 10
+	maxChunksInFlight = 8
+	stageAttempts     = 3
+	maxNameBytes      = 256
 )
 
-// Upload takes a whole job. Nothing of it is visible before the answer.
+// Upload receives a whole job. The job is not visible before the response.
 func (h *Handler) Upload(
 	ctx context.Context, stream *connect.ClientStream[toucanhingev1.UploadRequest],
 ) (*connect.Response[toucanhingev1.UploadResponse], error) {
 	if !stream.Receive() {
-		return nil, h.broken(stream.Err())
+		return nil, h.brokenError(stream.Err())
 	}
 	u, err := h.begin(ctx, stream.Msg().GetHeader())
 	if err != nil {
 		return nil, err
 	}
-	defer u.stop()
+	defer u.close()
 	for stream.Receive() {
 		switch part := stream.Msg().GetPart().(type) {
 		case *toucanhingev1.UploadRequest_Items:
-			if err := u.add(part.Items.GetItems()); err != nil {
+			if err := u.addItems(part.Items.GetItems()); err != nil {
 				return nil, err
 			}
 		case *toucanhingev1.UploadRequest_End:
-			return u.end(part.End.GetCount())
+			return u.finish(part.End.GetCount())
 		default:
-			return nil, h.invalid("after the header only items and the end may come")
+			return nil, h.invalidError("after the header only items and the end may come")
 		}
 	}
-	return nil, h.broken(stream.Err())
+	return nil, h.brokenError(stream.Err())
 }
 
-func (h *Handler) broken(err error) error {
+func (h *Handler) brokenError(err error) error {
 	if err == nil {
 		err = errors.New("the upload ended without its end mark")
 	}
-	return h.config.Refuser.With(placeUpload, reasonBroken, connect.CodeInvalidArgument, "upload broken off: %w", err)
+	return h.config.Refuser.With(callUpload, reasonBroken, connect.CodeInvalidArgument, "upload broken off: %w", err)
 }
 
-func (h *Handler) invalid(format string, args ...any) error {
-	return h.config.Refuser.With(placeUpload, reasonInvalid, connect.CodeInvalidArgument, format, args...)
+func (h *Handler) invalidError(format string, args ...any) error {
+	return h.config.Refuser.With(callUpload, reasonInvalid, connect.CodeInvalidArgument, format, args...)
 }
 
-// uploading is one upload under way.
-type uploading struct {
+// uploadSession is the state of one upload stream.
+type uploadSession struct {
 	handler *Handler
 	group   *group.Jobs
 	header  *toucanhingev1.UploadHeader
 	id      string
 	upload  string
-	// permitted is what the configuration said at the start.
-	permitted permission
+	// permission is the configuration at the start of the upload.
+	permission permission
 
-	digest hash.Hash
-	seed   maphash.Seed
-	seen   map[uint64]struct{}
-	count  uint64
-	chunk  [][]byte
-	size   int
+	digest       hash.Hash
+	seed         maphash.Seed
+	seen         map[uint64]struct{}
+	count        uint64
+	pendingItems [][]byte
+	pendingBytes int
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	slots  chan struct{}
-	done   sync.WaitGroup
-	mu     sync.Mutex
-	failed error
+	ctx        context.Context
+	cancel     context.CancelFunc
+	inFlight   chan struct{}
+	staging    sync.WaitGroup
+	mu         sync.Mutex
+	firstError error
 }
 
-func (h *Handler) begin(ctx context.Context, header *toucanhingev1.UploadHeader) (*uploading, error) {
+func (h *Handler) begin(ctx context.Context, header *toucanhingev1.UploadHeader) (*uploadSession, error) {
 	if header == nil {
-		return nil, h.invalid("the first message must be the header")
+		return nil, h.invalidError("the first message must be the header")
 	}
-	if header.GetTeam() == "" || header.GetKey() == "" || len(header.GetKey()) > longestName || len(header.GetTeam()) > longestName {
-		return nil, h.invalid("want a team and a key of at most %d bytes", longestName)
+	if header.GetTeam() == "" || header.GetKey() == "" || len(header.GetKey()) > maxNameBytes || len(header.GetTeam()) > maxNameBytes {
+		return nil, h.invalidError("want a team and a key of at most %d bytes", maxNameBytes)
 	}
-	id := jobname.ID(header.GetTeam(), header.GetKey(), h.config.Total)
-	g, err := h.lead(placeUpload, id)
+	id := jobname.ID(header.GetTeam(), header.GetKey(), h.config.GroupCount)
+	g, err := h.leaderGroup(callUpload, id)
 	if err != nil {
 		return nil, err
 	}
-	permitted, err := h.permit(ctx, header)
+	permission, err := h.requireContract(ctx, header)
 	if err != nil {
 		return nil, err
 	}
-	u := &uploading{
-		handler: h, group: g, header: header, id: id, upload: newUploadID(), permitted: permitted,
-		digest: sha256.New(), seed: maphash.MakeSeed(), seen: map[uint64]struct{}{}, slots: make(chan struct{}, chunksInFlight),
+	u := &uploadSession{
+		handler: h, group: g, header: header, id: id, upload: newUploadID(), permission: permission,
+		digest: sha256.New(), seed: maphash.MakeSeed(), seen: map[uint64]struct{}{}, inFlight: make(chan struct{}, maxChunksInFlight),
 	}
 	u.ctx, u.cancel = context.WithCancel(ctx)
-	u.mix([]byte(header.GetService()))
+	u.addToDigest([]byte(header.GetService()))
 	return u, nil
 }
 
 func newUploadID() string {
 	var random [16]byte
-	// crypto/rand never fails on the systems that we run on; it aborts instead.
+	// crypto/rand returns no error on the supported systems; it ends the process instead.
 	_, _ = rand.Read(random[:])
 	return hex.EncodeToString(random[:])
 }
 
-func (u *uploading) mix(part []byte) {
+// addToDigest adds a part to the digest, with its length first, so that the
+// boundaries between parts count.
+func (u *uploadSession) addToDigest(part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 	u.digest.Write(length[:])
 	u.digest.Write(part)
 }
 
-func (u *uploading) add(items []*toucanhingev1.Item) error {
+func (u *uploadSession) addItems(items []*toucanhingev1.Item) error {
 	for _, item := range items {
-		if err := u.check(item); err != nil {
+		if err := u.checkItem(item); err != nil {
 			return err
 		}
-		u.mix([]byte(item.GetCustomId()))
-		u.mix(item.GetBody())
+		u.addToDigest([]byte(item.GetCustomId()))
+		u.addToDigest(item.GetBody())
 		payload, err := proto.Marshal(item)
 		if err != nil {
-			return u.handler.invalid("line %d: %w", u.count+1, err)
+			return u.handler.invalidError("line %d: %w", u.count+1, err)
 		}
-		if len(u.chunk) == chunkItems || (len(u.chunk) > 0 && u.size+len(payload) > chunkBytes) {
+		if len(u.pendingItems) == maxChunkItems || (len(u.pendingItems) > 0 && u.pendingBytes+len(payload) > maxChunkBytes) {
 			if err := u.stage(); err != nil {
 				return err
 			}
 		}
-		u.chunk = append(u.chunk, payload)
-		u.size += len(payload)
+		u.pendingItems = append(u.pendingItems, payload)
+		u.pendingBytes += len(payload)
 		u.count++
 	}
 	return nil
 }
 
-// check judges one item; the error names its line.
-func (u *uploading) check(item *toucanhingev1.Item) error {
+// checkItem validates one item. The error names its line.
+func (u *uploadSession) checkItem(item *toucanhingev1.Item) error {
 	line := u.count + 1
 	limits := u.handler.config
 	switch {
-	case line > limits.MostItems:
-		return u.handler.invalid("line %d: a job holds at most %d items", line, limits.MostItems)
-	case item.GetCustomId() == "" || len(item.GetCustomId()) > longestName:
-		return u.handler.invalid("line %d: custom_id: want 1 to %d bytes", line, longestName)
+	case line > limits.MaxItems:
+		return u.handler.invalidError("line %d: a job holds at most %d items", line, limits.MaxItems)
+	case item.GetCustomId() == "" || len(item.GetCustomId()) > maxNameBytes:
+		return u.handler.invalidError("line %d: custom_id: want 1 to %d bytes", line, maxNameBytes)
 	case len(item.GetBody()) > limits.ItemBytes:
-		return u.handler.invalid("line %d: the body is larger than %d bytes", line, limits.ItemBytes)
+		return u.handler.invalidError("line %d: the body is larger than %d bytes", line, limits.ItemBytes)
 	case !json.Valid(item.GetBody()):
-		return u.handler.invalid("line %d: the body is not JSON", line)
+		return u.handler.invalidError("line %d: the body is not JSON", line)
 	}
-	// 64 bits with a random seed: among 210,000 names two different ones meet
-	// once in a thousand million uploads, and nobody can aim at it.
+	// The names are hashed to 64 bits with a random seed. Among 210,000 different
+	// names, two collide once in 1,000,000,000 uploads, and a client can't construct a
+	// collision.
 	name := maphash.String(u.seed, item.GetCustomId())
 	if _, twice := u.seen[name]; twice {
-		return u.handler.invalid("line %d: custom_id %q came before", line, item.GetCustomId())
+		return u.handler.invalidError("line %d: custom_id %q came before", line, item.GetCustomId())
 	}
 	u.seen[name] = struct{}{}
 	return nil
 }
 
-// stage sends the gathered chunk off; it waits while too many are under way.
-func (u *uploading) stage() error {
-	if len(u.chunk) == 0 {
+// stage proposes the pending items as a chunk. It blocks while maxChunksInFlight
+// chunks are in flight.
+func (u *uploadSession) stage() error {
+	if len(u.pendingItems) == 0 {
 		return nil
 	}
 	select {
-	case u.slots <- struct{}{}:
+	case u.inFlight <- struct{}{}:
 	case <-u.ctx.Done():
-		return u.failure(u.ctx.Err())
+		return u.refusal(u.ctx.Err())
 	}
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Stage{Stage: &toucanhingev1.StageStep{
-		Upload: u.upload, First: u.count - uint64(len(u.chunk)), Items: u.chunk,
+		Upload: u.upload, First: u.count - uint64(len(u.pendingItems)), Items: u.pendingItems,
 	}}}
-	size := u.size
-	u.chunk, u.size = nil, 0
-	u.done.Add(1)
+	size := u.pendingBytes
+	u.pendingItems, u.pendingBytes = nil, 0
+	u.staging.Add(1)
 	go func() {
-		defer u.done.Done()
-		defer func() { <-u.slots }()
+		defer u.staging.Done()
+		defer func() { <-u.inFlight }()
 		if err := u.propose(step, size); err != nil {
 			u.fail(err)
 		}
@@ -208,10 +212,11 @@
 	return nil
 }
 
-// propose repeats a chunk whose outcome is unknown: staged twice it counts once.
-func (u *uploading) propose(step *toucanhingev1.JobStep, size int) error {
+// propose proposes a chunk, and again if the outcome is unknown: a chunk that is
+// staged twice counts once.
+func (u *uploadSession) propose(step *toucanhingev1.JobStep, size int) error {
 	var err error
-	for range stageTries {
+	for range stageAttempts {
 		_, err = group.Do[jobstate.StageAnswer](u.ctx, u.group.Steps, step, size)
 		if err == nil || !errors.Is(err, replica.ErrUnknown) {
 			return err
@@ -220,57 +225,58 @@
 	return err
 }
 
-func (u *uploading) fail(err error) {
+func (u *uploadSession) fail(err error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.failed == nil {
-		u.failed = err
+	if u.firstError == nil {
+		u.firstError = err
 	}
 	u.cancel()
 }
 
-func (u *uploading) failure(other error) error {
+// refusal returns the first staging error, or other if there is none, as a refusal.
+func (u *uploadSession) refusal(other error) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.failed != nil {
-		other = u.failed
+	if u.firstError != nil {
+		other = u.firstError
 	}
-	return u.handler.config.Refuser.Refuse(placeUpload, other)
+	return u.handler.config.Refuser.Refuse(callUpload, other)
 }
 
-// end accepts the job once all chunks are held.
-func (u *uploading) end(count uint64) (*connect.Response[toucanhingev1.UploadResponse], error) {
+// finish accepts the job once all its chunks are stored.
+func (u *uploadSession) finish(count uint64) (*connect.Response[toucanhingev1.UploadResponse], error) {
 	if count != u.count {
-		return nil, u.handler.invalid("the end names %d items, %d came", count, u.count)
+		return nil, u.handler.invalidError("the end names %d items, %d came", count, u.count)
 	}
 	if count == 0 {
-		return nil, u.handler.invalid("the job holds no items")
+		return nil, u.handler.invalidError("the job holds no items")
 	}
 	if err := u.stage(); err != nil {
 		return nil, err
 	}
-	u.done.Wait()
+	u.staging.Wait()
 	if u.ctx.Err() != nil {
-		return nil, u.failure(u.ctx.Err())
+		return nil, u.refusal(u.ctx.Err())
 	}
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Accept{Accept: &toucanhingev1.AcceptStep{
 		Upload: u.upload, Id: u.id, Header: u.header, Count: count, Digest: u.digest.Sum(nil),
-		Attempts: u.permitted.service.GetItemAttempts(), Weight: u.permitted.weight,
+		Attempts: u.permission.service.GetItemAttempts(), Weight: u.permission.weight,
 	}}}
-	answer, err := group.Do[jobstate.AcceptAnswer](u.ctx, u.group.Steps, step, stepBytes)
+	answer, err := group.Do[jobstate.AcceptAnswer](u.ctx, u.group.Steps, step, stepOverheadBytes)
 	if err != nil {
-		return nil, u.handler.config.Refuser.Refuse(placeUpload, err)
+		return nil, u.handler.config.Refuser.Refuse(callUpload, err)
 	}
-	return u.answer(answer)
+	return u.response(answer)
 }
 
-func (u *uploading) answer(answer jobstate.AcceptAnswer) (*connect.Response[toucanhingev1.UploadResponse], error) {
+func (u *uploadSession) response(answer jobstate.AcceptAnswer) (*connect.Response[toucanhingev1.UploadResponse], error) {
 	refuser := u.handler.config.Refuser
 	switch {
 	case errors.Is(answer.Err, jobstate.ErrConflict):
-		return nil, refuser.With(placeUpload, reasonConflict, connect.CodeAlreadyExists, "key %q: %w", u.header.GetKey(), answer.Err)
+		return nil, refuser.With(callUpload, reasonConflict, connect.CodeAlreadyExists, "key %q: %w", u.header.GetKey(), answer.Err)
 	case answer.Err != nil:
-		return nil, refuser.With(placeUpload, reasonBroken, connect.CodeAborted, "accept: %w", answer.Err)
+		return nil, refuser.With(callUpload, reasonBroken, connect.CodeAborted, "accept: %w", answer.Err)
 	}
 	event := "accepted"
 	if answer.Resend {
@@ -280,7 +286,7 @@
 	return connect.NewResponse(&toucanhingev1.UploadResponse{Job: answer.Status, Resend: answer.Resend}), nil
 }
 
-func (u *uploading) stop() {
+func (u *uploadSession) close() {
 	u.cancel()
-	u.done.Wait()
+	u.staging.Wait()
 }
