--- a/control/pkg/entry/handler.go
+++ b/control/pkg/entry/handler.go
@@ -71,7 +71,7 @@
 	number, err := jobname.GroupOf(id)
 	g := h.config.Groups[number]
 	if err != nil || g == nil {
-		return nil, h.config.Refuser.With(call, reasonNoJob, connect.CodeNotFound, "%q is no job here", id)
+		return nil, h.config.Refuser.RefuseWith(call, reasonNoJob, connect.CodeNotFound, "%q is no job here", id)
 	}
 	name, address, self := g.Leader()
 	if !self {
@@ -105,7 +105,7 @@
 		case <-timer.C:
 		case <-ctx.Done():
 		}
-		return permission{}, h.config.Refuser.With(callUpload, reasonContract, connect.CodePermissionDenied,
+		return permission{}, h.config.Refuser.RefuseWith(callUpload, reasonContract, connect.CodePermissionDenied,
 			"team %q has no contract for batch work on service %q", header.GetTeam(), header.GetService())
 	}
 }
@@ -143,7 +143,7 @@
 }
 
 func (h *Handler) noJobError(call, id string, err error) error {
-	return h.config.Refuser.With(call, reasonNoJob, connect.CodeNotFound, "%q: %w", id, err)
+	return h.config.Refuser.RefuseWith(call, reasonNoJob, connect.CodeNotFound, "%q: %w", id, err)
 }
 
 // CancelJob ends a job for good.
@@ -151,7 +151,7 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.CancelJobRequest],
 ) (*connect.Response[toucanhingev1.CancelJobResponse], error) {
 	if request.Msg.GetTeam() == "" {
-		return nil, h.config.Refuser.With(callCancel, reasonInvalid, connect.CodeInvalidArgument, "the team is missing")
+		return nil, h.config.Refuser.RefuseWith(callCancel, reasonInvalid, connect.CodeInvalidArgument, "the team is missing")
 	}
 	return h.Cancel(ctx, request)
 }
--- a/control/pkg/entry/results.go
+++ b/control/pkg/entry/results.go
@@ -57,7 +57,7 @@
 	if errors.Is(err, jobstate.ErrNoJob) || errors.Is(err, segment.ErrGone) {
 		return h.noJobError(callResults, id, jobstate.ErrNoJob)
 	}
-	return h.config.Refuser.With(callResults, reasonStorage, connect.CodeDataLoss, "read results: %w", err)
+	return h.config.Refuser.RefuseWith(callResults, reasonStorage, connect.CodeDataLoss, "read results: %w", err)
 }
 
 func sendResults(results []*toucanhingev1.Result, stream *connect.ServerStream[toucanhingev1.ReadResultsResponse]) error {
--- a/control/pkg/entry/upload.go
+++ b/control/pkg/entry/upload.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer u.close()
+	defer u.cleanUp()
 	for stream.Receive() {
 		switch part := stream.Msg().GetPart().(type) {
 		case *toucanhingev1.UploadRequest_Items:
@@ -64,11 +64,11 @@
 	if err == nil {
 		err = errors.New("the upload ended without its end mark")
 	}
-	return h.config.Refuser.With(callUpload, reasonBroken, connect.CodeInvalidArgument, "upload broken off: %w", err)
+	return h.config.Refuser.RefuseWith(callUpload, reasonBroken, connect.CodeInvalidArgument, "upload broken off: %w", err)
 }
 
 func (h *Handler) invalidError(format string, args ...any) error {
-	return h.config.Refuser.With(callUpload, reasonInvalid, connect.CodeInvalidArgument, format, args...)
+	return h.config.Refuser.RefuseWith(callUpload, reasonInvalid, connect.CodeInvalidArgument, format, args...)
 }
 
 // uploadSession is the state of one upload stream.
@@ -274,9 +274,9 @@
 	refuser := u.handler.config.Refuser
 	switch {
 	case errors.Is(answer.Err, jobstate.ErrConflict):
-		return nil, refuser.With(callUpload, reasonConflict, connect.CodeAlreadyExists, "key %q: %w", u.header.GetKey(), answer.Err)
+		return nil, refuser.RefuseWith(callUpload, reasonConflict, connect.CodeAlreadyExists, "key %q: %w", u.header.GetKey(), answer.Err)
 	case answer.Err != nil:
-		return nil, refuser.With(callUpload, reasonBroken, connect.CodeAborted, "accept: %w", answer.Err)
+		return nil, refuser.RefuseWith(callUpload, reasonBroken, connect.CodeAborted, "accept: %w", answer.Err)
 	}
 	event := "accepted"
 	if answer.Resend {
@@ -286,7 +286,7 @@
 	return connect.NewResponse(&toucanhingev1.UploadResponse{Job: answer.Status, Resend: answer.Resend}), nil
 }
 
-func (u *uploadSession) close() {
+func (u *uploadSession) cleanUp() {
 	u.cancel()
 	u.staging.Wait()
 }
--- a/control/pkg/fleet/handler.go
+++ b/control/pkg/fleet/handler.go
@@ -77,7 +77,7 @@
 ) (*connect.Response[toucanhingev1.BeatResponse], error) {
 	beat := request.Msg
 	if reason := checkBeat(beat); reason != "" {
-		return nil, h.config.Refuser.With(placeBeat, reasonInvalid, connect.CodeInvalidArgument, "%s", reason)
+		return nil, h.config.Refuser.RefuseWith(placeBeat, reasonInvalid, connect.CodeInvalidArgument, "%s", reason)
 	}
 	if err := h.leads(); err != nil {
 		return nil, h.config.Refuser.Refuse(placeBeat, err)
@@ -130,7 +130,7 @@
 ) (*connect.Response[toucanhingev1.ClaimResponse], error) {
 	c := request.Msg
 	if c.GetTeam() == "" || c.GetRequestId() == "" || c.GetToken() == "" || len(c.GetRequestId()) > longestName {
-		return nil, h.config.Refuser.With(placeClaim, reasonInvalid, connect.CodeInvalidArgument,
+		return nil, h.config.Refuser.RefuseWith(placeClaim, reasonInvalid, connect.CodeInvalidArgument,
 			"want a team, a request id of at most %d bytes, and a token", longestName)
 	}
 	step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Claim{Claim: c}}
@@ -139,7 +139,7 @@
 		return nil, h.config.Refuser.Refuse(placeClaim, err)
 	}
 	if answer.Full {
-		return nil, h.config.Refuser.With(placeClaim, reasonFull, connect.CodeResourceExhausted, "too many claims are held")
+		return nil, h.config.Refuser.RefuseWith(placeClaim, reasonFull, connect.CodeResourceExhausted, "too many claims are held")
 	}
 	return connect.NewResponse(&toucanhingev1.ClaimResponse{State: answer.State}), nil
 }
--- a/control/pkg/fleet/watch.go
+++ b/control/pkg/fleet/watch.go
@@ -38,7 +38,7 @@
 			contact = h.config.Clock.Now()
 		}
 		if (h.config.Clock.Now() - contact).Duration() > cutOffLimit {
-			return h.config.Refuser.With(placeWatch, reasonCutOff, connect.CodeUnavailable, "this replica has lost its leader")
+			return h.config.Refuser.RefuseWith(placeWatch, reasonCutOff, connect.CodeUnavailable, "this replica has lost its leader")
 		}
 		changed := h.config.Fleet.Machine.Changed()
 		var update *toucanhingev1.WatchResponse
--- a/control/pkg/group/batcher.go
+++ b/control/pkg/group/batcher.go
@@ -14,115 +14,117 @@
 	"toucanhinge.example/control/pkg/replica"
 )
 
-// Limits of gathering. One log entry costs a sync on a majority, whatever it
-// holds; while some entries are under way, the next one gathers what arrives.
+// Limits of batching. Each log entry costs a disk sync on a majority of replicas, at
+// any size. While maxInFlight entries are in flight, new steps wait for the next batch.
 const (
-	ringSteps   = 4096
-	mostSteps   = 512
-	mostBytes   = 1 << 20
-	inFlight    = 4
-	proposeTime = 10 * time.Second
+	ringSteps      = 4096
+	maxBatchSteps  = 512
+	maxBatchBytes  = 1 << 20
+	maxInFlight    = 4
+	proposeTimeout = 10 * time.Second
 )
 
-var errAnswer = errors.New("the machine gave no answer of the step's type")
+var errUnexpectedAnswer = errors.New("the machine gave no answer of the step's type")
 
-// BatcherConfig describes a batcher.
+// BatcherConfig configures a batcher.
 type BatcherConfig[S any] struct {
 	Propose func(ctx context.Context, command []byte) (any, error)
 	Encode  func(at clock.Millis, steps []S) ([]byte, error)
 	Clock   clock.Clock
-	// Refused counts steps turned away by the full ring; may be nil.
+	// Refused counts the steps refused because the ring is full; may be nil.
 	Refused prometheus.Counter
 }
 
-// Batcher gathers steps of concurrent calls into common log entries.
+// Batcher combines steps of concurrent calls into shared log entries.
 type Batcher[S any] struct {
-	config BatcherConfig[S]
-	ring   *ring.Ring[waiting[S]]
-	slots  chan struct{}
-	done   sync.WaitGroup
+	config    BatcherConfig[S]
+	ring      *ring.Ring[pendingStep[S]]
+	inFlight  chan struct{}
+	proposals sync.WaitGroup
 }
 
-type waiting[S any] struct {
+// pendingStep is a step that waits for its result.
+type pendingStep[S any] struct {
 	step   S
 	size   int
-	answer chan answered
+	result chan stepResult
 }
 
-type answered struct {
+type stepResult struct {
 	value any
 	err   error
 }
 
-// NewBatcher makes a batcher; Run moves it.
+// NewBatcher returns a batcher. Run must be running for Do to return results.
 func NewBatcher[S any](config BatcherConfig[S]) *Batcher[S] {
 	return &Batcher[S]{
-		config: config,
-		ring:   ring.New[waiting[S]](ring.Config{Size: ringSteps, Refused: config.Refused}),
-		slots:  make(chan struct{}, inFlight),
+		config:   config,
+		ring:     ring.New[pendingStep[S]](ring.Config{Size: ringSteps, Refused: config.Refused}),
+		inFlight: make(chan struct{}, maxInFlight),
 	}
 }
 
 // Do proposes a step of about size bytes and returns the machine's answer. The
 // errors are those of replica.Group.Propose.
 func (b *Batcher[S]) Do(ctx context.Context, step S, size int) (any, error) {
-	w := waiting[S]{step: step, size: size, answer: make(chan answered, 1)}
-	if !b.ring.Offer(w) {
+	s := pendingStep[S]{step: step, size: size, result: make(chan stepResult, 1)}
+	if !b.ring.Offer(s) {
 		return nil, replica.ErrOverloaded
 	}
 	select {
-	case a := <-w.answer:
-		return a.value, a.err
+	case r := <-s.result:
+		return r.value, r.err
 	case <-ctx.Done():
 		return nil, fmt.Errorf("%w: %w", replica.ErrUnknown, ctx.Err())
 	}
 }
 
-// Run gathers until the context ends; then what waits is refused.
+// Run proposes batches until the context ends, then refuses the remaining steps.
 func (b *Batcher[S]) Run(ctx context.Context) {
-	var held *waiting[S]
+	var leftover *pendingStep[S]
 	for {
-		first, open := b.next(ctx, held)
+		first, open := b.next(ctx, leftover)
 		if !open {
 			break
 		}
-		b.slots <- struct{}{}
-		var batch []waiting[S]
-		batch, held = b.gather(first)
-		b.done.Add(1)
+		b.inFlight <- struct{}{}
+		var batch []pendingStep[S]
+		batch, leftover = b.collect(first)
+		b.proposals.Add(1)
 		go b.propose(batch)
 	}
-	b.done.Wait()
-	for _, w := range b.ring.Drain(ringSteps) {
-		w.answer <- answered{err: replica.ErrStopped}
+	b.proposals.Wait()
+	for _, s := range b.ring.Drain(ringSteps) {
+		s.result <- stepResult{err: replica.ErrStopped}
 	}
 }
 
-func (b *Batcher[S]) next(ctx context.Context, held *waiting[S]) (waiting[S], bool) {
-	if held != nil {
-		return *held, true
+// next returns the step left over from the last batch, or else waits for a step.
+func (b *Batcher[S]) next(ctx context.Context, leftover *pendingStep[S]) (pendingStep[S], bool) {
+	if leftover != nil {
+		return *leftover, true
 	}
 	select {
-	case w := <-b.ring.Items():
-		return w, true
+	case s := <-b.ring.Items():
+		return s, true
 	case <-ctx.Done():
-		return waiting[S]{}, false
+		return pendingStep[S]{}, false
 	}
 }
 
-// gather takes what waits now, up to the limits; a step that doesn't fit any
-// more begins the next batch.
-func (b *Batcher[S]) gather(first waiting[S]) (batch []waiting[S], held *waiting[S]) {
-	batch = []waiting[S]{first}
+// collect returns a batch of first and the steps that wait in the ring, up to the
+// limits. A step that exceeds maxBatchBytes is returned as leftover for the next batch.
+func (b *Batcher[S]) collect(first pendingStep[S]) (batch []pendingStep[S], leftover *pendingStep[S]) {
+	batch = []pendingStep[S]{first}
 	size := first.size
-	for len(batch) < mostSteps {
+	for len(batch) < maxBatchSteps {
 		select {
-		case w := <-b.ring.Items():
-			if size+w.size > mostBytes {
-				return batch, &w
+		case s := <-b.ring.Items():
+			if size+s.size > maxBatchBytes {
+				return batch, &s
 			}
-			size += w.size
-			batch = append(batch, w)
+			size += s.size
+			batch = append(batch, s)
 		default:
 			return batch, nil
 		}
@@ -130,26 +132,26 @@
 	return batch, nil
 }
 
-func (b *Batcher[S]) propose(batch []waiting[S]) {
-	defer b.done.Done()
-	defer func() { <-b.slots }()
-	// The steps belong to many callers, so none of their contexts ends the proposal.
-	ctx, cancel := context.WithTimeout(context.Background(), proposeTime)
+func (b *Batcher[S]) propose(batch []pendingStep[S]) {
+	defer b.proposals.Done()
+	defer func() { <-b.inFlight }()
+	// The steps belong to several callers, so no caller's context may end the proposal.
+	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
-	answers, err := b.carryOut(ctx, batch)
-	for i, w := range batch {
+	answers, err := b.proposeSteps(ctx, batch)
+	for i, s := range batch {
 		if err != nil {
-			w.answer <- answered{err: err}
+			s.result <- stepResult{err: err}
 			continue
 		}
-		w.answer <- answered{value: answers[i]}
+		s.result <- stepResult{value: answers[i]}
 	}
 }
 
-func (b *Batcher[S]) carryOut(ctx context.Context, batch []waiting[S]) ([]any, error) {
+func (b *Batcher[S]) proposeSteps(ctx context.Context, batch []pendingStep[S]) ([]any, error) {
 	steps := make([]S, 0, len(batch))
-	for _, w := range batch {
-		steps = append(steps, w.step)
+	for _, s := range batch {
+		steps = append(steps, s.step)
 	}
 	command, err := b.config.Encode(b.config.Clock.Now(), steps)
 	if err != nil {
@@ -161,7 +163,7 @@
 	}
 	answers, fits := result.([]any)
 	if !fits || len(answers) != len(batch) {
-		return nil, errAnswer
+		return nil, errUnexpectedAnswer
 	}
 	return answers, nil
 }
--- a/control/pkg/group/batcher_test.go
+++ b/control/pkg/group/batcher_test.go
@@ -17,19 +17,19 @@
 	"toucanhinge.example/control/pkg/replica"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// echo answers each step with itself, and counts the proposals.
-type echo struct {
+// echoGroup returns each step as its own answer and counts the proposals.
+type echoGroup struct {
 	proposals atomic.Int64
-	hold      chan struct{}
+	release   chan struct{}
 }
 
-func (e *echo) propose(ctx context.Context, command []byte) (any, error) {
+func (e *echoGroup) propose(ctx context.Context, command []byte) (any, error) {
 	e.proposals.Add(1)
-	if e.hold != nil {
+	if e.release != nil {
 		select {
-		case <-e.hold:
+		case <-e.release:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -61,13 +61,13 @@
 	return b
 }
 
-// TestEveryCallerGetsItsOwnAnswer lets many callers propose at once. Their steps
-// share log entries, and nobody may get a neighbour's answer.
-func TestEveryCallerGetsItsOwnAnswer(t *testing.T) {
+// TestBatcherReturnsEachCallerItsAnswer has many callers propose at once. Their steps
+// share log entries, and no caller may get the answer of another caller's step.
+func TestBatcherReturnsEachCallerItsAnswer(t *testing.T) {
 	// More than three full batches, so that inFlight of them are always needed,
 	// however many steps wait when the gathering begins.
 	const callers = 2_000
-	e := &echo{hold: make(chan struct{}, callers)}
+	e := &echoGroup{release: make(chan struct{}, callers)}
 	b := newBatcher(t, e.propose)
 	var all sync.WaitGroup
 	for i := range callers {
@@ -79,44 +79,45 @@
 			require.Equal(t, i, answer)
 		}()
 	}
-	require.Eventually(t, func() bool { return e.proposals.Load() == inFlight }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return e.proposals.Load() == maxInFlight }, testTimeout, time.Millisecond)
 	for range callers {
-		e.hold <- struct{}{}
+		e.release <- struct{}{}
 	}
 	all.Wait()
-	require.Less(t, e.proposals.Load(), int64(100), "the steps were not gathered")
+	require.Less(t, e.proposals.Load(), int64(100), "the steps were not batched")
 }
 
-// TestLargeStepsTravelApart keeps log entries below their size limit.
-func TestLargeStepsTravelApart(t *testing.T) {
-	e := &echo{hold: make(chan struct{}, 100)}
+// TestBatcherLimitsBatchBytes checks that steps of the maximum batch size are proposed
+// in separate log entries.
+func TestBatcherLimitsBatchBytes(t *testing.T) {
+	e := &echoGroup{release: make(chan struct{}, 100)}
 	b := newBatcher(t, e.propose)
 	var all sync.WaitGroup
-	for i := range 2 * inFlight {
+	for i := range 2 * maxInFlight {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			_, err := Do[int](context.Background(), b, i, mostBytes)
+			_, err := Do[int](context.Background(), b, i, maxBatchBytes)
 			require.NoError(t, err)
 		}()
 	}
-	for range 2 * inFlight {
-		e.hold <- struct{}{}
+	for range 2 * maxInFlight {
+		e.release <- struct{}{}
 	}
 	all.Wait()
-	require.EqualValues(t, 2*inFlight, e.proposals.Load())
+	require.EqualValues(t, 2*maxInFlight, e.proposals.Load())
 }
 
-// TestFullRingRefuses has the group hang: what doesn't fit into the ring is
-// refused at once as not proposed, and a caller that gives up is told that the
-// outcome is unknown.
-func TestFullRingRefuses(t *testing.T) {
-	e := &echo{hold: make(chan struct{})}
+// TestBatcherRefusesStepsWhenRingIsFull blocks the group. Steps that don't fit into the
+// ring are refused at once as overloaded, and a caller whose context ends gets an
+// unknown outcome.
+func TestBatcherRefusesStepsWhenRingIsFull(t *testing.T) {
+	e := &echoGroup{release: make(chan struct{})}
 	b := newBatcher(t, e.propose)
 	ctx, cancel := context.WithCancel(context.Background())
 	var refused, unknown atomic.Int64
 	var all sync.WaitGroup
-	for i := range ringSteps + 2*mostSteps*inFlight {
+	for i := range ringSteps + 2*maxBatchSteps*maxInFlight {
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -129,29 +130,29 @@
 			}
 		}()
 	}
-	require.Eventually(t, func() bool { return refused.Load() > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return refused.Load() > 0 }, testTimeout, time.Millisecond)
 	cancel()
 	all.Wait()
 	require.Positive(t, unknown.Load())
-	close(e.hold)
+	close(e.release)
 }
 
-// TestRefusalsSayWhatTheyAre maps each error of a group to what the callers act
-// on: who leads, try again, or give up.
-func TestRefusalsSayWhatTheyAre(t *testing.T) {
+// TestRefuserMapsErrors checks the connect code of each group error, and the leader's
+// address if the replica is not the leader. Callers redirect, retry or fail accordingly.
+func TestRefuserMapsErrors(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		err    error
 		code   connect.Code
 		leader string
 	}{
-		{"another leads", &replica.NotLeaderError{Leader: "c2", Address: "10.0.0.2:1"}, connect.CodeFailedPrecondition, "10.0.0.2:1"},
-		{"nobody leads", &replica.NotLeaderError{}, connect.CodeFailedPrecondition, ""},
+		{"another leader", &replica.NotLeaderError{Leader: "c2", Address: "10.0.0.2:1"}, connect.CodeFailedPrecondition, "10.0.0.2:1"},
+		{"no leader", &replica.NotLeaderError{}, connect.CodeFailedPrecondition, ""},
 		{"overloaded", replica.ErrOverloaded, connect.CodeUnavailable, ""},
 		{"outcome unknown", replica.ErrUnknown, connect.CodeUnavailable, ""},
 		{"stopping", replica.ErrStopped, connect.CodeUnavailable, ""},
 		{"caller gone", context.Canceled, connect.CodeDeadlineExceeded, ""},
-		{"anything else", errors.New("broken"), connect.CodeInternal, ""},
+		{"other error", errors.New("broken"), connect.CodeInternal, ""},
 	}
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
--- a/control/pkg/group/group.go
+++ b/control/pkg/group/group.go
@@ -1,6 +1,5 @@
-// Package group joins the handlers to the consensus groups: it gathers steps
-// that arrive at the same time into one log entry, and turns a group's refusals
-// into those of the calls.
+// Package group connects the handlers to the consensus groups: it batches concurrent
+// steps into log entries and converts the errors of a group to connect errors.
 package group
 
 import (
@@ -16,33 +15,33 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Group is one consensus group as seen from here; its functions are seams.
+// Group holds the functions of one consensus group, so that tests can replace them.
 type Group struct {
 	Number uint32
-	// Propose returns what the machine answered, once it is synced on a majority.
+	// Propose returns the machine's answer once the command is synced on a majority.
 	Propose func(ctx context.Context, command []byte) (any, error)
-	// Read returns once this replica is known to lead and to hold all that was
-	// acknowledged before the call.
+	// Read returns once this replica is confirmed as the leader and has applied every
+	// entry that was acknowledged before the call.
 	Read func(ctx context.Context) error
-	// Leader tells the leader as far as it is known; the name is empty when this
-	// replica has lost contact with it.
+	// Leader returns the known leader. The name is empty if this replica has lost
+	// contact with the leader.
 	Leader func() (name, address string, self bool)
 	Term   func() uint64
 }
 
-// Of makes the seams of a replica.
-func Of(number uint32, g *replica.Group) Group {
+// FromReplica returns the Group of a replica.
+func FromReplica(number uint32, g *replica.Group) Group {
 	return Group{Number: number, Propose: g.Propose, Read: g.Read, Leader: g.Leader, Term: g.Term}
 }
 
-// Fleet is group 0 with its machine.
+// Fleet is group 0, which stores the fleet configuration, with its machine.
 type Fleet struct {
 	Group
 	Machine *fleetstate.Machine
 	Steps   *Batcher[*toucanhingev1.FleetStep]
 }
 
-// NewFleet joins group 0 to its machine.
+// NewFleet returns group 0 with its machine and batcher.
 func NewFleet(g Group, machine *fleetstate.Machine, c clock.Clock, refused prometheus.Counter) *Fleet {
 	encode := func(at clock.Millis, steps []*toucanhingev1.FleetStep) ([]byte, error) {
 		return proto.Marshal(&toucanhingev1.FleetCommand{AtMs: int64(at), Steps: steps})
@@ -58,7 +57,7 @@
 	Steps   *Batcher[*toucanhingev1.JobStep]
 }
 
-// NewJobs joins a job group to its machine.
+// NewJobs returns a job group with its machine and batcher.
 func NewJobs(g Group, machine *jobstate.Machine, c clock.Clock, refused prometheus.Counter) *Jobs {
 	encode := func(at clock.Millis, steps []*toucanhingev1.JobStep) ([]byte, error) {
 		return proto.Marshal(&toucanhingev1.JobCommand{AtMs: int64(at), Steps: steps})
@@ -67,7 +66,7 @@
 	return &Jobs{Group: g, Machine: machine, Steps: steps}
 }
 
-// Do carries out one step and returns its answer of the type that it has.
+// Do proposes one step and returns its answer as a value of type A.
 func Do[A, S any](ctx context.Context, b *Batcher[S], step S, size int) (A, error) {
 	answer, err := b.Do(ctx, step, size)
 	if err != nil {
@@ -76,7 +75,7 @@
 	}
 	typed, fits := answer.(A)
 	if !fits {
-		return typed, errAnswer
+		return typed, errUnexpectedAnswer
 	}
 	return typed, nil
 }
--- a/control/pkg/group/refusal.go
+++ b/control/pkg/group/refusal.go
@@ -12,7 +12,7 @@
 	"toucanhinge.example/control/pkg/replica"
 )
 
-// Reasons under which refusals are counted.
+// Reasons for refusals, as values of the metric label.
 const (
 	reasonNotLeader  = "not-leader"
 	reasonOverloaded = "overloaded"
@@ -22,32 +22,32 @@
 	reasonInternal   = "internal"
 )
 
-// Refuser turns a group's errors into those of the calls, and counts them.
+// Refuser creates the connect errors of refused calls and counts them.
 type Refuser struct {
-	// Refused counts by place and reason; may be nil.
+	// Refused counts refusals by call and reason; may be nil.
 	Refused *prometheus.CounterVec
 }
 
-// Refuse turns an error of a group into that of a call. The callers repeat what
-// is unavailable; all calls are idempotent, so also after an unknown outcome.
-func (r Refuser) Refuse(place string, err error) *connect.Error {
-	reason, refusal := translate(err)
-	return r.count(place, reason, refusal)
+// Refuse converts an error of a group to a connect error. Callers retry unavailable
+// calls, also after an unknown outcome, since all calls are idempotent.
+func (r Refuser) Refuse(call string, err error) *connect.Error {
+	reason, refusal := toConnectError(err)
+	return r.count(call, reason, refusal)
 }
 
-// With refuses a call for a reason of the handler's own.
-func (r Refuser) With(place, reason string, code connect.Code, format string, args ...any) *connect.Error {
-	return r.count(place, reason, connect.NewError(code, fmt.Errorf(format, args...)))
+// RefuseWith returns a connect error for a reason that the handler gives.
+func (r Refuser) RefuseWith(call, reason string, code connect.Code, format string, args ...any) *connect.Error {
+	return r.count(call, reason, connect.NewError(code, fmt.Errorf(format, args...)))
 }
 
-func (r Refuser) count(place, reason string, refusal *connect.Error) *connect.Error {
+func (r Refuser) count(call, reason string, refusal *connect.Error) *connect.Error {
 	if r.Refused != nil {
-		r.Refused.WithLabelValues(place, reason).Inc()
+		r.Refused.WithLabelValues(call, reason).Inc()
 	}
 	return refusal
 }
 
-func translate(err error) (reason string, refusal *connect.Error) {
+func toConnectError(err error) (reason string, refusal *connect.Error) {
 	var notLeader *replica.NotLeaderError
 	switch {
 	case errors.As(err, &notLeader):
--- a/control/pkg/operator/handler.go
+++ b/control/pkg/operator/handler.go
@@ -76,7 +76,7 @@
 ) (*connect.Response[toucanhingev1.ApplyResponse], error) {
 	size := entryBytes(request.Msg)
 	if size > mostEntryBytes {
-		return nil, h.config.Refuser.With(placeApply, reasonInvalid, connect.CodeInvalidArgument,
+		return nil, h.config.Refuser.RefuseWith(placeApply, reasonInvalid, connect.CodeInvalidArgument,
 			"the entry is larger than %d bytes", mostEntryBytes)
 	}
 	step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Apply{Apply: &toucanhingev1.ApplyStep{
@@ -171,15 +171,15 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.ChangeReplicaRequest],
 ) (*connect.Response[toucanhingev1.ChangeReplicaResponse], error) {
 	if request.Msg.GetName() == "" {
-		return nil, h.config.Refuser.With(placeChange, reasonInvalid, connect.CodeInvalidArgument, "the replica's name is missing")
+		return nil, h.config.Refuser.RefuseWith(placeChange, reasonInvalid, connect.CodeInvalidArgument, "the replica's name is missing")
 	}
 	if missing := missingInAdd(request.Msg); missing != "" {
-		return nil, h.config.Refuser.With(placeChange, reasonInvalid, connect.CodeInvalidArgument, "a newcomer needs its %s", missing)
+		return nil, h.config.Refuser.RefuseWith(placeChange, reasonInvalid, connect.CodeInvalidArgument, "a newcomer needs its %s", missing)
 	}
 	if err := h.config.Replicas.Change(ctx, request.Msg); err != nil {
 		var refused *replica.RefusedError
 		if asRefused(err, &refused) {
-			return nil, h.config.Refuser.With(placeChange, reasonRefused, connect.CodeFailedPrecondition, "%w", err)
+			return nil, h.config.Refuser.RefuseWith(placeChange, reasonRefused, connect.CodeFailedPrecondition, "%w", err)
 		}
 		return nil, h.config.Refuser.Refuse(placeChange, err)
 	}
--- a/control/pkg/work/handler.go
+++ b/control/pkg/work/handler.go
@@ -75,7 +75,7 @@
 func (h *Handler) leaderGroup(call string, number uint32) (*group.Jobs, error) {
 	g := h.config.Groups[number]
 	if g == nil {
-		return nil, h.config.Refuser.With(call, reasonGroup, connect.CodeInvalidArgument, "there is no job group %d", number)
+		return nil, h.config.Refuser.RefuseWith(call, reasonGroup, connect.CodeInvalidArgument, "there is no job group %d", number)
 	}
 	name, address, self := g.Leader()
 	if !self {
@@ -91,7 +91,7 @@
 ) (*connect.Response[toucanhingev1.LeaseResponse], error) {
 	msg := request.Msg
 	if msg.GetSidecar() == "" || msg.GetService() == "" || msg.GetMost() == 0 || msg.GetMost() > maxLeased {
-		return nil, h.config.Refuser.With(callLease, reasonInvalid, connect.CodeInvalidArgument,
+		return nil, h.config.Refuser.RefuseWith(callLease, reasonInvalid, connect.CodeInvalidArgument,
 			"want a sidecar, a service and 1 to %d items", maxLeased)
 	}
 	g, err := h.leaderGroup(callLease, msg.GetGroup())
@@ -126,7 +126,7 @@
 	}
 	items, err := readItems(g, answer.Items)
 	if err != nil {
-		return nil, h.config.Refuser.With(callLease, reasonStorage, connect.CodeDataLoss, "read leased items: %w", err)
+		return nil, h.config.Refuser.RefuseWith(callLease, reasonStorage, connect.CodeDataLoss, "read leased items: %w", err)
 	}
 	for _, l := range items {
 		h.config.Leases.Granted(g.Number, l.GetLease())
@@ -181,13 +181,13 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.CompleteRequest],
 ) (*connect.Response[toucanhingev1.CompleteResponse], error) {
 	if len(request.Msg.GetCompletions()) > maxCompletions {
-		return nil, h.config.Refuser.With(callComplete, reasonInvalid, connect.CodeInvalidArgument,
+		return nil, h.config.Refuser.RefuseWith(callComplete, reasonInvalid, connect.CodeInvalidArgument,
 			"want at most %d completions", maxCompletions)
 	}
 	size := stepOverheadBytes
 	for _, c := range request.Msg.GetCompletions() {
 		if len(c.GetBody())+len(c.GetReason()) > h.config.ResultBytes {
-			return nil, h.config.Refuser.With(callComplete, reasonTooLarge, connect.CodeInvalidArgument,
+			return nil, h.config.Refuser.RefuseWith(callComplete, reasonTooLarge, connect.CodeInvalidArgument,
 				"the result of item %s/%d is larger than %d bytes", c.GetJob(), c.GetIndex(), h.config.ResultBytes)
 		}
 		size += len(c.GetBody()) + len(c.GetReason()) + stepOverheadBytes
