--- a/control/pkg/group/batcher_test.go
+++ b/control/pkg/group/batcher_test.go
@@ -64,8 +64,8 @@
 // TestBatcherReturnsEachCallerItsAnswer has many callers propose at once. Their steps
 // share log entries, and no caller may get the answer of another caller's step.
 func TestBatcherReturnsEachCallerItsAnswer(t *testing.T) {
-	// More than three full batches, so that inFlight of them are always needed,
-	// however many steps wait when the gathering begins.
+	// The steps fill more than three batches, so that maxInFlight batches are needed,
+	// however many steps wait when the first batch is collected.
 	const callers = 2_000
 	e := &echoGroup{release: make(chan struct{}, callers)}
 	b := newBatcher(t, e.propose)
--- a/control/pkg/repair/repair.go
+++ b/control/pkg/repair/repair.go
@@ -1,7 +1,7 @@
-// Package repair decides which VMs hold the replicas of a group, one step at a
-// time: it replaces VMs that lost their disk, fell silent or are to be emptied,
-// and keeps as many voters as the losses to be borne ask for. It holds no
-// goroutine, socket or clock.
+// Package repair decides which VMs hold the replicas of a group, one step at a time.
+// It replaces VMs that lost their disk, are unresponsive or retire, and maintains
+// enough voters to tolerate the configured number of lost VMs. It has no goroutine,
+// socket or clock.
 package repair
 
 import (
@@ -11,35 +11,36 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// Config sets up the decisions.
+// Config configures the decisions.
 type Config struct {
 	// Self is the name of the leader's own member.
 	Self string
-	// Losses is how many VMs may be lost at the same time.
-	Losses int
-	// SilentAfter is the silence after which a voter is replaced, if another VM
-	// can take its place. A shorter one would replace VMs that only restart.
-	SilentAfter clock.Millis
+	// ToleratedLosses is the number of VMs that may be lost at the same time.
+	ToleratedLosses int
+	// UnresponsiveAfter is the time without a message after which a member is
+	// replaced, if another VM can replace it. It must exceed the time of a VM's
+	// restart, so that a restarting VM is not replaced.
+	UnresponsiveAfter clock.Millis
 }
 
-// Member is a replica of the group as the leader knows it.
+// Member is a member of the group as known to the leader.
 type Member struct {
 	Name     string
 	Address  string
 	Identity string
 	Voter    bool
-	// Behind is how many committed entries it lacks.
-	Behind uint64
+	// Lag is the number of committed entries that the member lacks.
+	Lag uint64
 }
 
 // VM is a VM that has announced itself.
 type VM struct {
-	// Name of the member that it would be: its address.
+	// Name is the member name of the VM, which is its address.
 	Name     string
 	Address  string
 	Identity string
-	Heard    clock.Millis
-	// Retiring VMs are to be emptied.
+	LastSeen clock.Millis
+	// Retiring is set if the VM is to be removed from the group.
 	Retiring bool
 }
 
@@ -47,19 +48,19 @@
 type Kind int
 
 const (
-	// Nothing is to be done.
-	Nothing Kind = iota
-	// AddLearner adds a member that gets the log and doesn't vote.
+	// NoStep means that the membership needs no change.
+	NoStep Kind = iota
+	// AddLearner adds a member that receives the log and doesn't vote.
 	AddLearner
 	// Promote makes a learner a voter.
 	Promote
-	// Remove takes a member out.
+	// Remove removes a member.
 	Remove
-	// HandOver gives the leadership away, so that the leader can be removed.
-	HandOver
+	// TransferLeadership transfers the leadership, so that the old leader can be removed.
+	TransferLeadership
 )
 
-// String names the kind in logs.
+// String returns the name of the kind in logs.
 func (k Kind) String() string {
 	return [...]string{"nothing", "add-learner", "promote", "remove", "hand-over"}[k]
 }
@@ -71,32 +72,33 @@
 	Reason string
 }
 
-// Voters is how many voters bear the losses: a majority must be left.
-func (c Config) Voters() int { return 2*c.Losses + 1 }
+// Voters returns the number of voters of which a majority remains after the
+// tolerated losses.
+func (c Config) Voters() int { return 2*c.ToleratedLosses + 1 }
 
-// members that are kept beside the voters, so that a lost voter is replaced
-// without copying first.
+// standbys is the number of learners beside the voters. A lost voter is replaced by a
+// learner that has the log already, without copying the log first.
 const standbys = 1
 
-// Next decides the next step.
+// Next returns the next step.
 func (c Config) Next(now clock.Millis, members []Member, vms []VM) Step {
 	byName := map[string]VM{}
 	for _, v := range vms {
 		byName[v.Name] = v
 	}
 	for _, decide := range []func(clock.Millis, []Member, map[string]VM) Step{
-		c.dropLostDisk, c.promote, c.dropSilent, c.dropRetiring, c.add,
+		c.removeLostDisk, c.promote, c.removeUnresponsive, c.removeRetiring, c.addLearner,
 	} {
-		if step := decide(now, members, byName); step.Kind != Nothing {
+		if step := decide(now, members, byName); step.Kind != NoStep {
 			return step
 		}
 	}
 	return Step{}
 }
 
-// dropLostDisk removes a member whose VM came back with another data folder. It
-// acknowledged what it no longer holds, so it must not vote as who it was.
-func (c Config) dropLostDisk(_ clock.Millis, members []Member, vms map[string]VM) Step {
+// removeLostDisk removes a member whose VM restarted with another data folder. The
+// member has lost entries that it acknowledged, so it must not vote any more.
+func (c Config) removeLostDisk(_ clock.Millis, members []Member, vms map[string]VM) Step {
 	for _, m := range members {
 		v, known := vms[m.Name]
 		if known && v.Identity != m.Identity && m.Name != c.Self {
@@ -106,22 +108,22 @@
 	return Step{}
 }
 
-// promote makes a learner a voter while there are too few of them.
+// promote makes a learner a voter while there are too few voters.
 func (c Config) promote(now clock.Millis, members []Member, vms map[string]VM) Step {
-	if c.lasting(members, vms) >= c.Voters() {
+	if c.remainingVoters(members, vms) >= c.Voters() {
 		return Step{}
 	}
 	for _, m := range members {
 		v, known := vms[m.Name]
-		if !m.Voter && m.Behind == 0 && known && !v.Retiring && c.alive(now, v) {
+		if !m.Voter && m.Lag == 0 && known && !v.Retiring && c.responsive(now, v) {
 			return Step{Kind: Promote, Member: m, Reason: "too-few-voters"}
 		}
 	}
 	return Step{}
 }
 
-// lasting counts the voters that aren't to be emptied.
-func (c Config) lasting(members []Member, vms map[string]VM) int {
+// remainingVoters returns the number of voters that don't retire.
+func (c Config) remainingVoters(members []Member, vms map[string]VM) int {
 	count := 0
 	for _, m := range members {
 		if m.Voter && !vms[m.Name].Retiring {
@@ -131,12 +133,12 @@
 	return count
 }
 
-// dropSilent removes a silent voter when a learner stands ready for its place,
-// and a silent learner when another VM is there.
-func (c Config) dropSilent(now clock.Millis, members []Member, vms map[string]VM) Step {
+// removeUnresponsive removes an unresponsive voter if a learner without lag can replace
+// it, and an unresponsive learner if another VM can replace it.
+func (c Config) removeUnresponsive(now clock.Millis, members []Member, vms map[string]VM) Step {
 	ready := slices.ContainsFunc(members, func(m Member) bool {
 		v, known := vms[m.Name]
-		return !m.Voter && m.Behind == 0 && known && !v.Retiring && c.alive(now, v)
+		return !m.Voter && m.Lag == 0 && known && !v.Retiring && c.responsive(now, v)
 	})
 	spare := false
 	for name, v := range vms {
@@ -144,7 +146,7 @@
 	}
 	for _, m := range members {
 		v, known := vms[m.Name]
-		if m.Name == c.Self || known && c.alive(now, v) {
+		if m.Name == c.Self || known && c.responsive(now, v) {
 			continue
 		}
 		if m.Voter && ready || !m.Voter && spare {
@@ -154,17 +156,17 @@
 	return Step{}
 }
 
-// dropRetiring removes a VM that is to be emptied, once enough voters are left
-// without it.
-func (c Config) dropRetiring(_ clock.Millis, members []Member, vms map[string]VM) Step {
+// removeRetiring removes a retiring member once enough voters remain without it. A
+// retiring leader transfers its leadership first.
+func (c Config) removeRetiring(_ clock.Millis, members []Member, vms map[string]VM) Step {
 	for _, m := range members {
 		if !vms[m.Name].Retiring {
 			continue
 		}
 		switch {
-		case m.Voter && c.lasting(members, vms) < c.Voters():
+		case m.Voter && c.remainingVoters(members, vms) < c.Voters():
 		case m.Name == c.Self:
-			return Step{Kind: HandOver, Member: m, Reason: "retiring"}
+			return Step{Kind: TransferLeadership, Member: m, Reason: "retiring"}
 		default:
 			return Step{Kind: Remove, Member: m, Reason: "retiring"}
 		}
@@ -172,15 +174,15 @@
 	return Step{}
 }
 
-// add takes in a VM that isn't a member while there are too few of them.
-func (c Config) add(now clock.Millis, members []Member, vms map[string]VM) Step {
-	lasting := 0
+// addLearner adds a VM as a learner while there are too few members.
+func (c Config) addLearner(now clock.Millis, members []Member, vms map[string]VM) Step {
+	remaining := 0
 	for _, m := range members {
 		if !vms[m.Name].Retiring {
-			lasting++
+			remaining++
 		}
 	}
-	if lasting >= c.Voters()+standbys {
+	if remaining >= c.Voters()+standbys {
 		return Step{}
 	}
 	names := make([]string, 0, len(vms))
@@ -198,11 +200,11 @@
 	return Step{}
 }
 
-func (c Config) usable(now clock.Millis, v VM) bool { return !v.Retiring && c.alive(now, v) }
+func (c Config) usable(now clock.Millis, v VM) bool { return !v.Retiring && c.responsive(now, v) }
 
-func (c Config) alive(now clock.Millis, v VM) bool { return now-v.Heard < c.SilentAfter }
+func (c Config) responsive(now clock.Millis, v VM) bool { return now-v.LastSeen < c.UnresponsiveAfter }
 
-// MayRetire says whether enough VMs would be left without one of them.
+// MayRetire reports whether enough usable VMs remain without the named VM.
 func (c Config) MayRetire(now clock.Millis, name string, vms []VM) bool {
 	left := 0
 	for _, v := range vms {
--- a/control/pkg/repair/repair_test.go
+++ b/control/pkg/repair/repair_test.go
@@ -15,20 +15,22 @@
 
 const now clock.Millis = 100_000
 
-func config(losses int) Config { return Config{Self: "a", Losses: losses, SilentAfter: 3_000} }
+func config(losses int) Config {
+	return Config{Self: "a", ToleratedLosses: losses, UnresponsiveAfter: 3_000}
+}
 
 func voter(name string) Member { return Member{Name: name, Identity: "1", Voter: true} }
 
-func learner(name string, behind uint64) Member {
-	return Member{Name: name, Identity: "1", Behind: behind}
+func learner(name string, lag uint64) Member {
+	return Member{Name: name, Identity: "1", Lag: lag}
 }
 
-func vm(name string) VM { return VM{Name: name, Identity: "1", Heard: now} }
+func vm(name string) VM { return VM{Name: name, Identity: "1", LastSeen: now} }
 
 func TestNextStep(t *testing.T) {
-	silent := func(name string) VM { return VM{Name: name, Identity: "1", Heard: now - 3_000} }
-	wiped := func(name string) VM { return VM{Name: name, Identity: "2", Heard: now} }
-	retiring := func(name string) VM { return VM{Name: name, Identity: "1", Heard: now, Retiring: true} }
+	unresponsive := func(name string) VM { return VM{Name: name, Identity: "1", LastSeen: now - 3_000} }
+	newDisk := func(name string) VM { return VM{Name: name, Identity: "2", LastSeen: now} }
+	retiring := func(name string) VM { return VM{Name: name, Identity: "1", LastSeen: now, Retiring: true} }
 	three := []Member{voter("a"), voter("b"), voter("c")}
 	for _, c := range []struct {
 		name    string
@@ -37,27 +39,27 @@
 		kind    Kind
 		member  string
 	}{
-		{"all is well", three, []VM{vm("a"), vm("b"), vm("c")}, Nothing, ""},
-		{"a VM is new", three, []VM{vm("a"), vm("b"), vm("c"), vm("d")}, AddLearner, "d"},
-		{"two VMs are new", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("c"), vm("d"), vm("e")}, Nothing, ""},
-		{"a disk was lost", three, []VM{vm("a"), vm("b"), wiped("c")}, Remove, "c"},
-		{"and its VM comes back", three[:2], []VM{vm("a"), vm("b"), wiped("c")}, AddLearner, "c"},
-		{"and holds nothing yet", append(three[:2:2], learner("c", 9)), []VM{vm("a"), vm("b"), vm("c")}, Nothing, ""},
-		{"and holds everything", append(three[:2:2], learner("c", 0)), []VM{vm("a"), vm("b"), vm("c")}, Promote, "c"},
-		{"a silent voter without a successor", three, []VM{vm("a"), vm("b"), silent("c")}, Nothing, ""},
-		{"a silent voter, a successor lags", append(three, learner("d", 4)), []VM{vm("a"), vm("b"), silent("c"), vm("d")}, Nothing, ""},
-		{"a silent voter, a successor is ready", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), silent("c"), vm("d")}, Remove, "c"},
-		{"a silent learner, another VM is there", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("c"), silent("d"), vm("e")}, Remove, "d"},
-		{"a VM that never announced itself", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("d")}, Remove, "c"},
-		{"the leader's own silence is none", append(three, learner("d", 0)), []VM{silent("a"), vm("b"), vm("c"), vm("d")}, Nothing, ""},
-		{"retiring, nobody can follow", three, []VM{vm("a"), vm("b"), retiring("c")}, Nothing, ""},
-		{"retiring, a new VM is there", three, []VM{vm("a"), vm("b"), retiring("c"), vm("d")}, AddLearner, "d"},
-		{"retiring, the successor is ready", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), retiring("c"), vm("d")}, Promote, "d"},
-		{"retiring, the successor votes", append(three, voter("d")), []VM{vm("a"), vm("b"), retiring("c"), vm("d")}, Remove, "c"},
-		{"the leader retires", append(three, voter("d")), []VM{retiring("a"), vm("b"), vm("c"), vm("d")}, HandOver, "a"},
-		{"retiring learners leave first", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("c"), retiring("d")}, Remove, "d"},
-		{"a retiring VM isn't taken in", three, []VM{vm("a"), vm("b"), vm("c"), retiring("d")}, Nothing, ""},
-		{"a silent VM isn't taken in", three, []VM{vm("a"), vm("b"), vm("c"), silent("d")}, Nothing, ""},
+		{"complete group", three, []VM{vm("a"), vm("b"), vm("c")}, NoStep, ""},
+		{"one new VM", three, []VM{vm("a"), vm("b"), vm("c"), vm("d")}, AddLearner, "d"},
+		{"two new VMs, one already a learner", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("c"), vm("d"), vm("e")}, NoStep, ""},
+		{"voter with a lost disk", three, []VM{vm("a"), vm("b"), newDisk("c")}, Remove, "c"},
+		{"VM with a new disk after its removal", three[:2], []VM{vm("a"), vm("b"), newDisk("c")}, AddLearner, "c"},
+		{"learner with a new disk lags", append(three[:2:2], learner("c", 9)), []VM{vm("a"), vm("b"), vm("c")}, NoStep, ""},
+		{"learner with a new disk has caught up", append(three[:2:2], learner("c", 0)), []VM{vm("a"), vm("b"), vm("c")}, Promote, "c"},
+		{"unresponsive voter, no other VM", three, []VM{vm("a"), vm("b"), unresponsive("c")}, NoStep, ""},
+		{"unresponsive voter, learner lags", append(three, learner("d", 4)), []VM{vm("a"), vm("b"), unresponsive("c"), vm("d")}, NoStep, ""},
+		{"unresponsive voter, learner has caught up", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), unresponsive("c"), vm("d")}, Remove, "c"},
+		{"unresponsive learner, another VM available", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("c"), unresponsive("d"), vm("e")}, Remove, "d"},
+		{"voter whose VM never announced itself", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("d")}, Remove, "c"},
+		{"leader is never unresponsive to itself", append(three, learner("d", 0)), []VM{unresponsive("a"), vm("b"), vm("c"), vm("d")}, NoStep, ""},
+		{"retiring voter, no other VM", three, []VM{vm("a"), vm("b"), retiring("c")}, NoStep, ""},
+		{"retiring voter, new VM available", three, []VM{vm("a"), vm("b"), retiring("c"), vm("d")}, AddLearner, "d"},
+		{"retiring voter, learner has caught up", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), retiring("c"), vm("d")}, Promote, "d"},
+		{"retiring voter, replacement is a voter", append(three, voter("d")), []VM{vm("a"), vm("b"), retiring("c"), vm("d")}, Remove, "c"},
+		{"retiring leader", append(three, voter("d")), []VM{retiring("a"), vm("b"), vm("c"), vm("d")}, TransferLeadership, "a"},
+		{"retiring learner", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("c"), retiring("d")}, Remove, "d"},
+		{"retiring VM is not added", three, []VM{vm("a"), vm("b"), vm("c"), retiring("d")}, NoStep, ""},
+		{"unresponsive VM is not added", three, []VM{vm("a"), vm("b"), vm("c"), unresponsive("d")}, NoStep, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			step := config(1).Next(now, c.members, c.vms)
@@ -74,33 +76,33 @@
 	vms[1].Retiring = true
 	require.False(t, config(1).MayRetire(now, "d", vms))
 	vms[1].Retiring = false
-	vms[1].Heard = now - 10_000
+	vms[1].LastSeen = now - 10_000
 	require.False(t, config(1).MayRetire(now, "d", vms))
 }
 
-// world is a group that follows the steps, with VMs that come, go and lose disks.
-type world struct {
-	members []Member
-	vms     map[string]VM
-	gone    map[string]bool
-	folders int
+// modelGroup simulates a group that executes the steps, and its VMs.
+type modelGroup struct {
+	members  []Member
+	vms      map[string]VM
+	down     map[string]bool
+	newDisks int // number of disks replaced so far, for unique identities
 }
 
-func (w *world) list() []VM {
+func (g *modelGroup) listVMs() []VM {
 	var list []VM
-	for name, v := range w.vms {
-		if !w.gone[name] {
-			v.Heard = now
+	for name, v := range g.vms {
+		if !g.down[name] {
+			v.LastSeen = now
 		}
 		list = append(list, v)
 	}
 	return list
 }
 
-// carry does what the consensus group does with a step.
-func (w *world) carry(step Step) {
+// apply changes the members as the consensus group does for a step.
+func (g *modelGroup) apply(step Step) {
 	var rest []Member
-	for _, m := range w.members {
+	for _, m := range g.members {
 		if m.Name != step.Member.Name {
 			rest = append(rest, m)
 		}
@@ -108,85 +110,84 @@
 	switch step.Kind {
 	case AddLearner:
 		m := step.Member
-		m.Behind = 0
+		m.Lag = 0
 		rest = append(rest, m)
-		w.members = rest
+		g.members = rest
 	case Promote:
 		m := step.Member
 		m.Voter = true
 		rest = append(rest, m)
-		w.members = rest
+		g.members = rest
 	case Remove:
-		w.members = rest
+		g.members = rest
 	}
 }
 
-// TestRapidTheGroupRecovers lets VMs vanish, lose their disks, come and retire,
-// one at a time and never more than may be lost at once; after each the steps
-// come to an end, and leave enough voters, all of them alive, none with a lost
-// disk, none retiring.
-func TestRapidTheGroupRecovers(t *testing.T) {
+// TestRapidGroupRecovers adds VMs, replaces their disks and takes them down, one at a
+// time and never more than the tolerated number at once. After each event the steps
+// must end, and leave enough voters, none of them down or with a lost disk.
+func TestRapidGroupRecovers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		losses := rapid.IntRange(1, 2).Draw(t, "losses")
 		c := config(losses)
-		w := &world{vms: map[string]VM{}, gone: map[string]bool{}}
+		g := &modelGroup{vms: map[string]VM{}, down: map[string]bool{}}
 		total := c.Voters() + 1
 		for i := range total {
 			name := string(rune('a' + i))
-			w.vms[name] = vm(name)
+			g.vms[name] = vm(name)
 			if i < 3 {
-				w.members = append(w.members, voter(name))
+				g.members = append(g.members, voter(name))
 			}
 		}
 		settle := func(t *rapid.T) {
 			for range 40 {
-				step := c.Next(now, w.members, w.list())
-				if step.Kind == Nothing || step.Kind == HandOver {
+				step := c.Next(now, g.members, g.listVMs())
+				if step.Kind == NoStep || step.Kind == TransferLeadership {
 					return
 				}
-				w.carry(step)
+				g.apply(step)
 			}
-			t.Fatalf("the steps don't come to an end: %v %v", w.members, w.vms)
+			t.Fatalf("no end of the steps: members %v, VMs %v", g.members, g.vms)
 		}
 		settle(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"a VM comes": func(t *rapid.T) {
-				name := fmt.Sprintf("n%d", len(w.vms))
-				w.vms[name] = vm(name)
+				name := fmt.Sprintf("n%d", len(g.vms))
+				g.vms[name] = vm(name)
 				settle(t)
 			},
 			"a disk is lost": func(t *rapid.T) {
 				name := rapid.SampledFrom([]string{"b", "c", "d"}).Draw(t, "name")
-				w.folders++
-				v := w.vms[name]
-				v.Identity = fmt.Sprintf("new%d", w.folders)
-				w.vms[name] = v
+				g.newDisks++
+				v := g.vms[name]
+				v.Identity = fmt.Sprintf("new%d", g.newDisks)
+				g.vms[name] = v
 				settle(t)
 			},
 			"a VM vanishes and another comes": func(t *rapid.T) {
 				name := rapid.SampledFrom([]string{"b", "c", "d"}).Draw(t, "name")
-				v := w.vms[name]
-				v.Heard = now - 60_000
-				w.vms[name] = v
-				w.gone[name] = true
-				fresh := fmt.Sprintf("n%d", len(w.vms))
-				w.vms[fresh] = vm(fresh)
+				v := g.vms[name]
+				v.LastSeen = now - 60_000
+				g.vms[name] = v
+				g.down[name] = true
+				fresh := fmt.Sprintf("n%d", len(g.vms))
+				g.vms[fresh] = vm(fresh)
 				settle(t)
-				v.Heard = now
-				w.vms[name] = v
-				delete(w.gone, name)
+				v.LastSeen = now
+				g.vms[name] = v
+				delete(g.down, name)
 				settle(t)
 			},
 			"": func(t *rapid.T) {
 				voters := 0
-				for _, m := range w.members {
+				for _, m := range g.members {
 					if !m.Voter {
 						continue
 					}
 					voters++
-					v := w.vms[m.Name]
-					require.False(t, w.gone[m.Name], "%s votes and is gone", m.Name)
-					require.Equal(t, v.Identity, m.Identity, "%s votes with a lost disk", m.Name)
+					v := g.vms[m.Name]
+					require.False(t, g.down[m.Name], "voter %s is down", m.Name)
+					require.Equal(t, v.Identity, m.Identity, "voter %s has a lost disk", m.Name)
 				}
 				require.GreaterOrEqual(t, voters, c.Voters())
 			},
