--- a/control/main.go
+++ b/control/main.go
@@ -1,4 +1,4 @@
-// Control keeps the durable state of toucanhinge on a few VMs with disks: the
+// Control stores the durable state of toucanhinge on a few VMs with disks: the
 // configuration, the members, the batch jobs and their results.
 package main
 
--- a/control/pkg/app/app.go
+++ b/control/pkg/app/app.go
@@ -1,4 +1,4 @@
-// Package app joins the parts of the control program and starts and stops them.
+// Package app creates the components of the control program and starts and stops them.
 package app
 
 import (
@@ -19,25 +19,25 @@
 
 const (
 	program = "control"
-	// stopTime bounds a planned stop; calls under way are short but for streams
-	// of results and uploads.
-	stopTime clock.Millis = 30_000
-	// bookSize is how many happenings the operators can ask about.
-	bookSize = 16_384
+	// stopTimeout limits a planned stop. Calls in flight are short, except streams of
+	// results and uploads.
+	stopTimeout clock.Millis = 30_000
+	// bookEvents is the number of recorded events that operators can query.
+	bookEvents = 16_384
 )
 
-// Run serves until a signal asks the process to leave, or a replica fails.
+// Run serves until a signal stops the process or a replica fails.
 func Run(settings config.Config) error {
 	var failure error
 	app := fx.New(
 		fx.NopLogger,
-		fx.StopTimeout(stopTime.Duration()),
+		fx.StopTimeout(stopTimeout.Duration()),
 		fx.Supply(settings),
-		fx.Provide(clock.System, health.New, newLogger, newMetrics, newBook, newGroups, newParts, newProcess),
+		fx.Provide(clock.System, health.New, newLogger, newMetrics, newBook, newGroups, newComponents, newProcess),
 		fx.Invoke(func(lifecycle fx.Lifecycle, p *process) {
 			lifecycle.Append(fx.Hook{OnStart: p.start, OnStop: func(stop context.Context) error {
 				err := p.stop(stop)
-				failure = p.failed()
+				failure = p.err()
 				return err
 			}})
 		}),
@@ -61,5 +61,5 @@
 }
 
 func newBook(settings config.Config, now clock.Clock) *record.Book {
-	return record.New(record.Config{Clock: now, Process: settings.Name, Size: bookSize})
+	return record.New(record.Config{Clock: now, Process: settings.Name, Size: bookEvents})
 }
--- a/control/pkg/app/app_test.go
+++ b/control/pkg/app/app_test.go
@@ -14,11 +14,11 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// TestJobFromUploadToResults is the whole path of a job on one control VM, with
-// a restart in the middle: what was acknowledged before it is there after it.
+// TestJobFromUploadToResults runs a job from its upload to its results on one control
+// VM with a restart in between. Acknowledged results must survive the restart.
 func TestJobFromUploadToResults(t *testing.T) {
 	c := newCluster(t, 1, nil)
-	c.contract()
+	c.createContract()
 	accepted, err := c.upload("hearing-1", 1_200)
 	require.NoError(t, err)
 	require.EqualValues(t, 1_200, accepted.GetJob().GetItems())
@@ -50,11 +50,11 @@
 	}
 }
 
-// TestConfigurationReachesWatchers changes the configuration on three control
-// VMs and waits until a process that watches has it in force.
+// TestConfigurationReachesWatchers changes the configuration on three control VMs and
+// waits until all watchers have applied it.
 func TestConfigurationReachesWatchers(t *testing.T) {
 	c := newCluster(t, 3, nil)
-	c.contract()
+	c.createContract()
 	var watchers []*control.Watcher
 	ctx, cancel := context.WithCancel(c.context())
 	defer cancel()
@@ -68,7 +68,7 @@
 		Body: &toucanhingev1.Entry_DataCentre{DataCentre: &toucanhingev1.DataCentre{Region: "rabat-sale"}},
 	})
 	for _, w := range watchers {
-		require.Eventually(t, func() bool { return w.Fleet().Version >= last.GetVersion() }, patience, glance)
+		require.Eventually(t, func() bool { return w.Fleet().Version >= last.GetVersion() }, testTimeout, pollInterval)
 		_, found := w.Fleet().Entry(toucanhingev1.Kind_KIND_DATA_CENTRE, "agdal")
 		require.True(t, found)
 		require.NotEqual(t, world.Empty(), w.Fleet())
--- a/control/pkg/app/bench_test.go
+++ b/control/pkg/app/bench_test.go
@@ -26,23 +26,23 @@
 	benchSidecars = 96
 )
 
-// BenchmarkItems uploads, leases, completes and reads 100,000 items on three
-// control VMs of this machine, with real syncs, over loopback.
+// BenchmarkItems uploads, leases, completes and reads 100,000 items on three control
+// processes of this machine, over loopback and with disk syncs.
 func BenchmarkItems(b *testing.B) {
 	for _, groups := range []uint32{2, 5} {
 		for _, most := range []uint32{1, 8, 64} {
 			b.Run(fmt.Sprintf("jobgroups=%d/lease=%d", groups-1, most), func(b *testing.B) {
 				for range b.N {
-					benchJobs(b, groups, most)
+					benchGroups(b, groups, most)
 				}
 			})
 		}
 	}
 }
 
-func benchJobs(b *testing.B, groups, most uint32) {
+func benchGroups(b *testing.B, groups, most uint32) {
 	c := newCluster(b, 3, func(s *config.Config) { s.Groups = groups })
-	c.contract()
+	c.createContract()
 	jobs := groups - jobname.FirstGroup
 	keys := make([]string, jobs)
 	for g := range keys {
@@ -54,12 +54,12 @@
 		}
 	}
 	start := time.Now()
-	forEach(len(keys), func(g int) { benchUpload(b, c, keys[g], groups, benchItems/len(keys)) })
+	runConcurrently(len(keys), func(g int) { benchUpload(b, c, keys[g], groups, benchItems/len(keys)) })
 	b.ReportMetric(float64(time.Since(start).Milliseconds()), "ms-upload")
 
 	var completed atomic.Int64
 	start = time.Now()
-	forEach(benchSidecars, func(s int) {
+	runConcurrently(benchSidecars, func(s int) {
 		group := uint32(s)%jobs + jobname.FirstGroup
 		client := control.New(control.Config{Addresses: addresses(c), HTTP: web.NewClient()})
 		for benchRound(b, client, group, fmt.Sprintf("s%d", s), most, &completed) {
@@ -78,7 +78,7 @@
 	b.ReportMetric(float64(benchItems)/time.Since(start).Seconds(), "results/s")
 }
 
-func forEach(count int, run func(int)) {
+func runConcurrently(count int, run func(int)) {
 	var all sync.WaitGroup
 	for i := range count {
 		all.Add(1)
@@ -106,7 +106,7 @@
 func benchUpload(b *testing.B, c *cluster, key string, groups uint32, items int) {
 	for attempt := 0; ; attempt++ {
 		replica := c.client.Leader(groupOfKey(key, groups))
-		_, err := send(context.Background(), replica, key, items)
+		_, err := uploadItems(context.Background(), replica, key, items)
 		if err == nil {
 			return
 		}
@@ -170,12 +170,12 @@
 	return read
 }
 
-// BenchmarkRestart measures a control VM's start after 1,000 changes and 100,000
-// items, half of them done, until it answers a confirmed read.
+// BenchmarkRestart measures the time from a control VM's restart to its first confirmed
+// read, with 1,000 configuration changes and 100,000 items, half of them done.
 func BenchmarkRestart(b *testing.B) {
 	for range b.N {
 		c := newCluster(b, 1, nil)
-		c.contract()
+		c.createContract()
 		for n := range 1_000 {
 			c.apply(fmt.Sprintf("change-%d", n), &toucanhingev1.Entry{
 				Kind: toucanhingev1.Kind_KIND_TEAM, Name: fmt.Sprintf("team-%d", n), Body: &toucanhingev1.Entry_Team{Team: &toucanhingev1.TeamRecord{}},
@@ -206,13 +206,13 @@
 	}
 }
 
-// BenchmarkSpread measures how long 100 watchers at three control VMs take to
-// have a change in force, and what it costs all processes together.
+// BenchmarkSpread measures the time until 100 watchers of three control VMs have
+// applied a configuration change.
 func BenchmarkSpread(b *testing.B) {
 	const watchers, changes = 100, 60
 	for range b.N {
 		c := newCluster(b, 3, nil)
-		c.contract()
+		c.createContract()
 		ctx, cancel := context.WithCancel(context.Background())
 		var mu sync.Mutex
 		accepted, took := map[uint64]time.Time{}, []time.Duration{}
@@ -255,25 +255,25 @@
 	}
 }
 
-// BenchmarkFailover crashes the leader of the configuration and measures until
-// the next change is accepted.
+// BenchmarkFailover crashes the leader of the configuration group and measures the time
+// until a new leader is elected and until the next change is accepted.
 func BenchmarkFailover(b *testing.B) {
 	const crashes = 20
 	for range b.N {
 		c := newCluster(b, 3, nil)
-		c.contract()
+		c.createContract()
 		var took, elected []time.Duration
 		var elections sync.WaitGroup
 		for n := range crashes {
 			var leader *node
-			require.Eventually(b, func() bool { leader = c.leader(0); return leader != nil }, patience, glance)
+			require.Eventually(b, func() bool { leader = c.leader(0); return leader != nil }, testTimeout, pollInterval)
 			leader.crash()
 			start := time.Now()
 			elections.Add(1)
 			go func() {
 				defer elections.Done()
 				for c.leader(0) == nil {
-					time.Sleep(glance)
+					time.Sleep(pollInterval)
 				}
 				elected = append(elected, time.Since(start))
 			}()
--- a/control/pkg/app/parts.go
+++ b/control/pkg/app/components.go
@@ -23,27 +23,29 @@
 )
 
 const (
-	minuteMS = 60_000
-	// readBytes bounds one message of a call; an upload comes in many.
-	readBytes = 8 << 20
-	// neverCompress: packing small answers took an eighth of control's time under
-	// load, and saves nothing that the short network between VMs needs.
-	neverCompress = 1 << 30
+	minuteMillis = 60_000
+	// maxMessageBytes is the maximum size of one message. An upload is a stream of
+	// messages.
+	maxMessageBytes = 8 << 20
+	// compressMinBytes is above the size of every message, so that responses are never
+	// compressed. Compressing small responses took an eighth of control's time under
+	// load, and the short network between VMs doesn't need it.
+	compressMinBytes = 1 << 30
 )
 
-// parts are what the process serves and runs.
-type parts struct {
+// components holds the handler that the process serves and its background components.
+type components struct {
 	members *fleet.Keeper
 	leases  *work.LeaseTracker
 	vms     *platform.Poller
 	handler http.Handler
 }
 
-func newParts(
+func newComponents(
 	settings config.Config, now clock.Clock, logger log.Logger, set *metrics.Set, book *record.Book,
 	status *health.Status, gs *groups,
-) *parts {
-	p := &parts{
+) *components {
+	c := &components{
 		members: fleet.NewKeeper(fleet.KeeperConfig{
 			Fleet: gs.fleet, Clock: now, Logger: logger,
 			Lease: clock.Millis(settings.Members.LeaseMS), ForgetAfter: clock.Millis(settings.Members.ForgetMS),
@@ -55,17 +57,17 @@
 		}),
 	}
 	if settings.Platform.VMListURL != "" {
-		p.vms = platform.New(platform.Config{
+		c.vms = platform.New(platform.Config{
 			URL: settings.Platform.VMListURL, Every: clock.Millis(settings.Platform.PollMS).Duration(),
 			HTTP: &http.Client{}, Fleet: gs.fleet, Logger: logger, Refused: set.Refused,
 		})
 	}
-	set.Registry.MustRegister(&counts{groups: gs})
-	p.handler = p.routes(settings, now, set, book, status, gs)
-	return p
+	set.Registry.MustRegister(&stateCollector{groups: gs})
+	c.handler = c.routes(settings, now, set, book, status, gs)
+	return c
 }
 
-func (p *parts) routes(
+func (c *components) routes(
 	settings config.Config, now clock.Clock, set *metrics.Set, book *record.Book, status *health.Status, gs *groups,
 ) http.Handler {
 	refuser := group.Refuser{Refused: set.Refused}
@@ -74,19 +76,19 @@
 		MaxItems: settings.Jobs.MostItems, ItemBytes: settings.Jobs.ItemBytes,
 	})
 	items := work.New(work.Config{
-		Groups: gs.jobs, Fleet: gs.fleet, Leases: p.leases, Clock: now, Book: book, Refuser: refuser,
+		Groups: gs.jobs, Fleet: gs.fleet, Leases: c.leases, Clock: now, Book: book, Refuser: refuser,
 		Lease: clock.Millis(settings.Jobs.LeaseMS), ResultBytes: settings.Jobs.ResultBytes,
 	})
 	members := fleet.New(fleet.Config{
-		Fleet: gs.fleet, Keeper: p.members, Clock: now, Refuser: refuser,
+		Fleet: gs.fleet, Keeper: c.members, Clock: now, Refuser: refuser,
 		Groups: settings.Groups, Lease: clock.Millis(settings.Members.LeaseMS),
 	})
 	operators := operator.New(operator.Config{
-		Fleet: gs.fleet, Jobs: gs.jobs, Entry: jobs, Keeper: p.members, Clock: now, Book: book, Refuser: refuser,
+		Fleet: gs.fleet, Jobs: gs.jobs, Entry: jobs, Keeper: c.members, Clock: now, Book: book, Refuser: refuser,
 		LoadInterval: loadInterval(settings),
-		Replicas:     operator.Replicas{Name: settings.Name, Identity: gs.identity, Status: gs.status, Change: gs.change, Handover: gs.handover},
+		Replicas:     operator.Replicas{Name: settings.Name, Identity: gs.identity, Status: gs.status, Change: gs.changeMember, Handover: gs.transferLeaderships},
 	})
-	limit := connect.WithHandlerOptions(connect.WithReadMaxBytes(readBytes), connect.WithCompressMinBytes(neverCompress))
+	limit := connect.WithHandlerOptions(connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(compressMinBytes))
 	mux := http.NewServeMux()
 	mux.Handle(toucanhingev1connect.NewJobServiceHandler(jobs, limit))
 	mux.Handle(toucanhingev1connect.NewWorkServiceHandler(items, limit))
@@ -105,5 +107,5 @@
 	if settings.Platform.LoadsPerMinute == 0 {
 		return 0
 	}
-	return clock.Millis(minuteMS / settings.Platform.LoadsPerMinute)
+	return clock.Millis(minuteMillis / settings.Platform.LoadsPerMinute)
 }
--- a/control/pkg/app/contract_test.go
+++ b/control/pkg/app/contract_test.go
@@ -17,7 +17,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-func header(change func(*toucanhingev1.UploadHeader)) *toucanhingev1.UploadRequest {
+func headerPart(change func(*toucanhingev1.UploadHeader)) *toucanhingev1.UploadRequest {
 	h := &toucanhingev1.UploadHeader{Team: "agence", Key: "k", Service: "servitudes-llm"}
 	if change != nil {
 		change(h)
@@ -25,48 +25,48 @@
 	return &toucanhingev1.UploadRequest{Part: &toucanhingev1.UploadRequest_Header{Header: h}}
 }
 
-func items(list ...*toucanhingev1.Item) *toucanhingev1.UploadRequest {
+func itemsPart(list ...*toucanhingev1.Item) *toucanhingev1.UploadRequest {
 	return &toucanhingev1.UploadRequest{Part: &toucanhingev1.UploadRequest_Items{Items: &toucanhingev1.UploadItems{Items: list}}}
 }
 
-func item(id, body string) *toucanhingev1.Item {
+func newItem(id, body string) *toucanhingev1.Item {
 	return &toucanhingev1.Item{CustomId: id, Body: []byte(body)}
 }
 
-func end(count uint64) *toucanhingev1.UploadRequest {
+func endPart(count uint64) *toucanhingev1.UploadRequest {
 	return &toucanhingev1.UploadRequest{Part: &toucanhingev1.UploadRequest_End{End: &toucanhingev1.UploadEnd{Count: count}}}
 }
 
-// TestUploadFaults sends one faulty upload each. The gateway sees a code and a
-// reason that names the line, and nothing of the job ever exists.
-func TestUploadFaults(t *testing.T) {
+// TestFaultyUploadsAreRefused checks the code and the reason of each faulty upload. A
+// reason about an item names its line, and the job must not exist afterwards.
+func TestFaultyUploadsAreRefused(t *testing.T) {
 	c := newCluster(t, 1, func(s *config.Config) { s.Jobs.MostItems, s.Jobs.ItemBytes = 3, 100 })
-	c.contract()
-	good := item("a", `{}`)
+	c.createContract()
+	good := newItem("a", `{}`)
 	scenarios := []struct {
 		name   string
 		parts  []*toucanhingev1.UploadRequest
 		code   connect.Code
 		reason string
 	}{
-		{"nothing", nil, connect.CodeInvalidArgument, "broken off"},
-		{"no header", []*toucanhingev1.UploadRequest{items(good)}, connect.CodeInvalidArgument, "must be the header"},
+		{"empty stream", nil, connect.CodeInvalidArgument, "broken off"},
+		{"no header", []*toucanhingev1.UploadRequest{itemsPart(good)}, connect.CodeInvalidArgument, "must be the header"},
 		{"empty message", []*toucanhingev1.UploadRequest{{}}, connect.CodeInvalidArgument, "must be the header"},
-		{"two headers", []*toucanhingev1.UploadRequest{header(nil), header(nil)}, connect.CodeInvalidArgument, "only items and the end"},
-		{"no end", []*toucanhingev1.UploadRequest{header(nil), items(good)}, connect.CodeInvalidArgument, "without its end mark"},
-		{"no team", []*toucanhingev1.UploadRequest{header(func(h *toucanhingev1.UploadHeader) { h.Team = "" })}, connect.CodeInvalidArgument, "want a team"},
-		{"no key", []*toucanhingev1.UploadRequest{header(func(h *toucanhingev1.UploadHeader) { h.Key = "" })}, connect.CodeInvalidArgument, "want a team and a key"},
-		{"long key", []*toucanhingev1.UploadRequest{header(func(h *toucanhingev1.UploadHeader) { h.Key = strings.Repeat("k", 257) })}, connect.CodeInvalidArgument, "at most 256"},
-		{"no contract", []*toucanhingev1.UploadRequest{header(func(h *toucanhingev1.UploadHeader) { h.Team = "heredia" })}, connect.CodePermissionDenied, "no contract"},
-		{"unknown service", []*toucanhingev1.UploadRequest{header(func(h *toucanhingev1.UploadHeader) { h.Service = "x" })}, connect.CodePermissionDenied, "no contract"},
-		{"empty job", []*toucanhingev1.UploadRequest{header(nil), end(0)}, connect.CodeInvalidArgument, "no items"},
-		{"an item is missing", []*toucanhingev1.UploadRequest{header(nil), items(good), end(2)}, connect.CodeInvalidArgument, "names 2 items, 1 came"},
-		{"item without a name", []*toucanhingev1.UploadRequest{header(nil), items(good, item("", `{}`)), end(2)}, connect.CodeInvalidArgument, "line 2: custom_id"},
-		{"a name twice", []*toucanhingev1.UploadRequest{header(nil), items(good), items(item("b", `1`), good), end(3)}, connect.CodeInvalidArgument, `line 3: custom_id "a" came before`},
-		{"body is no JSON", []*toucanhingev1.UploadRequest{header(nil), items(good, item("b", `{"cut":`)), end(2)}, connect.CodeInvalidArgument, "line 2: the body is not JSON"},
-		{"empty body", []*toucanhingev1.UploadRequest{header(nil), items(item("b", ``)), end(1)}, connect.CodeInvalidArgument, "line 1: the body is not JSON"},
-		{"large body", []*toucanhingev1.UploadRequest{header(nil), items(item("b", `"`+strings.Repeat("x", 100)+`"`)), end(1)}, connect.CodeInvalidArgument, "line 1: the body is larger than 100"},
-		{"too many items", []*toucanhingev1.UploadRequest{header(nil), items(good, item("b", `1`), item("c", `1`), item("d", `1`)), end(4)}, connect.CodeInvalidArgument, "line 4: a job holds at most 3"},
+		{"two headers", []*toucanhingev1.UploadRequest{headerPart(nil), headerPart(nil)}, connect.CodeInvalidArgument, "only items and the end"},
+		{"no end", []*toucanhingev1.UploadRequest{headerPart(nil), itemsPart(good)}, connect.CodeInvalidArgument, "without its end mark"},
+		{"no team", []*toucanhingev1.UploadRequest{headerPart(func(h *toucanhingev1.UploadHeader) { h.Team = "" })}, connect.CodeInvalidArgument, "want a team"},
+		{"no key", []*toucanhingev1.UploadRequest{headerPart(func(h *toucanhingev1.UploadHeader) { h.Key = "" })}, connect.CodeInvalidArgument, "want a team and a key"},
+		{"long key", []*toucanhingev1.UploadRequest{headerPart(func(h *toucanhingev1.UploadHeader) { h.Key = strings.Repeat("k", 257) })}, connect.CodeInvalidArgument, "at most 256"},
+		{"no contract", []*toucanhingev1.UploadRequest{headerPart(func(h *toucanhingev1.UploadHeader) { h.Team = "heredia" })}, connect.CodePermissionDenied, "no contract"},
+		{"unknown service", []*toucanhingev1.UploadRequest{headerPart(func(h *toucanhingev1.UploadHeader) { h.Service = "x" })}, connect.CodePermissionDenied, "no contract"},
+		{"empty job", []*toucanhingev1.UploadRequest{headerPart(nil), endPart(0)}, connect.CodeInvalidArgument, "no items"},
+		{"missing item", []*toucanhingev1.UploadRequest{headerPart(nil), itemsPart(good), endPart(2)}, connect.CodeInvalidArgument, "names 2 items, 1 came"},
+		{"item without custom_id", []*toucanhingev1.UploadRequest{headerPart(nil), itemsPart(good, newItem("", `{}`)), endPart(2)}, connect.CodeInvalidArgument, "line 2: custom_id"},
+		{"duplicate custom_id", []*toucanhingev1.UploadRequest{headerPart(nil), itemsPart(good), itemsPart(newItem("b", `1`), good), endPart(3)}, connect.CodeInvalidArgument, `line 3: custom_id "a" came before`},
+		{"body is not JSON", []*toucanhingev1.UploadRequest{headerPart(nil), itemsPart(good, newItem("b", `{"cut":`)), endPart(2)}, connect.CodeInvalidArgument, "line 2: the body is not JSON"},
+		{"empty body", []*toucanhingev1.UploadRequest{headerPart(nil), itemsPart(newItem("b", ``)), endPart(1)}, connect.CodeInvalidArgument, "line 1: the body is not JSON"},
+		{"large body", []*toucanhingev1.UploadRequest{headerPart(nil), itemsPart(newItem("b", `"`+strings.Repeat("x", 100)+`"`)), endPart(1)}, connect.CodeInvalidArgument, "line 1: the body is larger than 100"},
+		{"too many items", []*toucanhingev1.UploadRequest{headerPart(nil), itemsPart(good, newItem("b", `1`), newItem("c", `1`), newItem("d", `1`)), endPart(4)}, connect.CodeInvalidArgument, "line 4: a job holds at most 3"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -87,10 +87,10 @@
 	}
 }
 
-// TestCallFaults sends one faulty call each and expects its code and reason.
-func TestCallFaults(t *testing.T) {
+// TestFaultyCallsAreRefused checks the code and the reason of each faulty call.
+func TestFaultyCallsAreRefused(t *testing.T) {
 	c := newCluster(t, 1, func(s *config.Config) { s.Jobs.ResultBytes = 100 })
-	c.contract()
+	c.createContract()
 	accepted, err := c.upload("k", 3)
 	require.NoError(t, err)
 	job := accepted.GetJob().GetId()
@@ -145,16 +145,16 @@
 	}{
 		{"lease without sidecar", lease("", "s", 1, 1), connect.CodeInvalidArgument, "want a sidecar"},
 		{"lease without service", lease("s1", "", 1, 1), connect.CodeInvalidArgument, "a service"},
-		{"lease of nothing", lease("s1", "s", 1, 0), connect.CodeInvalidArgument, "1 to 256"},
-		{"lease of too much", lease("s1", "s", 1, 257), connect.CodeInvalidArgument, "1 to 256"},
-		{"lease in the configuration's group", lease("s1", "s", 0, 1), connect.CodeInvalidArgument, "no job group 0"},
-		{"lease in no group", lease("s1", "s", 9, 1), connect.CodeInvalidArgument, "no job group 9"},
+		{"lease of no items", lease("s1", "s", 1, 0), connect.CodeInvalidArgument, "1 to 256"},
+		{"lease of too many items", lease("s1", "s", 1, 257), connect.CodeInvalidArgument, "1 to 256"},
+		{"lease in the configuration group", lease("s1", "s", 0, 1), connect.CodeInvalidArgument, "no job group 0"},
+		{"lease in an unknown group", lease("s1", "s", 9, 1), connect.CodeInvalidArgument, "no job group 9"},
 		{"large result", complete(&toucanhingev1.Completion{Body: make([]byte, 101)}), connect.CodeInvalidArgument, "larger than 100"},
 		{"too many completions", complete(make([]*toucanhingev1.Completion, 1025)...), connect.CodeInvalidArgument, "at most 1024"},
 		{"heartbeat without name", beat("", &toucanhingev1.Member{}), connect.CodeInvalidArgument, "name"},
 		{"heartbeat without member", beat("s1", nil), connect.CodeInvalidArgument, "member: missing"},
 		{"heartbeat without role", beat("s1", &toucanhingev1.Member{State: ready, Incarnation: 1}), connect.CodeInvalidArgument, "role"},
-		{"heartbeat of the dead", beat("s1", &toucanhingev1.Member{
+		{"heartbeat in state dead", beat("s1", &toucanhingev1.Member{
 			Role: toucanhingev1.Role_ROLE_GATEWAY, Incarnation: 1, State: toucanhingev1.MemberState_MEMBER_STATE_DEAD,
 		}), connect.CodeInvalidArgument, "ready or leaving"},
 		{"heartbeat without incarnation", beat("s1", &toucanhingev1.Member{Role: toucanhingev1.Role_ROLE_GATEWAY, State: ready}), connect.CodeInvalidArgument, "incarnation"},
@@ -163,8 +163,8 @@
 		{"claim without token", claim("d", "r", ""), connect.CodeInvalidArgument, "token"},
 		{"cancel without team", cancel("", job), connect.CodeInvalidArgument, "team is missing"},
 		{"cancel of another team's job", cancel("heredia", job), connect.CodeNotFound, "no such job"},
-		{"cancel of no job id", cancel("agence", "x"), connect.CodeNotFound, "no job here"},
-		{"cancel in a group that isn't", cancel("agence", "j7-000000000000000000000000"), connect.CodeNotFound, "no job here"},
+		{"cancel with a malformed job id", cancel("agence", "x"), connect.CodeNotFound, "no job here"},
+		{"cancel in an unknown group", cancel("agence", "j7-000000000000000000000000"), connect.CodeNotFound, "no job here"},
 		{"results of another team's job", results("heredia", job), connect.CodeNotFound, "no such job"},
 		{"results of an unknown job", results("agence", "j1-000000000000000000000000"), connect.CodeNotFound, "no such job"},
 	}
@@ -177,11 +177,11 @@
 	}
 }
 
-// TestRawFaults sends what no generated client would: control refuses it and
-// goes on serving.
-func TestRawFaults(t *testing.T) {
+// TestMalformedRequestsAreRefused sends requests that no generated client would send.
+// Control must refuse them and continue to serve.
+func TestMalformedRequestsAreRefused(t *testing.T) {
 	c := newCluster(t, 1, nil)
-	c.contract()
+	c.createContract()
 	scenarios := []struct {
 		name, path, kind, body string
 		status                 int
@@ -191,7 +191,7 @@
 		{"garbage", "/toucanhinge.v1.WorkService/Lease", "application/proto", "\xff\xff\xff", http.StatusBadRequest},
 		{"unknown codec", "/toucanhinge.v1.WorkService/Lease", "text/plain", "x", http.StatusUnsupportedMediaType},
 		{"unknown call", "/toucanhinge.v1.WorkService/Steal", "application/json", "{}", http.StatusNotFound},
-		{"oversized", "/toucanhinge.v1.OperatorService/Apply", "application/json", `{"author":"` + strings.Repeat("x", readBytes) + `"}`, http.StatusTooManyRequests},
+		{"oversized", "/toucanhinge.v1.OperatorService/Apply", "application/json", `{"author":"` + strings.Repeat("x", maxMessageBytes) + `"}`, http.StatusTooManyRequests},
 		{"cut stream", "/toucanhinge.v1.JobService/Upload", "application/connect+proto", "\x00\x00\x00\x00\x09ab", http.StatusOK},
 	}
 	for _, s := range scenarios {
@@ -212,7 +212,7 @@
 	require.NoError(t, err)
 }
 
-// TestHealthPages shows liveness and readiness apart.
+// TestHealthPages checks that a process that shuts down is alive but not ready.
 func TestHealthPages(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	get := func(path string) int {
@@ -223,17 +223,17 @@
 	}
 	require.Equal(t, http.StatusOK, get("/healthz"))
 	require.Equal(t, http.StatusOK, get("/metrics"))
-	require.Eventually(t, func() bool { return get("/readyz") == http.StatusOK }, patience, glance)
-	c.nodes[0].process.leave()
+	require.Eventually(t, func() bool { return get("/readyz") == http.StatusOK }, testTimeout, pollInterval)
+	c.nodes[0].process.beginShutdown()
 	require.Equal(t, http.StatusServiceUnavailable, get("/readyz"))
-	require.Equal(t, http.StatusOK, get("/healthz"), "a process that leaves is alive")
+	require.Equal(t, http.StatusOK, get("/healthz"), "a process that shuts down is alive")
 }
 
-// TestRefusedResultsAreCounted doubles a result: the second is refused, and the
-// metrics page says so.
+// TestRefusedResultsAreCounted reports a result twice. The second report must be
+// refused and counted in the metrics.
 func TestRefusedResultsAreCounted(t *testing.T) {
 	c := newCluster(t, 1, nil)
-	c.contract()
+	c.createContract()
 	_, err := c.upload("k", 1)
 	require.NoError(t, err)
 	leased := c.lease(1)
@@ -248,22 +248,22 @@
 	require.Contains(t, string(page), `toucanhinge_control_held{group="1",kind="items"} 1`)
 }
 
-// TestFollowersNameTheLeader asks replicas that don't lead: each refuses as not
-// run and names the leader, so that callers find it with one more call.
-func TestFollowersNameTheLeader(t *testing.T) {
-	// One leader throughout, also on a busy machine.
+// TestFollowersReturnTheLeader calls replicas that are not the leader. Each must refuse
+// the call and return the leader's address, so that callers reach it with one more call.
+func TestFollowersReturnTheLeader(t *testing.T) {
+	// With this long election timeout, the leader doesn't change on a busy machine.
 	c := newCluster(t, 3, func(s *config.Config) { s.Consensus.ElectionMS = 3_000 })
-	c.contract()
+	c.createContract()
 	_, err := c.upload("k", 1)
 	require.NoError(t, err)
-	// What a majority accepted may not have come to the third VM yet, which then can't know
-	// who leads.
+	// Entries that a majority accepted may not have reached the third VM yet, which then
+	// does not know the leader.
 	for group := range uint32(2) {
 		for _, n := range c.nodes {
 			require.Eventually(t, func() bool {
 				_, address, _ := n.process.groups.replicas[group].Leader()
 				return address != ""
-			}, patience, glance)
+			}, testTimeout, pollInterval)
 		}
 	}
 	leaders := map[uint32]string{0: c.client.Leader(0).Address, 1: c.client.Leader(1).Address}
@@ -301,7 +301,7 @@
 				return err
 			},
 			func(ctx context.Context, r *control.Replica) error {
-				_, err := send(ctx, r, "k", 1)
+				_, err := uploadItems(ctx, r, "k", 1)
 				return err
 			},
 		},
--- a/control/pkg/app/groups.go
+++ b/control/pkg/app/groups.go
@@ -24,17 +24,17 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-const handoverTime = 3 * time.Second
+const transferTimeout = 3 * time.Second
 
-// groups holds this process's replicas and the machines that they drive.
+// groups holds the replicas of this process and their state machines.
 type groups struct {
 	replicas map[uint32]*replica.Group
 	fleet    *group.Fleet
 	jobs     map[uint32]*group.Jobs
 	logger   log.Logger
-	// failed gets the first error that makes a replica useless.
+	// failed receives the error with which a replica stopped.
 	failed chan error
-	// identity of the data folder.
+	// identity is the identity of the data folder.
 	identity string
 }
 
@@ -68,9 +68,10 @@
 	return gs, nil
 }
 
-type opener func(number uint32, machine replica.Machine) (group.Group, error)
+// openFunc opens the replica of a group with its state machine.
+type openFunc func(number uint32, machine replica.Machine) (group.Group, error)
 
-func (gs *groups) openFleet(open opener, now clock.Clock, set *metrics.Set) error {
+func (gs *groups) openFleet(open openFunc, now clock.Clock, set *metrics.Set) error {
 	m := fleetstate.NewMachine(fleetstate.MachineConfig{Fatal: gs.fatal})
 	g, err := open(0, replica.Machine{Apply: m.Apply, Checkpoint: m.Checkpoint, Load: m.Load, Export: m.Export, Import: m.Import})
 	if err != nil {
@@ -80,7 +81,7 @@
 	return nil
 }
 
-func (gs *groups) openJobs(open opener, settings config.Config, number uint32, now clock.Clock, set *metrics.Set) error {
+func (gs *groups) openJobs(open openFunc, settings config.Config, number uint32, now clock.Clock, set *metrics.Set) error {
 	m := jobstate.NewMachine(jobstate.MachineConfig{
 		Folder: filepath.Join(groupFolder(settings, number), "segments"), Fatal: gs.fatal,
 	})
@@ -106,7 +107,7 @@
 	c := replica.Config{
 		Group: number, Name: settings.Name, Identity: identity, Folder: groupFolder(settings, number),
 		Clock: now, Logger: logger, Registerer: set.Registry,
-		HeartbeatInterval:    clock.Millis(settings.Consensus.HeartbeatMS),
+		HeartbeatInterval: clock.Millis(settings.Consensus.HeartbeatMS),
 		ElectionTimeout:   clock.Millis(settings.Consensus.ElectionMS),
 		CheckpointEntries: settings.Consensus.CheckpointEntries,
 	}
@@ -121,16 +122,16 @@
 	return c
 }
 
-// fatal ends the process at once, as a crash does: a machine can't go on from a
-// half-done write, and the next start rebuilds it from the last checkpoint and
-// the log. An orderly stop would wait for calls that this machine still holds up.
+// fatal exits the process at once, like a crash. A machine can't continue after a
+// partial write, and the next start rebuilds it from the last checkpoint and the log.
+// A graceful stop would wait for calls that are blocked on this machine.
 func (gs *groups) fatal(err error) {
 	level.Error(gs.logger).Log(logs.KeyEvent, "machine-failed", logs.KeyError, err)
 	os.Exit(1)
 }
 
-// watch passes on that a replica failed.
-func (gs *groups) watch(ctx context.Context) {
+// reportFailures sends the errors of failed replicas to gs.failed.
+func (gs *groups) reportFailures(ctx context.Context) {
 	for _, g := range gs.replicas {
 		go func() {
 			select {
@@ -150,9 +151,10 @@
 	return list
 }
 
-// handover gives all leaderships away, as far as somebody takes them.
-func (gs *groups) handover(ctx context.Context) (moved int, err error) {
-	ctx, cancel := context.WithTimeout(ctx, handoverTime)
+// transferLeaderships transfers the leadership of every group that this replica leads
+// and that has another replica. It returns the number of transfers and the last error.
+func (gs *groups) transferLeaderships(ctx context.Context) (moved int, err error) {
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	for _, g := range gs.replicas {
 		if _, _, self := g.Leader(); !self || len(g.Status().GetReplicas()) < 2 {
@@ -167,16 +169,16 @@
 	return moved, err
 }
 
-// change makes a change of the members in all groups that this replica leads,
-// then names the leader of one that it doesn't lead.
-func (gs *groups) change(ctx context.Context, request *toucanhingev1.ChangeReplicaRequest) error {
+// changeMember applies a membership change to all groups that this replica leads. If
+// another replica leads some group, it then returns a NotLeaderError of that group.
+func (gs *groups) changeMember(ctx context.Context, request *toucanhingev1.ChangeReplicaRequest) error {
 	var elsewhere error
 	for number := uint32(0); number < uint32(len(gs.replicas)); number++ {
 		g := gs.replicas[number]
-		if inForce(g.Status(), request) {
+		if alreadyApplied(g.Status(), request) {
 			continue
 		}
-		err := changeOne(ctx, g, request)
+		err := changeMemberOf(ctx, g, request)
 		var notLeader *replica.NotLeaderError
 		switch {
 		case err == nil:
@@ -189,9 +191,9 @@
 	return elsewhere
 }
 
-// inForce says whether a change was made already, so that a repeated call goes
-// on with the groups that are left.
-func inForce(state *toucanhingev1.GroupState, request *toucanhingev1.ChangeReplicaRequest) bool {
+// alreadyApplied reports whether a change is applied already, so that a repeated call
+// continues with the remaining groups.
+func alreadyApplied(state *toucanhingev1.GroupState, request *toucanhingev1.ChangeReplicaRequest) bool {
 	for _, r := range state.GetReplicas() {
 		if r.GetName() != request.GetName() {
 			continue
@@ -203,9 +205,9 @@
 	return request.GetChange() == toucanhingev1.ReplicaChange_REPLICA_CHANGE_REMOVE
 }
 
-var errChange = errors.New("want a change: add learner, promote or remove")
+var errUnknownChange = errors.New("want a change: add learner, promote or remove")
 
-func changeOne(ctx context.Context, g *replica.Group, request *toucanhingev1.ChangeReplicaRequest) error {
+func changeMemberOf(ctx context.Context, g *replica.Group, request *toucanhingev1.ChangeReplicaRequest) error {
 	switch request.GetChange() {
 	case toucanhingev1.ReplicaChange_REPLICA_CHANGE_ADD_LEARNER:
 		return g.AddLearner(ctx, replica.Peer{Name: request.GetName(), Address: request.GetAddress(), Identity: request.GetIdentity()})
@@ -214,7 +216,7 @@
 	case toucanhingev1.ReplicaChange_REPLICA_CHANGE_REMOVE:
 		return g.Remove(ctx, request.GetName())
 	default:
-		return errChange
+		return errUnknownChange
 	}
 }
 
--- a/control/pkg/app/history_test.go
+++ b/control/pkg/app/history_test.go
@@ -23,38 +23,39 @@
 	historyJobs    = 20
 )
 
-// crash ends a node's replicas without any farewell. What it acknowledged must
-// be on the others' disks and on its own.
+// crash stops a node's replicas without transferring leaderships. Entries that the
+// node acknowledged must be on its own disk and on those of other nodes.
 func (n *node) crash() {
-	n.process.leave()
-	gone, cancel := context.WithCancel(context.Background())
+	n.process.beginShutdown()
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = n.process.server.Shutdown(gone)
+	_ = n.process.server.Shutdown(cancelled)
 	n.process.groups.close()
-	n.process.stopSteps()
-	n.process.duties.Wait()
-	n.process.steps.Wait()
+	n.process.stopBatchers()
+	n.process.background.Wait()
+	n.process.batchers.Wait()
 	n.process = nil
 }
 
-// crashLeaders ends the leader of a group and starts it again, until told to stop.
+// crashLeaders repeatedly crashes and restarts the leader of a group until the context
+// ends. It returns the number of crashes.
 func (c *cluster) crashLeaders(ctx context.Context, group uint32) (crashes int) {
 	for ctx.Err() == nil {
 		leader := c.leader(group)
 		if leader == nil {
-			time.Sleep(glance)
+			time.Sleep(pollInterval)
 			continue
 		}
 		leader.crash()
 		crashes++
-		pause(ctx, 300*time.Millisecond)
+		sleep(ctx, 300*time.Millisecond)
 		leader.start(c.t)
-		pause(ctx, 700*time.Millisecond)
+		sleep(ctx, 700*time.Millisecond)
 	}
 	return crashes
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -73,13 +74,13 @@
 	return nil
 }
 
-// history gathers operations of concurrent clients.
+// history records the operations of concurrent clients.
 type history struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
 }
 
-func (h *history) do(client int, input any, run func() any) {
+func (h *history) record(client int, input any, run func() any) {
 	call := time.Now().UnixNano()
 	output := run()
 	end := time.Now().UnixNano()
@@ -88,7 +89,7 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input, Call: call, Output: output, Return: end})
 }
 
-// changeInput is an operator's change, or a read when base is readOnly.
+// changeInput is an operator's change based on a version, or a read if base is readOnly.
 type changeInput struct {
 	name string
 	base int64
@@ -96,14 +97,16 @@
 
 const readOnly = -1
 
-// changeOutput is the entry's version as the answer shows it.
+// changeOutput holds the entry's version in the response, and whether the change was
+// accepted.
 type changeOutput struct {
 	accepted bool
 	version  uint64
 }
 
-// configurationModel: an entry's version only grows, a change wins only on the
-// version that it names, and everybody who asks later sees it.
+// configurationModel is the sequential model of one configuration entry. Its version
+// only grows, a change is accepted only if it is based on the current version, and
+// every later read returns the new version.
 func configurationModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
@@ -120,48 +123,48 @@
 		},
 		Init: func() any { return uint64(0) },
 		Step: func(state, input, output any) (bool, any) {
-			present, in, out := state.(uint64), input.(changeInput), output.(changeOutput)
+			current, in, out := state.(uint64), input.(changeInput), output.(changeOutput)
 			switch {
 			case in.base == readOnly:
-				return out.version == present, present
+				return out.version == current, current
 			case out.accepted:
-				return uint64(in.base) == present && out.version > present, out.version
+				return uint64(in.base) == current && out.version > current, out.version
 			default:
-				return uint64(in.base) != present && out.version == present, present
+				return uint64(in.base) != current && out.version == current, current
 			}
 		},
 		Equal: func(a, b any) bool { return a == b },
 	}
 }
 
-// TestConfigurationIsLinearizable has operators race on equal numbers while the
-// leader of the configuration crashes again and again. They resend what they
-// lost the answer of. Whatever they saw must fit one order of all changes.
+// TestConfigurationIsLinearizable has operators change the same entries concurrently
+// while the leader of the configuration group crashes repeatedly. An operator resends a
+// change if the response is lost. All responses must fit one order of the changes.
 func TestConfigurationIsLinearizable(t *testing.T) {
 	c := newCluster(t, 3, nil)
-	c.contract()
+	c.createContract()
 	h := &history{}
 	ctx, cancel := context.WithCancel(context.Background())
 	crashed := make(chan int)
 	go func() { crashed <- c.crashLeaders(ctx, 0) }()
-	forEach(historyClients, func(n int) {
+	runConcurrently(historyClients, func(n int) {
 		client := control.New(control.Config{Addresses: addresses(c), HTTP: web.NewClient()})
 		random := rand.New(rand.NewPCG(uint64(n), 3))
 		seen := map[string]uint64{}
 		for round := range historyRounds {
 			name := fmt.Sprintf("dc%d", random.IntN(3))
 			if random.IntN(3) == 0 {
-				h.do(n, changeInput{name: name, base: readOnly}, func() any { return c.read(client, name, seen) })
+				h.record(n, changeInput{name: name, base: readOnly}, func() any { return c.readEntry(client, name, seen) })
 				continue
 			}
 			id := fmt.Sprintf("%d-%d", n, round)
-			h.do(n, changeInput{name: name, base: int64(seen[name])}, func() any {
+			h.record(n, changeInput{name: name, base: int64(seen[name])}, func() any {
 				if base := seen[name]; random.IntN(2) == 0 {
-					// The first answer is lost.
-					c.change(client, id, name, seen)
+					// The first response is treated as lost.
+					c.changeEntry(client, id, name, seen)
 					seen[name] = base
 				}
-				return c.change(client, id, name, seen)
+				return c.changeEntry(client, id, name, seen)
 			})
 		}
 	})
@@ -169,10 +172,10 @@
 	crashes := <-crashed
 	t.Logf("%d crashes of leaders", crashes)
 	require.Positive(t, crashes)
-	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(configurationModel(), h.operations, patience))
+	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(configurationModel(), h.operations, testTimeout))
 }
 
-func (c *cluster) read(client *control.Client, name string, seen map[string]uint64) changeOutput {
+func (c *cluster) readEntry(client *control.Client, name string, seen map[string]uint64) changeOutput {
 	answer, err := control.Call(c.context(), client, 0, "list",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.ListEntriesResponse], error) {
 			return r.Operators.ListEntries(ctx, connect.NewRequest(&toucanhingev1.ListEntriesRequest{
@@ -186,7 +189,7 @@
 	return changeOutput{version: seen[name]}
 }
 
-func (c *cluster) change(client *control.Client, id, name string, seen map[string]uint64) changeOutput {
+func (c *cluster) changeEntry(client *control.Client, id, name string, seen map[string]uint64) changeOutput {
 	request := &toucanhingev1.ApplyRequest{
 		RequestId: id, BaseVersion: seen[name],
 		Entry: &toucanhingev1.Entry{
@@ -203,7 +206,7 @@
 	return changeOutput{accepted: answer.Msg.GetAccepted(), version: seen[name]}
 }
 
-// jobInput is an outcome, a cancellation, or a question about a job of one item.
+// jobInput is a completion, a cancellation or a status request of a job of one item.
 type jobInput struct {
 	job  string
 	kind string
@@ -215,13 +218,14 @@
 	kindGet      = "get"
 )
 
-// jobModel: a job of one item is accepted, then finished or cancelled for good.
-// A client that lost the answer to its outcome sends it again, and the second
-// answer can't tell whether the first try or another client decided the item.
+// jobModel is the sequential model of a job of one item, which is accepted, and then
+// finished or cancelled. It is nondeterministic: a client that lost the response to its
+// completion sends it again, and the second response doesn't show whether the first
+// attempt or another client decided the item.
 func jobModel() porcupine.NondeterministicModel {
 	const accepted, finished, cancelled = toucanhingev1.JobState_JOB_STATE_ACCEPTED, toucanhingev1.JobState_JOB_STATE_FINISHED, toucanhingev1.JobState_JOB_STATE_CANCELLED
-	stay := func(state any, may bool) []any {
-		if may {
+	nextIf := func(state any, allowed bool) []any {
+		if allowed {
 			return []any{state}
 		}
 		return nil
@@ -242,20 +246,20 @@
 		Step: func(state, input, output any) []any {
 			switch input.(jobInput).kind {
 			case kindGet:
-				return stay(state, state == output)
+				return nextIf(state, state == output)
 			case kindCancel:
 				if state == accepted {
-					return stay(cancelled, output == cancelled)
+					return nextIf(cancelled, output == cancelled)
 				}
-				return stay(state, output == state)
+				return nextIf(state, output == state)
 			default:
 				switch output {
 				case toucanhingev1.Verdict_VERDICT_ACCEPTED:
-					return stay(finished, state == accepted)
+					return nextIf(finished, state == accepted)
 				case toucanhingev1.Verdict_VERDICT_DECIDED:
-					return stay(finished, state != cancelled)
+					return nextIf(finished, state != cancelled)
 				case toucanhingev1.Verdict_VERDICT_CANCELLED:
-					return stay(state, state == cancelled)
+					return nextIf(state, state == cancelled)
 				default:
 					return nil
 				}
@@ -265,12 +269,12 @@
 	}
 }
 
-// TestJobStatesAreLinearizable has clients send doubled outcomes, cancel and ask
-// about the same jobs while the leader of their group crashes again and again.
-// What they saw must fit one order, in which each job ends once.
+// TestJobStatesAreLinearizable has clients complete, cancel and read the same jobs
+// concurrently while the leader of their group crashes repeatedly. All responses must
+// fit one order, in which each job ends once.
 func TestJobStatesAreLinearizable(t *testing.T) {
 	c := newCluster(t, 3, nil)
-	c.contract()
+	c.createContract()
 	leased := map[string]*toucanhingev1.LeasedItem{}
 	var jobs []string
 	for n := range historyJobs {
@@ -287,14 +291,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	crashed := make(chan int)
 	go func() { crashed <- c.crashLeaders(ctx, 1) }()
-	forEach(historyClients, func(n int) {
+	runConcurrently(historyClients, func(n int) {
 		client := control.New(control.Config{Addresses: addresses(c), HTTP: web.NewClient()})
 		random := rand.New(rand.NewPCG(uint64(n), 5))
 		for range historyRounds {
-			// The clients go through the jobs side by side, so that they meet.
+			// All clients draw from the same jobs, so that they conflict.
 			job := jobs[random.IntN(historyJobs)]
 			kind := []string{kindGet, kindGet, kindComplete, kindCancel}[random.IntN(4)]
-			h.do(n, jobInput{job: job, kind: kind}, func() any { return c.ask(client, kind, job, leased[job]) })
+			h.record(n, jobInput{job: job, kind: kind}, func() any { return c.callJob(client, kind, job, leased[job]) })
 		}
 	})
 	cancel()
@@ -302,10 +306,10 @@
 	t.Logf("%d crashes of leaders", crashes)
 	require.Positive(t, crashes)
 	model := jobModel()
-	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(model.ToModel(), h.operations, patience))
+	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(model.ToModel(), h.operations, testTimeout))
 }
 
-func (c *cluster) ask(client *control.Client, kind, job string, l *toucanhingev1.LeasedItem) any {
+func (c *cluster) callJob(client *control.Client, kind, job string, l *toucanhingev1.LeasedItem) any {
 	output, err := control.Call(c.context(), client, 1, kind, func(ctx context.Context, r *control.Replica) (any, error) {
 		switch kind {
 		case kindGet:
--- a/control/pkg/app/node_test.go
+++ b/control/pkg/app/node_test.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	patience = 20 * time.Second
-	glance   = 5 * time.Millisecond
+	testTimeout  = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-// node is one control VM's process, without the process around it.
+// node is one control VM, run inside the test process.
 type node struct {
 	settings config.Config
 	process  *process
 }
 
-// cluster is some nodes on loopback with a client to them.
+// cluster is a group of nodes on loopback with a client.
 type cluster struct {
 	t      testing.TB
 	nodes  []*node
@@ -59,10 +59,10 @@
 		addresses = append(addresses, p.Address)
 	}
 	c.client = control.New(control.Config{Addresses: addresses, HTTP: web.NewClient()})
-	// Each group elects by itself. A test that waited for one of them only sent its
-	// first call to another one too early, on a busy machine.
+	// Each group elects its own leader. On a busy machine, a test that waited for only
+	// one group sent its first call to another group before that had a leader.
 	for id := range c.nodes[0].settings.Groups {
-		require.Eventually(t, func() bool { return c.leader(id) != nil }, patience, glance, "group %d has no leader", id)
+		require.Eventually(t, func() bool { return c.leader(id) != nil }, testTimeout, pollInterval, "group %d has no leader", id)
 	}
 	t.Cleanup(func() {
 		var all sync.WaitGroup
@@ -83,7 +83,7 @@
 	gs, err := newGroups(n.settings, now, logger, set)
 	require.NoError(t, err)
 	book := record.New(record.Config{Clock: now, Process: n.settings.Name, Size: 100})
-	n.process = newProcess(n.settings, status, logger, newParts(n.settings, now, logger, set, book, status, gs), gs, nil)
+	n.process = newProcess(n.settings, status, logger, newComponents(n.settings, now, logger, set, book, status, gs), gs, nil)
 	require.NoError(t, n.process.start(context.Background()))
 }
 
@@ -91,19 +91,19 @@
 	if n.process == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_ = n.process.stop(ctx)
 	n.process = nil
 }
 
 func (c *cluster) context() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	c.t.Cleanup(cancel)
 	return ctx
 }
 
-// apply makes one change that has to be accepted.
+// apply applies one configuration change, which must be accepted.
 func (c *cluster) apply(id string, entry *toucanhingev1.Entry) *toucanhingev1.Entry {
 	request := &toucanhingev1.ApplyRequest{RequestId: id, Entry: entry, Author: "test"}
 	answer, err := control.Call(c.context(), c.client, 0, "apply",
@@ -115,8 +115,9 @@
 	return answer.Msg.GetEntry()
 }
 
-// contract lets team agence send batch jobs to service servitudes-llm.
-func (c *cluster) contract() {
+// createContract creates a contract of team agence for batch and online requests to
+// service servitudes-llm.
+func (c *cluster) createContract() {
 	c.apply("1", &toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_SERVICE, Name: "servitudes-llm",
 		Body: &toucanhingev1.Entry_Service{Service: &toucanhingev1.Service{
@@ -137,7 +138,7 @@
 func (c *cluster) upload(key string, items int) (*toucanhingev1.UploadResponse, error) {
 	answer, err := control.Call(c.context(), c.client, 1, "upload",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.UploadResponse], error) {
-			return send(ctx, r, key, items)
+			return uploadItems(ctx, r, key, items)
 		})
 	if err != nil {
 		return nil, err
@@ -145,7 +146,7 @@
 	return answer.Msg, nil
 }
 
-func send(ctx context.Context, r *control.Replica, key string, items int) (*connect.Response[toucanhingev1.UploadResponse], error) {
+func uploadItems(ctx context.Context, r *control.Replica, key string, items int) (*connect.Response[toucanhingev1.UploadResponse], error) {
 	stream := r.Jobs.Upload(ctx)
 	_ = stream.Send(&toucanhingev1.UploadRequest{Part: &toucanhingev1.UploadRequest_Header{
 		Header: &toucanhingev1.UploadHeader{Team: "agence", Key: key, Service: "servitudes-llm"},
--- a/control/pkg/app/process.go
+++ b/control/pkg/app/process.go
@@ -17,77 +17,77 @@
 )
 
 const (
-	readyTick = 50 * time.Millisecond
-	// callTime is how long calls under way may take at a planned stop.
-	callTime = 10 * time.Second
+	readinessInterval = 50 * time.Millisecond
+	// callTimeout is the maximum time that a planned stop waits for calls in flight.
+	callTimeout = 10 * time.Second
 )
 
-// process owns the listener and the goroutines of the duties.
+// process owns the listener and the background goroutines.
 type process struct {
 	settings   config.Config
 	status     *health.Status
 	logger     log.Logger
-	parts      *parts
+	components *components
 	groups     *groups
 	shutdowner fx.Shutdowner
 
-	server *web.Server
-	cancel context.CancelFunc
-	duties sync.WaitGroup
-	// stopSteps ends the batchers, after the last call has ended.
-	stopSteps context.CancelFunc
-	steps     sync.WaitGroup
+	server     *web.Server
+	cancel     context.CancelFunc
+	background sync.WaitGroup
+	// stopBatchers stops the batchers. It is called after the last call has ended.
+	stopBatchers context.CancelFunc
+	batchers     sync.WaitGroup
 
-	mu      sync.Mutex
-	failure error
-	leaving bool
+	mu           sync.Mutex
+	failure      error
+	shuttingDown bool
 }
 
 func newProcess(
-	settings config.Config, status *health.Status, logger log.Logger, p *parts, gs *groups, shutdowner fx.Shutdowner,
+	settings config.Config, status *health.Status, logger log.Logger, c *components, gs *groups, shutdowner fx.Shutdowner,
 ) *process {
-	return &process{settings: settings, status: status, logger: logger, parts: p, groups: gs, shutdowner: shutdowner}
+	return &process{settings: settings, status: status, logger: logger, components: c, groups: gs, shutdowner: shutdowner}
 }
 
 func (p *process) start(context.Context) error {
-	server, err := web.Listen(p.settings.Listen, p.parts.handler)
+	server, err := web.Listen(p.settings.Listen, p.components.handler)
 	if err != nil {
 		p.groups.close()
 		return fmt.Errorf("serve: %w", err)
 	}
 	p.server = server
-	steps, stopSteps := context.WithCancel(context.Background())
-	p.stopSteps = stopSteps
-	p.step(func() { p.groups.fleet.Steps.Run(steps) })
+	batcherCtx, stopBatchers := context.WithCancel(context.Background())
+	p.stopBatchers = stopBatchers
+	p.goBatcher(func() { p.groups.fleet.Steps.Run(batcherCtx) })
 	for _, j := range p.groups.jobs {
-		p.step(func() { j.Steps.Run(steps) })
+		p.goBatcher(func() { j.Steps.Run(batcherCtx) })
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
-	p.groups.watch(ctx)
-	p.duty(p.serve)
-	p.duty(func() { p.parts.members.Run(ctx) })
-	p.duty(func() { p.parts.leases.Run(ctx) })
-	p.duty(func() { p.watch(ctx) })
-	if p.parts.vms != nil {
-		p.duty(func() { p.parts.vms.Run(ctx) })
+	p.groups.reportFailures(ctx)
+	p.goBackground(p.serve)
+	p.goBackground(func() { p.components.members.Run(ctx) })
+	p.goBackground(func() { p.components.leases.Run(ctx) })
+	p.goBackground(func() { p.watchGroups(ctx) })
+	if p.components.vms != nil {
+		p.goBackground(func() { p.components.vms.Run(ctx) })
 	}
 	level.Info(p.logger).Log(logs.KeyEvent, "started", "listen", server.Address())
 	return nil
 }
 
-func (p *process) duty(run func()) {
-	p.duties.Add(1)
+func (p *process) goBackground(run func()) {
+	p.background.Add(1)
 	go func() {
-		defer p.duties.Done()
+		defer p.background.Done()
 		run()
 	}()
 }
 
-func (p *process) step(run func()) {
-	p.steps.Add(1)
+func (p *process) goBatcher(run func()) {
+	p.batchers.Add(1)
 	go func() {
-		defer p.steps.Done()
+		defer p.batchers.Done()
 		run()
 	}()
 }
@@ -98,10 +98,10 @@
 	}
 }
 
-// watch makes the process ready while every group has a leader, and stops it
-// when a replica failed.
-func (p *process) watch(ctx context.Context) {
-	ticker := time.NewTicker(readyTick)
+// watchGroups updates the readiness of the process, and stops the process if a replica
+// fails.
+func (p *process) watchGroups(ctx context.Context) {
+	ticker := time.NewTicker(readinessInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -111,17 +111,18 @@
 			p.fail(err)
 			return
 		case <-ticker.C:
-			p.judge()
+			p.updateReadiness()
 		}
 	}
 }
 
-// judge must not overtake a stop: a process that called itself ready again while
-// it leaves would get calls that it cuts off.
-func (p *process) judge() {
+// updateReadiness reports the process as ready while every group has a leader. It
+// does nothing during a shutdown: a process that became ready again would get calls
+// and then cut them off.
+func (p *process) updateReadiness() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.leaving {
+	if p.shuttingDown {
 		return
 	}
 	for number, g := range p.groups.replicas {
@@ -146,39 +147,40 @@
 	}
 }
 
-func (p *process) failed() error {
+func (p *process) err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failure
 }
 
-func (p *process) leave() {
+func (p *process) beginShutdown() {
 	p.mu.Lock()
-	p.leaving = true
+	p.shuttingDown = true
 	p.status.NotReady("leaving")
 	p.mu.Unlock()
 	p.cancel()
 }
 
-// stop leaves without cutting a call off: readiness fails, the leaderships go
-// elsewhere so that no proposal waits for an election, watchers are sent to
-// other replicas, calls under way end, and then the replicas close.
+// stop shuts the process down without cutting off calls. It fails the readiness
+// check, transfers the leaderships so that no proposal waits for an election, makes
+// watchers connect to other replicas, waits for calls in flight, and closes the
+// replicas.
 func (p *process) stop(ctx context.Context) error {
-	p.leave()
+	p.beginShutdown()
 	level.Info(p.logger).Log(logs.KeyEvent, "leaving")
-	if _, err := p.groups.handover(ctx); err != nil {
+	if _, err := p.groups.transferLeaderships(ctx); err != nil {
 		level.Warn(p.logger).Log(logs.KeyEvent, "handover-failed", logs.KeyError, err)
 	}
-	calls, cancel := context.WithTimeout(ctx, callTime)
+	calls, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := p.server.Shutdown(calls)
-	p.duties.Wait()
-	p.stopSteps()
-	p.steps.Wait()
+	p.background.Wait()
+	p.stopBatchers()
+	p.batchers.Wait()
 	p.groups.close()
 	level.Info(p.logger).Log(logs.KeyEvent, "stopped")
 	if err != nil {
-		return fmt.Errorf("leave: %w", err)
+		return fmt.Errorf("shut down the server: %w", err)
 	}
 	return nil
 }
