--- a/control/pkg/app/bench_test.go
+++ b/control/pkg/app/bench_test.go
@@ -30,17 +30,17 @@
 // processes of this machine, over loopback and with disk syncs.
 func BenchmarkItems(b *testing.B) {
 	for _, groups := range []uint32{2, 5} {
-		for _, most := range []uint32{1, 8, 64} {
-			b.Run(fmt.Sprintf("jobgroups=%d/lease=%d", groups-1, most), func(b *testing.B) {
+		for _, maxItems := range []uint32{1, 8, 64} {
+			b.Run(fmt.Sprintf("jobgroups=%d/lease=%d", groups-1, maxItems), func(b *testing.B) {
 				for range b.N {
-					benchGroups(b, groups, most)
+					benchGroups(b, groups, maxItems)
 				}
 			})
 		}
 	}
 }
 
-func benchGroups(b *testing.B, groups, most uint32) {
+func benchGroups(b *testing.B, groups, maxItems uint32) {
 	c := newCluster(b, 3, func(s *config.Config) { s.Groups = groups })
 	c.createContract()
 	jobs := groups - jobname.FirstGroup
@@ -62,12 +62,12 @@
 	runConcurrently(benchSidecars, func(s int) {
 		group := uint32(s)%jobs + jobname.FirstGroup
 		client := control.New(control.Config{Addresses: addresses(c), HTTP: web.NewClient()})
-		for benchRound(b, client, group, fmt.Sprintf("s%d", s), most, &completed) {
+		for benchRound(b, client, group, fmt.Sprintf("s%d", s), maxItems, &completed) {
 		}
 	})
-	spent := time.Since(start)
+	elapsed := time.Since(start)
 	require.EqualValues(b, benchItems, completed.Load())
-	b.ReportMetric(float64(benchItems)/spent.Seconds(), "items/s")
+	b.ReportMetric(float64(benchItems)/elapsed.Seconds(), "items/s")
 
 	start = time.Now()
 	read := 0
@@ -120,12 +120,12 @@
 	}
 }
 
-func benchRound(b *testing.B, client *control.Client, group uint32, sidecar string, most uint32, completed *atomic.Int64) bool {
+func benchRound(b *testing.B, client *control.Client, group uint32, sidecar string, maxItems uint32, completed *atomic.Int64) bool {
 	ctx := context.Background()
 	answer, err := control.Call(ctx, client, group, "lease",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.LeaseResponse], error) {
 			return r.Work.Lease(ctx, connect.NewRequest(&toucanhingev1.LeaseRequest{
-				Sidecar: sidecar, Incarnation: 1, Service: "servitudes-llm", Group: group, Most: most,
+				Sidecar: sidecar, Incarnation: 1, Service: "servitudes-llm", Group: group, Most: maxItems,
 			}))
 		})
 	require.NoError(b, err)
@@ -215,7 +215,7 @@
 		c.createContract()
 		ctx, cancel := context.WithCancel(context.Background())
 		var mu sync.Mutex
-		accepted, took := map[uint64]time.Time{}, []time.Duration{}
+		acceptedAt, latencies := map[uint64]time.Time{}, []time.Duration{}
 		var running sync.WaitGroup
 		for n := range watchers {
 			w := control.NewWatcher(control.WatcherConfig{
@@ -224,8 +224,8 @@
 				Changed: func(f *world.Fleet) {
 					mu.Lock()
 					defer mu.Unlock()
-					if at, known := accepted[f.Version]; known {
-						took = append(took, time.Since(at))
+					if at, known := acceptedAt[f.Version]; known {
+						latencies = append(latencies, time.Since(at))
 					}
 				},
 			})
@@ -235,7 +235,7 @@
 		}
 		for n := range changes {
 			mu.Lock()
-			accepted[uint64(4+n)] = time.Now()
+			acceptedAt[uint64(4+n)] = time.Now()
 			mu.Unlock()
 			c.apply(fmt.Sprintf("change-%d", n), &toucanhingev1.Entry{
 				Kind: toucanhingev1.Kind_KIND_TEAM, Name: fmt.Sprintf("team-%d", n), Body: &toucanhingev1.Entry_Team{Team: &toucanhingev1.TeamRecord{}},
@@ -246,11 +246,11 @@
 		cancel()
 		running.Wait()
 		mu.Lock()
-		slices.Sort(took)
-		require.NotEmpty(b, took)
-		b.ReportMetric(float64(len(took))/watchers/changes, "seen/expected")
-		b.ReportMetric(float64(took[len(took)/2].Microseconds())/1e3, "ms-p50")
-		b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1e3, "ms-p99")
+		slices.Sort(latencies)
+		require.NotEmpty(b, latencies)
+		b.ReportMetric(float64(len(latencies))/watchers/changes, "seen/expected")
+		b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds())/1e3, "ms-p50")
+		b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds())/1e3, "ms-p99")
 		mu.Unlock()
 	}
 }
@@ -262,7 +262,7 @@
 	for range b.N {
 		c := newCluster(b, 3, nil)
 		c.createContract()
-		var took, elected []time.Duration
+		var latencies, elected []time.Duration
 		var elections sync.WaitGroup
 		for n := range crashes {
 			var leader *node
@@ -281,13 +281,13 @@
 				Kind: toucanhingev1.Kind_KIND_TEAM, Name: fmt.Sprintf("team-%d", n), Body: &toucanhingev1.Entry_Team{Team: &toucanhingev1.TeamRecord{}},
 			})
 			elections.Wait()
-			took = append(took, time.Since(start))
+			latencies = append(latencies, time.Since(start))
 			leader.start(b)
 			time.Sleep(500 * time.Millisecond)
 		}
-		slices.Sort(took)
-		b.ReportMetric(float64(took[len(took)/2].Milliseconds()), "ms-p50")
-		b.ReportMetric(float64(took[len(took)-1].Milliseconds()), "ms-max")
+		slices.Sort(latencies)
+		b.ReportMetric(float64(latencies[len(latencies)/2].Milliseconds()), "ms-p50")
+		b.ReportMetric(float64(latencies[len(latencies)-1].Milliseconds()), "ms-max")
 		slices.Sort(elected)
 		b.ReportMetric(float64(elected[len(elected)/2].Milliseconds()), "ms-elected-p50")
 		b.ReportMetric(float64(elected[len(elected)-1].Milliseconds()), "ms-elected-max")
--- a/control/pkg/app/groups.go
+++ b/control/pkg/app/groups.go
@@ -160,8 +160,8 @@
 		if _, _, self := g.Leader(); !self || len(g.Status().GetReplicas()) < 2 {
 			continue
 		}
-		if handErr := g.TransferLeadership(ctx); handErr != nil {
-			err = fmt.Errorf("hand over a group: %w", handErr)
+		if transferErr := g.TransferLeadership(ctx); transferErr != nil {
+			err = fmt.Errorf("hand over a group: %w", transferErr)
 			continue
 		}
 		moved++
@@ -172,7 +172,7 @@
 // changeMember applies a membership change to all groups that this replica leads. If
 // another replica leads some group, it then returns a NotLeaderError of that group.
 func (gs *groups) changeMember(ctx context.Context, request *toucanhingev1.ChangeReplicaRequest) error {
-	var elsewhere error
+	var notLeaderErr error
 	for number := uint32(0); number < uint32(len(gs.replicas)); number++ {
 		g := gs.replicas[number]
 		if alreadyApplied(g.Status(), request) {
@@ -183,12 +183,12 @@
 		switch {
 		case err == nil:
 		case errors.As(err, &notLeader):
-			elsewhere = err
+			notLeaderErr = err
 		default:
 			return fmt.Errorf("group %d: %w", number, err)
 		}
 	}
-	return elsewhere
+	return notLeaderErr
 }
 
 // alreadyApplied reports whether a change is applied already, so that a repeated call
--- a/control/pkg/app/node_test.go
+++ b/control/pkg/app/node_test.go
@@ -164,11 +164,11 @@
 	return stream.CloseAndReceive()
 }
 
-func (c *cluster) lease(most uint32) []*toucanhingev1.LeasedItem {
+func (c *cluster) lease(maxItems uint32) []*toucanhingev1.LeasedItem {
 	answer, err := control.Call(c.context(), c.client, 1, "lease",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.LeaseResponse], error) {
 			return r.Work.Lease(ctx, connect.NewRequest(&toucanhingev1.LeaseRequest{
-				Sidecar: "s1", Incarnation: 1, Service: "servitudes-llm", Group: 1, Most: most,
+				Sidecar: "s1", Incarnation: 1, Service: "servitudes-llm", Group: 1, Most: maxItems,
 			}))
 		})
 	require.NoError(c.t, err)
--- a/control/pkg/app/state_collector.go
+++ b/control/pkg/app/state_collector.go
@@ -25,61 +25,61 @@
 var _ prometheus.Collector = (*stateCollector)(nil)
 
 // Describe sends the descriptions of the metrics.
-func (c *stateCollector) Describe(to chan<- *prometheus.Desc) {
-	to <- eventsDesc
-	to <- heldDesc
+func (c *stateCollector) Describe(ch chan<- *prometheus.Desc) {
+	ch <- eventsDesc
+	ch <- heldDesc
 }
 
 // Collect sends the current values of the state machines.
-func (c *stateCollector) Collect(to chan<- prometheus.Metric) {
-	c.groups.fleet.Machine.View(func(s *fleetstate.State) { c.fleet(to, s) })
+func (c *stateCollector) Collect(ch chan<- prometheus.Metric) {
+	c.groups.fleet.Machine.View(func(s *fleetstate.State) { c.fleet(ch, s) })
 	for number, g := range c.groups.jobs {
-		g.Machine.View(func(s *jobstate.State) { c.jobs(to, fmt.Sprint(number), s) })
+		g.Machine.View(func(s *jobstate.State) { c.jobs(ch, fmt.Sprint(number), s) })
 	}
 }
 
-func (c *stateCollector) fleet(to chan<- prometheus.Metric, s *fleetstate.State) {
+func (c *stateCollector) fleet(ch chan<- prometheus.Metric, s *fleetstate.State) {
 	n := s.Counts()
-	sendEvents(to, "0", "change-accepted", n.Applied)
-	sendEvents(to, "0", "change-resent", n.Resent)
-	sendEvents(to, "0", "change-refused", n.Refused)
-	sendEvents(to, "0", "claim-granted", n.ClaimsGranted)
-	sendEvents(to, "0", "claim-refused", n.ClaimsRefused)
-	sendEvents(to, "0", "claim-expired", n.ClaimsExpired)
-	sendEvents(to, "0", "settle-refused", n.SettlesRefused)
-	sendEvents(to, "0", "member-dead", n.MembersDead)
-	sendHeld(to, "0", "version", int(s.Version()))
-	sendHeld(to, "0", "claims", s.Claims())
+	sendEvents(ch, "0", "change-accepted", n.Applied)
+	sendEvents(ch, "0", "change-resent", n.Resent)
+	sendEvents(ch, "0", "change-refused", n.Refused)
+	sendEvents(ch, "0", "claim-granted", n.ClaimsGranted)
+	sendEvents(ch, "0", "claim-refused", n.ClaimsRefused)
+	sendEvents(ch, "0", "claim-expired", n.ClaimsExpired)
+	sendEvents(ch, "0", "settle-refused", n.SettlesRefused)
+	sendEvents(ch, "0", "member-dead", n.MembersDead)
+	sendHeld(ch, "0", "version", int(s.Version()))
+	sendHeld(ch, "0", "claims", s.Claims())
 }
 
-func (c *stateCollector) jobs(to chan<- prometheus.Metric, group string, s *jobstate.State) {
+func (c *stateCollector) jobs(ch chan<- prometheus.Metric, group string, s *jobstate.State) {
 	n := s.Counts()
-	sendEvents(to, group, "job-accepted", n.Accepted)
-	sendEvents(to, group, "job-resent", n.Resent)
-	sendEvents(to, group, "job-conflict", n.Conflicting)
-	sendEvents(to, group, "job-dropped", n.JobsDropped)
-	sendEvents(to, group, "upload-dropped", n.UploadsDropped)
-	sendEvents(to, group, "item-leased", n.Leased)
-	sendEvents(to, group, "item-done", n.Done)
-	sendEvents(to, group, "item-failed", n.Failed)
-	sendEvents(to, group, "item-retried", n.Retried)
-	sendEvents(to, group, "item-returned", n.Returned)
-	sendEvents(to, group, "item-suspect", n.Suspects)
-	sendEvents(to, group, "lease-lost", n.LeasesLost)
-	sendEvents(to, group, "result-refused-stale", n.Stale)
-	sendEvents(to, group, "result-refused-decided", n.Decided)
-	sendEvents(to, group, "result-refused-cancelled", n.Cancelled)
+	sendEvents(ch, group, "job-accepted", n.Accepted)
+	sendEvents(ch, group, "job-resent", n.Resent)
+	sendEvents(ch, group, "job-conflict", n.Conflicting)
+	sendEvents(ch, group, "job-dropped", n.JobsDropped)
+	sendEvents(ch, group, "upload-dropped", n.UploadsDropped)
+	sendEvents(ch, group, "item-leased", n.Leased)
+	sendEvents(ch, group, "item-done", n.Done)
+	sendEvents(ch, group, "item-failed", n.Failed)
+	sendEvents(ch, group, "item-retried", n.Retried)
+	sendEvents(ch, group, "item-returned", n.Returned)
+	sendEvents(ch, group, "item-suspect", n.Suspects)
+	sendEvents(ch, group, "lease-lost", n.LeasesLost)
+	sendEvents(ch, group, "result-refused-stale", n.Stale)
+	sendEvents(ch, group, "result-refused-decided", n.Decided)
+	sendEvents(ch, group, "result-refused-cancelled", n.Cancelled)
 	t := s.Totals()
-	sendHeld(to, group, "jobs", t.Jobs)
-	sendHeld(to, group, "items", t.Items)
-	sendHeld(to, group, "leases", t.Leases)
-	sendHeld(to, group, "uploads", t.Uploads)
+	sendHeld(ch, group, "jobs", t.Jobs)
+	sendHeld(ch, group, "items", t.Items)
+	sendHeld(ch, group, "leases", t.Leases)
+	sendHeld(ch, group, "uploads", t.Uploads)
 }
 
-func sendEvents(to chan<- prometheus.Metric, group, event string, count uint64) {
-	to <- prometheus.MustNewConstMetric(eventsDesc, prometheus.CounterValue, float64(count), group, event)
+func sendEvents(ch chan<- prometheus.Metric, group, event string, count uint64) {
+	ch <- prometheus.MustNewConstMetric(eventsDesc, prometheus.CounterValue, float64(count), group, event)
 }
 
-func sendHeld(to chan<- prometheus.Metric, group, kind string, count int) {
-	to <- prometheus.MustNewConstMetric(heldDesc, prometheus.GaugeValue, float64(count), group, kind)
+func sendHeld(ch chan<- prometheus.Metric, group, kind string, count int) {
+	ch <- prometheus.MustNewConstMetric(heldDesc, prometheus.GaugeValue, float64(count), group, kind)
 }
--- a/control/pkg/jobstate/fuzz_test.go
+++ b/control/pkg/jobstate/fuzz_test.go
@@ -78,38 +78,38 @@
 	}
 }
 
-func (r *modelTest) step(step *toucanhingev1.JobStep) any {
-	command, err := proto.Marshal(&toucanhingev1.JobCommand{AtMs: r.now, Steps: []*toucanhingev1.JobStep{step}})
-	require.NoError(r.t, err)
-	answers := r.machine.Apply(0, command).([]any)
-	r.log, r.answers = append(r.log, command), append(r.answers, answers)
+func (m *modelTest) step(step *toucanhingev1.JobStep) any {
+	command, err := proto.Marshal(&toucanhingev1.JobCommand{AtMs: m.now, Steps: []*toucanhingev1.JobStep{step}})
+	require.NoError(m.t, err)
+	answers := m.machine.Apply(0, command).([]any)
+	m.log, m.answers = append(m.log, command), append(m.answers, answers)
 	return answers[0]
 }
 
 // Upload uploads a job. Some uploads are resends, some reuse the key of another
 // job, and some lack a chunk.
-func (r *modelTest) Upload(t *rapid.T) {
+func (m *modelTest) Upload(t *rapid.T) {
 	id := rapid.SampledFrom([]string{"j1-a", "j1-b", "j1-c", "j1-d"}).Draw(t, "job")
 	content := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "content")
 	lost := rapid.IntRange(0, 9).Draw(t, "lost") == 0
 	team := map[string]string{"j1-a": "agence", "j1-b": "agence", "j1-c": "heredia", "j1-d": "heredia"}[id]
-	r.uploads++
-	upload := fmt.Sprintf("u%d", r.uploads)
+	m.uploads++
+	upload := fmt.Sprintf("u%d", m.uploads)
 	const count, chunk = 3, 2
 	for first := 0; first < count; first += chunk {
 		if lost && first == chunk {
 			continue
 		}
-		r.stage(upload, content, first, min(first+chunk, count))
+		m.stage(upload, content, first, min(first+chunk, count))
 		if rapid.Bool().Draw(t, "twice") {
-			r.stage(upload, content, first, min(first+chunk, count))
+			m.stage(upload, content, first, min(first+chunk, count))
 		}
 	}
-	answer := r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Accept{Accept: &toucanhingev1.AcceptStep{
+	answer := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Accept{Accept: &toucanhingev1.AcceptStep{
 		Upload: upload, Id: id, Count: count, Digest: []byte(content), Attempts: 2,
-		Header: &toucanhingev1.UploadHeader{Team: team, Key: id, Service: testService, DeadlineMs: r.now + int64(len(id))},
+		Header: &toucanhingev1.UploadHeader{Team: team, Key: id, Service: testService, DeadlineMs: m.now + int64(len(id))},
 	}}}).(AcceptAnswer)
-	known := r.jobs[id]
+	known := m.jobs[id]
 	switch {
 	case known != nil && known.content != content:
 		require.ErrorIs(t, answer.Err, ErrConflict)
@@ -122,38 +122,38 @@
 	default:
 		require.NoError(t, answer.Err)
 		require.False(t, answer.Resend)
-		r.jobs[id] = &modelJob{content: content, state: toucanhingev1.JobState_JOB_STATE_ACCEPTED, items: make([]modelItem, count)}
+		m.jobs[id] = &modelJob{content: content, state: toucanhingev1.JobState_JOB_STATE_ACCEPTED, items: make([]modelItem, count)}
 	}
 }
 
 func itemBody(content string, index int) string { return fmt.Sprintf("%s-%d", content, index) }
 
-func (r *modelTest) stage(upload, content string, first, end int) {
+func (m *modelTest) stage(upload, content string, first, end int) {
 	step := &toucanhingev1.StageStep{Upload: upload, First: uint64(first)}
 	for i := first; i < end; i++ {
 		payload, err := proto.Marshal(&toucanhingev1.Item{CustomId: fmt.Sprint(i), Body: []byte(itemBody(content, i))})
-		require.NoError(r.t, err)
+		require.NoError(m.t, err)
 		step.Items = append(step.Items, payload)
 	}
-	r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Stage{Stage: step}})
+	m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Stage{Stage: step}})
 }
 
 // Lease leases items and checks that none is leased already, decided or cancelled.
-func (r *modelTest) Lease(t *rapid.T) {
+func (m *modelTest) Lease(t *rapid.T) {
 	sidecar := rapid.SampledFrom([]string{"s1", "s2", "s3"}).Draw(t, "sidecar")
 	var excluded []string
 	if rapid.IntRange(0, 5).Draw(t, "restricted") == 0 {
 		excluded = []string{"agence"}
 	}
-	answer := r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
+	answer := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
 		Request: &toucanhingev1.LeaseRequest{
 			Sidecar: sidecar, Incarnation: 1, Service: testService, Most: uint32(rapid.IntRange(1, 5).Draw(t, "most")),
 		},
 		Excluded: excluded,
 	}}}).(LeaseAnswer)
-	known := r.highestLease
+	known := m.highestLease
 	for _, l := range answer.Items {
-		j := r.jobs[l.Job]
+		j := m.jobs[l.Job]
 		require.Equal(t, toucanhingev1.JobState_JOB_STATE_ACCEPTED, j.state, "leased an item of a job that has ended")
 		i := &j.items[l.Index]
 		require.False(t, i.decided, "leased a decided item")
@@ -161,64 +161,64 @@
 		require.Greater(t, l.Lease, known, "lease numbers must grow")
 		require.NotContains(t, excluded, l.Team)
 		require.False(t, l.Alone && len(answer.Items) > 1)
-		payloads, err := r.machine.ReadItems([]segment.Ref{l.Body})
+		payloads, err := m.machine.ReadItems([]segment.Ref{l.Body})
 		require.NoError(t, err)
 		item := &toucanhingev1.Item{}
 		require.NoError(t, proto.Unmarshal(payloads[0], item))
 		require.Equal(t, itemBody(j.content, int(l.Index)), string(item.GetBody()))
 		i.lease = l.Lease
-		r.knownLeases[l.Lease] = true
-		r.highestLease = max(r.highestLease, l.Lease)
-		r.history = append(r.history, leasedItem{job: l.Job, index: uint64(l.Index), lease: l.Lease})
+		m.knownLeases[l.Lease] = true
+		m.highestLease = max(m.highestLease, l.Lease)
+		m.history = append(m.history, leasedItem{job: l.Job, index: uint64(l.Index), lease: l.Lease})
 	}
 }
 
 // Complete reports outcomes of items that were leased at any time before, some of
 // them under a lease that never existed.
-func (r *modelTest) Complete(t *rapid.T) {
-	if len(r.history) == 0 {
+func (m *modelTest) Complete(t *rapid.T) {
+	if len(m.history) == 0 {
 		t.Skip("nothing was leased")
 	}
-	g := rapid.SampledFrom(r.history).Draw(t, "item")
+	li := rapid.SampledFrom(m.history).Draw(t, "item")
 	if rapid.IntRange(0, 15).Draw(t, "forged") == 0 {
-		g.lease += uint64(rapid.IntRange(1, 3).Draw(t, "by"))
+		li.lease += uint64(rapid.IntRange(1, 3).Draw(t, "by"))
 	}
 	outcome := rapid.SampledFrom([]toucanhingev1.Outcome{
 		toucanhingev1.Outcome_OUTCOME_DONE, toucanhingev1.Outcome_OUTCOME_DONE, toucanhingev1.Outcome_OUTCOME_FAILED,
 		toucanhingev1.Outcome_OUTCOME_RETRY, toucanhingev1.Outcome_OUTCOME_RETURNED,
 	}).Draw(t, "outcome")
-	body := fmt.Sprintf("result-%d", len(r.log))
-	want := r.expect(g)
-	answer := r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: &toucanhingev1.CompleteRequest{
+	body := fmt.Sprintf("result-%d", len(m.log))
+	want := m.expect(li)
+	answer := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: &toucanhingev1.CompleteRequest{
 		Completions: []*toucanhingev1.Completion{{
-			Job: g.job, Index: g.index, Lease: g.lease, Outcome: outcome, Body: []byte(body), Reason: "a reason",
+			Job: li.job, Index: li.index, Lease: li.lease, Outcome: outcome, Body: []byte(body), Reason: "a reason",
 		}},
 	}}}).(CompleteAnswer)
 	require.Equal(t, []toucanhingev1.Verdict{want}, answer.Verdicts)
 	if want != toucanhingev1.Verdict_VERDICT_ACCEPTED {
 		return
 	}
-	i := &r.jobs[g.job].items[g.index]
+	i := &m.jobs[li.job].items[li.index]
 	i.lease = 0
 	switch outcome {
 	case toucanhingev1.Outcome_OUTCOME_DONE, toucanhingev1.Outcome_OUTCOME_FAILED:
 		*i = modelItem{decided: true, body: body, outcome: outcome}
 	case toucanhingev1.Outcome_OUTCOME_RETRY:
-		r.applyAttemptLimit(g)
+		m.applyAttemptLimit(li)
 	}
-	r.updateJobState(g.job)
+	m.updateJobState(li.job)
 }
 
-func (r *modelTest) expect(g leasedItem) toucanhingev1.Verdict {
-	j := r.jobs[g.job]
+func (m *modelTest) expect(li leasedItem) toucanhingev1.Verdict {
+	j := m.jobs[li.job]
 	switch {
 	case j == nil:
 		return toucanhingev1.Verdict_VERDICT_STALE
-	case j.items[g.index].decided:
+	case j.items[li.index].decided:
 		return toucanhingev1.Verdict_VERDICT_DECIDED
 	case j.state == toucanhingev1.JobState_JOB_STATE_CANCELLED:
 		return toucanhingev1.Verdict_VERDICT_CANCELLED
-	case j.items[g.index].lease != g.lease:
+	case j.items[li.index].lease != li.lease:
 		return toucanhingev1.Verdict_VERDICT_STALE
 	default:
 		return toucanhingev1.Verdict_VERDICT_ACCEPTED
@@ -227,70 +227,70 @@
 
 // applyAttemptLimit marks an item in the model as failed if the machine ended it at
 // its attempt limit. The tests of poison items check when this has to happen.
-func (r *modelTest) applyAttemptLimit(g leasedItem) {
-	page, err := r.machine.Results("", g.job, g.index)
-	require.NoError(r.t, err)
-	if len(page.Decided) > 0 && page.Decided[0].Index == g.index {
-		r.jobs[g.job].items[g.index] = modelItem{decided: true, outcome: toucanhingev1.Outcome_OUTCOME_FAILED}
+func (m *modelTest) applyAttemptLimit(li leasedItem) {
+	page, err := m.machine.Results("", li.job, li.index)
+	require.NoError(m.t, err)
+	if len(page.Decided) > 0 && page.Decided[0].Index == li.index {
+		m.jobs[li.job].items[li.index] = modelItem{decided: true, outcome: toucanhingev1.Outcome_OUTCOME_FAILED}
 	}
 }
 
-func (r *modelTest) updateJobState(id string) {
-	j := r.jobs[id]
+func (m *modelTest) updateJobState(id string) {
+	j := m.jobs[id]
 	if !slices.ContainsFunc(j.items, func(i modelItem) bool { return !i.decided }) {
 		j.state = toucanhingev1.JobState_JOB_STATE_FINISHED
 	}
 }
 
 // Finish reports all leased items as done, so that some jobs finish.
-func (r *modelTest) Finish(*rapid.T) {
-	for _, g := range slices.Clone(r.history) {
-		if r.expect(g) != toucanhingev1.Verdict_VERDICT_ACCEPTED {
+func (m *modelTest) Finish(*rapid.T) {
+	for _, li := range slices.Clone(m.history) {
+		if m.expect(li) != toucanhingev1.Verdict_VERDICT_ACCEPTED {
 			continue
 		}
-		body := fmt.Sprintf("result-%d", len(r.log))
-		r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: &toucanhingev1.CompleteRequest{
+		body := fmt.Sprintf("result-%d", len(m.log))
+		m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: &toucanhingev1.CompleteRequest{
 			Completions: []*toucanhingev1.Completion{{
-				Job: g.job, Index: g.index, Lease: g.lease, Outcome: toucanhingev1.Outcome_OUTCOME_DONE, Body: []byte(body),
+				Job: li.job, Index: li.index, Lease: li.lease, Outcome: toucanhingev1.Outcome_OUTCOME_DONE, Body: []byte(body),
 			}},
 		}}})
-		r.jobs[g.job].items[g.index] = modelItem{decided: true, body: body, outcome: toucanhingev1.Outcome_OUTCOME_DONE}
-		r.updateJobState(g.job)
+		m.jobs[li.job].items[li.index] = modelItem{decided: true, body: body, outcome: toucanhingev1.Outcome_OUTCOME_DONE}
+		m.updateJobState(li.job)
 	}
 }
 
 // Expire ends a lease, possibly one that has ended already.
-func (r *modelTest) Expire(t *rapid.T) {
-	if len(r.history) == 0 {
+func (m *modelTest) Expire(t *rapid.T) {
+	if len(m.history) == 0 {
 		t.Skip("nothing was leased")
 	}
-	g := rapid.SampledFrom(r.history).Draw(t, "lease")
+	li := rapid.SampledFrom(m.history).Draw(t, "lease")
 	cause := rapid.SampledFrom([]toucanhingev1.ExpiryCause{
 		toucanhingev1.ExpiryCause_EXPIRY_CAUSE_RUN_OUT, toucanhingev1.ExpiryCause_EXPIRY_CAUSE_RESTARTED,
 		toucanhingev1.ExpiryCause_EXPIRY_CAUSE_UNKNOWN_TO_HOLDER,
 	}).Draw(t, "cause")
-	r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Expire{
-		Expire: &toucanhingev1.ExpireStep{Leases: []uint64{g.lease}, Cause: cause},
+	m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Expire{
+		Expire: &toucanhingev1.ExpireStep{Leases: []uint64{li.lease}, Cause: cause},
 	}})
-	for _, h := range r.history {
-		j := r.jobs[h.job]
-		if h.lease != g.lease || j == nil || j.items[h.index].lease != h.lease {
+	for _, h := range m.history {
+		j := m.jobs[h.job]
+		if h.lease != li.lease || j == nil || j.items[h.index].lease != h.lease {
 			continue
 		}
 		j.items[h.index].lease = 0
-		r.applyAttemptLimit(h)
-		r.updateJobState(h.job)
+		m.applyAttemptLimit(h)
+		m.updateJobState(h.job)
 	}
 }
 
 // Cancel cancels a job. A finished job stays finished.
-func (r *modelTest) Cancel(t *rapid.T) {
+func (m *modelTest) Cancel(t *rapid.T) {
 	id := rapid.SampledFrom([]string{"j1-a", "j1-b", "j1-c", "j1-d"}).Draw(t, "job")
 	if rapid.IntRange(0, 3).Draw(t, "really") != 0 {
 		t.Skip("jobs are cancelled rarely, so that some make progress")
 	}
-	answer := r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: &toucanhingev1.CancelJobRequest{Id: id}}}).(CancelAnswer)
-	j := r.jobs[id]
+	answer := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: &toucanhingev1.CancelJobRequest{Id: id}}}).(CancelAnswer)
+	j := m.jobs[id]
 	if j == nil {
 		require.ErrorIs(t, answer.Err, ErrNoJob)
 		return
@@ -305,86 +305,86 @@
 }
 
 // Sweep advances the time and drops jobs that ended long ago.
-func (r *modelTest) Sweep(t *rapid.T) {
-	r.now += int64(rapid.IntRange(0, 3_000).Draw(t, "passed"))
-	before := r.now - int64(rapid.IntRange(0, 20_000).Draw(t, "kept"))
-	r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Sweep{
+func (m *modelTest) Sweep(t *rapid.T) {
+	m.now += int64(rapid.IntRange(0, 3_000).Draw(t, "passed"))
+	before := m.now - int64(rapid.IntRange(0, 20_000).Draw(t, "kept"))
+	m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Sweep{
 		Sweep: &toucanhingev1.JobSweepStep{UploadsBeforeMs: before, JobsBeforeMs: before},
 	}})
-	r.machine.View(func(s *State) {
-		for id, j := range r.jobs {
+	m.machine.View(func(s *State) {
+		for id, j := range m.jobs {
 			if s.jobs[id] == nil {
 				require.NotEqual(t, toucanhingev1.JobState_JOB_STATE_ACCEPTED, j.state, "a running job was dropped")
-				delete(r.jobs, id)
+				delete(m.jobs, id)
 			}
 		}
 	})
 }
 
 // Checkpoint creates a manifest and discards the log before it.
-func (r *modelTest) Checkpoint(t *rapid.T) {
-	manifest, err := r.machine.Checkpoint()
+func (m *modelTest) Checkpoint(t *rapid.T) {
+	manifest, err := m.machine.Checkpoint()
 	require.NoError(t, err)
-	r.manifest, r.log, r.answers = manifest, nil, nil
+	m.manifest, m.log, m.answers = manifest, nil, nil
 }
 
 // Crash discards the state in memory. Segment records written after the checkpoint
 // may remain in part. Replaying the log must give the same answers.
-func (r *modelTest) Crash(t *rapid.T) {
-	r.machine.Close()
-	r.machine = openMachine(t, r.machine.config.Folder, r.manifest)
-	r.replay(t)
+func (m *modelTest) Crash(t *rapid.T) {
+	m.machine.Close()
+	m.machine = openMachine(t, m.machine.config.Folder, m.manifest)
+	m.replay(t)
 }
 
-func (r *modelTest) replay(t *rapid.T) {
-	for n, command := range r.log {
-		answers := r.machine.Apply(0, command).([]any)
-		require.Equal(t, fmt.Sprint(r.answers[n]...), fmt.Sprint(answers...), "the replay returned another answer")
+func (m *modelTest) replay(t *rapid.T) {
+	for n, command := range m.log {
+		answers := m.machine.Apply(0, command).([]any)
+		require.Equal(t, fmt.Sprint(m.answers[n]...), fmt.Sprint(answers...), "the replay returned another answer")
 	}
 }
 
 // Transfer exports the state to another machine, as to a replica that lost its disk.
-func (r *modelTest) Transfer(t *rapid.T) {
+func (m *modelTest) Transfer(t *rapid.T) {
 	var wire bytes.Buffer
-	manifest, err := r.machine.Checkpoint()
+	manifest, err := m.machine.Checkpoint()
 	require.NoError(t, err)
-	require.NoError(t, r.machine.Export(manifest, &wire))
-	other := openMachine(t, r.newFolder(), nil)
-	r.manifest, err = other.Import(&wire)
+	require.NoError(t, m.machine.Export(manifest, &wire))
+	other := openMachine(t, m.newFolder(), nil)
+	m.manifest, err = other.Import(&wire)
 	require.NoError(t, err)
-	r.machine.Close()
-	r.machine, r.log, r.answers = other, nil, nil
+	m.machine.Close()
+	m.machine, m.log, m.answers = other, nil, nil
 }
 
 // LostCheckpoint crashes after a checkpoint was created and before its manifest was
 // stored. The previous checkpoint must still load.
-func (r *modelTest) LostCheckpoint(t *rapid.T) {
-	_, err := r.machine.Checkpoint()
+func (m *modelTest) LostCheckpoint(t *rapid.T) {
+	_, err := m.machine.Checkpoint()
 	require.NoError(t, err)
-	r.Crash(t)
+	m.Crash(t)
 }
 
 // LostImport crashes after another state was imported and before its manifest was
 // stored. The state before the import must still load.
-func (r *modelTest) LostImport(t *rapid.T) {
+func (m *modelTest) LostImport(t *rapid.T) {
 	var wire bytes.Buffer
-	empty := openMachine(t, r.newFolder(), nil)
+	empty := openMachine(t, m.newFolder(), nil)
 	defer empty.Close()
 	manifest, err := empty.Checkpoint()
 	require.NoError(t, err)
 	require.NoError(t, empty.Export(manifest, &wire))
-	_, err = r.machine.Import(&wire)
+	_, err = m.machine.Import(&wire)
 	require.NoError(t, err)
-	r.Crash(t)
+	m.Crash(t)
 }
 
 // check compares all readable state with the model.
-func (r *modelTest) check(t *rapid.T) {
-	for id, j := range r.jobs {
-		whole, err := r.machine.Results("", id, 0)
+func (m *modelTest) check(t *rapid.T) {
+	for id, j := range m.jobs {
+		whole, err := m.machine.Results("", id, 0)
 		require.NoError(t, err)
 		page := whole.Decided
-		r.machine.View(func(s *State) {
+		m.machine.View(func(s *State) {
 			status := s.jobs[id].status()
 			require.Equal(t, j.state, status.GetState())
 			leased := 0
@@ -403,19 +403,19 @@
 			}
 			require.Less(t, next, len(page), "a decided item has no result")
 			require.EqualValues(t, index, page[next].Index)
-			r.checkResult(t, i, page[next])
+			m.checkResult(t, i, page[next])
 			next++
 		}
 		require.Len(t, page, next, "an undecided item has a result")
-		rest, err := r.machine.Results("", id, 1)
+		rest, err := m.machine.Results("", id, 1)
 		require.NoError(t, err)
 		wantRest := slices.DeleteFunc(slices.Clone(page), func(d Decided) bool { return d.Index < 1 })
 		require.True(t, slices.Equal(wantRest, rest.Decided), "want %v, got %v", wantRest, rest.Decided)
 	}
 }
 
-func (r *modelTest) checkResult(t *rapid.T, i modelItem, d Decided) {
-	payloads, err := r.machine.ReadResults([]segment.Ref{d.Result})
+func (m *modelTest) checkResult(t *rapid.T, i modelItem, d Decided) {
+	payloads, err := m.machine.ReadResults([]segment.Ref{d.Result})
 	require.NoError(t, err)
 	result := &toucanhingev1.Result{}
 	require.NoError(t, proto.Unmarshal(payloads[0], result))
@@ -426,15 +426,15 @@
 
 // checkAllReleased cancels and drops all jobs and uploads. No segment may then count
 // a live record: such a record would be unreachable and keep its file forever.
-func (r *modelTest) checkAllReleased(t *rapid.T) {
-	for id := range r.jobs {
-		r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: &toucanhingev1.CancelJobRequest{Id: id}}})
+func (m *modelTest) checkAllReleased(t *rapid.T) {
+	for id := range m.jobs {
+		m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: &toucanhingev1.CancelJobRequest{Id: id}}})
 	}
-	r.now++
-	r.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Sweep{
-		Sweep: &toucanhingev1.JobSweepStep{UploadsBeforeMs: r.now + 1, JobsBeforeMs: r.now + 1},
+	m.now++
+	m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Sweep{
+		Sweep: &toucanhingev1.JobSweepStep{UploadsBeforeMs: m.now + 1, JobsBeforeMs: m.now + 1},
 	}})
-	manifest, err := r.machine.Checkpoint()
+	manifest, err := m.machine.Checkpoint()
 	require.NoError(t, err)
 	snapshot := &toucanhingev1.JobSnapshot{}
 	require.NoError(t, proto.Unmarshal(manifest, snapshot))
@@ -457,14 +457,14 @@
 		root, err := os.MkdirTemp(t.TempDir(), "trial")
 		require.NoError(rt, err)
 		defer func() { _ = os.RemoveAll(root) }()
-		r := newModelTest(rt, func() string { n++; return fmt.Sprintf("%s/%d", root, n) })
-		defer func() { r.machine.Close() }()
+		m := newModelTest(rt, func() string { n++; return fmt.Sprintf("%s/%d", root, n) })
+		defer func() { m.machine.Close() }()
 		rt.Repeat(map[string]func(*rapid.T){
-			"upload": r.Upload, "lease": r.Lease, "lease again": r.Lease, "complete": r.Complete, "complete again": r.Complete,
-			"finish": r.Finish, "expire": r.Expire, "cancel": r.Cancel, "sweep": r.Sweep, "checkpoint": r.Checkpoint, "crash": r.Crash, "ship": r.Transfer,
-			"lost checkpoint": r.LostCheckpoint, "lost import": r.LostImport,
-			"": r.check,
+			"upload": m.Upload, "lease": m.Lease, "lease again": m.Lease, "complete": m.Complete, "complete again": m.Complete,
+			"finish": m.Finish, "expire": m.Expire, "cancel": m.Cancel, "sweep": m.Sweep, "checkpoint": m.Checkpoint, "crash": m.Crash, "ship": m.Transfer,
+			"lost checkpoint": m.LostCheckpoint, "lost import": m.LostImport,
+			"": m.check,
 		})
-		r.checkAllReleased(rt)
+		m.checkAllReleased(rt)
 	})
 }
--- a/control/pkg/jobstate/lease.go
+++ b/control/pkg/jobstate/lease.go
@@ -53,12 +53,12 @@
 func (s *State) leaseShared(v *service, request *toucanhingev1.LeaseRequest, excluded []string) []Leased {
 	var leased []Leased
 	for left := int(request.GetMost()); left > 0; left = int(request.GetMost()) - len(leased) {
-		d, j := v.pickJob(excluded)
+		q, j := v.pickJob(excluded)
 		if j == nil {
 			break
 		}
 		l := s.grant(j, request, j.dequeueItems(left))
-		v.charge(d, j, len(l.items), s.now)
+		v.charge(q, j, len(l.items), s.now)
 		if j.waiting() == 0 {
 			s.dequeueJob(j)
 		}
--- a/control/pkg/jobstate/poison_test.go
+++ b/control/pkg/jobstate/poison_test.go
@@ -46,9 +46,9 @@
 	}}})
 }
 
-func leaseFor(s *State, sidecar string, most int) []Leased {
+func leaseFor(s *State, sidecar string, limit int) []Leased {
 	return s.Step(s.now, &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
-		Request: &toucanhingev1.LeaseRequest{Sidecar: sidecar, Service: testService, Most: uint32(most)},
+		Request: &toucanhingev1.LeaseRequest{Sidecar: sidecar, Service: testService, Most: uint32(limit)},
 	}}}).(LeaseAnswer).Items
 }
 
--- a/control/pkg/jobstate/schedule.go
+++ b/control/pkg/jobstate/schedule.go
@@ -71,7 +71,7 @@
 }
 
 func (v *service) team(name string) *teamQueue {
-	at, found := slices.BinarySearchFunc(v.teams, name, func(d *teamQueue, name string) int { return cmp.Compare(d.name, name) })
+	at, found := slices.BinarySearchFunc(v.teams, name, func(q *teamQueue, name string) int { return cmp.Compare(q.name, name) })
 	if !found {
 		v.teams = slices.Insert(v.teams, at, &teamQueue{name: name, weight: 1})
 	}
@@ -93,12 +93,12 @@
 		return
 	}
 	v := s.service(j.header.GetService())
-	d := v.team(j.header.GetTeam())
-	if len(d.jobs) == 0 {
-		d.pass = max(d.pass, v.globalPass)
+	q := v.team(j.header.GetTeam())
+	if len(q.jobs) == 0 {
+		q.pass = max(q.pass, v.globalPass)
 	}
-	at, _ := slices.BinarySearchFunc(d.jobs, j, compareJobs)
-	d.jobs = slices.Insert(d.jobs, at, j)
+	at, _ := slices.BinarySearchFunc(q.jobs, j, compareJobs)
+	q.jobs = slices.Insert(q.jobs, at, j)
 	j.queued = true
 }
 
@@ -106,9 +106,9 @@
 	if !j.queued {
 		return
 	}
-	d := s.service(j.header.GetService()).team(j.header.GetTeam())
-	at, _ := slices.BinarySearchFunc(d.jobs, j, compareJobs)
-	d.jobs = slices.Delete(d.jobs, at, at+1)
+	q := s.service(j.header.GetService()).team(j.header.GetTeam())
+	at, _ := slices.BinarySearchFunc(q.jobs, j, compareJobs)
+	q.jobs = slices.Delete(q.jobs, at, at+1)
 	j.queued = false
 }
 
@@ -116,12 +116,12 @@
 // by deadline. It returns nil if no items wait.
 func (v *service) pickJob(excluded []string) (*teamQueue, *job) {
 	var best *teamQueue
-	for _, d := range v.teams {
-		if len(d.jobs) == 0 || slices.Contains(excluded, d.name) {
+	for _, q := range v.teams {
+		if len(q.jobs) == 0 || slices.Contains(excluded, q.name) {
 			continue
 		}
-		if best == nil || d.pass < best.pass {
-			best = d
+		if best == nil || q.pass < best.pass {
+			best = q
 		}
 	}
 	if best == nil {
@@ -131,13 +131,13 @@
 }
 
 // charge advances a team's pass by the cost of the items leased to it.
-func (v *service) charge(d *teamQueue, j *job, items int, now clock.Millis) {
-	weight := uint64(d.weight)
+func (v *service) charge(q *teamQueue, j *job, items int, now clock.Millis) {
+	weight := uint64(q.weight)
 	if v.urgent(j, now) {
 		weight *= urgentBoost
 	}
-	v.globalPass = max(v.globalPass, d.pass)
-	d.pass += uint64(items) * passUnit / weight
+	v.globalPass = max(v.globalPass, q.pass)
+	q.pass += uint64(items) * passUnit / weight
 }
 
 // urgent reports whether a job's deadline is still ahead, but leaves less than
--- a/control/pkg/jobstate/snapshot.go
+++ b/control/pkg/jobstate/snapshot.go
@@ -69,8 +69,8 @@
 		Name: v.name, Virtual: v.globalPass, Draining: v.draining,
 		WindowMs: int64(v.window), WindowDecided: v.decided, Rate: v.rate,
 	}
-	for _, d := range v.teams {
-		saved.Teams = append(saved.Teams, &toucanhingev1.SavedTeam{Team: d.name, Weight: d.weight, Pass: d.pass})
+	for _, q := range v.teams {
+		saved.Teams = append(saved.Teams, &toucanhingev1.SavedTeam{Team: q.name, Weight: q.weight, Pass: q.pass})
 	}
 	for _, p := range v.suspects {
 		saved.Suspects = append(saved.Suspects, &toucanhingev1.SavedSuspect{Job: p.job.id, Item: p.index, SinceMs: int64(p.since)})
@@ -105,10 +105,10 @@
 // restoreToQueue adds a job to its team's queue without the change to the team's pass
 // that enqueueJob makes for a team whose queue was empty.
 func (s *State) restoreToQueue(j *job) {
-	d := s.service(j.header.GetService()).team(j.header.GetTeam())
-	pass := d.pass
+	q := s.service(j.header.GetService()).team(j.header.GetTeam())
+	pass := q.pass
 	s.enqueueJob(j)
-	d.pass = pass
+	q.pass = pass
 }
 
 func restoreJob(saved *toucanhingev1.SavedJob) *job {
@@ -145,9 +145,9 @@
 	v := s.service(saved.GetName())
 	v.globalPass, v.draining = saved.GetVirtual(), saved.GetDraining()
 	v.window, v.decided, v.rate = clock.Millis(saved.GetWindowMs()), saved.GetWindowDecided(), saved.GetRate()
-	for _, d := range saved.GetTeams() {
-		queue := v.team(d.GetTeam())
-		queue.weight, queue.pass = d.GetWeight(), d.GetPass()
+	for _, team := range saved.GetTeams() {
+		q := v.team(team.GetTeam())
+		q.weight, q.pass = team.GetWeight(), team.GetPass()
 	}
 	for _, p := range saved.GetSuspects() {
 		v.suspects = append(v.suspects, suspect{job: s.jobs[p.GetJob()], index: p.GetItem(), since: clock.Millis(p.GetSinceMs())})
--- a/control/pkg/jobstate/view.go
+++ b/control/pkg/jobstate/view.go
@@ -104,8 +104,8 @@
 	if len(v.suspects) > 0 {
 		return true
 	}
-	for _, d := range v.teams {
-		if len(d.jobs) > 0 {
+	for _, q := range v.teams {
+		if len(q.jobs) > 0 {
 			return true
 		}
 	}
--- a/control/pkg/repair/repair_test.go
+++ b/control/pkg/repair/repair_test.go
@@ -170,8 +170,8 @@
 				v.LastSeen = now - 60_000
 				g.vms[name] = v
 				g.down[name] = true
-				fresh := fmt.Sprintf("n%d", len(g.vms))
-				g.vms[fresh] = vm(fresh)
+				added := fmt.Sprintf("n%d", len(g.vms))
+				g.vms[added] = vm(added)
 				settle(t)
 				v.LastSeen = now
 				g.vms[name] = v
