--- a/common/pkg/apikey/hash.go
+++ b/common/pkg/apikey/hash.go
@@ -27,8 +27,8 @@
 	return hash[:]
 }
 
-// Read takes a hash as it travelled; ok is false if it is none.
-func Read(data []byte) (hash Hash, ok bool) {
+// Parse takes a hash as it travelled; ok is false if it is none.
+func Parse(data []byte) (hash Hash, ok bool) {
 	if len(data) != HashBytes {
 		return hash, false
 	}
--- a/common/pkg/clock/clock.go
+++ b/common/pkg/clock/clock.go
@@ -18,8 +18,8 @@
 	return time.UnixMilli(int64(m))
 }
 
-// Span turns the standard library's duration into whole milliseconds.
-func Span(d time.Duration) Millis {
+// FromDuration turns the standard library's duration into whole milliseconds.
+func FromDuration(d time.Duration) Millis {
 	return Millis(d.Milliseconds())
 }
 
@@ -40,10 +40,10 @@
 func System() Clock {
 	start := time.Now()
 	base := Millis(start.UnixMilli())
-	return Clock{now: func() Millis { return base + Span(time.Since(start)) }}
+	return Clock{now: func() Millis { return base + FromDuration(time.Since(start)) }}
 }
 
-// Of returns a clock that asks the given function, for tests.
-func Of(now func() Millis) Clock {
+// FromFunc returns a clock that asks the given function, for tests.
+func FromFunc(now func() Millis) Clock {
 	return Clock{now: now}
 }
--- a/common/pkg/control/beater.go
+++ b/common/pkg/control/beater.go
@@ -15,8 +15,8 @@
 // beatPeriod is a fraction of the shortest lease that control grants.
 const beatPeriod = 2 * time.Second
 
-// BeaterConfig describes a beater.
-type BeaterConfig struct {
+// HeartbeaterConfig describes a beater.
+type HeartbeaterConfig struct {
 	Client *Client
 	Logger log.Logger
 	// Request says what this process is now.
@@ -27,19 +27,19 @@
 	Superseded func()
 }
 
-// Beater keeps this process's lease with control.
-type Beater struct {
-	config BeaterConfig
+// Heartbeater keeps this process's lease with control.
+type Heartbeater struct {
+	config HeartbeaterConfig
 	now    chan struct{}
 }
 
-// NewBeater makes a beater.
-func NewBeater(config BeaterConfig) *Beater {
-	return &Beater{config: config, now: make(chan struct{}, 1)}
+// NewHeartbeater makes a beater.
+func NewHeartbeater(config HeartbeaterConfig) *Heartbeater {
+	return &Heartbeater{config: config, now: make(chan struct{}, 1)}
 }
 
-// Now sends a heartbeat at once, for a change that others should know soon.
-func (b *Beater) Now() {
+// Trigger sends a heartbeat at once, for a change that others should know soon.
+func (b *Heartbeater) Trigger() {
 	select {
 	case b.now <- struct{}{}:
 	default:
@@ -47,11 +47,11 @@
 }
 
 // Run sends heartbeats until the context ends.
-func (b *Beater) Run(ctx context.Context) {
+func (b *Heartbeater) Run(ctx context.Context) {
 	ticker := time.NewTicker(beatPeriod)
 	defer ticker.Stop()
 	for {
-		if !b.Beat(ctx) {
+		if !b.Send(ctx) {
 			return
 		}
 		select {
@@ -63,8 +63,8 @@
 	}
 }
 
-// Beat sends one heartbeat; it returns false when this process was superseded.
-func (b *Beater) Beat(ctx context.Context) bool {
+// Send sends one heartbeat; it returns false when this process was superseded.
+func (b *Heartbeater) Send(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*beatPeriod)
 	defer cancel()
 	request := b.config.Request()
--- a/common/pkg/control/broken_answer_test.go
+++ b/common/pkg/control/broken_answer_test.go
@@ -71,8 +71,8 @@
 			})
 			address = listen(breaks, "127.0.0.1:0")
 			t.Cleanup(func() { _ = server.Shutdown(over) })
-			client := New(Config{Addresses: []string{address}, Fresh: web.NewClient})
-			leader, err := Call(t.Context(), client, 0, "test", NamedByCore)
+			client := New(Config{Addresses: []string{address}, NewHTTP: web.NewClient})
+			leader, err := Call(t.Context(), client, 0, "test", QueryLeader)
 			require.Equal(t, c.fails, err != nil, "%v", err)
 			require.Equal(t, c.calls, calls.Load())
 			if !c.fails {
--- a/common/pkg/control/client.go
+++ b/common/pkg/control/client.go
@@ -62,10 +62,10 @@
 	// Addresses of the control VMs, IP:port.
 	Addresses []string
 	HTTP      *http.Client
-	// Fresh, if set, makes a client for each control VM in place of HTTP. It is
+	// NewHTTP, if set, makes a client for each control VM in place of HTTP. It is
 	// made anew after a call without an answer: a connection that went silent
 	// without a reset would else swallow every call until a ping notices.
-	Fresh func() *http.Client
+	NewHTTP func() *http.Client
 	// FindLeader, if set, asks one control VM which one leads, by address; empty if
 	// it knows none. Without it, calls go to one VM after the other until one takes
 	// them or names the leader.
@@ -105,8 +105,8 @@
 	// Without this, control would compress each answer, however small.
 	plain := connect.WithAcceptCompression("gzip", nil, nil)
 	client := c.config.HTTP
-	if c.config.Fresh != nil {
-		client = c.config.Fresh()
+	if c.config.NewHTTP != nil {
+		client = c.config.NewHTTP()
 	}
 	r := &Replica{
 		Address:   address,
@@ -138,7 +138,7 @@
 
 // drop forgets the connections to a control VM that gave no answer.
 func (c *Client) drop(r *Replica) {
-	if c.config.Fresh == nil {
+	if c.config.NewHTTP == nil {
 		return
 	}
 	c.mu.Lock()
@@ -180,9 +180,9 @@
 	return c.Replica(address)
 }
 
-// Known is the address of the replica believed to lead the group, empty if none
+// KnownLeader is the address of the replica believed to lead the group, empty if none
 // is known.
-func (c *Client) Known(group uint32) string {
+func (c *Client) KnownLeader(group uint32) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leaders[group]
@@ -217,7 +217,7 @@
 // late for a second, each of hundreds of callers left its connection behind and made a new one, which
 // took all the leader's files and memory.
 func (c *Client) doubt(r *Replica) {
-	if c.config.FindLeader == nil || c.config.Fresh == nil {
+	if c.config.FindLeader == nil || c.config.NewHTTP == nil {
 		c.accuse(r)
 		return
 	}
--- a/common/pkg/control/find.go
+++ b/common/pkg/control/find.go
@@ -40,7 +40,7 @@
 			return false
 		case leader := <-named:
 			c.learn(group, leader)
-			if c.Known(group) != "" {
+			if c.KnownLeader(group) != "" {
 				return true
 			}
 		}
@@ -81,7 +81,7 @@
 // search looks for the leader until one is named or the context ends.
 func (c *Client) search(ctx context.Context, group uint32) error {
 	pause := firstPause
-	for c.Known(group) == "" {
+	for c.KnownLeader(group) == "" {
 		if c.find(ctx, group) {
 			return nil
 		}
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// NamedByCore asks a VM of the core which one leads.
-func NamedByCore(ctx context.Context, r *Replica) (string, error) {
+// QueryLeader asks a VM of the core which one leads.
+func QueryLeader(ctx context.Context, r *Replica) (string, error) {
 	answer, err := r.Core.NameLeader(ctx, connect.NewRequest(&toucanhingev1.NameLeaderRequest{}))
 	if err != nil {
 		return "", err
--- a/common/pkg/control/slow_test.go
+++ b/common/pkg/control/slow_test.go
@@ -91,7 +91,7 @@
 func callers(address string, count int) []*Client {
 	var list []*Client
 	for range count {
-		list = append(list, New(Config{Addresses: []string{address}, Fresh: web.NewClient, FindLeader: NamedByCore, AttemptTimeout: 200 * time.Millisecond}))
+		list = append(list, New(Config{Addresses: []string{address}, NewHTTP: web.NewClient, FindLeader: QueryLeader, AttemptTimeout: 200 * time.Millisecond}))
 	}
 	return list
 }
--- a/common/pkg/control/watcher.go
+++ b/common/pkg/control/watcher.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return fmt.Errorf("learn the configuration floor: %w", err)
 	}
-	w.Expect(reply.Msg.GetVersion())
+	w.RaiseMinVersion(reply.Msg.GetVersion())
 	w.groups.Store(reply.Msg.GetGroups())
 	return nil
 }
@@ -118,7 +118,7 @@
 	defer silence.Stop()
 	for stream.Receive() {
 		silence.Reset(silenceLimit)
-		w.Take(stream.Msg())
+		w.Apply(stream.Msg())
 		if stream.Msg().GetVersion() < w.floor.Load() {
 			return errStale
 		}
@@ -131,8 +131,8 @@
 // would never bring another change, so we go on at the next one.
 var errStale = errors.New("the replica is behind an accepted version")
 
-// Expect tells the watcher that a version was accepted, as heartbeats show.
-func (w *Watcher) Expect(version uint64) {
+// RaiseMinVersion tells the watcher that a version was accepted, as heartbeats show.
+func (w *Watcher) RaiseMinVersion(version uint64) {
 	for {
 		known := w.floor.Load()
 		if version <= known || w.floor.CompareAndSwap(known, version) {
@@ -141,10 +141,10 @@
 	}
 }
 
-// Take puts one update in force unless it is older than what is in force. The
+// Apply puts one update in force unless it is older than what is in force. The
 // first one must also reach the floor; later ones only grow, so that a step on
 // the way to a newer version still helps.
-func (w *Watcher) Take(update *toucanhingev1.WatchResponse) {
+func (w *Watcher) Apply(update *toucanhingev1.WatchResponse) {
 	present := w.Fleet()
 	if (present.Version == 0 && update.GetVersion() < w.floor.Load()) || update.GetVersion() < present.Version {
 		return
--- a/common/pkg/control/watcher_test.go
+++ b/common/pkg/control/watcher_test.go
@@ -29,9 +29,9 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			w := NewWatcher(WatcherConfig{Logger: log.NewNopLogger()})
-			w.Expect(s.floor)
+			w.RaiseMinVersion(s.floor)
 			for _, v := range s.updates {
-				w.Take(&toucanhingev1.WatchResponse{Version: v, Whole: true})
+				w.Apply(&toucanhingev1.WatchResponse{Version: v, Whole: true})
 			}
 			require.Equal(t, s.inForce, w.Fleet().Version)
 			select {
--- a/common/pkg/crashes/bounds.go
+++ b/common/pkg/crashes/bounds.go
@@ -42,7 +42,7 @@
 	for content := range m.crashes[at].suspects {
 		q := m.suspects[content]
 		delete(q.crashes, at)
-		if len(q.crashes) == 0 && q.quarantine.Terms == 0 {
+		if len(q.crashes) == 0 && q.quarantine.Count == 0 {
 			delete(m.suspects, content)
 		}
 	}
--- a/common/pkg/crashes/content.go
+++ b/common/pkg/crashes/content.go
@@ -9,15 +9,15 @@
 	"encoding/hex"
 )
 
-// Content identifies what a request asks for: attempts with the same content are the
+// Fingerprint identifies what a request asks for: attempts with the same content are the
 // same request. 128 bits of SHA-256, so that no caller can make another one's request
 // look like one that crashes runners.
-type Content [16]byte
+type Fingerprint [16]byte
 
-// ContentOf is the content of a request. The caller's address isn't part of it, since a
+// FingerprintOf is the content of a request. The caller's address isn't part of it, since a
 // caller may come back from another one; neither are header fields, which tell of the
 // attempt: its id, its patience, the event after which it goes on.
-func ContentOf(method, host, target string, body []byte) Content {
+func FingerprintOf(method, host, target string, body []byte) Fingerprint {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(host), []byte(target), body} {
 		// The length keeps two parts from running into one another.
@@ -26,10 +26,10 @@
 		_, _ = hash.Write(length[:])
 		_, _ = hash.Write(part)
 	}
-	var content Content
+	var content Fingerprint
 	copy(content[:], hash.Sum(nil))
 	return content
 }
 
 // String is the content as logs show it.
-func (c Content) String() string { return hex.EncodeToString(c[:]) }
+func (c Fingerprint) String() string { return hex.EncodeToString(c[:]) }
--- a/common/pkg/crashes/content_test.go
+++ b/common/pkg/crashes/content_test.go
@@ -7,17 +7,17 @@
 )
 
 func TestContentTellsRequestsApart(t *testing.T) {
-	same := ContentOf("POST", "team", "/a/1", []byte("body"))
-	require.Equal(t, same, ContentOf("POST", "team", "/a/1", []byte("body")))
+	same := FingerprintOf("POST", "team", "/a/1", []byte("body"))
+	require.Equal(t, same, FingerprintOf("POST", "team", "/a/1", []byte("body")))
 	for _, c := range []struct {
 		name  string
-		other Content
+		other Fingerprint
 	}{
-		{"method", ContentOf("GET", "team", "/a/1", []byte("body"))},
-		{"host", ContentOf("POST", "team2", "/a/1", []byte("body"))},
-		{"target", ContentOf("POST", "team", "/a/1?x", []byte("body"))},
-		{"body", ContentOf("POST", "team", "/a/1", []byte("bodz"))},
-		{"a part that begins earlier", ContentOf("POST", "team", "/a/", []byte("1body"))},
+		{"method", FingerprintOf("GET", "team", "/a/1", []byte("body"))},
+		{"host", FingerprintOf("POST", "team2", "/a/1", []byte("body"))},
+		{"target", FingerprintOf("POST", "team", "/a/1?x", []byte("body"))},
+		{"body", FingerprintOf("POST", "team", "/a/1", []byte("bodz"))},
+		{"a part that begins earlier", FingerprintOf("POST", "team", "/a/", []byte("1body"))},
 	} {
 		t.Run(c.name, func(t *testing.T) { require.NotEqual(t, same, c.other) })
 	}
--- a/common/pkg/crashes/evidence.go
+++ b/common/pkg/crashes/evidence.go
@@ -87,7 +87,7 @@
 	e := evidence{silent: m.silent(q)}
 	for at := range q.crashes {
 		c := m.crashes[at]
-		if c.suspects[q.content] == Silent {
+		if c.suspects[q.content] == BeforeFirstEvent {
 			e.shared++
 		}
 		if c.blamed {
@@ -95,7 +95,7 @@
 		}
 		e.all++
 		e.newest = max(e.newest, c.at)
-		if c.at+settle > now || c.suspects[q.content] != Silent {
+		if c.at+settle > now || c.suspects[q.content] != BeforeFirstEvent {
 			continue
 		}
 		rival := m.rival(c, q.content)
@@ -113,7 +113,7 @@
 func (m *Machine) silent(q *suspect) int {
 	count := 0
 	for at := range q.crashes {
-		if c := m.crashes[at]; !c.blamed && c.suspects[q.content] == Silent {
+		if c := m.crashes[at]; !c.blamed && c.suspects[q.content] == BeforeFirstEvent {
 			count++
 		}
 	}
@@ -121,7 +121,7 @@
 }
 
 // rival is the number of silent crashes of the likeliest other cause of a crash.
-func (m *Machine) rival(c *crash, content Content) int {
+func (m *Machine) rival(c *crash, content Fingerprint) int {
 	likeliest := 0
 	for other := range c.suspects {
 		if other != content {
--- a/common/pkg/crashes/machine.go
+++ b/common/pkg/crashes/machine.go
@@ -15,28 +15,28 @@
 	longestRest clock.Millis = 1_500
 )
 
-// Standing says what is thought of a request.
-type Standing int
+// Status says what is thought of a request.
+type Status int
 
 // Standings.
 const (
-	// Sound requests run as any.
-	Sound Standing = iota
-	// Doubtful ones wait a moment: what is known of their last crash isn't complete.
-	Doubtful
+	// Allowed requests run as any.
+	Allowed Status = iota
+	// Delayed ones wait a moment: what is known of their last crash isn't complete.
+	Delayed
 	// Quarantined ones aren't run.
 	Quarantined
 )
 
 // Verdict is a standing and when it ends, 0 for never.
 type Verdict struct {
-	Standing Standing
+	Status Status
 	Until    clock.Millis
 }
 
 // suspect is a request that was running when a runner crashed.
 type suspect struct {
-	content Content
+	content Fingerprint
 	crashes map[Crash]bool
 	touched clock.Millis
 	// quarantine is the newest; its Terms is 0 if there was none.
@@ -46,10 +46,10 @@
 // crash is what is known of one crash.
 type crash struct {
 	at       clock.Millis
-	suspects map[Content]Sign
+	suspects map[Fingerprint]Phase
 	// blamed is the quarantined request that explains the crash.
 	blamed bool
-	cause  Content
+	cause  Fingerprint
 }
 
 // Machine weighs crashes. The load that it answers: a request that crashes each runner
@@ -57,9 +57,9 @@
 // answer, while eight to sixteen sound requests share each of its runners and are sent
 // again too. It holds no goroutine, socket or clock.
 type Machine struct {
-	suspects map[Content]*suspect
+	suspects map[Fingerprint]*suspect
 	crashes  map[Crash]*crash
-	cleared  map[Content]clock.Millis
+	cleared  map[Fingerprint]clock.Millis
 	// newest is when the newest crash was.
 	newest clock.Millis
 	// runners is the size of the fleet, 0 if it isn't known.
@@ -70,11 +70,11 @@
 
 // New makes a machine that knows of no crash.
 func New() *Machine {
-	return &Machine{suspects: map[Content]*suspect{}, crashes: map[Crash]*crash{}, cleared: map[Content]clock.Millis{}}
+	return &Machine{suspects: map[Fingerprint]*suspect{}, crashes: map[Crash]*crash{}, cleared: map[Fingerprint]clock.Millis{}}
 }
 
-// SetRunners tells the size of the fleet.
-func (m *Machine) SetRunners(runners int) { m.runners = runners }
+// SetRunnerCount tells the size of the fleet.
+func (m *Machine) SetRunnerCount(runners int) { m.runners = runners }
 
 // KnowsCrash says whether a crash was sighted before.
 func (m *Machine) KnowsCrash(at Crash) bool { return m.crashes[at] != nil }
@@ -82,34 +82,34 @@
 // Empty says whether no request is suspected: all are sound.
 func (m *Machine) Empty() bool { return len(m.suspects) == 0 }
 
-// Knows says whether anything is held against a request.
-func (m *Machine) Knows(content Content) bool { return m.suspects[content] != nil }
+// IsSuspect says whether anything is held against a request.
+func (m *Machine) IsSuspect(content Fingerprint) bool { return m.suspects[content] != nil }
 
-// Sight takes up a run that ended with a crash, here or at another gateway; one that was
+// AddReport takes up a run that ended with a crash, here or at another gateway; one that was
 // taken up before changes nothing. A late run only tells of the crash.
-func (m *Machine) Sight(now clock.Millis, s Sighting) {
+func (m *Machine) AddReport(now clock.Millis, s Report) {
 	if now-s.At > memory {
 		return
 	}
 	c := m.crashes[s.Crash]
 	if c == nil {
 		m.roomForCrash(now)
-		c = &crash{at: s.At, suspects: map[Content]Sign{}}
+		c = &crash{at: s.At, suspects: map[Fingerprint]Phase{}}
 		m.crashes[s.Crash] = c
 		m.newest = max(m.newest, s.At)
 	}
-	if s.Sign != Young && s.Sign != Silent || m.cleared[s.Content] > 0 && m.cleared[s.Content] >= s.At {
+	if s.Phase != Early && s.Phase != BeforeFirstEvent || m.cleared[s.Fingerprint] > 0 && m.cleared[s.Fingerprint] >= s.At {
 		return
 	}
-	if c.suspects[s.Content] > 0 || len(c.suspects) >= mostSuspects {
+	if c.suspects[s.Fingerprint] > 0 || len(c.suspects) >= mostSuspects {
 		return
 	}
-	c.suspects[s.Content] = s.Sign
-	q := m.suspect(now, s.Content)
+	c.suspects[s.Fingerprint] = s.Phase
+	q := m.suspect(now, s.Fingerprint)
 	q.crashes[s.Crash] = true
 	q.touched = max(q.touched, s.At)
 	switch {
-	case q.quarantine.Terms == 0:
+	case q.quarantine.Count == 0:
 	case c.at < q.quarantine.Until:
 		m.blame(q, c)
 	default:
@@ -118,7 +118,7 @@
 	}
 }
 
-func (m *Machine) suspect(now clock.Millis, content Content) *suspect {
+func (m *Machine) suspect(now clock.Millis, content Fingerprint) *suspect {
 	q := m.suspects[content]
 	if q == nil {
 		m.roomForSuspect()
@@ -128,8 +128,8 @@
 	return q
 }
 
-// Ask says what is thought of a request now.
-func (m *Machine) Ask(now clock.Millis, content Content) Verdict {
+// Evaluate says what is thought of a request now.
+func (m *Machine) Evaluate(now clock.Millis, content Fingerprint) Verdict {
 	q := m.suspects[content]
 	if q == nil {
 		return Verdict{}
@@ -147,19 +147,19 @@
 	}
 	until := min(max(e.newest+rest, m.newest+quiet), e.newest+longestRest)
 	if until > now {
-		return Verdict{Doubtful, until}
+		return Verdict{Delayed, until}
 	}
 	return Verdict{}
 }
 
 // Clear forgets all that was held against a request: it has run without a crash.
 func (m *Machine) Clear(now clock.Millis, told Clearance) {
-	q := m.suspects[told.Content]
+	q := m.suspects[told.Fingerprint]
 	if q == nil || q.quarantine.Since > told.At+settle {
 		return
 	}
 	if len(m.cleared) < mostContents {
-		m.cleared[told.Content] = max(m.cleared[told.Content], told.At)
+		m.cleared[told.Fingerprint] = max(m.cleared[told.Fingerprint], told.At)
 	}
 	kept := 0
 	for at := range q.crashes {
@@ -172,7 +172,7 @@
 	}
 	q.quarantine = Quarantine{}
 	if kept == 0 {
-		delete(m.suspects, told.Content)
+		delete(m.suspects, told.Fingerprint)
 	}
 	for content, at := range m.cleared {
 		if now-at > clearedFor {
--- a/common/pkg/crashes/machine_test.go
+++ b/common/pkg/crashes/machine_test.go
@@ -16,11 +16,11 @@
 )
 
 // crashing is a machine with a request that has crashed so many runners, a second apart.
-func crashing(crashes int) (m *Machine, bad Content, now clock.Millis) {
+func crashing(crashes int) (m *Machine, bad Fingerprint, now clock.Millis) {
 	m, bad, now = New(), simContent(1), start
-	m.SetRunners(12)
+	m.SetRunnerCount(12)
 	for n := range crashes {
-		m.Sight(now, Sighting{Crash: Crash{Runner: fmt.Sprint(n)}, Content: bad, Sign: Silent, At: now})
+		m.AddReport(now, Report{Crash: Crash{Runner: fmt.Sprint(n)}, Fingerprint: bad, Phase: BeforeFirstEvent, At: now})
 		now += 1_000
 	}
 	return m, bad, now
@@ -28,16 +28,16 @@
 
 func TestThreeCrashesQuarantineForATerm(t *testing.T) {
 	m, bad, now := crashing(2)
-	require.Equal(t, Sound, m.Ask(now, bad).Standing)
+	require.Equal(t, Allowed, m.Evaluate(now, bad).Status)
 	m, bad, now = crashing(3)
-	verdict := m.Ask(now, bad)
-	require.Equal(t, Quarantined, verdict.Standing)
+	verdict := m.Evaluate(now, bad)
+	require.Equal(t, Quarantined, verdict.Status)
 	require.Equal(t, now+firstTerm, verdict.Until)
-	found := m.Found()
+	found := m.PopNewQuarantines()
 	require.Len(t, found, 1)
-	require.Empty(t, m.Found(), "told once")
-	require.Equal(t, Sound, m.Ask(verdict.Until, bad).Standing, "it ends")
-	require.Equal(t, Sound, m.Ask(now, simContent(2)).Standing, "nobody else is meant")
+	require.Empty(t, m.PopNewQuarantines(), "told once")
+	require.Equal(t, Allowed, m.Evaluate(verdict.Until, bad).Status, "it ends")
+	require.Equal(t, Allowed, m.Evaluate(now, simContent(2)).Status, "nobody else is meant")
 }
 
 // After its quarantine a request is tried again. If it crashes its runner, one crash is
@@ -46,12 +46,12 @@
 	m, bad, now := crashing(3)
 	span := firstTerm
 	for n := range 6 {
-		verdict := m.Ask(now, bad)
-		require.Equal(t, Quarantined, verdict.Standing)
+		verdict := m.Evaluate(now, bad)
+		require.Equal(t, Quarantined, verdict.Status)
 		require.Equal(t, span, verdict.Until-now, "term %d", n)
 		now = verdict.Until + minute
-		require.Equal(t, Sound, m.Ask(now, bad).Standing)
-		m.Sight(now, Sighting{Crash: Crash{Runner: fmt.Sprint("again", n)}, Content: bad, Sign: Silent, At: now})
+		require.Equal(t, Allowed, m.Evaluate(now, bad).Status)
+		m.AddReport(now, Report{Crash: Crash{Runner: fmt.Sprint("again", n)}, Fingerprint: bad, Phase: BeforeFirstEvent, At: now})
 		span = min(2*span, longestTerm)
 	}
 }
@@ -59,18 +59,18 @@
 func TestDoubtRestsAMoment(t *testing.T) {
 	m, bad, now := crashing(2)
 	at := now - 1_000
-	verdict := m.Ask(at+10, bad)
-	require.Equal(t, Doubtful, verdict.Standing)
+	verdict := m.Evaluate(at+10, bad)
+	require.Equal(t, Delayed, verdict.Status)
 	require.Equal(t, at+rest, verdict.Until)
 	// Runners that crash for other reasons meanwhile put it off, up to a bound.
 	for n := range 30 {
 		now = at + clock.Millis(n)*100
-		m.Sight(now, Sighting{Crash: Crash{Runner: fmt.Sprint("other", n)}, At: now})
+		m.AddReport(now, Report{Crash: Crash{Runner: fmt.Sprint("other", n)}, At: now})
 	}
-	verdict = m.Ask(at+1_400, bad)
-	require.Equal(t, Doubtful, verdict.Standing)
+	verdict = m.Evaluate(at+1_400, bad)
+	require.Equal(t, Delayed, verdict.Status)
 	require.Equal(t, at+longestRest, verdict.Until)
-	require.Equal(t, Sound, m.Ask(at+longestRest, bad).Standing)
+	require.Equal(t, Allowed, m.Evaluate(at+longestRest, bad).Status)
 }
 
 // A sound request shares three crashes with one that causes them. Once that one is known,
@@ -80,43 +80,43 @@
 	sound := simContent(2)
 	for n := range 3 {
 		at := start + clock.Millis(n)*1_000
-		m.Sight(now, Sighting{Crash: Crash{Runner: fmt.Sprint(n)}, Content: sound, Sign: Silent, At: at})
+		m.AddReport(now, Report{Crash: Crash{Runner: fmt.Sprint(n)}, Fingerprint: sound, Phase: BeforeFirstEvent, At: at})
 	}
-	require.Equal(t, Sound, m.Ask(now+minute, sound).Standing, "neither is ahead")
-	require.Equal(t, Sound, m.Ask(now+minute, bad).Standing)
+	require.Equal(t, Allowed, m.Evaluate(now+minute, sound).Status, "neither is ahead")
+	require.Equal(t, Allowed, m.Evaluate(now+minute, bad).Status)
 	for n := range 2 {
-		m.Sight(now+minute, Sighting{Crash: Crash{Runner: fmt.Sprint("more", n)}, Content: bad, Sign: Silent, At: now + minute})
+		m.AddReport(now+minute, Report{Crash: Crash{Runner: fmt.Sprint("more", n)}, Fingerprint: bad, Phase: BeforeFirstEvent, At: now + minute})
 	}
 	now += minute + settle
-	require.Equal(t, Quarantined, m.Ask(now, bad).Standing)
+	require.Equal(t, Quarantined, m.Evaluate(now, bad).Status)
 	for n := range 2 {
-		m.Sight(now, Sighting{Crash: Crash{Runner: fmt.Sprint("later", n)}, Content: sound, Sign: Silent, At: now})
+		m.AddReport(now, Report{Crash: Crash{Runner: fmt.Sprint("later", n)}, Fingerprint: sound, Phase: BeforeFirstEvent, At: now})
 	}
-	require.Equal(t, Sound, m.Ask(now+minute, sound).Standing, "two of its own, and three that are explained")
+	require.Equal(t, Allowed, m.Evaluate(now+minute, sound).Status, "two of its own, and three that are explained")
 }
 
 func TestAWholeAnswerClears(t *testing.T) {
 	m, bad, now := crashing(3)
-	require.Equal(t, Quarantined, m.Ask(now, bad).Standing)
-	m.Clear(now+1, Clearance{Content: bad, At: now + 1})
-	require.Equal(t, Sound, m.Ask(now+1, bad).Standing)
+	require.Equal(t, Quarantined, m.Evaluate(now, bad).Status)
+	m.Clear(now+1, Clearance{Fingerprint: bad, At: now + 1})
+	require.Equal(t, Allowed, m.Evaluate(now+1, bad).Status)
 	require.True(t, m.Empty())
 	// News of before come late.
-	m.Sight(now+2, Sighting{Crash: Crash{Runner: "0"}, Content: bad, Sign: Silent, At: start})
-	require.False(t, m.Impose(now+2, Quarantine{Content: bad, Since: now, Until: now + minute, Terms: 1}))
+	m.AddReport(now+2, Report{Crash: Crash{Runner: "0"}, Fingerprint: bad, Phase: BeforeFirstEvent, At: start})
+	require.False(t, m.ApplyQuarantine(now+2, Quarantine{Fingerprint: bad, Since: now, Until: now + minute, Count: 1}))
 	require.True(t, m.Empty())
 }
 
 func TestAnotherDaemonsQuarantineHolds(t *testing.T) {
 	m, bad := New(), simContent(1)
-	require.True(t, m.Impose(start, Quarantine{Content: bad, Since: start - 10, Until: start + minute, Terms: 1}))
-	require.False(t, m.Impose(start, Quarantine{Content: bad, Since: start - 10, Until: start + minute, Terms: 1}), "told twice")
-	require.Equal(t, Verdict{Quarantined, start + minute}, m.Ask(start, bad))
+	require.True(t, m.ApplyQuarantine(start, Quarantine{Fingerprint: bad, Since: start - 10, Until: start + minute, Count: 1}))
+	require.False(t, m.ApplyQuarantine(start, Quarantine{Fingerprint: bad, Since: start - 10, Until: start + minute, Count: 1}), "told twice")
+	require.Equal(t, Verdict{Quarantined, start + minute}, m.Evaluate(start, bad))
 	require.Len(t, m.Quarantines(start), 1)
 	// One that lasts for years, or that has ended, comes from a clock or a program that errs.
-	m.Impose(start, Quarantine{Content: bad, Since: start, Until: start + 1_000*longestTerm, Terms: 2})
-	require.Equal(t, start+longestTerm, m.Ask(start, bad).Until)
-	require.False(t, m.Impose(start, Quarantine{Content: simContent(2), Since: start - minute, Until: start, Terms: 1}))
+	m.ApplyQuarantine(start, Quarantine{Fingerprint: bad, Since: start, Until: start + 1_000*longestTerm, Count: 2})
+	require.Equal(t, start+longestTerm, m.Evaluate(start, bad).Until)
+	require.False(t, m.ApplyQuarantine(start, Quarantine{Fingerprint: simContent(2), Since: start - minute, Until: start, Count: 1}))
 }
 
 func TestSignOf(t *testing.T) {
@@ -124,16 +124,16 @@
 		name         string
 		heard, asked clock.Millis
 		streams      bool
-		want         Sign
+		want         Phase
 	}{
-		{"no event", -1, 90, true, Silent},
-		{"no event, in a queue for long", -1, 3_000, true, Silent},
-		{"events for a moment", 200, 300, true, Young},
+		{"no event", -1, 90, true, BeforeFirstEvent},
+		{"no event, in a queue for long", -1, 3_000, true, BeforeFirstEvent},
+		{"events for a moment", 200, 300, true, Early},
 		{"events for long", youngSpan, 900, true, Late},
-		{"a plain answer soon", -1, 90, false, Silent},
-		{"a plain answer that takes long", -1, youngSpan, false, Young},
+		{"a plain answer soon", -1, 90, false, BeforeFirstEvent},
+		{"a plain answer that takes long", -1, youngSpan, false, Early},
 	} {
-		t.Run(c.name, func(t *testing.T) { require.Equal(t, c.want, SignOf(c.heard, c.asked, c.streams)) })
+		t.Run(c.name, func(t *testing.T) { require.Equal(t, c.want, PhaseOf(c.heard, c.asked, c.streams)) })
 	}
 }
 
@@ -150,21 +150,21 @@
 			case 0:
 				first := rapid.IntRange(0, 5_000).Draw(t, "first")
 				for n := range rapid.IntRange(1, 60).Draw(t, "runs") {
-					m.Sight(now, Sighting{
+					m.AddReport(now, Report{
 						Crash:   Crash{Runner: fmt.Sprint(rapid.IntRange(0, 900).Draw(t, "runner"))},
-						Content: simContent(first + n), Sign: Sign(rapid.IntRange(-1, 4).Draw(t, "sign")), At: now - age,
+						Fingerprint: simContent(first + n), Phase: Phase(rapid.IntRange(-1, 4).Draw(t, "sign")), At: now - age,
 					})
 				}
 			case 1:
-				m.Impose(now, Quarantine{
-					Content: content, Since: now - age, Until: now + clock.Millis(rapid.Int64Range(-10, 1<<40).Draw(t, "left")),
-					Terms: rapid.IntRange(1, 5).Draw(t, "terms"),
+				m.ApplyQuarantine(now, Quarantine{
+					Fingerprint: content, Since: now - age, Until: now + clock.Millis(rapid.Int64Range(-10, 1<<40).Draw(t, "left")),
+					Count: rapid.IntRange(1, 5).Draw(t, "terms"),
 				})
 			case 2:
-				m.Clear(now, Clearance{Content: content, At: now})
-				require.NotEqual(t, Quarantined, m.Ask(now, content).Standing)
+				m.Clear(now, Clearance{Fingerprint: content, At: now})
+				require.NotEqual(t, Quarantined, m.Evaluate(now, content).Status)
 			default:
-				if verdict := m.Ask(now, content); verdict.Standing != Sound {
+				if verdict := m.Evaluate(now, content); verdict.Status != Allowed {
 					require.Greater(t, verdict.Until, now)
 					require.LessOrEqual(t, verdict.Until, now+longestTerm)
 				}
--- a/common/pkg/crashes/quarantine.go
+++ b/common/pkg/crashes/quarantine.go
@@ -21,16 +21,16 @@
 
 // Quarantine keeps a request from all runners for a while.
 type Quarantine struct {
-	Content Content
+	Fingerprint Fingerprint
 	Since   clock.Millis
 	Until   clock.Millis
-	// Terms counts how often the request was quarantined.
-	Terms int
+	// Count counts how often the request was quarantined.
+	Count int
 }
 
 // Clearance says that a request ran without a crash.
 type Clearance struct {
-	Content Content
+	Fingerprint Fingerprint
 	At      clock.Millis
 }
 
@@ -40,13 +40,13 @@
 }
 
 func (m *Machine) quarantine(now clock.Millis, q *suspect) {
-	terms := q.quarantine.Terms + 1
-	m.impose(q, Quarantine{Content: q.content, Since: now, Until: now + term(terms), Terms: terms})
+	terms := q.quarantine.Count + 1
+	m.impose(q, Quarantine{Fingerprint: q.content, Since: now, Until: now + term(terms), Count: terms})
 	m.found = append(m.found, q.quarantine)
 }
 
-// Found takes the quarantines that this machine found due since it was asked last.
-func (m *Machine) Found() []Quarantine {
+// PopNewQuarantines takes the quarantines that this machine found due since it was asked last.
+func (m *Machine) PopNewQuarantines() []Quarantine {
 	found := m.found
 	m.found = nil
 	return found
@@ -68,14 +68,14 @@
 	return span
 }
 
-// Impose takes over a quarantine that another daemon found due; it says whether it is news.
-func (m *Machine) Impose(now clock.Millis, told Quarantine) bool {
+// ApplyQuarantine takes over a quarantine that another daemon found due; it says whether it is news.
+func (m *Machine) ApplyQuarantine(now clock.Millis, told Quarantine) bool {
 	told.Until = min(told.Until, now+longestTerm)
-	if told.Until <= now || m.cleared[told.Content] > 0 && m.cleared[told.Content] >= told.Since-settle {
+	if told.Until <= now || m.cleared[told.Fingerprint] > 0 && m.cleared[told.Fingerprint] >= told.Since-settle {
 		return false
 	}
-	q := m.suspect(now, told.Content)
-	if q.quarantine.Terms > told.Terms || q.quarantine.Until >= told.Until {
+	q := m.suspect(now, told.Fingerprint)
+	if q.quarantine.Count > told.Count || q.quarantine.Until >= told.Until {
 		return false
 	}
 	news := q.quarantine.Until <= now
@@ -94,21 +94,21 @@
 	return list
 }
 
-// Sightings lists runs that ended with a crash and that no quarantined request explains:
+// Reports lists runs that ended with a crash and that no quarantined request explains:
 // those of the last seconds, and those of requests that more than one crash speaks against.
 // The newest come first, at most so many.
-func (m *Machine) Sightings(now clock.Millis, most int) []Sighting {
-	var list []Sighting
+func (m *Machine) Reports(now clock.Millis, most int) []Report {
+	var list []Report
 	for at, c := range m.crashes {
 		if c.blamed {
 			continue
 		}
 		for content, sign := range c.suspects {
 			if now-c.at <= recent || len(m.suspects[content].crashes) >= doubtful {
-				list = append(list, Sighting{Crash: at, Content: content, Sign: sign, At: c.at})
+				list = append(list, Report{Crash: at, Fingerprint: content, Phase: sign, At: c.at})
 			}
 		}
 	}
-	slices.SortFunc(list, func(a, b Sighting) int { return cmp.Compare(b.At, a.At) })
+	slices.SortFunc(list, func(a, b Report) int { return cmp.Compare(b.At, a.At) })
 	return list[:min(len(list), most)]
 }
--- a/common/pkg/crashes/replay_test.go
+++ b/common/pkg/crashes/replay_test.go
@@ -24,14 +24,14 @@
 	// crashed counts the runs of each request that its runner's crash ended, reached those
 	// that began, and late those that began after the third one's news had been out for
 	// three seconds.
-	crashed map[Content]int
-	reached map[Content]int
-	thirdAt map[Content]clock.Millis
-	late    map[Content]int
-	sound   map[Content]bool
+	crashed map[Fingerprint]int
+	reached map[Fingerprint]int
+	thirdAt map[Fingerprint]clock.Millis
+	late    map[Fingerprint]int
+	sound   map[Fingerprint]bool
 	served  int
 	refused int
-	wrong   []Content
+	wrong   []Fingerprint
 }
 
 type worldConfig struct {
@@ -67,7 +67,7 @@
 }
 
 type simRequest struct {
-	content Content
+	content Fingerprint
 	killer  bool
 	// left is how long it runs on, attempts how often its caller came back.
 	left     clock.Millis
@@ -105,12 +105,12 @@
 
 func playWorld(c worldConfig) *world {
 	w := &world{
-		config: c, random: rand.New(rand.NewPCG(c.seed, 1)), crashed: map[Content]int{}, reached: map[Content]int{},
-		thirdAt: map[Content]clock.Millis{}, late: map[Content]int{}, sound: map[Content]bool{}, now: 1_000_000,
+		config: c, random: rand.New(rand.NewPCG(c.seed, 1)), crashed: map[Fingerprint]int{}, reached: map[Fingerprint]int{},
+		thirdAt: map[Fingerprint]clock.Millis{}, late: map[Fingerprint]int{}, sound: map[Fingerprint]bool{}, now: 1_000_000,
 	}
 	for range c.gateways {
 		m := New()
-		m.SetRunners(c.runners)
+		m.SetRunnerCount(c.runners)
 		w.machines = append(w.machines, m)
 	}
 	for range c.runners {
@@ -140,7 +140,7 @@
 	return w
 }
 
-func simContent(n int) Content { return ContentOf("POST", "team", fmt.Sprint(n), nil) }
+func simContent(n int) Fingerprint { return FingerprintOf("POST", "team", fmt.Sprint(n), nil) }
 
 func (w *world) after(span clock.Millis, do func()) {
 	heap.Push(&w.events, event{w.now + span, len(w.events) + int(w.random.Int32N(1<<20)), do})
@@ -166,10 +166,10 @@
 // place sends a request to the runner with the least under way.
 func (w *world) place(q *simRequest, gateway int) {
 	m := w.machines[gateway]
-	verdict := m.Ask(w.now, q.content)
+	verdict := m.Evaluate(w.now, q.content)
 	w.tellFound(gateway)
-	switch verdict.Standing {
-	case Doubtful:
+	switch verdict.Status {
+	case Delayed:
 		w.after(max(verdict.Until-w.now, 1), func() { w.place(q, gateway) })
 		return
 	case Quarantined:
@@ -236,8 +236,8 @@
 
 func (w *world) survived(run *simRun) {
 	m := w.machines[run.gateway]
-	if m.Knows(run.request.content) {
-		told := Clearance{Content: run.request.content, At: w.now}
+	if m.IsSuspect(run.request.content) {
+		told := Clearance{Fingerprint: run.request.content, At: w.now}
 		m.Clear(w.now, told)
 		w.tell(run.gateway, func(m *Machine) { m.Clear(w.now, told) })
 	}
@@ -260,7 +260,7 @@
 	r.up = false
 	runs := slices.Concat(r.running, r.waiting)
 	r.running, r.waiting = nil, nil
-	crash := Crash{Runner: fmt.Sprint(at), Born: r.born}
+	crash := Crash{Runner: fmt.Sprint(at), StartedAt: r.born}
 	for _, run := range runs {
 		run.ended = true
 		q := run.request
@@ -277,13 +277,13 @@
 func (w *world) sight(run *simRun, crash Crash) {
 	q := run.request
 	heard := run.heard(w.now)
-	s := Sighting{Crash: crash, Content: q.content, Sign: SignOf(heard, w.now-run.sent, true), At: w.now}
-	if s.Sign == Late {
+	s := Report{Crash: crash, Fingerprint: q.content, Phase: PhaseOf(heard, w.now-run.sent, true), At: w.now}
+	if s.Phase == Late {
 		w.survived(run)
 	}
-	if s.Sign != Late || !w.machines[run.gateway].KnowsCrash(crash) {
-		w.machines[run.gateway].Sight(w.now, s)
-		w.tell(run.gateway, func(m *Machine) { m.Sight(w.now, s) })
+	if s.Phase != Late || !w.machines[run.gateway].KnowsCrash(crash) {
+		w.machines[run.gateway].AddReport(w.now, s)
+		w.tell(run.gateway, func(m *Machine) { m.AddReport(w.now, s) })
 		w.tellFound(run.gateway)
 	}
 	q.left -= max(heard, 0)
@@ -303,8 +303,8 @@
 }
 
 func (w *world) tellFound(gateway int) {
-	for _, found := range w.machines[gateway].Found() {
-		w.tell(gateway, func(m *Machine) { m.Impose(w.now, found) })
+	for _, found := range w.machines[gateway].PopNewQuarantines() {
+		w.tell(gateway, func(m *Machine) { m.ApplyQuarantine(w.now, found) })
 	}
 }
 
@@ -323,7 +323,7 @@
 			delay += 40
 		}
 		if delay > 0 {
-			w.after(delay, func() { news(m); m.Found() })
+			w.after(delay, func() { news(m); m.PopNewQuarantines() })
 		}
 	}
 }
--- a/common/pkg/crashes/sighting.go
+++ b/common/pkg/crashes/sighting.go
@@ -2,18 +2,18 @@
 
 import "toucanhinge.example/common/pkg/clock"
 
-// Sign is what a run that ended with its runner's crash says of the request.
-type Sign int
+// Phase is what a run that ended with its runner's crash says of the request.
+type Phase int
 
 // Signs.
 const (
 	// Late runs had given events for too long to be the cause.
-	Late Sign = iota
-	// Young ones had given events for less than youngSpan.
-	Young
-	// Silent ones had given none. Requests that crash their runner do so 30 to 105 ms after
+	Late Phase = iota
+	// Early ones had given events for less than youngSpan.
+	Early
+	// BeforeFirstEvent ones had given none. Requests that crash their runner do so 30 to 105 ms after
 	// they begin, before their first event (eleven runs whose begin and end are known).
-	Silent
+	BeforeFirstEvent
 )
 
 // youngSpan is the time after which a request doesn't crash the runner that began to run
@@ -24,28 +24,28 @@
 // start of a runner has an id or a time of its own, so it crashes once.
 type Crash struct {
 	Runner string
-	Born   int64
+	StartedAt   int64
 }
 
-// Sighting is a run that ended with its runner's crash.
-type Sighting struct {
+// Report is a run that ended with its runner's crash.
+type Report struct {
 	Crash   Crash
-	Content Content
-	Sign    Sign
+	Fingerprint Fingerprint
+	Phase    Phase
 	// At is when the runner crashed.
 	At clock.Millis
 }
 
-// SignOf is the sign of a run that ended with a crash. Heard is how long events had come,
+// PhaseOf is the sign of a run that ended with a crash. Heard is how long events had come,
 // negative for none; asked how long ago the request was sent there; streams whether it
 // gives events at all.
-func SignOf(heard, asked clock.Millis, streams bool) Sign {
+func PhaseOf(heard, asked clock.Millis, streams bool) Phase {
 	switch {
 	case heard >= youngSpan:
 		return Late
 	case heard >= 0, !streams && asked >= youngSpan:
-		return Young
+		return Early
 	default:
-		return Silent
+		return BeforeFirstEvent
 	}
 }
--- a/common/pkg/digest/crashes.go
+++ b/common/pkg/digest/crashes.go
@@ -51,7 +51,7 @@
 
 // crashFindings is what this daemon found out.
 type crashFindings struct {
-	sightings   []crashes.Sighting
+	sightings   []crashes.Report
 	quarantines []crashes.Quarantine
 	clearances  []crashes.Clearance
 }
@@ -61,16 +61,16 @@
 	news := &toucanhingev1.CrashNews{}
 	for _, s := range f.sightings {
 		news.Sightings = append(news.Sightings, &toucanhingev1.CrashSighting{
-			Runner: s.Crash.Runner, BornMs: s.Crash.Born, Content: s.Content[:], Sign: uint32(s.Sign), AgeMs: ageOf(now, s.At),
+			Runner: s.Crash.Runner, BornMs: s.Crash.StartedAt, Content: s.Fingerprint[:], Sign: uint32(s.Phase), AgeMs: ageOf(now, s.At),
 		})
 	}
 	for _, q := range f.quarantines {
 		news.Quarantines = append(news.Quarantines, &toucanhingev1.RequestQuarantine{
-			Content: q.Content[:], AgeMs: ageOf(now, q.Since), LeftMs: ageOf(q.Until, now), Terms: uint32(q.Terms),
+			Content: q.Fingerprint[:], AgeMs: ageOf(now, q.Since), LeftMs: ageOf(q.Until, now), Terms: uint32(q.Count),
 		})
 	}
 	for _, c := range f.clearances {
-		news.Clearances = append(news.Clearances, &toucanhingev1.RequestClearance{Content: c.Content[:], AgeMs: ageOf(now, c.At)})
+		news.Clearances = append(news.Clearances, &toucanhingev1.RequestClearance{Content: c.Fingerprint[:], AgeMs: ageOf(now, c.At)})
 	}
 	return news
 }
@@ -84,66 +84,66 @@
 	}
 }
 
-// Crashed notes a run that ended with its runner's crash, and tells all daemons of it.
-func (x *Exchange) Crashed(r *toucanhingev1.Runner, content crashes.Content, sign crashes.Sign) {
+// ReportCrash notes a run that ended with its runner's crash, and tells all daemons of it.
+func (x *Exchange) ReportCrash(r *toucanhingev1.Runner, content crashes.Fingerprint, sign crashes.Phase) {
 	now := x.config.Clock.Now()
-	s := crashes.Sighting{Crash: crashes.Crash{Runner: r.GetId(), Born: r.GetBornMs()}, Content: content, Sign: sign, At: now}
+	s := crashes.Report{Crash: crashes.Crash{Runner: r.GetId(), StartedAt: r.GetBornMs()}, Fingerprint: content, Phase: sign, At: now}
 	x.news.mu.Lock()
 	defer x.news.mu.Unlock()
 	if sign == crashes.Late && x.news.machine.KnowsCrash(s.Crash) {
 		return
 	}
-	x.news.machine.Sight(now, s)
+	x.news.machine.AddReport(now, s)
 	x.news.outbox.sightings = append(x.news.outbox.sightings, s)
 	x.tellFound()
 	x.news.wake()
 }
 
-// SetRunners tells how many runners the fleet has.
-func (x *Exchange) SetRunners(runners int) {
+// SetRunnerCount tells how many runners the fleet has.
+func (x *Exchange) SetRunnerCount(runners int) {
 	x.news.mu.Lock()
 	defer x.news.mu.Unlock()
-	x.news.machine.SetRunners(runners)
+	x.news.machine.SetRunnerCount(runners)
 }
 
-// Suspects says whether any request is suspected of crashing runners.
-func (x *Exchange) Suspects() bool {
+// HasSuspects says whether any request is suspected of crashing runners.
+func (x *Exchange) HasSuspects() bool {
 	x.news.mu.Lock()
 	defer x.news.mu.Unlock()
 	return !x.news.machine.Empty()
 }
 
-// Standing says whether a request may run.
-func (x *Exchange) Standing(content crashes.Content) crashes.Verdict {
+// CheckRequest says whether a request may run.
+func (x *Exchange) CheckRequest(content crashes.Fingerprint) crashes.Verdict {
 	now := x.config.Clock.Now()
 	x.news.mu.Lock()
 	defer x.news.mu.Unlock()
-	verdict := x.news.machine.Ask(now, content)
+	verdict := x.news.machine.Evaluate(now, content)
 	x.tellFound()
 	return verdict
 }
 
 // tellFound tells of the quarantines that were found due here; the caller holds the lock.
 func (x *Exchange) tellFound() {
-	for _, q := range x.news.machine.Found() {
+	for _, q := range x.news.machine.PopNewQuarantines() {
 		x.logQuarantine(q, x.config.Source)
 		x.news.outbox.quarantines = append(x.news.outbox.quarantines, q)
 		x.news.wake()
 	}
 }
 
-// Survived notes that a request ran without a crash, if anything was held against it.
-func (x *Exchange) Survived(content crashes.Content) {
+// RecordSuccess notes that a request ran without a crash, if anything was held against it.
+func (x *Exchange) RecordSuccess(content crashes.Fingerprint) {
 	now := x.config.Clock.Now()
 	x.news.mu.Lock()
 	defer x.news.mu.Unlock()
-	if !x.news.machine.Knows(content) {
+	if !x.news.machine.IsSuspect(content) {
 		return
 	}
-	c := crashes.Clearance{Content: content, At: now}
+	c := crashes.Clearance{Fingerprint: content, At: now}
 	x.news.machine.Clear(now, c)
 	x.news.outbox.clearances = append(x.news.outbox.clearances, c)
-	level.Info(x.config.Logger).Log(logs.KeyEvent, "request-cleared", logs.KeyContent, content)
+	level.Info(x.config.Logger).Log(logs.KeyEvent, "request-cleared", logs.KeyFingerprint, content)
 	x.news.wake()
 }
 
@@ -154,23 +154,23 @@
 	return x.news.machine.Quarantines(x.config.Clock.Now())
 }
 
-// Impose takes over quarantines from the log. Others hear of them as of all that is known.
-func (x *Exchange) Impose(list []crashes.Quarantine) {
+// ApplyQuarantines takes over quarantines from the log. Others hear of them as of all that is known.
+func (x *Exchange) ApplyQuarantines(list []crashes.Quarantine) {
 	now := x.config.Clock.Now()
 	x.news.mu.Lock()
 	defer x.news.mu.Unlock()
 	for _, q := range list {
-		if x.news.machine.Impose(now, q) {
+		if x.news.machine.ApplyQuarantine(now, q) {
 			x.logQuarantine(q, "log")
 		}
 	}
 }
 
-// Quarantined counts the requests that are kept from all runners.
-func (x *Exchange) Quarantined() int { return len(x.Quarantines()) }
+// QuarantineCount counts the requests that are kept from all runners.
+func (x *Exchange) QuarantineCount() int { return len(x.Quarantines()) }
 
 func (x *Exchange) logQuarantine(q crashes.Quarantine, by string) {
-	level.Warn(x.config.Logger).Log(logs.KeyEvent, "request-quarantined", logs.KeyContent, q.Content, "terms", q.Terms,
+	level.Warn(x.config.Logger).Log(logs.KeyEvent, "request-quarantined", logs.KeyFingerprint, q.Fingerprint, "terms", q.Count,
 		"span-ms", q.Until-q.Since, "found-by", by)
 }
 
@@ -278,7 +278,7 @@
 // knownCrashes is all that is known; the caller holds the lock.
 func (x *Exchange) knownCrashes(now clock.Millis) *toucanhingev1.CrashNews {
 	machine := x.news.machine
-	return crashFindings{quarantines: machine.Quarantines(now), sightings: machine.Sightings(now, mostSightings)}.message(now)
+	return crashFindings{quarantines: machine.Quarantines(now), sightings: machine.Reports(now, mostSightings)}.message(now)
 }
 
 func (x *Exchange) sendCrashNews(news *toucanhingev1.CrashNews, peer netip.AddrPort) {
@@ -296,24 +296,24 @@
 	x.news.mu.Lock()
 	for _, m := range news.GetSightings() {
 		if content, ok := contentOf(m.GetContent()); ok {
-			x.news.machine.Sight(now, crashes.Sighting{
-				Crash: crashes.Crash{Runner: m.GetRunner(), Born: m.GetBornMs()}, Content: content,
-				Sign: crashes.Sign(m.GetSign()), At: now - clock.Millis(m.GetAgeMs()),
+			x.news.machine.AddReport(now, crashes.Report{
+				Crash: crashes.Crash{Runner: m.GetRunner(), StartedAt: m.GetBornMs()}, Fingerprint: content,
+				Phase: crashes.Phase(m.GetSign()), At: now - clock.Millis(m.GetAgeMs()),
 			})
 		}
 	}
 	for _, m := range news.GetQuarantines() {
 		content, ok := contentOf(m.GetContent())
 		told := crashes.Quarantine{
-			Content: content, Since: now - clock.Millis(m.GetAgeMs()), Until: now + clock.Millis(m.GetLeftMs()), Terms: int(m.GetTerms()),
+			Fingerprint: content, Since: now - clock.Millis(m.GetAgeMs()), Until: now + clock.Millis(m.GetLeftMs()), Count: int(m.GetTerms()),
 		}
-		if ok && x.news.machine.Impose(now, told) {
+		if ok && x.news.machine.ApplyQuarantine(now, told) {
 			x.logQuarantine(told, source)
 		}
 	}
 	for _, m := range news.GetClearances() {
 		if content, ok := contentOf(m.GetContent()); ok {
-			x.news.machine.Clear(now, crashes.Clearance{Content: content, At: now - clock.Millis(m.GetAgeMs())})
+			x.news.machine.Clear(now, crashes.Clearance{Fingerprint: content, At: now - clock.Millis(m.GetAgeMs())})
 		}
 	}
 	x.tellFound()
@@ -327,7 +327,7 @@
 	}
 }
 
-func contentOf(data []byte) (crashes.Content, bool) {
-	var content crashes.Content
+func contentOf(data []byte) (crashes.Fingerprint, bool) {
+	var content crashes.Fingerprint
 	return content, copy(content[:], data) == len(content) && len(data) == len(content)
 }
--- a/common/pkg/digest/crashes_test.go
+++ b/common/pkg/digest/crashes_test.go
@@ -48,7 +48,7 @@
 		Version: func() uint64 { return 0 },
 	})
 	require.NoError(p.t, err)
-	x.SetRunners(144)
+	x.SetRunnerCount(144)
 	p.peers = append(p.peers, Peer{Address: address, DataCentre: centre})
 	p.daemons = append(p.daemons, x)
 	p.duties.Go(func() { x.Run(p.ctx) })
@@ -62,10 +62,10 @@
 	}
 }
 
-func (p *party) knowing(content crashes.Content) int {
+func (p *party) knowing(content crashes.Fingerprint) int {
 	count := 0
 	for _, x := range p.daemons {
-		if x.Standing(content).Standing == crashes.Quarantined {
+		if x.CheckRequest(content).Status == crashes.Quarantined {
 			count++
 		}
 	}
@@ -73,9 +73,9 @@
 }
 
 // crash lets a request crash three runners, each under a call of another daemon.
-func (p *party) crash(content crashes.Content) {
+func (p *party) crash(content crashes.Fingerprint) {
 	for n := range 3 {
-		p.daemons[n%len(p.daemons)].Crashed(&toucanhingev1.Runner{Id: fmt.Sprint("r", n)}, content, crashes.Silent)
+		p.daemons[n%len(p.daemons)].ReportCrash(&toucanhingev1.Runner{Id: fmt.Sprint("r", n)}, content, crashes.BeforeFirstEvent)
 	}
 }
 
@@ -86,12 +86,12 @@
 	for _, daemons := range []int{3, 89} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			p := newParty(t, daemons)
-			bad := crashes.ContentOf("POST", "team", "/bad", nil)
+			bad := crashes.FingerprintOf("POST", "team", "/bad", nil)
 			began := time.Now()
 			p.crash(bad)
 			require.Eventually(t, func() bool { return p.knowing(bad) == daemons }, 2*time.Second, 10*time.Millisecond)
 			t.Logf("%d daemons knew after %v", daemons, time.Since(began).Round(time.Millisecond))
-			require.Zero(t, p.knowing(crashes.ContentOf("POST", "team", "/good", nil)))
+			require.Zero(t, p.knowing(crashes.FingerprintOf("POST", "team", "/good", nil)))
 		})
 	}
 }
@@ -100,13 +100,13 @@
 // It asks the others, and refuses the request before the platform sends it many callers.
 func TestADaemonThatStartsLearnsWhatIsQuarantined(t *testing.T) {
 	p := newParty(t, 8)
-	bad := crashes.ContentOf("POST", "team", "/bad", nil)
+	bad := crashes.FingerprintOf("POST", "team", "/bad", nil)
 	p.crash(bad)
 	require.Eventually(t, func() bool { return p.knowing(bad) == 8 }, 2*time.Second, 10*time.Millisecond)
 	late := p.add()
 	late.SetPeers(p.peers)
 	began := time.Now()
-	require.Eventually(t, func() bool { return late.Standing(bad).Standing == crashes.Quarantined }, time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return late.CheckRequest(bad).Status == crashes.Quarantined }, time.Second, 5*time.Millisecond)
 	t.Logf("known after %v", time.Since(began).Round(time.Millisecond))
 }
 
@@ -115,21 +115,21 @@
 func TestADaemonThatWasCutOffHearsOfQuarantines(t *testing.T) {
 	p := newParty(t, 5)
 	back := p.add()
-	bad := crashes.ContentOf("POST", "team", "/bad", nil)
+	bad := crashes.FingerprintOf("POST", "team", "/bad", nil)
 	p.crash(bad)
 	require.Eventually(t, func() bool { return p.knowing(bad) >= 5 }, 2*time.Second, 10*time.Millisecond)
-	require.False(t, back.Suspects())
+	require.False(t, back.HasSuspects())
 	p.introduce()
-	require.Eventually(t, func() bool { return back.Standing(bad).Standing == crashes.Quarantined }, 3*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return back.CheckRequest(bad).Status == crashes.Quarantined }, 3*time.Second, 10*time.Millisecond)
 }
 
 // A request that was suspected, or quarantined, runs whole somewhere. All daemons let it run.
 func TestAllDaemonsLearnThatARequestIsSound(t *testing.T) {
 	p := newParty(t, 5)
-	suspected := crashes.ContentOf("POST", "team", "/suspected", nil)
+	suspected := crashes.FingerprintOf("POST", "team", "/suspected", nil)
 	p.crash(suspected)
 	require.Eventually(t, func() bool { return p.knowing(suspected) == 5 }, 2*time.Second, 10*time.Millisecond)
-	p.daemons[4].Survived(suspected)
+	p.daemons[4].RecordSuccess(suspected)
 	require.Eventually(t, func() bool { return p.knowing(suspected) == 0 }, time.Second, 10*time.Millisecond)
 	time.Sleep(1_200 * time.Millisecond)
 	require.Zero(t, p.knowing(suspected), "nobody tells it anew")
@@ -143,5 +143,5 @@
 		Quarantines: []*toucanhingev1.RequestQuarantine{{Content: nil, LeftMs: 60_000}},
 		Clearances:  []*toucanhingev1.RequestClearance{{Content: []byte{1}}},
 	})
-	require.False(t, x.Suspects())
+	require.False(t, x.HasSuspects())
 }
--- a/common/pkg/digest/exchange.go
+++ b/common/pkg/digest/exchange.go
@@ -53,9 +53,9 @@
 	Logger log.Logger
 	// Version is the routing table in force here.
 	Version func() uint64
-	// Heard is told after a digest of another daemon came in, with the routing
+	// OnDigest is told after a digest of another daemon came in, with the routing
 	// table in force there; may be nil.
-	Heard func(version uint64)
+	OnDigest func(version uint64)
 	// Quota counts the requests of teams, by the Boot clock; nil if nobody limits them.
 	Quota *quota.Counter
 	Boot  clock.Clock
@@ -151,10 +151,10 @@
 	x.wake()
 }
 
-// SetSilent notes that a runner has said nothing for too long, or speaks again.
-func (x *Exchange) SetSilent(runner string, silent bool) {
+// SetUnresponsive notes that a runner has said nothing for too long, or speaks again.
+func (x *Exchange) SetUnresponsive(runner string, silent bool) {
 	x.mu.Lock()
-	x.table.SetSilent(x.config.Clock.Now(), runner, silent)
+	x.table.SetUnresponsive(x.config.Clock.Now(), runner, silent)
 	x.mu.Unlock()
 	x.wake()
 }
@@ -269,7 +269,7 @@
 func (x *Exchange) interval() clock.Millis {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	next := occupancy.DigestEvery
+	next := occupancy.DigestInterval
 	if promised := x.promise(); promised > 0 {
 		next = promised
 	}
@@ -289,7 +289,7 @@
 	if !x.table.RunsItems() {
 		return 0
 	}
-	return occupancy.BatchEvery * clock.Millis(x.crowd())
+	return occupancy.BatchDigestInterval * clock.Millis(x.crowd())
 }
 
 // Overdue says whether a daemon has kept silent for longer than it promised, since a
@@ -308,7 +308,7 @@
 	loads := x.table.Loads(x.config.Clock.Now())
 	next := x.promise()
 	x.mu.Unlock()
-	untold := x.config.Quota.Awake(x.boot())
+	untold := x.config.Quota.MarkAlive(x.boot())
 	// Nothing under way is told twice, lest one is lost, and then no more.
 	if len(loads) > 0 || untold || guides {
 		x.empty = 0
@@ -321,7 +321,7 @@
 	x.sequence++
 	data, err := proto.Marshal(&toucanhingev1.LoadDigest{
 		Source: x.config.Source, Epoch: x.epoch, Sequence: x.sequence, Version: x.config.Version(), Loads: loads,
-		NextMs: uint32(next), Uses: x.config.Quota.Tell(false), CountingMs: x.counting(),
+		NextMs: uint32(next), Uses: x.config.Quota.Publish(false), CountingMs: x.counting(),
 	})
 	if err != nil {
 		level.Error(x.config.Logger).Log(logs.KeyEvent, "digest-unencodable", logs.KeyError, err)
@@ -356,8 +356,8 @@
 		for _, peer := range x.take(sender.String(), d) {
 			x.write(buffer[:n], peer)
 		}
-		if x.config.Heard != nil {
-			x.config.Heard(d.GetVersion())
+		if x.config.OnDigest != nil {
+			x.config.OnDigest(d.GetVersion())
 		}
 	}
 }
--- a/common/pkg/digest/pass.go
+++ b/common/pkg/digest/pass.go
@@ -61,7 +61,7 @@
 
 // centreUses lists what other data centres may not know of the teams' requests in this one.
 func (x *Exchange) centreUses() ([]*toucanhingev1.TeamUse, uint32) {
-	return x.config.Quota.Tell(true), x.counting()
+	return x.config.Quota.Publish(true), x.counting()
 }
 
 // take takes over a digest, and lists to whom it must be passed on as it came.
@@ -76,8 +76,8 @@
 		return nil
 	case !d.GetRelays():
 		if x.relay.notice(from, d.GetSource()) {
-			x.table.Digest(now, d)
-			x.config.Quota.Heard(boot, d, false)
+			x.table.ApplyDigest(now, d)
+			x.config.Quota.Receive(boot, d, false)
 		}
 		return nil
 	}
@@ -91,8 +91,8 @@
 		if summary.GetDataCentre() != x.config.DataCentre {
 			// Where data centres tell one another sums, one's own daemons tell nothing of the others.
 			x.hearing.otherAt = boot
-			x.table.Summary(now, summary)
-			x.config.Quota.Heard(boot, summary, true)
+			x.table.ApplySummary(now, summary)
+			x.config.Quota.Receive(boot, summary, true)
 		}
 	}
 	return passOn
--- a/common/pkg/digest/relay.go
+++ b/common/pkg/digest/relay.go
@@ -17,7 +17,7 @@
 	// relayEvery is how often a relay tells what changed: a picture is then some 20 ms old.
 	relayEvery clock.Millis = 8
 	// wholeEvery is how often all is told, so that a lost datagram is made good.
-	wholeEvery = occupancy.DigestEvery
+	wholeEvery = occupancy.DigestInterval
 	// signEvery is the longest pause between signs of a relay to its own data centre.
 	signEvery clock.Millis = 100
 	// shrinkAfter is how long a smaller number of peers must stand until it counts: a new
@@ -180,7 +180,7 @@
 func (r *relay) turn(now clock.Millis, table *occupancy.Table, uses tellUses) []parcel {
 	if !r.relays(now) {
 		if r.acts > 0 {
-			table.SumNear(nil)
+			table.TrackLocalSum(nil)
 		}
 		r.acts, r.pending = 0, nil
 		return r.ask(now)
@@ -188,7 +188,7 @@
 	if r.acts == 0 {
 		// Others must know a later time of this daemon from an earlier one.
 		r.acts, r.sequence, r.told, r.wholeAt = now, 0, nil, 0
-		table.SumNear(func(daemon string) bool { return r.nearSources[daemon] })
+		table.TrackLocalSum(func(daemon string) bool { return r.nearSources[daemon] })
 	}
 	var parcels []parcel
 	if summary := r.summary(now, table, uses); summary != nil {
@@ -229,7 +229,7 @@
 	} else {
 		loads = r.changes(now, table)
 		// Daemons there count on hearing of those that run items.
-		if len(loads) == 0 && len(uses) == 0 && (len(presences) == 0 || now-r.toldAt < occupancy.BatchEvery) {
+		if len(loads) == 0 && len(uses) == 0 && (len(presences) == 0 || now-r.toldAt < occupancy.BatchDigestInterval) {
 			return nil
 		}
 	}
@@ -243,8 +243,8 @@
 
 // wholeSum lists the whole sum, which the others know then.
 func (r *relay) wholeSum(now clock.Millis, table *occupancy.Table) []*toucanhingev1.RunnerLoad {
-	loads := table.NearLoads(now)
-	table.NearChanged()
+	loads := table.LocalLoads(now)
+	table.PopLocalChanges()
 	r.told = make(map[string]*toucanhingev1.RunnerLoad, len(loads))
 	for _, l := range loads {
 		r.told[l.GetRunner()] = l
@@ -255,8 +255,8 @@
 // changes lists what differs from what the others know, with nothing for what is no more.
 func (r *relay) changes(now clock.Millis, table *occupancy.Table) []*toucanhingev1.RunnerLoad {
 	var changed []*toucanhingev1.RunnerLoad
-	for _, runner := range table.NearChanged() {
-		before, l := r.told[runner], table.NearLoad(now, runner)
+	for _, runner := range table.PopLocalChanges() {
+		before, l := r.told[runner], table.LocalLoad(now, runner)
 		switch {
 		case l == nil && before == nil || l != nil && before != nil && alike(before, l):
 		case l == nil:
--- a/common/pkg/digest/relay_test.go
+++ b/common/pkg/digest/relay_test.go
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, p := range peers {
-		d := &daemon{peer: p, table: occupancy.New(), relay: newRelay(p.Address, p), uses: quota.NewCounter(quota.Config{Slack: 20})}
+		d := &daemon{peer: p, table: occupancy.New(), relay: newRelay(p.Address, p), uses: quota.NewCounter(quota.Config{OverrunRequests: 20})}
 		d.uses.Begin(f.now)
 		var others []Peer
 		for _, other := range peers {
@@ -82,7 +82,7 @@
 				continue
 			}
 			d.table.Expire(f.now)
-			if f.now%4 == 0 && d.dirty || f.now%occupancy.DigestEvery == 0 {
+			if f.now%4 == 0 && d.dirty || f.now%occupancy.DigestInterval == 0 {
 				f.tell(d)
 			}
 			if f.now%relayEvery == 0 {
@@ -100,12 +100,12 @@
 	d.sequence++
 	f.send(d, addresses(d.relay.near), &toucanhingev1.LoadDigest{
 		Source: d.peer.Address, Epoch: 1, Sequence: d.sequence, Loads: d.table.Loads(f.now), NextMs: 50,
-		Uses: d.uses.Tell(false), CountingMs: uint32(f.now - fleetBegan),
+		Uses: d.uses.Publish(false), CountingMs: uint32(f.now - fleetBegan),
 	})
 }
 
 func (f *fleet) centreUses(d *daemon) tellUses {
-	return func() ([]*toucanhingev1.TeamUse, uint32) { return d.uses.Tell(true), uint32(f.now - fleetBegan) }
+	return func() ([]*toucanhingev1.TeamUse, uint32) { return d.uses.Publish(true), uint32(f.now - fleetBegan) }
 }
 
 // fleetBegan is when all daemons start.
@@ -135,8 +135,8 @@
 	}
 	if !message.GetRelays() {
 		if d.relay.notice(from, message.GetSource()) {
-			d.table.Digest(f.now, message)
-			d.uses.Heard(f.now, message, false)
+			d.table.ApplyDigest(f.now, message)
+			d.uses.Receive(f.now, message, false)
 		}
 		return
 	}
@@ -144,8 +144,8 @@
 	f.send(d, passOn, message)
 	for _, summary := range summaries {
 		if summary.GetDataCentre() != d.peer.DataCentre {
-			d.table.Summary(f.now, summary)
-			d.uses.Heard(f.now, summary, true)
+			d.table.ApplySummary(f.now, summary)
+			d.uses.Receive(f.now, summary, true)
 		}
 	}
 }
--- a/common/pkg/digest/uses.go
+++ b/common/pkg/digest/uses.go
@@ -7,28 +7,28 @@
 	"toucanhinge.example/common/pkg/quota"
 )
 
-// LetIn counts one request of a team, or refuses it; see package quota.
-func (x *Exchange) LetIn(l quota.Limit) quota.Verdict {
-	now, around := x.boot(), quota.Surroundings{Age: x.Age()}
+// AcquireQuota counts one request of a team, or refuses it; see package quota.
+func (x *Exchange) AcquireQuota(l quota.Limit) quota.Verdict {
+	now, around := x.boot(), quota.Peers{Age: x.Age()}
 	x.mu.Lock()
 	around.Gateways = x.gateways
 	around.Isolated = len(x.all) > 0 && x.hearing.isolated(now, x.relay.sums())
 	x.mu.Unlock()
-	verdict := x.config.Quota.Ask(now, l, around)
+	verdict := x.config.Quota.Admit(now, l, around)
 	if verdict.Admitted {
 		x.wake()
 	}
 	return verdict
 }
 
-// GiveBack takes a request back that was let in at a moment, by the boot clock, and never ran.
-func (x *Exchange) GiveBack(at clock.Millis, team string) {
-	x.config.Quota.GiveBack(x.boot(), at, team)
+// ReleaseQuota takes a request back that was let in at a moment, by the boot clock, and never ran.
+func (x *Exchange) ReleaseQuota(at clock.Millis, team string) {
+	x.config.Quota.Release(x.boot(), at, team)
 	x.wake()
 }
 
-// Limits says whether requests of teams are counted here.
-func (x *Exchange) Limits() bool { return x.config.Quota != nil }
+// HasQuota says whether requests of teams are counted here.
+func (x *Exchange) HasQuota() bool { return x.config.Quota != nil }
 
 func (x *Exchange) boot() clock.Millis { return x.config.Boot.Now() }
 
@@ -47,7 +47,7 @@
 func (x *Exchange) welcome(all map[string]netip.AddrPort) {
 	for address := range all {
 		if _, known := x.all[address]; !known {
-			x.config.Quota.Retell(x.boot())
+			x.config.Quota.Republish(x.boot())
 			return
 		}
 	}
--- a/common/pkg/digest/uses_test.go
+++ b/common/pkg/digest/uses_test.go
@@ -14,12 +14,12 @@
 
 // ask lets a team's requests in at a daemon, as many of some as fit.
 func (f *fleet) ask(d *daemon, l quota.Limit, requests int) (let int) {
-	around := quota.Surroundings{Gateways: len(f.order), Age: 60}
+	around := quota.Peers{Gateways: len(f.order), Age: 60}
 	for range requests {
-		v := d.uses.Ask(f.now, l, around)
+		v := d.uses.Admit(f.now, l, around)
 		for v.Wait > 0 {
 			f.run(v.Wait)
-			v = d.uses.Ask(f.now, l, around)
+			v = d.uses.Admit(f.now, l, around)
 		}
 		if v.Admitted {
 			let++
@@ -109,13 +109,13 @@
 	peers(list[0], list[1])
 	l := quota.Limit{Team: "a", Rate: 100}
 	for range 5 {
-		require.True(t, list[0].LetIn(l).Admitted)
+		require.True(t, list[0].AcquireQuota(l).Admitted)
 	}
 	used := func(x *Exchange) float64 { return x.config.Quota.Used(now.Now(), "a") }
 	require.Eventually(t, func() bool { return used(list[1]) == 5 }, 5*time.Second, 2*time.Millisecond)
 	peers(list...)
 	require.Eventually(t, func() bool { return used(list[2]) == 5 }, 5*time.Second, 2*time.Millisecond)
-	list[0].GiveBack(now.Now(), "a")
+	list[0].ReleaseQuota(now.Now(), "a")
 	require.Eventually(t, func() bool { return used(list[2]) == 4 && used(list[1]) == 4 }, 5*time.Second, 2*time.Millisecond)
 }
 
@@ -124,7 +124,7 @@
 func TestAQuietFleetIsNoIsolation(t *testing.T) {
 	now := clock.System()
 	listen := func(name string, core bool) *Exchange {
-		counter := quota.NewCounter(quota.Config{Window: 5_000, Slack: 16})
+		counter := quota.NewCounter(quota.Config{Window: 5_000, OverrunRequests: 16})
 		counter.Restore(now.Now(), nil, 5_000)
 		x, err := Listen(Config{
 			Address: "127.0.0.1:0", Source: name, Core: core, Clock: now, Boot: now, Logger: log.NewNopLogger(),
@@ -144,7 +144,7 @@
 	l := quota.Limit{Team: "a", Rate: 1_000}
 	ask := func() (let int) {
 		for range 10 {
-			if gateway.LetIn(l).Admitted {
+			if gateway.AcquireQuota(l).Admitted {
 				let++
 			}
 		}
--- a/common/pkg/digest/watch.go
+++ b/common/pkg/digest/watch.go
@@ -20,7 +20,7 @@
 
 	mu      sync.Mutex
 	timer   *time.Timer
-	silence occupancy.Silence
+	silence occupancy.Detector
 	told    bool
 	stopped bool
 }
@@ -30,7 +30,7 @@
 	w := &Watch{exchange: x, runner: r}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc((wait + occupancy.QuietAfter).Duration(), w.check)
+	w.timer = time.AfterFunc((wait + occupancy.UnresponsiveAfter).Duration(), w.check)
 	return w
 }
 
@@ -46,29 +46,29 @@
 	now := x.config.Clock.Now()
 	queued := false
 	x.View(func(t *occupancy.Table) { queued = t.Queued(now, id, int(w.runner.GetSlots())) })
-	if w.silence.Proven(now, x.heardAt(id), queued) && !w.told {
+	if w.silence.Unresponsive(now, x.heardAt(id), queued) && !w.told {
 		w.told = true
-		x.SetSilent(id, true)
-		level.Info(x.config.Logger).Log(logs.KeyEvent, "runner-silent", "runner", id, "for-ms", occupancy.QuietAfter)
+		x.SetUnresponsive(id, true)
+		level.Info(x.config.Logger).Log(logs.KeyEvent, "runner-silent", "runner", id, "for-ms", occupancy.UnresponsiveAfter)
 	}
-	w.timer.Reset(occupancy.QueueCheck.Duration())
+	w.timer.Reset(occupancy.QueueCheckInterval.Duration())
 }
 
-// Heard notes an event.
-func (w *Watch) Heard() {
+// RecordEvent notes an event.
+func (w *Watch) RecordEvent() {
 	if w == nil {
 		return
 	}
 	w.exchange.hear(w.runner.GetId())
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.silence.Begun = true
+	w.silence.Started = true
 	if !w.stopped {
-		w.timer.Reset(occupancy.QuietAfter.Duration())
+		w.timer.Reset(occupancy.UnresponsiveAfter.Duration())
 	}
 	if w.told {
 		w.told = false
-		w.exchange.SetSilent(w.runner.GetId(), false)
+		w.exchange.SetUnresponsive(w.runner.GetId(), false)
 	}
 }
 
--- a/common/pkg/fanout/tree.go
+++ b/common/pkg/fanout/tree.go
@@ -19,9 +19,9 @@
 	"slices"
 )
 
-// MostDirect is the number of gateways up to which all hear the leader itself: so few are no
+// MaxDirect is the number of gateways up to which all hear the leader itself: so few are no
 // load, and a tree would only add ways.
-const MostDirect = 32
+const MaxDirect = 32
 
 // Gateway is one that hears news.
 type Gateway struct {
@@ -45,7 +45,7 @@
 // New orders the gateways; a fleet that is small enough to do without gives an empty tree.
 func New(gateways []Gateway) Tree {
 	t := Tree{centres: map[string][]ranked{}}
-	if len(gateways) <= MostDirect {
+	if len(gateways) <= MaxDirect {
 		return t
 	}
 	for _, g := range gateways {
--- a/common/pkg/fanout/tree_test.go
+++ b/common/pkg/fanout/tree_test.go
@@ -56,11 +56,11 @@
 }
 
 func TestASmallFleetHearsTheLeader(t *testing.T) {
-	list := fleetOf(MostDirect, 2)
+	list := fleetOf(MaxDirect, 2)
 	tree := New(list)
 	require.True(t, tree.Empty())
-	require.Equal(t, MostDirect, children(tree, list)[""])
-	require.False(t, New(fleetOf(MostDirect+1, 2)).Empty())
+	require.Equal(t, MaxDirect, children(tree, list)[""])
+	require.False(t, New(fleetOf(MaxDirect+1, 2)).Empty())
 	require.Empty(t, Tree{}.Parents(list[0]))
 }
 
--- a/common/pkg/fleetview/fleetview_test.go
+++ b/common/pkg/fleetview/fleetview_test.go
@@ -15,7 +15,7 @@
 
 // model is the fleet as it is, and the leader that tells it.
 type model struct {
-	log      *Log
+	log      *ChangeLog
 	term     uint64
 	revision uint64
 	runners  map[string]*toucanhingev1.Runner
@@ -41,12 +41,12 @@
 }
 
 func newModel() *model {
-	return &model{log: &Log{}, term: 1, revision: 1 << 32, runners: map[string]*toucanhingev1.Runner{}, peers: map[string]*toucanhingev1.DigestPeer{}}
+	return &model{log: &ChangeLog{}, term: 1, revision: 1 << 32, runners: map[string]*toucanhingev1.Runner{}, peers: map[string]*toucanhingev1.DigestPeer{}}
 }
 
 func (m *model) ask(have uint64, reads bool) *toucanhingev1.FleetView {
-	if m.log.Newest() != m.revision {
-		m.log.Take(m.whole())
+	if m.log.Revision() != m.revision {
+		m.log.Apply(m.whole())
 	}
 	return m.log.Since(have, reads)
 }
@@ -57,7 +57,7 @@
 func TestRapidAGatewayHoldsTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
-		gateways := []*Picture{{}, {}, {}}
+		gateways := []*Cache{{}, {}, {}}
 		name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"})
 		t.Repeat(map[string]func(*rapid.T){
 			"a runner changes": func(t *rapid.T) {
@@ -81,7 +81,7 @@
 			"another leader": func(*rapid.T) {
 				m.term++
 				m.revision = m.term << 32
-				m.log = &Log{}
+				m.log = &ChangeLog{}
 			},
 			"a gateway asks": func(t *rapid.T) {
 				g := rapid.SampledFrom(gateways).Draw(t, "gateway")
@@ -92,10 +92,10 @@
 				if rapid.IntRange(0, 5).Draw(t, "late") == 0 {
 					// It asked twice, and reads the answers in the other order.
 					m.revision++
-					_, ok := g.Take(m.ask(g.Revision(), true))
+					_, ok := g.Apply(m.ask(g.Revision(), true))
 					require.True(t, ok)
 				}
-				whole, ok := g.Take(told)
+				whole, ok := g.Apply(told)
 				if !ok {
 					require.Zero(t, g.Revision())
 					return
@@ -110,7 +110,7 @@
 			if told == nil {
 				continue
 			}
-			whole, ok := g.Take(told)
+			whole, ok := g.Apply(told)
 			require.True(t, ok)
 			require.Empty(t, differences(m.whole(), sorted(whole)), "gateway %d", n)
 		}
@@ -154,9 +154,9 @@
 
 // Two entries under one name can't be told as differences.
 func TestDoubledNamesAreToldWhole(t *testing.T) {
-	log := &Log{}
-	log.Take(&toucanhingev1.FleetView{Revision: 1, Runners: []*toucanhingev1.Runner{{Id: "a"}}})
-	log.Take(&toucanhingev1.FleetView{Revision: 2, Runners: []*toucanhingev1.Runner{{Id: "a"}, {Id: "a", Slots: 2}}})
+	log := &ChangeLog{}
+	log.Apply(&toucanhingev1.FleetView{Revision: 1, Runners: []*toucanhingev1.Runner{{Id: "a"}}})
+	log.Apply(&toucanhingev1.FleetView{Revision: 2, Runners: []*toucanhingev1.Runner{{Id: "a"}, {Id: "a", Slots: 2}}})
 	require.Len(t, log.Since(1, true).GetRunners(), 2)
 	require.Zero(t, log.Since(1, true).GetSince())
 }
--- a/common/pkg/fleetview/log.go
+++ b/common/pkg/fleetview/log.go
@@ -18,9 +18,9 @@
 // mostGone bounds the names of what is no more; a gateway that missed so much gets the whole.
 const mostGone = 1_000
 
-// Log remembers at which revision each part of the fleet changed, during one leader's time.
+// ChangeLog remembers at which revision each part of the fleet changed, during one leader's time.
 // The zero value knows no view yet. It is not safe for concurrent use.
-type Log struct {
+type ChangeLog struct {
 	whole *toucanhingev1.FleetView
 	// floor is the oldest revision that can be brought up to date by differences.
 	floor   uint64
@@ -33,12 +33,12 @@
 
 func newRecord() record { return record{changed: map[string]uint64{}, gone: map[string]uint64{}} }
 
-// Newest is the revision of the view that was taken last, 0 for none.
-func (l *Log) Newest() uint64 { return l.whole.GetRevision() }
+// Revision is the revision of the view that was taken last, 0 for none.
+func (l *ChangeLog) Revision() uint64 { return l.whole.GetRevision() }
 
-// Take notes the next view, which must not be changed any more. Its revision is above those of
+// Apply notes the next view, which must not be changed any more. Its revision is above those of
 // the views before.
-func (l *Log) Take(whole *toucanhingev1.FleetView) {
+func (l *ChangeLog) Apply(whole *toucanhingev1.FleetView) {
 	before := l.whole
 	l.whole = whole
 	if before == nil {
@@ -53,14 +53,14 @@
 }
 
 // restart gives up on views from before the present one.
-func (l *Log) restart() {
+func (l *ChangeLog) restart() {
 	l.floor = l.whole.GetRevision()
 	l.runners, l.peers = newRecord(), newRecord()
 }
 
 // Since is what a gateway must be told that holds a revision, and reads differences if it says
 // so; nil if it holds the newest.
-func (l *Log) Since(have uint64, reads bool) *toucanhingev1.FleetView {
+func (l *ChangeLog) Since(have uint64, reads bool) *toucanhingev1.FleetView {
 	switch {
 	case l.whole == nil || have == l.whole.GetRevision():
 		return nil
--- a/common/pkg/fleetview/picture.go
+++ b/common/pkg/fleetview/picture.go
@@ -7,16 +7,16 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Picture is the view that a gateway holds. It is not safe for concurrent use.
-type Picture struct{ view *toucanhingev1.FleetView }
+// Cache is the view that a gateway holds. It is not safe for concurrent use.
+type Cache struct{ view *toucanhingev1.FleetView }
 
 // Revision is the one that is held, 0 for none.
-func (p *Picture) Revision() uint64 { return p.view.GetRevision() }
+func (p *Cache) Revision() uint64 { return p.view.GetRevision() }
 
-// Take takes over what the leader told, and returns the whole. Differences to another view than
+// Apply takes over what the leader told, and returns the whole. Differences to another view than
 // the one held can't be used: ok is false then, nothing is held any more, and the next answer
 // is the whole.
-func (p *Picture) Take(told *toucanhingev1.FleetView) (whole *toucanhingev1.FleetView, ok bool) {
+func (p *Cache) Apply(told *toucanhingev1.FleetView) (whole *toucanhingev1.FleetView, ok bool) {
 	if told.GetSince() == 0 {
 		p.view = told
 		return told, true
--- a/common/pkg/logs/logs.go
+++ b/common/pkg/logs/logs.go
@@ -18,7 +18,7 @@
 	KeyLease   = "lease"
 	KeyTerm    = "term"
 	KeyGroup   = "group"
-	KeyContent = "content"
+	KeyFingerprint = "content"
 	KeyError   = "error"
 	KeyEvent   = "event"
 )
@@ -45,11 +45,11 @@
 
 // New makes the logger.
 func New(config Config) log.Logger {
-	return Over(config, log.NewJSONLogger(log.NewSyncWriter(config.Writer)))
+	return Wrap(config, log.NewJSONLogger(log.NewSyncWriter(config.Writer)))
 }
 
-// Over makes the logger over one that writes the lines.
-func Over(config Config, l log.Logger) log.Logger {
+// Wrap makes the logger over one that writes the lines.
+func Wrap(config Config, l log.Logger) log.Logger {
 	l = log.With(l, "at", log.TimestampFormat(time.Now, time.RFC3339Nano), "program", config.Program, "name", config.Name)
 	return level.NewFilter(l, allow(config.Level))
 }
--- a/common/pkg/logs/queue_test.go
+++ b/common/pkg/logs/queue_test.go
@@ -63,7 +63,7 @@
 	r := &reader{}
 	q := NewQueue(r)
 	stop := run(q)
-	logger := Over(Config{Program: "gateway", Name: "vm"}, q)
+	logger := Wrap(Config{Program: "gateway", Name: "vm"}, q)
 	require.NoError(t, level.Warn(logger).Log(KeyEvent, EventRequestEnded, KeyRequest, "q1", KeyError, errors.New("broke off")))
 	require.NoError(t, level.Debug(logger).Log(KeyEvent, "hidden"))
 	stop()
@@ -84,7 +84,7 @@
 	r := &reader{stalled: make(chan struct{})}
 	q := NewQueue(r)
 	stop := run(q)
-	logger := Over(Config{}, q)
+	logger := Wrap(Config{}, q)
 	began := time.Now()
 	for range 20_000 {
 		require.NoError(t, level.Info(logger).Log(KeyEvent, EventRequestEnded))
@@ -109,7 +109,7 @@
 	r := &reader{}
 	q := NewQueue(r)
 	stop := run(q)
-	logger := Over(Config{}, q)
+	logger := Wrap(Config{}, q)
 	for n := range 3_000 {
 		require.NoError(t, level.Warn(logger).Log(KeyEvent, EventRequestEnded))
 		if n%100 == 0 {
--- a/common/pkg/occupancy/cache.go
+++ b/common/pkg/occupancy/cache.go
@@ -25,7 +25,7 @@
 
 // Refresh takes up what changed, and lists the runners concerned.
 func (c *Cache[T]) Refresh(now clock.Millis, runners []*toucanhingev1.Runner, t *Table) (changed []*toucanhingev1.Runner) {
-	ids := t.TakeChanged()
+	ids := t.PopChanges()
 	if c.byID == nil || !sameRunners(c.list, runners) || now-c.wholeAt >= refreshEvery {
 		c.whole(now, runners, t)
 		return runners
@@ -58,5 +58,5 @@
 	}
 }
 
-// At is the load of one runner.
-func (c *Cache[T]) At(runner string) T { return c.loads[runner] }
+// Get is the load of one runner.
+func (c *Cache[T]) Get(runner string) T { return c.loads[runner] }
--- a/common/pkg/occupancy/cache_test.go
+++ b/common/pkg/occupancy/cache_test.go
@@ -15,11 +15,11 @@
 type seen struct {
 	Total, Own Load
 	Foreign    int
-	Silent     bool
+	Unresponsive     bool
 }
 
 func seenAt(now clock.Millis, runner string, t *Table) seen {
-	return seen{Total: t.Load(runner), Own: t.Own(runner), Foreign: t.Foreign(now, runner), Silent: t.Silent(now, runner)}
+	return seen{Total: t.Load(runner), Own: t.Own(runner), Foreign: t.Foreign(now, runner), Unresponsive: t.Unresponsive(now, runner)}
 }
 
 // A load that changed and wasn't read would let items stand before online requests for as long
@@ -40,12 +40,12 @@
 				for _, id := range rapid.SliceOfNDistinct(runner, 0, 3, rapid.ID).Draw(t, "runners") {
 					d.Loads = append(d.Loads, &toucanhingev1.RunnerLoad{Runner: id, Online: uint32(rapid.IntRange(0, 3).Draw(t, "online"))})
 				}
-				table.Digest(now, d)
+				table.ApplyDigest(now, d)
 			},
 			"own work": func(t *rapid.T) { table.Add(runner.Draw(t, "runner"), Load{Batch: 1}) },
 			"a data centre tells": func(t *rapid.T) {
 				sequence++
-				table.Summary(now, &toucanhingev1.LoadDigest{
+				table.ApplySummary(now, &toucanhingev1.LoadDigest{
 					Source: "r", Epoch: 1, Sequence: sequence, DataCentre: "there", Partial: rapid.Bool().Draw(t, "partial"),
 					Loads: []*toucanhingev1.RunnerLoad{{Runner: runner.Draw(t, "runner"), Online: uint32(rapid.IntRange(0, 2).Draw(t, "online"))}},
 				})
@@ -54,7 +54,7 @@
 				table.Observe(now, runner.Draw(t, "runner"), rapid.IntRange(0, 9).Draw(t, "held"))
 			},
 			"a runner falls silent, or speaks": func(t *rapid.T) {
-				table.SetSilent(now, runner.Draw(t, "runner"), rapid.Bool().Draw(t, "silent"))
+				table.SetUnresponsive(now, runner.Draw(t, "runner"), rapid.Bool().Draw(t, "silent"))
 			},
 			"time passes": func(t *rapid.T) {
 				now += clock.Millis(rapid.IntRange(1, 1_500).Draw(t, "span"))
@@ -74,18 +74,18 @@
 					changed[r.GetId()] = true
 				}
 				for _, r := range runners {
-					want, got := seenAt(now, r.GetId(), table), cache.At(r.GetId())
+					want, got := seenAt(now, r.GetId(), table), cache.Get(r.GetId())
 					// What only ran out of time counts a moment longer.
 					if got.Foreign != want.Foreign {
 						require.Zero(t, want.Foreign)
 						got.Foreign = 0
 					}
-					if got.Silent != want.Silent {
-						require.False(t, want.Silent)
-						got.Silent = false
+					if got.Unresponsive != want.Unresponsive {
+						require.False(t, want.Unresponsive)
+						got.Unresponsive = false
 					}
 					require.Equal(t, want, got)
-					if l, known := before[r.GetId()]; !known || l != cache.At(r.GetId()) {
+					if l, known := before[r.GetId()]; !known || l != cache.Get(r.GetId()) {
 						require.True(t, changed[r.GetId()], "runner %s", r.GetId())
 					}
 				}
--- a/common/pkg/occupancy/centres.go
+++ b/common/pkg/occupancy/centres.go
@@ -22,10 +22,10 @@
 	next  clock.Millis
 }
 
-// Summary takes over what is told of a whole data centre. Datagrams may come late, twice or
+// ApplySummary takes over what is told of a whole data centre. Datagrams may come late, twice or
 // in another order, and another relay may take over: what only tells of changes counts on
 // top of a whole summary of the same relay.
-func (t *Table) Summary(now clock.Millis, d *toucanhingev1.LoadDigest) {
+func (t *Table) ApplySummary(now clock.Millis, d *toucanhingev1.LoadDigest) {
 	c := t.centres[d.GetDataCentre()]
 	same := c != nil && c.relay == d.GetSource()
 	if same && (d.GetEpoch() < c.epoch || d.GetEpoch() == c.epoch && d.GetSequence() <= c.sequence) {
--- a/common/pkg/occupancy/foreign.go
+++ b/common/pkg/occupancy/foreign.go
@@ -11,9 +11,9 @@
 // after a leader's VM lost power, 60 items of its kept as many places, gateways took
 // these for free, and 84 requests within two seconds waited behind them.
 const (
-	// ForeignFor is how long a finding counts. What was found ends by and by, and
+	// ForeignExpiry is how long a finding counts. What was found ends by and by, and
 	// nobody tells when; every answer of the runner, and whoever asks it, finds anew.
-	ForeignFor clock.Millis = 1_000
+	ForeignExpiry clock.Millis = 1_000
 	// ForeignSlack is the excess over the counts that proves nothing: a request that
 	// another daemon has just sent is at the runner some milliseconds before the
 	// digest that tells of it, and one that was broken off leaves as much later.
@@ -26,7 +26,7 @@
 	at    clock.Millis
 }
 
-func (f finding) fresh(now clock.Millis) bool { return f.at > 0 && now-f.at <= ForeignFor }
+func (f finding) fresh(now clock.Millis) bool { return f.at > 0 && now-f.at <= ForeignExpiry }
 
 // Observe compares what a runner says to have under way with the counts of all
 // daemons, and returns the foreign work found and whether that is news.
@@ -61,7 +61,7 @@
 
 // prune drops findings that no longer count; runners come and go.
 func (t *Table) prune(now clock.Millis) {
-	if now-t.pruned < ForeignFor {
+	if now-t.pruned < ForeignExpiry {
 		return
 	}
 	t.pruned = now
--- a/common/pkg/occupancy/foreign_test.go
+++ b/common/pkg/occupancy/foreign_test.go
@@ -15,7 +15,7 @@
 // has under way, and everybody learns of it.
 func TestForeignWorkIsFoundAndTold(t *testing.T) {
 	here, there := New(), New()
-	here.Digest(0, &toucanhingev1.LoadDigest{
+	here.ApplyDigest(0, &toucanhingev1.LoadDigest{
 		Source: "leader", Epoch: 1, Sequence: 1, Loads: []*toucanhingev1.RunnerLoad{{Runner: "r", Batch: 5}},
 	})
 	here.Add("r", Load{Online: 1})
@@ -30,9 +30,9 @@
 
 	// The other daemon's clock shows another time.
 	const other = 7_000_000
-	there.Digest(other, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 1, Loads: here.Loads(Expiry + 101)})
+	there.ApplyDigest(other, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 1, Loads: here.Loads(Expiry + 101)})
 	require.Equal(t, 5, there.Foreign(other, "r"))
-	require.Zero(t, there.Foreign(other+ForeignFor-99, "r"), "it was 100 ms old when it came")
+	require.Zero(t, there.Foreign(other+ForeignExpiry-99, "r"), "it was 100 ms old when it came")
 }
 
 func TestObserve(t *testing.T) {
@@ -55,7 +55,7 @@
 			require.Equal(t, c.found, found)
 			require.Equal(t, c.found > 0, news)
 			require.Equal(t, c.found, table.Foreign(1, "r"))
-			require.Zero(t, table.Foreign(1+ForeignFor+1, "r"))
+			require.Zero(t, table.Foreign(1+ForeignExpiry+1, "r"))
 		})
 	}
 }
@@ -70,10 +70,10 @@
 	}
 	table := New()
 	now := clock.Millis(5_000)
-	table.Digest(now, tell("a", 6, 100))
-	table.Digest(now, tell("b", 2, 300))
+	table.ApplyDigest(now, tell("a", 6, 100))
+	table.ApplyDigest(now, tell("b", 2, 300))
 	require.Equal(t, 6, table.Foreign(now, "r"), "b's is older")
-	table.Digest(now, tell("c", 0, 50))
+	table.ApplyDigest(now, tell("c", 0, 50))
 	require.Zero(t, table.Foreign(now, "r"), "it has ended")
 	_, news := table.Observe(now+1, "r", 4)
 	require.True(t, news)
@@ -81,15 +81,15 @@
 	_, news = table.Observe(now+2, "r", 0)
 	require.True(t, news)
 	require.EqualValues(t, 0, table.Loads(now + 2)[0].GetForeign(), "its end is told too")
-	require.Empty(t, table.Loads(now+2+ForeignFor+1))
+	require.Empty(t, table.Loads(now+2+ForeignExpiry+1))
 }
 
 // Runners are replaced all the time, each with a new id.
 func TestFindingsOfRunnersThatAreGoneAreDropped(t *testing.T) {
 	table := New()
 	table.Observe(1, "gone", 8)
-	table.Expire(2 + ForeignFor)
-	table.Expire(2 + 2*ForeignFor)
+	table.Expire(2 + ForeignExpiry)
+	table.Expire(2 + 2*ForeignExpiry)
 	require.Empty(t, table.foreign)
 	require.Empty(t, table.ownForeign)
 }
--- a/common/pkg/occupancy/near.go
+++ b/common/pkg/occupancy/near.go
@@ -19,8 +19,8 @@
 	changed map[string]bool
 }
 
-// SumNear begins to sum up what this daemon and some others have under way; nil ends it.
-func (t *Table) SumNear(counts func(daemon string) bool) {
+// TrackLocalSum begins to sum up what this daemon and some others have under way; nil ends it.
+func (t *Table) TrackLocalSum(counts func(daemon string) bool) {
 	t.near = nearSum{counts: counts}
 	if counts == nil {
 		for _, s := range t.sources {
@@ -71,8 +71,8 @@
 	n.loads[runner] = sum
 }
 
-// NearChanged lists the runners whose part of the sum may have changed since the last call.
-func (t *Table) NearChanged() []string {
+// PopLocalChanges lists the runners whose part of the sum may have changed since the last call.
+func (t *Table) PopLocalChanges() []string {
 	if len(t.near.changed) == 0 {
 		return nil
 	}
@@ -81,8 +81,8 @@
 	return list
 }
 
-// NearLoad is the sum at one runner, nil if there is nothing.
-func (t *Table) NearLoad(now clock.Millis, runner string) *toucanhingev1.RunnerLoad {
+// LocalLoad is the sum at one runner, nil if there is nothing.
+func (t *Table) LocalLoad(now clock.Millis, runner string) *toucanhingev1.RunnerLoad {
 	sum := t.near.loads[runner]
 	silent := t.near.silent[runner] > 0 || t.ownSilent[runner] > now
 	if sum == (Load{}) && !silent {
@@ -96,11 +96,11 @@
 	return l
 }
 
-// NearLoads lists the whole sum.
-func (t *Table) NearLoads(now clock.Millis) []*toucanhingev1.RunnerLoad {
+// LocalLoads lists the whole sum.
+func (t *Table) LocalLoads(now clock.Millis) []*toucanhingev1.RunnerLoad {
 	var list []*toucanhingev1.RunnerLoad
 	for runner := range t.near.loads {
-		list = append(list, t.NearLoad(now, runner))
+		list = append(list, t.LocalLoad(now, runner))
 	}
 	silent := maps.Clone(t.near.silent)
 	for runner, until := range t.ownSilent {
@@ -110,7 +110,7 @@
 	}
 	for runner := range silent {
 		if _, listed := t.near.loads[runner]; !listed {
-			list = append(list, t.NearLoad(now, runner))
+			list = append(list, t.LocalLoad(now, runner))
 		}
 	}
 	return list
--- a/common/pkg/occupancy/near_test.go
+++ b/common/pkg/occupancy/near_test.go
@@ -39,13 +39,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		counts := func(daemon string) bool { return daemon != "far" }
 		table, now, sequence := New(), clock.Millis(1_000), uint64(0)
-		table.Digest(now, digest("a", 1, 1, 2))
-		table.SumNear(counts)
+		table.ApplyDigest(now, digest("a", 1, 1, 2))
+		table.TrackLocalSum(counts)
 		told := map[string]*toucanhingev1.RunnerLoad{}
-		for _, l := range table.NearLoads(now) {
+		for _, l := range table.LocalLoads(now) {
 			told[l.GetRunner()] = l
 		}
-		table.NearChanged()
+		table.PopLocalChanges()
 		runner := rapid.StringMatching("[0-4]")
 		t.Repeat(map[string]func(*rapid.T){
 			"a daemon tells": func(t *rapid.T) {
@@ -56,7 +56,7 @@
 						Runner: id, Online: uint32(rapid.IntRange(0, 3).Draw(t, "online")), Silent: rapid.Bool().Draw(t, "silent"),
 					})
 				}
-				table.Digest(now, d)
+				table.ApplyDigest(now, d)
 			},
 			"own work": func(t *rapid.T) {
 				id := runner.Draw(t, "runner")
@@ -71,8 +71,8 @@
 				table.Expire(now)
 			},
 			"": func(t *rapid.T) {
-				for _, id := range table.NearChanged() {
-					if l := table.NearLoad(now, id); l != nil {
+				for _, id := range table.PopLocalChanges() {
+					if l := table.LocalLoad(now, id); l != nil {
 						told[id] = l
 					} else {
 						delete(told, id)
@@ -87,7 +87,7 @@
 					require.Equal(t, table.near.silent[id] > 0, l.GetSilent(), id)
 				}
 				require.Equal(t, want, got)
-				require.Len(t, table.NearLoads(now), len(told))
+				require.Len(t, table.LocalLoads(now), len(told))
 			},
 		})
 	})
@@ -102,19 +102,19 @@
 		for n := range 8 {
 			d.Loads = append(d.Loads, &toucanhingev1.RunnerLoad{Runner: fmt.Sprint((daemon*7 + n + sequence) % 1_042), Online: 1})
 		}
-		table.Digest(0, d)
+		table.ApplyDigest(0, d)
 	}
-	table.SumNear(func(string) bool { return true })
+	table.TrackLocalSum(func(string) bool { return true })
 	for daemon := range 140 {
 		tell(daemon, 1)
 	}
-	table.NearChanged()
+	table.PopLocalChanges()
 	for n := range b.N {
 		for k := range 4 {
 			tell((n*4+k)%140, 2+n)
 		}
-		for _, runner := range table.NearChanged() {
-			table.NearLoad(0, runner)
+		for _, runner := range table.PopLocalChanges() {
+			table.LocalLoad(0, runner)
 		}
 	}
 }
--- a/common/pkg/occupancy/overdue_test.go
+++ b/common/pkg/occupancy/overdue_test.go
@@ -35,7 +35,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			table := New()
 			if c.told {
-				table.Digest(c.heard, &toucanhingev1.LoadDigest{Source: "leader", Epoch: 1, Sequence: 1, NextMs: c.next})
+				table.ApplyDigest(c.heard, &toucanhingev1.LoadDigest{Source: "leader", Epoch: 1, Sequence: 1, NextMs: c.next})
 			}
 			require.Equal(t, c.want, table.Overdue(c.now, "leader", c.since))
 		})
--- a/common/pkg/occupancy/silence_test.go
+++ b/common/pkg/occupancy/silence_test.go
@@ -31,10 +31,10 @@
 		{"its first event came, then nothing, whatever else waits", []clock.Millis{150}, 150, true, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := Silence{Begun: c.begun}
+			s := Detector{Started: c.begun}
 			proven := false
 			for _, at := range c.looks {
-				proven = s.Proven(first+at, first+c.heard, at <= c.queued)
+				proven = s.Unresponsive(first+at, first+c.heard, at <= c.queued)
 			}
 			require.Equal(t, c.want, proven)
 		})
@@ -44,7 +44,7 @@
 func TestQueued(t *testing.T) {
 	table := New()
 	table.Add("a", Load{Online: 1})
-	table.Digest(0, &toucanhingev1.LoadDigest{Source: "other", Epoch: 1, Sequence: 1, Loads: []*toucanhingev1.RunnerLoad{
+	table.ApplyDigest(0, &toucanhingev1.LoadDigest{Source: "other", Epoch: 1, Sequence: 1, Loads: []*toucanhingev1.RunnerLoad{
 		{Runner: "a", Online: 1, Batch: 2},
 	}})
 	require.True(t, table.Queued(0, "a", 3))
--- a/common/pkg/occupancy/table.go
+++ b/common/pkg/occupancy/table.go
@@ -15,14 +15,14 @@
 // Expiry is how long a daemon's digest counts. Each sends one at least every
 // DigestEvery; after four missing ones it is dead, and so are its connections.
 const (
-	DigestEvery clock.Millis = 250
+	DigestInterval clock.Millis = 250
 	Expiry      clock.Millis = 1_000
 )
 
 // A daemon that runs items promises digests at shorter intervals: others carry its
 // items' calls, and end them when it is gone.
 const (
-	BatchEvery clock.Millis = 50
+	BatchDigestInterval clock.Millis = 50
 	// overdueAfter is the number of intervals without a digest after which a daemon
 	// is taken to be gone. Datagrams are lost now and then, and a slow VM sends late;
 	// a leader that is gone is replaced after 300 ms at the earliest. Large fleets have
@@ -36,9 +36,9 @@
 	Batch  int
 }
 
-// SilentFor is how long a runner counts as silent after a daemon noticed it. If it
+// UnresponsiveExpiry is how long a runner counts as silent after a daemon noticed it. If it
 // is still silent then, whoever asks it next notices it again.
-const SilentFor clock.Millis = 1_000
+const UnresponsiveExpiry clock.Millis = 1_000
 
 // Table sums up the digests of all daemons and the own work.
 type Table struct {
@@ -83,9 +83,9 @@
 	}
 }
 
-// TakeChanged lists the runners whose load, or foreign work, changed since the last call. What
+// PopChanges lists the runners whose load, or foreign work, changed since the last call. What
 // only runs out of time isn't listed.
-func (t *Table) TakeChanged() []string {
+func (t *Table) PopChanges() []string {
 	if len(t.changed) == 0 {
 		t.changed = map[string]bool{}
 		return nil
@@ -129,27 +129,27 @@
 	return false
 }
 
-// SetSilent notes that a runner, with own calls under way, has said nothing for too
+// SetUnresponsive notes that a runner, with own calls under way, has said nothing for too
 // long, or that it speaks again.
-func (t *Table) SetSilent(now clock.Millis, runner string, silent bool) {
+func (t *Table) SetUnresponsive(now clock.Millis, runner string, silent bool) {
 	t.noteChange(runner)
 	t.near.note(runner)
 	if silent {
-		t.ownSilent[runner] = now + SilentFor
+		t.ownSilent[runner] = now + UnresponsiveExpiry
 	} else {
 		delete(t.ownSilent, runner)
 	}
 }
 
-// Silent says whether this daemon or another one finds a runner silent. One lost
+// Unresponsive says whether this daemon or another one finds a runner silent. One lost
 // answer is no proof of that, so it holds for a second only.
-func (t *Table) Silent(now clock.Millis, runner string) bool {
+func (t *Table) Unresponsive(now clock.Millis, runner string) bool {
 	return t.silent[runner] > 0 || t.ownSilent[runner] > now
 }
 
-// Digest takes over what another daemon told. Datagrams may come late, twice or
+// ApplyDigest takes over what another daemon told. Datagrams may come late, twice or
 // in another order; only the newest counts.
-func (t *Table) Digest(now clock.Millis, d *toucanhingev1.LoadDigest) {
+func (t *Table) ApplyDigest(now clock.Millis, d *toucanhingev1.LoadDigest) {
 	s := t.sources[d.GetSource()]
 	if s != nil && (d.GetEpoch() < s.epoch || d.GetEpoch() == s.epoch && d.GetSequence() <= s.sequence) {
 		return
@@ -183,7 +183,7 @@
 	if told.heard == 0 {
 		return now-since > Expiry
 	}
-	return now-max(told.heard, since) > overdueAfter*max(told.next, BatchEvery)
+	return now-max(told.heard, since) > overdueAfter*max(told.next, BatchDigestInterval)
 }
 
 // Expire drops the work of daemons that fell silent. Their last counts stay
--- a/common/pkg/occupancy/table_test.go
+++ b/common/pkg/occupancy/table_test.go
@@ -37,7 +37,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			table := New()
 			for _, d := range c.digests {
-				table.Digest(0, d)
+				table.ApplyDigest(0, d)
 			}
 			require.Equal(t, c.want, table.Load("r").Online)
 		})
@@ -49,12 +49,12 @@
 // these places would stay empty for good.
 func TestASilentDaemonsWorkIsForgotten(t *testing.T) {
 	table := New()
-	table.Digest(0, digest("a", 1, 1, 3))
+	table.ApplyDigest(0, digest("a", 1, 1, 3))
 	table.Expire(Expiry)
 	require.Equal(t, 3, table.Load("r").Online)
 	table.Expire(Expiry + 1)
 	require.Zero(t, table.Load("r").Online)
-	table.Digest(Expiry+2, digest("a", 1, 2, 2))
+	table.ApplyDigest(Expiry+2, digest("a", 1, 2, 2))
 	require.Equal(t, 2, table.Load("r").Online)
 }
 
@@ -83,7 +83,7 @@
 					loads[r] = l
 					d.Loads = append(d.Loads, &toucanhingev1.RunnerLoad{Runner: r, Online: uint32(l.Online), Batch: uint32(l.Batch)})
 				}
-				table.Digest(now, d)
+				table.ApplyDigest(now, d)
 				latest[source] = told{now, loads}
 			},
 			"own": func(t *rapid.T) {
@@ -122,16 +122,16 @@
 // asked again.
 func TestASilentRunnerIsKnownToAll(t *testing.T) {
 	here, there := New(), New()
-	here.SetSilent(0, "r", true)
-	require.True(t, here.Silent(0, "r"))
-	there.Digest(0, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 1, Loads: here.Loads(0)})
-	require.True(t, there.Silent(0, "r"))
-	require.False(t, there.Silent(0, "other"))
-	here.SetSilent(300, "r", false)
-	there.Digest(300, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 2, Loads: here.Loads(300)})
-	require.False(t, there.Silent(300, "r"))
-	here.SetSilent(400, "r", true)
-	require.True(t, here.Silent(399+SilentFor, "r"))
-	require.False(t, here.Silent(400+SilentFor, "r"))
-	require.Empty(t, here.Loads(400+SilentFor))
+	here.SetUnresponsive(0, "r", true)
+	require.True(t, here.Unresponsive(0, "r"))
+	there.ApplyDigest(0, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 1, Loads: here.Loads(0)})
+	require.True(t, there.Unresponsive(0, "r"))
+	require.False(t, there.Unresponsive(0, "other"))
+	here.SetUnresponsive(300, "r", false)
+	there.ApplyDigest(300, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 2, Loads: here.Loads(300)})
+	require.False(t, there.Unresponsive(300, "r"))
+	here.SetUnresponsive(400, "r", true)
+	require.True(t, here.Unresponsive(399+UnresponsiveExpiry, "r"))
+	require.False(t, here.Unresponsive(400+UnresponsiveExpiry, "r"))
+	require.Empty(t, here.Loads(400+UnresponsiveExpiry))
 }
--- a/common/pkg/quota/bench_test.go
+++ b/common/pkg/quota/bench_test.go
@@ -17,13 +17,13 @@
 )
 
 func benchMachine() (*Machine, []Limit) {
-	m := New(Config{Overage: overage, Slack: slack})
+	m := New(Config{OverrunRatio: overage, OverrunRequests: slack})
 	m.Begin(0, replayWindow)
 	var limits []Limit
 	for n := range benchTeams {
 		l := Limit{Team: fmt.Sprintf("team-%d", n), Rate: 10, Burst: 10}
 		limits = append(limits, l)
-		m.Ask(1, l, Surroundings{Gateways: benchGateways, Age: relayedAge})
+		m.Admit(1, l, Peers{Gateways: benchGateways, Age: relayedAge})
 	}
 	return m, limits
 }
@@ -36,7 +36,7 @@
 		if n%29 == 0 {
 			now += 1_000
 		}
-		m.Ask(now, limits[n%benchTeams], Surroundings{Gateways: benchGateways, Age: relayedAge})
+		m.Admit(now, limits[n%benchTeams], Peers{Gateways: benchGateways, Age: relayedAge})
 	}
 }
 
@@ -48,11 +48,11 @@
 	for n := range b.N {
 		now++
 		sequence++
-		r := Report{Source: fmt.Sprint(n % benchCentres), Epoch: 1, Sequence: sequence, Counting: now}
+		r := Report{Source: fmt.Sprint(n % benchCentres), Epoch: 1, Sequence: sequence, CountingFor: now}
 		for i := range uses {
-			r.Uses = append(r.Uses, Use{Team: IDOf(limits[(n/3+i)%benchTeams].Team), Count: int64(n / 3)})
+			r.Usage = append(r.Usage, TeamUsage{Team: IDOf(limits[(n/3+i)%benchTeams].Team), Count: int64(n / 3)})
 		}
-		m.HeardCentre(now, r)
+		m.ReceiveCentre(now, r)
 	}
 }
 
--- a/common/pkg/quota/counter.go
+++ b/common/pkg/quota/counter.go
@@ -41,50 +41,50 @@
 // Begin notes that the requests of all gateways are heard from now on.
 func (c *Counter) Begin(now clock.Millis) { c.do(func(m *Machine) { m.Begin(now, 0) }) }
 
-// Ask lets one request of a team in, or says when it fits.
-func (c *Counter) Ask(now clock.Millis, l Limit, around Surroundings) (v Verdict) {
-	c.do(func(m *Machine) { v = m.Ask(now, l, around) })
+// Admit lets one request of a team in, or says when it fits.
+func (c *Counter) Admit(now clock.Millis, l Limit, around Peers) (v Verdict) {
+	c.do(func(m *Machine) { v = m.Admit(now, l, around) })
 	return v
 }
 
-// GiveBack takes a request back that was let in at a moment and never ran.
-func (c *Counter) GiveBack(now, at clock.Millis, team string) {
-	c.do(func(m *Machine) { m.GiveBack(now, at, team) })
+// Release takes a request back that was let in at a moment and never ran.
+func (c *Counter) Release(now, at clock.Millis, team string) {
+	c.do(func(m *Machine) { m.Release(now, at, team) })
 }
 
-// Retell tells all counts of the last while once more.
-func (c *Counter) Retell(now clock.Millis) { c.do(func(m *Machine) { m.Retell(now) }) }
+// Republish tells all counts of the last while once more.
+func (c *Counter) Republish(now clock.Millis) { c.do(func(m *Machine) { m.Republish(now) }) }
 
-// Awake notes that this process runs, and says whether there is anything to tell.
-func (c *Counter) Awake(now clock.Millis) (untold bool) {
+// MarkAlive notes that this process runs, and says whether there is anything to tell.
+func (c *Counter) MarkAlive(now clock.Millis) (untold bool) {
 	c.do(func(m *Machine) {
-		m.Awake(now)
-		untold = m.Untold()
+		m.MarkAlive(now)
+		untold = m.HasUnpublished()
 	})
 	return untold
 }
 
-// Tell lists what other daemons may not know, for the own data centre or the others, as it
+// Publish lists what other daemons may not know, for the own data centre or the others, as it
 // travels.
-func (c *Counter) Tell(centre bool) (uses []*toucanhingev1.TeamUse) {
+func (c *Counter) Publish(centre bool) (uses []*toucanhingev1.TeamUse) {
 	c.do(func(m *Machine) { uses = wire(m.tell(centre)) })
 	return uses
 }
 
-// Heard takes over what a digest tells; centre says that it sums up another data centre.
-func (c *Counter) Heard(now clock.Millis, d *toucanhingev1.LoadDigest, centre bool) {
+// Receive takes over what a digest tells; centre says that it sums up another data centre.
+func (c *Counter) Receive(now clock.Millis, d *toucanhingev1.LoadDigest, centre bool) {
 	c.do(func(m *Machine) {
 		r := Report{
-			Source: d.GetSource(), Epoch: d.GetEpoch(), Sequence: d.GetSequence(), Counting: clock.Millis(d.GetCountingMs()),
-			Uses: unwire(d.GetUses()),
+			Source: d.GetSource(), Epoch: d.GetEpoch(), Sequence: d.GetSequence(), CountingFor: clock.Millis(d.GetCountingMs()),
+			Usage: unwire(d.GetUses()),
 		}
 		if !centre {
-			m.Heard(now, r)
+			m.Receive(now, r)
 			return
 		}
 		// The relay tells its own requests too, under its name.
 		r.Source = d.GetDataCentre() + " by " + d.GetSource()
-		m.HeardCentre(now, r)
+		m.ReceiveCentre(now, r)
 	})
 }
 
@@ -120,7 +120,7 @@
 	return window
 }
 
-func wire(uses []Use) []*toucanhingev1.TeamUse {
+func wire(uses []TeamUsage) []*toucanhingev1.TeamUse {
 	var list []*toucanhingev1.TeamUse
 	for _, use := range uses {
 		list = append(list, &toucanhingev1.TeamUse{Team: uint32(use.Team), Count: use.Count, Refused: use.Refused})
@@ -128,10 +128,10 @@
 	return list
 }
 
-func unwire(list []*toucanhingev1.TeamUse) []Use {
-	var uses []Use
+func unwire(list []*toucanhingev1.TeamUse) []TeamUsage {
+	var uses []TeamUsage
 	for _, use := range list {
-		uses = append(uses, Use{Team: ID(use.GetTeam()), Count: use.GetCount(), Refused: use.GetRefused()})
+		uses = append(uses, TeamUsage{Team: ID(use.GetTeam()), Count: use.GetCount(), Refused: use.GetRefused()})
 	}
 	return uses
 }
--- a/common/pkg/quota/machine.go
+++ b/common/pkg/quota/machine.go
@@ -54,10 +54,10 @@
 type Config struct {
 	// Window is the length of the windows, a span; 0 means five seconds.
 	Window clock.Millis
-	// Overage and Slack are the margin between the limit and what may run at most: a part of
+	// OverrunRatio and Slack are the margin between the limit and what may run at most: a part of
 	// the limit, and a number of requests.
-	Overage float64
-	Slack   float64
+	OverrunRatio float64
+	OverrunRequests   float64
 }
 
 // Limit is a team's, as the routing table has it.
@@ -67,8 +67,8 @@
 	Rate, Burst float64
 }
 
-// Surroundings is what a gateway knows of the others.
-type Surroundings struct {
+// Peers is what a gateway knows of the others.
+type Peers struct {
 	// Gateways is how many there are.
 	Gateways int
 	// Age is how old the newest that is known of them is, a span.
@@ -159,9 +159,9 @@
 	}
 }
 
-// Awake notes that this process runs; it is called four times a second at least. A process
+// MarkAlive notes that this process runs; it is called four times a second at least. A process
 // that was frozen hears at once of all that ran meanwhile.
-func (m *Machine) Awake(now clock.Millis) {
+func (m *Machine) MarkAlive(now clock.Millis) {
 	if m.awake > 0 && now-m.awake > frozenAfter {
 		m.thawed, m.frozen = now, now-m.awake
 	}
@@ -174,11 +174,11 @@
 }
 
 // margin is how many more may run at most.
-func (m *Machine) margin(limit float64) float64 { return limit*m.config.Overage + m.config.Slack }
+func (m *Machine) margin(limit float64) float64 { return limit*m.config.OverrunRatio + m.config.OverrunRequests }
 
-// Ask lets one request of a team in, or says when it fits. One that is let in and then
+// Admit lets one request of a team in, or says when it fits. One that is let in and then
 // certainly doesn't run must be given back.
-func (m *Machine) Ask(now clock.Millis, l Limit, around Surroundings) Verdict {
+func (m *Machine) Admit(now clock.Millis, l Limit, around Peers) Verdict {
 	limit := m.limitOf(l)
 	a := m.account(now, IDOf(l.Team))
 	a.rescale(limit)
@@ -209,8 +209,8 @@
 	return verdict
 }
 
-// GiveBack takes a request back that was let in at a moment and never ran.
-func (m *Machine) GiveBack(now, at clock.Millis, team string) {
+// Release takes a request back that was let in at a moment and never ran.
+func (m *Machine) Release(now, at clock.Millis, team string) {
 	a := m.account(now, IDOf(team))
 	for _, w := range []*window{a.all, a.own} {
 		w.add(now, at, -1)
@@ -237,7 +237,7 @@
 // hot says whether a team asks for so much since the start that it must have been refused
 // before.
 func (m *Machine) hot(now clock.Millis, a *account, l Limit) bool {
-	return float64(a.asked) > hotRate*l.Rate*float64(now-m.since)/1_000+hotBurst*l.Burst+unknownPart*m.config.Slack
+	return float64(a.asked) > hotRate*l.Rate*float64(now-m.since)/1_000+hotBurst*l.Burst+unknownPart*m.config.OverrunRequests
 }
 
 // unknown is the part of the window of which isn't known what ran in it.
@@ -303,7 +303,7 @@
 // begin begins a round, if it is time: the span after which the others know of the requests of
 // the last one. All gateways may be letting requests in at the same moment; each may use a
 // part of what is left, by its part of the team's requests so far, or one request.
-func (a *account) begin(now clock.Millis, left float64, around Surroundings) {
+func (a *account) begin(now clock.Millis, left float64, around Peers) {
 	if a.round > 0 && now-a.round < around.Age {
 		return
 	}
@@ -328,7 +328,7 @@
 
 // retryAfter is when a refused request fits, a span. Those that were refused before it come
 // first, and the other gateways tell theirs the same.
-func (m *Machine) retryAfter(now clock.Millis, a *account, l Limit, around Surroundings, w *window, limit float64) clock.Millis {
+func (m *Machine) retryAfter(now clock.Millis, a *account, l Limit, around Peers, w *window, limit float64) clock.Millis {
 	gap := clock.Millis(1_000 * float64(max(around.Gateways, 1)) / l.Rate)
 	first := now + w.room(now, limit, 1)
 	a.refused = now
--- a/common/pkg/quota/machine_test.go
+++ b/common/pkg/quota/machine_test.go
@@ -12,10 +12,10 @@
 
 func TestMain(m *testing.M) { seed.Main(m, 43, seed.Length{Checks: 300}) }
 
-var alone = Surroundings{Gateways: 1, Age: 16}
+var alone = Peers{Gateways: 1, Age: 16}
 
 func begun() *Machine {
-	m := New(Config{Window: 5_000, Overage: 0.1, Slack: 20})
+	m := New(Config{Window: 5_000, OverrunRatio: 0.1, OverrunRequests: 20})
 	m.Begin(100_000, 5_000)
 	return m
 }
@@ -25,16 +25,16 @@
 	l := Limit{Team: "a", Rate: 2, Burst: 3}
 	let := 0
 	for now := clock.Millis(100_000); now < 100_100; now += 2 {
-		if m.Ask(now, l, alone).Admitted {
+		if m.Admit(now, l, alone).Admitted {
 			let++
 		}
 	}
 	require.Equal(t, 13, let, "two a second for five seconds, and three more")
-	v := m.Ask(100_200, l, alone)
+	v := m.Admit(100_200, l, alone)
 	require.False(t, v.Admitted)
 	require.InDelta(t, 5_000, float64(v.RetryAfter), 300, "until the first has left the window")
-	require.True(t, m.Ask(105_300, l, alone).Admitted)
-	require.True(t, m.Ask(100_200, Limit{Team: "b", Rate: 2}, alone).Admitted, "another team")
+	require.True(t, m.Admit(105_300, l, alone).Admitted)
+	require.True(t, m.Admit(100_200, Limit{Team: "b", Rate: 2}, alone).Admitted, "another team")
 }
 
 func TestWhenToComeBackIsTrue(t *testing.T) {
@@ -43,17 +43,17 @@
 	now := clock.Millis(100_000)
 	for range 11 {
 		now += 40
-		m.Ask(now, l, alone)
+		m.Admit(now, l, alone)
 	}
-	v := m.Ask(now, l, alone)
+	v := m.Admit(now, l, alone)
 	require.False(t, v.Admitted)
 	now += v.RetryAfter
-	require.True(t, m.Ask(now, l, alone).Admitted)
-	first := m.Ask(now, l, alone)
+	require.True(t, m.Admit(now, l, alone).Admitted)
+	first := m.Admit(now, l, alone)
 	for first.Admitted {
-		first = m.Ask(now, l, alone)
+		first = m.Admit(now, l, alone)
 	}
-	second := m.Ask(now, l, alone)
+	second := m.Admit(now, l, alone)
 	require.False(t, second.Admitted)
 	require.Greater(t, second.RetryAfter, first.RetryAfter+300, "those who are refused together don't come back together")
 }
@@ -61,11 +61,11 @@
 func TestWhatNeverRanIsGivenBackOnce(t *testing.T) {
 	m := begun()
 	l := Limit{Team: "a", Rate: 0.2, Burst: 0}
-	require.True(t, m.Ask(100_000, l, alone).Admitted)
-	require.False(t, m.Ask(100_100, l, alone).Admitted)
-	m.GiveBack(100_200, 100_000, "a")
-	require.True(t, m.Ask(100_300, l, alone).Admitted)
-	require.False(t, m.Ask(100_400, l, alone).Admitted)
+	require.True(t, m.Admit(100_000, l, alone).Admitted)
+	require.False(t, m.Admit(100_100, l, alone).Admitted)
+	m.Release(100_200, 100_000, "a")
+	require.True(t, m.Admit(100_300, l, alone).Admitted)
+	require.False(t, m.Admit(100_400, l, alone).Admitted)
 }
 
 // A gateway hears late, twice and in another order what another one let in, and that this
@@ -73,7 +73,7 @@
 func TestCountsComeLateTwiceAndInAnotherOrder(t *testing.T) {
 	m := begun()
 	tell := func(epoch, sequence uint64, count int64) {
-		m.Heard(100_000, Report{Source: "g", Epoch: epoch, Sequence: sequence, Counting: 100, Uses: []Use{{Team: IDOf("a"), Count: count}}})
+		m.Receive(100_000, Report{Source: "g", Epoch: epoch, Sequence: sequence, CountingFor: 100, Usage: []TeamUsage{{Team: IDOf("a"), Count: count}}})
 	}
 	tell(1, 1, 2)
 	tell(1, 3, 5)
@@ -92,10 +92,10 @@
 // snapshot that was told at the start, or has left the window.
 func TestCountsOfLongAgoDontCount(t *testing.T) {
 	m := New(Config{Window: 5_000})
-	m.Restore(100_000, []Use{{Team: IDOf("a"), Count: 7}}, 5_000)
-	m.Heard(100_010, Report{Source: "g", Epoch: 1, Sequence: 900, Counting: 60_000, Uses: []Use{{Team: IDOf("a"), Count: 512}}})
+	m.Restore(100_000, []TeamUsage{{Team: IDOf("a"), Count: 7}}, 5_000)
+	m.Receive(100_010, Report{Source: "g", Epoch: 1, Sequence: 900, CountingFor: 60_000, Usage: []TeamUsage{{Team: IDOf("a"), Count: 512}}})
 	require.InDelta(t, 8, m.Used(100_010, "a"), 0.01)
-	m.Heard(100_020, Report{Source: "g", Epoch: 1, Sequence: 901, Counting: 60_010, Uses: []Use{{Team: IDOf("a"), Count: 515}}})
+	m.Receive(100_020, Report{Source: "g", Epoch: 1, Sequence: 901, CountingFor: 60_010, Usage: []TeamUsage{{Team: IDOf("a"), Count: 515}}})
 	require.InDelta(t, 11, m.Used(100_020, "a"), 0.01)
 	require.InDelta(t, 0, m.Used(106_000, "a"), 0.01)
 }
@@ -104,10 +104,10 @@
 // as of this moment, a team far below its limit would be refused for a whole window.
 func TestAFrozenGatewayDoesntTakeOldRequestsForNewOnes(t *testing.T) {
 	m := begun()
-	m.Awake(100_000)
-	m.Heard(100_000, Report{Source: "g", Epoch: 1, Sequence: 1, Counting: 100, Uses: []Use{{Team: IDOf("a"), Count: 1}}})
-	m.Awake(104_000)
-	m.Heard(104_001, Report{Source: "g", Epoch: 1, Sequence: 2, Counting: 4_100, Uses: []Use{{Team: IDOf("a"), Count: 41}}})
+	m.MarkAlive(100_000)
+	m.Receive(100_000, Report{Source: "g", Epoch: 1, Sequence: 1, CountingFor: 100, Usage: []TeamUsage{{Team: IDOf("a"), Count: 1}}})
+	m.MarkAlive(104_000)
+	m.Receive(104_001, Report{Source: "g", Epoch: 1, Sequence: 2, CountingFor: 4_100, Usage: []TeamUsage{{Team: IDOf("a"), Count: 41}}})
 	require.InDelta(t, 21, m.Used(107_000, "a"), 3, "half of them have left the window")
 }
 
@@ -116,7 +116,7 @@
 	l := Limit{Team: "a", Rate: 80, Burst: 80}
 	let := 0
 	for now := clock.Millis(100_000); now < 105_000; now += 5 {
-		if m.Ask(now, l, Surroundings{Gateways: 24, Age: 16, Isolated: true}).Admitted {
+		if m.Admit(now, l, Peers{Gateways: 24, Age: 16, Isolated: true}).Admitted {
 			let++
 		}
 	}
@@ -126,31 +126,31 @@
 func TestATeamWithoutAMarginIsRefusedInIsolation(t *testing.T) {
 	m := New(Config{Window: 5_000})
 	m.Begin(100_000, 5_000)
-	require.False(t, m.Ask(100_000, Limit{Team: "a", Rate: 1}, Surroundings{Gateways: 3, Isolated: true}).Admitted)
-	require.True(t, m.Ask(100_000, Limit{Team: "a", Rate: 1}, Surroundings{Gateways: 3}).Admitted)
+	require.False(t, m.Admit(100_000, Limit{Team: "a", Rate: 1}, Peers{Gateways: 3, Isolated: true}).Admitted)
+	require.True(t, m.Admit(100_000, Limit{Team: "a", Rate: 1}, Peers{Gateways: 3}).Admitted)
 }
 
 func TestEachCountIsToldThreeTimes(t *testing.T) {
 	m := begun()
-	m.Ask(100_000, Limit{Team: "a", Rate: 2}, alone)
-	require.True(t, m.Untold())
+	m.Admit(100_000, Limit{Team: "a", Rate: 2}, alone)
+	require.True(t, m.HasUnpublished())
 	for range tells {
-		require.Equal(t, []Use{{Team: IDOf("a"), Count: 1}}, m.Tell())
+		require.Equal(t, []TeamUsage{{Team: IDOf("a"), Count: 1}}, m.Publish())
 	}
-	require.Empty(t, m.Tell())
-	require.False(t, m.Untold())
-	m.Retell(100_500)
-	require.Len(t, m.Tell(), 1, "to a daemon that is new")
+	require.Empty(t, m.Publish())
+	require.False(t, m.HasUnpublished())
+	m.Republish(100_500)
+	require.Len(t, m.Publish(), 1, "to a daemon that is new")
 }
 
 // TestSumsOfADataCentre: a relay tells what all of its data centre let in, and takes what other
 // data centres tell for theirs alone.
 func TestSumsOfADataCentre(t *testing.T) {
 	m := begun()
-	m.Ask(100_000, Limit{Team: "a", Rate: 2}, alone)
-	m.Heard(100_000, Report{Source: "near", Epoch: 1, Sequence: 1, Counting: 10, Uses: []Use{{Team: IDOf("a"), Count: 4}}})
-	m.HeardCentre(100_000, Report{Source: "far", Epoch: 1, Sequence: 1, Counting: 10, Uses: []Use{{Team: IDOf("a"), Count: 9}}})
-	require.Equal(t, []Use{{Team: IDOf("a"), Count: 5}}, m.TellCentre())
+	m.Admit(100_000, Limit{Team: "a", Rate: 2}, alone)
+	m.Receive(100_000, Report{Source: "near", Epoch: 1, Sequence: 1, CountingFor: 10, Usage: []TeamUsage{{Team: IDOf("a"), Count: 4}}})
+	m.ReceiveCentre(100_000, Report{Source: "far", Epoch: 1, Sequence: 1, CountingFor: 10, Usage: []TeamUsage{{Team: IDOf("a"), Count: 9}}})
+	require.Equal(t, []TeamUsage{{Team: IDOf("a"), Count: 5}}, m.PublishCentre())
 	require.InDelta(t, 14, m.Used(100_000, "a"), 0.01)
 }
 
@@ -175,7 +175,7 @@
 		gap := rapid.Int64Range(0, 900)
 		for range 200 {
 			now += clock.Millis(gap.Draw(t, "gap"))
-			v := m.Ask(now, l, alone)
+			v := m.Admit(now, l, alone)
 			if v.Admitted {
 				let = append(let, now)
 			}
@@ -191,10 +191,10 @@
 	here, there := begun(), begun()
 	l := Limit{Team: "a", Rate: 0.2}
 	for range 4 {
-		here.Ask(100_000, l, alone)
+		here.Admit(100_000, l, alone)
 	}
 	require.Equal(t, int64(3), here.Refused("a"))
-	there.Heard(100_010, Report{Source: "here", Epoch: 1, Sequence: 1, Counting: 10, Uses: here.Tell()})
+	there.Receive(100_010, Report{Source: "here", Epoch: 1, Sequence: 1, CountingFor: 10, Usage: here.Publish()})
 	require.Equal(t, int64(3), there.Refused("a"))
 	require.InDelta(t, 1, there.Used(100_010, "a"), 0.01)
 }
--- a/common/pkg/quota/replay_test.go
+++ b/common/pkg/quota/replay_test.go
@@ -66,7 +66,7 @@
 func newTold(gateways int, age clock.Millis, random *rand.Rand) *told {
 	w := &told{random: random, age: age}
 	for range gateways {
-		m := New(Config{Window: replayWindow, Overage: overage, Slack: slack})
+		m := New(Config{Window: replayWindow, OverrunRatio: overage, OverrunRequests: slack})
 		m.Begin(0, replayWindow)
 		w.machines = append(w.machines, m)
 		w.begun = append(w.begun, 0)
@@ -78,21 +78,21 @@
 }
 
 func (w *told) ask(now clock.Millis, gateway int, l Limit) (bool, clock.Millis) {
-	around := Surroundings{Gateways: len(w.machines), Age: w.age, Isolated: now-w.heardAt[gateway] > replayIsolated}
-	v := w.machines[gateway].Ask(now, l, around)
+	around := Peers{Gateways: len(w.machines), Age: w.age, Isolated: now-w.heardAt[gateway] > replayIsolated}
+	v := w.machines[gateway].Admit(now, l, around)
 	return v.Admitted, v.Wait
 }
 
 func (w *told) giveBack(now clock.Millis, gateway int, l Limit) {
-	w.machines[gateway].GiveBack(now, now, l.Team)
+	w.machines[gateway].Release(now, now, l.Team)
 }
 
 func (w *told) pass(now clock.Millis) {
 	for i, m := range w.machines {
-		m.Awake(now)
-		if now%5 == 0 && m.Untold() {
+		m.MarkAlive(now)
+		if now%5 == 0 && m.HasUnpublished() {
 			w.sequence[i]++
-			r := Report{Source: fmt.Sprint(i), Epoch: uint64(w.begun[i] + 1), Sequence: w.sequence[i], Counting: now - w.begun[i], Uses: m.Tell()}
+			r := Report{Source: fmt.Sprint(i), Epoch: uint64(w.begun[i] + 1), Sequence: w.sequence[i], CountingFor: now - w.begun[i], Usage: m.Publish()}
 			for to := range w.machines {
 				lost := w.random.Float64() < w.loss || w.cutUntil[i] > now || w.cutUntil[to] > now
 				if to != i && !lost {
@@ -113,7 +113,7 @@
 		if d.at > now {
 			return false
 		}
-		w.machines[d.to].Heard(now, d.report)
+		w.machines[d.to].Receive(now, d.report)
 		w.heardAt[d.to] = now
 		return true
 	})
@@ -124,7 +124,7 @@
 		if gateway >= 0 && gateway != i {
 			continue
 		}
-		w.machines[i] = New(Config{Window: replayWindow, Overage: overage, Slack: slack})
+		w.machines[i] = New(Config{Window: replayWindow, OverrunRatio: overage, OverrunRequests: slack})
 		w.begun[i] = now
 		if gateway >= 0 {
 			// The leader hears all, and tells a gateway that starts.
--- a/common/pkg/quota/told.go
+++ b/common/pkg/quota/told.go
@@ -10,8 +10,8 @@
 // doesn't change any more isn't told again.
 const tells = 3
 
-// Use is how many requests of a team were let in, and refused, somewhere since a start.
-type Use struct {
+// TeamUsage is how many requests of a team were let in, and refused, somewhere since a start.
+type TeamUsage struct {
 	Team    ID
 	Count   int64
 	Refused int64
@@ -22,9 +22,9 @@
 	// Source names who counted, Epoch its start and Sequence the datagram.
 	Source          string
 	Epoch, Sequence uint64
-	// Counting is how long it has counted, a span.
-	Counting clock.Millis
-	Uses     []Use
+	// CountingFor is how long it has counted, a span.
+	CountingFor clock.Millis
+	Usage     []TeamUsage
 }
 
 // source is another gateway, or a data centre.
@@ -32,18 +32,18 @@
 	epoch, sequence uint64
 	// since is when it was heard first, heard when last.
 	since, heard clock.Millis
-	counts       map[ID]Use
+	counts       map[ID]TeamUsage
 }
 
-// Tell lists the counts that others don't know for sure yet.
-func (m *Machine) Tell() []Use { return m.tell(false) }
+// Publish lists the counts that others don't know for sure yet.
+func (m *Machine) Publish() []TeamUsage { return m.tell(false) }
 
-// TellCentre lists the counts of the whole data centre that other data centres don't know for
+// PublishCentre lists the counts of the whole data centre that other data centres don't know for
 // sure yet.
-func (m *Machine) TellCentre() []Use { return m.tell(true) }
+func (m *Machine) PublishCentre() []TeamUsage { return m.tell(true) }
 
-func (m *Machine) tell(centre bool) []Use {
-	var uses []Use
+func (m *Machine) tell(centre bool) []TeamUsage {
+	var uses []TeamUsage
 	for id, a := range m.teams {
 		left, tally := &a.hereLeft, a.here
 		if centre {
@@ -51,15 +51,15 @@
 		}
 		if *left > 0 {
 			*left--
-			uses = append(uses, Use{Team: id, Count: tally.let, Refused: tally.refused})
+			uses = append(uses, TeamUsage{Team: id, Count: tally.let, Refused: tally.refused})
 		}
 	}
-	slices.SortFunc(uses, func(a, b Use) int { return int(int64(a.Team) - int64(b.Team)) })
+	slices.SortFunc(uses, func(a, b TeamUsage) int { return int(int64(a.Team) - int64(b.Team)) })
 	return uses
 }
 
-// Untold says whether there is anything to tell.
-func (m *Machine) Untold() bool {
+// HasUnpublished says whether there is anything to tell.
+func (m *Machine) HasUnpublished() bool {
 	for _, a := range m.teams {
 		if a.hereLeft > 0 {
 			return true
@@ -68,12 +68,12 @@
 	return false
 }
 
-// Heard takes over what another gateway of the data centre counted, or, where there are no
+// Receive takes over what another gateway of the data centre counted, or, where there are no
 // sums, any other one.
-func (m *Machine) Heard(now clock.Millis, r Report) { m.take(now, r, true) }
+func (m *Machine) Receive(now clock.Millis, r Report) { m.take(now, r, true) }
 
-// HeardCentre takes over what the gateways of another data centre counted.
-func (m *Machine) HeardCentre(now clock.Millis, r Report) { m.take(now, r, false) }
+// ReceiveCentre takes over what the gateways of another data centre counted.
+func (m *Machine) ReceiveCentre(now clock.Millis, r Report) { m.take(now, r, false) }
 
 func (m *Machine) take(now clock.Millis, r Report, near bool) {
 	s := m.sources[r.Source]
@@ -81,22 +81,22 @@
 		return
 	}
 	if s == nil || s.epoch != r.Epoch {
-		s = &source{epoch: r.Epoch, since: now, heard: now, counts: map[ID]Use{}}
+		s = &source{epoch: r.Epoch, since: now, heard: now, counts: map[ID]TeamUsage{}}
 		m.sources[r.Source] = s
 	}
 	s.sequence = r.Sequence
-	for _, use := range r.Uses {
+	for _, use := range r.Usage {
 		m.note(now, s, r, use, near)
 	}
 	s.heard = now
 }
 
 // note counts what is new of one team at a source.
-func (m *Machine) note(now clock.Millis, s *source, r Report, use Use, near bool) {
+func (m *Machine) note(now clock.Millis, s *source, r Report, use TeamUsage, near bool) {
 	before, known := s.counts[use.Team]
 	s.counts[use.Team] = use
 	added, refused := use.Count-before.Count, use.Refused-before.Refused
-	if !known && r.Counting > m.config.Window && now-s.since < m.config.Window {
+	if !known && r.CountingFor > m.config.Window && now-s.since < m.config.Window {
 		// It counted long before it was heard here. What was told at the start holds that
 		// already, but for the newest.
 		added, refused = min(added, 1), min(refused, 1)
@@ -123,9 +123,9 @@
 	}
 }
 
-// Retell tells all counts of the last while once more: there are daemons that may not have
+// Republish tells all counts of the last while once more: there are daemons that may not have
 // heard them.
-func (m *Machine) Retell(now clock.Millis) {
+func (m *Machine) Republish(now clock.Millis) {
 	for _, a := range m.teams {
 		if a.here != (tally{}) && now-a.touched <= m.config.Window {
 			a.hereLeft = tells
@@ -138,10 +138,10 @@
 
 // Snapshot lists what is in the window now, for a gateway that starts, and of how long a span
 // all is known.
-func (m *Machine) Snapshot(now clock.Millis) (uses []Use, known clock.Millis) {
+func (m *Machine) Snapshot(now clock.Millis) (uses []TeamUsage, known clock.Millis) {
 	for id, a := range m.teams {
 		if in := int64(a.all.in(now) + 0.5); in > 0 {
-			uses = append(uses, Use{Team: id, Count: in})
+			uses = append(uses, TeamUsage{Team: id, Count: in})
 		}
 	}
 	if m.started {
@@ -152,7 +152,7 @@
 
 // Restore takes a snapshot over. When each request of it came isn't known: they are taken to
 // have come evenly.
-func (m *Machine) Restore(now clock.Millis, uses []Use, known clock.Millis) {
+func (m *Machine) Restore(now clock.Millis, uses []TeamUsage, known clock.Millis) {
 	if m.started {
 		return
 	}
--- a/common/pkg/record/book.go
+++ b/common/pkg/record/book.go
@@ -13,8 +13,8 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Book is a fixed-size list of the last happenings of a process.
-type Book struct {
+// Log is a fixed-size list of the last happenings of a process.
+type Log struct {
 	mu      sync.Mutex
 	clock   clock.Clock
 	process string
@@ -39,12 +39,12 @@
 }
 
 // New makes an empty book.
-func New(config Config) *Book {
-	return &Book{clock: config.Clock, process: config.Process, entries: make([]entry, max(config.Size, 1))}
+func New(config Config) *Log {
+	return &Log{clock: config.Clock, process: config.Process, entries: make([]entry, max(config.Size, 1))}
 }
 
 // Add notes one happening; the oldest is forgotten when the book is full.
-func (b *Book) Add(id, event, detail string) {
+func (b *Log) Add(id, event, detail string) {
 	at := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,7 +57,7 @@
 }
 
 // Find returns the happenings of an id, or of what stands below it ("job/…"), oldest first.
-func (b *Book) Find(id string) []*toucanhingev1.Happening {
+func (b *Log) Find(id string) []*toucanhingev1.Happening {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var found []*toucanhingev1.Happening
@@ -71,7 +71,7 @@
 	return found
 }
 
-func (b *Book) oldest(i int) int {
+func (b *Log) oldest(i int) int {
 	if !b.full {
 		return i
 	}
@@ -79,7 +79,7 @@
 }
 
 // Explain serves the operators' question from this book.
-func (b *Book) Explain(
+func (b *Log) Explain(
 	_ context.Context, request *connect.Request[toucanhingev1.ExplainRequest],
 ) (*connect.Response[toucanhingev1.ExplainResponse], error) {
 	return connect.NewResponse(&toucanhingev1.ExplainResponse{
--- a/common/pkg/record/book_test.go
+++ b/common/pkg/record/book_test.go
@@ -11,7 +11,7 @@
 
 func TestBookForgetsTheOldestFirst(t *testing.T) {
 	now := clock.Millis(0)
-	b := New(Config{Clock: clock.Of(func() clock.Millis { now++; return now }), Process: "p", Size: 3})
+	b := New(Config{Clock: clock.FromFunc(func() clock.Millis { now++; return now }), Process: "p", Size: 3})
 	for i := range 5 {
 		b.Add("job/"+strconv.Itoa(i), "leased", "")
 	}
--- a/common/pkg/routing/table.go
+++ b/common/pkg/routing/table.go
@@ -100,9 +100,9 @@
 // Wire is the table with the operator's document, as the core keeps it.
 func (t *Table) Wire() *toucanhingev1.RoutingTable { return t.wire }
 
-// Lean is the table without the operator's document, as it goes to gateways: they don't need
+// WithoutDocument is the table without the operator's document, as it goes to gateways: they don't need
 // the text, which is longer than the rest and holds the teams' keys.
-func (t *Table) Lean() *toucanhingev1.RoutingTable {
+func (t *Table) WithoutDocument() *toucanhingev1.RoutingTable {
 	w := t.wire
 	return &toucanhingev1.RoutingTable{
 		Version: w.GetVersion(), Routes: w.GetRoutes(), Services: w.GetServices(), Limits: w.GetLimits(),
--- a/common/pkg/routing/team.go
+++ b/common/pkg/routing/team.go
@@ -29,7 +29,7 @@
 
 // TeamOf finds the team that holds a key.
 func (t *Table) TeamOf(key []byte) (Team, bool) {
-	hash, ok := apikey.Read(key)
+	hash, ok := apikey.Parse(key)
 	if !ok {
 		return Team{}, false
 	}
@@ -59,7 +59,7 @@
 func (t *Table) addTeams() {
 	for _, wire := range t.wire.GetTeams() {
 		for _, key := range wire.GetKeys() {
-			if hash, ok := apikey.Read(key); ok {
+			if hash, ok := apikey.Parse(key); ok {
 				t.byKey[hash] = Team{wire}
 			}
 		}
@@ -83,7 +83,7 @@
 			return fmt.Errorf("%w: the rate or the burst of team %q is negative or endless", ErrInvalid, team.GetName())
 		}
 		for i, key := range team.GetKeys() {
-			hash, ok := apikey.Read(key)
+			hash, ok := apikey.Parse(key)
 			if !ok {
 				return fmt.Errorf("%w: key %d of team %q is empty", ErrInvalid, i, team.GetName())
 			}
--- a/common/pkg/routing/team_test.go
+++ b/common/pkg/routing/team_test.go
@@ -89,7 +89,7 @@
 func TestGatewaysGetNoDocument(t *testing.T) {
 	table, err := New(keyed())
 	require.NoError(t, err)
-	lean := table.Lean()
+	lean := table.WithoutDocument()
 	require.Empty(t, lean.GetDocument(), "it holds the keys")
 	again, err := New(lean)
 	require.NoError(t, err)
--- a/common/pkg/runner/runner.go
+++ b/common/pkg/runner/runner.go
@@ -29,8 +29,8 @@
 	Body []byte
 	// Chunked says that the body goes in chunks, as the caller sent it.
 	Chunked bool
-	// Left is how long the caller still waits, a span; 0 means that it didn't say.
-	Left clock.Millis
+	// Remaining is how long the caller still waits, a span; 0 means that it didn't say.
+	Remaining clock.Millis
 	// Resume asks a stream to go on after the event After.
 	Resume bool
 	After  uint64
@@ -46,24 +46,24 @@
 	Body io.ReadCloser
 	// NotRun says that the runner didn't run the request and never will.
 	NotRun bool
-	// Other says that another instance has the address now.
-	Other bool
-	// Held is what the runner had under way when it answered, nil if it didn't say.
-	Held *Held
+	// OtherInstance says that another instance has the address now.
+	OtherInstance bool
+	// Load is what the runner had under way when it answered, nil if it didn't say.
+	Load *Load
 	// Release asks for an early end of an answer that another daemon passes on: what that
 	// daemon holds back still comes, and then an error. It never blocks. Nil if nothing is
 	// held back.
 	Release func()
 }
 
-// Held is what a runner itself says to have under way.
-type Held struct {
+// Load is what a runner itself says to have under way.
+type Load struct {
 	Running int
 	Waiting int
 }
 
-// All is the number of requests that hold a place or wait for one.
-func (h Held) All() int { return h.Running + h.Waiting }
+// Total is the number of requests that hold a place or wait for one.
+func (h Load) Total() int { return h.Running + h.Waiting }
 
 // Client makes calls. The body of an answer must be closed; closing it before
 // its end, or ending the context, breaks the call off, and the runner stops.
@@ -78,8 +78,8 @@
 // certainly didn't run.
 type NotSentError struct {
 	Runner string
-	// Silent says that the runner's machine didn't even refuse the connection.
-	Silent bool
+	// Unresponsive says that the runner's machine didn't even refuse the connection.
+	Unresponsive bool
 	Err    error
 }
 
--- a/common/pkg/settings/settings.go
+++ b/common/pkg/settings/settings.go
@@ -55,8 +55,8 @@
 	c.faults = append(c.faults, Fault{File: c.file, Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// Need notes a fault unless the condition holds.
-func (c *Check) Need(holds bool, key, format string, args ...any) {
+// Require notes a fault unless the condition holds.
+func (c *Check) Require(holds bool, key, format string, args ...any) {
 	if !holds {
 		c.Fail(key, format, args...)
 	}
@@ -69,8 +69,8 @@
 		c.Fail(key, "want IP:port, got %q", value)
 		return
 	}
-	c.Need(net.ParseIP(host) != nil, key, "want a literal IP, got host %q", host)
-	c.Need(port != "", key, "the port is missing in %q", value)
+	c.Require(net.ParseIP(host) != nil, key, "want a literal IP, got host %q", host)
+	c.Require(port != "", key, "the port is missing in %q", value)
 }
 
 // decodeMessage takes the line, the key and the reason out of the library's
--- a/common/pkg/settings/settings_test.go
+++ b/common/pkg/settings/settings_test.go
@@ -18,7 +18,7 @@
 
 func validate(c *Check, s *sample) {
 	c.Address("listen", s.Listen)
-	c.Need(s.Limits.Body > 0, "limits.body", "must be above 0, got %d", s.Limits.Body)
+	c.Require(s.Limits.Body > 0, "limits.body", "must be above 0, got %d", s.Limits.Body)
 }
 
 func TestLoadNamesEveryFault(t *testing.T) {
--- a/common/pkg/sse/reader.go
+++ b/common/pkg/sse/reader.go
@@ -17,8 +17,8 @@
 const mostEventBytes = 1 << 20
 
 var (
-	// ErrCut tells that the stream ended within an event.
-	ErrCut = errors.New("the stream ended within an event")
+	// ErrTruncated tells that the stream ended within an event.
+	ErrTruncated = errors.New("the stream ended within an event")
 	// ErrTooLong tells that an event has no end.
 	ErrTooLong = errors.New("an event is too long")
 )
@@ -56,7 +56,7 @@
 		line, err := r.line()
 		if err != nil {
 			if errors.Is(err, io.EOF) && len(r.raw) > 0 {
-				err = ErrCut
+				err = ErrTruncated
 			}
 			return Event{}, err
 		}
--- a/common/pkg/sse/reader_test.go
+++ b/common/pkg/sse/reader_test.go
@@ -29,8 +29,8 @@
 		{"several data lines", "id: 1\ndata: a\ndata:  b\ndata:\n\n", []uint64{1}, []string{"a\n b\n"}, io.EOF},
 		{"other fields", "x-weight: 3\nid: 1\n: remark\ndata: a\n\n", []uint64{1}, []string{"a"}, io.EOF},
 		{"number unreadable", "id: x\ndata: a\n\n", []uint64{0}, []string{"a"}, io.EOF},
-		{"cut between lines", "id: 1\ndata: a\n", nil, nil, ErrCut},
-		{"cut in a line", "id: 1\ndata: a\n\nid: 2\nda", []uint64{1}, []string{"a"}, ErrCut},
+		{"cut between lines", "id: 1\ndata: a\n", nil, nil, ErrTruncated},
+		{"cut in a line", "id: 1\ndata: a\n\nid: 2\nda", []uint64{1}, []string{"a"}, ErrTruncated},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			reader := NewReader(strings.NewReader(c.stream), 16)
@@ -82,7 +82,7 @@
 		for {
 			e, err := reader.Next()
 			if err != nil {
-				require.Equal(t, len(raw) == cut, err != nil && !strings.Contains(err.Error(), ErrCut.Error()))
+				require.Equal(t, len(raw) == cut, err != nil && !strings.Contains(err.Error(), ErrTruncated.Error()))
 				break
 			}
 			count++
--- a/common/pkg/web/limit_test.go
+++ b/common/pkg/web/limit_test.go
@@ -18,7 +18,7 @@
 	server, err := Listen("127.0.0.1:0", http.NotFoundHandler())
 	require.NoError(t, err)
 	var turned atomic.Int64
-	server.Bound(most, func() { turned.Add(1) })
+	server.LimitConnections(most, func() { turned.Add(1) })
 	go func() { _ = server.Serve() }()
 	t.Cleanup(func() { _ = server.server.Close() })
 
--- a/common/pkg/web/server.go
+++ b/common/pkg/web/server.go
@@ -57,9 +57,9 @@
 	}, nil
 }
 
-// Bound keeps the server from having more connections than a number. It is told of each that
+// LimitConnections keeps the server from having more connections than a number. It is told of each that
 // is turned away. Call it before Serve.
-func (s *Server) Bound(most int, turned func()) {
+func (s *Server) LimitConnections(most int, turned func()) {
 	s.listener = &limited{Listener: s.listener, most: int64(most), turned: turned}
 }
 
--- a/common/pkg/world/fleet.go
+++ b/common/pkg/world/fleet.go
@@ -71,7 +71,7 @@
 	Service     string
 	Incarnation uint64
 	Slots       int
-	Leaving     bool
+	Draining     bool
 }
 
 // Empty is the fleet before any configuration is known.
@@ -154,7 +154,7 @@
 		Service:     m.GetService(),
 		Incarnation: m.GetIncarnation(),
 		Slots:       int(m.GetSlots()),
-		Leaving:     m.GetState() == toucanhingev1.MemberState_MEMBER_STATE_LEAVING || f.drained(name, m.GetVm()),
+		Draining:     m.GetState() == toucanhingev1.MemberState_MEMBER_STATE_LEAVING || f.drained(name, m.GetVm()),
 	})
 }
 
--- a/common/pkg/world/fleet_test.go
+++ b/common/pkg/world/fleet_test.go
@@ -31,7 +31,7 @@
 	})
 	require.Len(t, first.Endpoints("s"), 2, "an older version must not change")
 	require.Len(t, second.Endpoints("s"), 1)
-	require.True(t, second.Endpoints("s")[0].Leaving, "a drained VM's endpoint is leaving")
+	require.True(t, second.Endpoints("s")[0].Draining, "a drained VM's endpoint is leaving")
 }
 
 func TestContractAllows(t *testing.T) {
--- a/control/pkg/app/app.go
+++ b/control/pkg/app/app.go
@@ -60,6 +60,6 @@
 	return metrics.New(program)
 }
 
-func newBook(settings config.Config, now clock.Clock) *record.Book {
+func newBook(settings config.Config, now clock.Clock) *record.Log {
 	return record.New(record.Config{Clock: now, Process: settings.Name, Size: bookEvents})
 }
--- a/control/pkg/app/components.go
+++ b/control/pkg/app/components.go
@@ -35,21 +35,21 @@
 
 // components holds the handler that the process serves and its background components.
 type components struct {
-	members *fleet.Keeper
+	members *fleet.LeaseTracker
 	leases  *work.LeaseTracker
 	vms     *platform.Poller
 	handler http.Handler
 }
 
 func newComponents(
-	settings config.Config, now clock.Clock, logger log.Logger, set *metrics.Set, book *record.Book,
+	settings config.Config, now clock.Clock, logger log.Logger, set *metrics.Set, book *record.Log,
 	status *health.Status, gs *groups,
 ) *components {
 	c := &components{
-		members: fleet.NewKeeper(fleet.KeeperConfig{
+		members: fleet.NewLeaseTracker(fleet.LeaseTrackerConfig{
 			Fleet: gs.fleet, Clock: now, Logger: logger,
 			Lease: clock.Millis(settings.Members.LeaseMS), ForgetAfter: clock.Millis(settings.Members.ForgetMS),
-			ClaimsKept: clock.Millis(settings.Claims.KeepMS), RequestsKept: clock.Millis(settings.Operators.RequestsMS),
+			ClaimRetention: clock.Millis(settings.Claims.KeepMS), RequestRetention: clock.Millis(settings.Operators.RequestsMS),
 		}),
 		leases: work.NewLeaseTracker(work.LeaseTrackerConfig{
 			Groups: gs.jobs, Clock: now, Logger: logger, Lease: clock.Millis(settings.Jobs.LeaseMS),
@@ -58,7 +58,7 @@
 	}
 	if settings.Platform.VMListURL != "" {
 		c.vms = platform.New(platform.Config{
-			URL: settings.Platform.VMListURL, Every: clock.Millis(settings.Platform.PollMS).Duration(),
+			URL: settings.Platform.VMListURL, Interval: clock.Millis(settings.Platform.PollMS).Duration(),
 			HTTP: &http.Client{}, Fleet: gs.fleet, Logger: logger, Refused: set.Refused,
 		})
 	}
@@ -68,25 +68,25 @@
 }
 
 func (c *components) routes(
-	settings config.Config, now clock.Clock, set *metrics.Set, book *record.Book, status *health.Status, gs *groups,
+	settings config.Config, now clock.Clock, set *metrics.Set, book *record.Log, status *health.Status, gs *groups,
 ) http.Handler {
 	refuser := group.Refuser{Refused: set.Refused}
 	jobs := entry.New(entry.Config{
 		Groups: gs.jobs, GroupCount: settings.Groups, Fleet: gs.fleet, Book: book, Refuser: refuser,
-		MaxItems: settings.Jobs.MostItems, ItemBytes: settings.Jobs.ItemBytes,
+		MaxItems: settings.Jobs.MaxItems, ItemBytes: settings.Jobs.ItemBytes,
 	})
 	items := work.New(work.Config{
 		Groups: gs.jobs, Fleet: gs.fleet, Leases: c.leases, Clock: now, Book: book, Refuser: refuser,
 		Lease: clock.Millis(settings.Jobs.LeaseMS), ResultBytes: settings.Jobs.ResultBytes,
 	})
 	members := fleet.New(fleet.Config{
-		Fleet: gs.fleet, Keeper: c.members, Clock: now, Refuser: refuser,
+		Fleet: gs.fleet, Leases: c.members, Clock: now, Refuser: refuser,
 		Groups: settings.Groups, Lease: clock.Millis(settings.Members.LeaseMS),
 	})
 	operators := operator.New(operator.Config{
-		Fleet: gs.fleet, Jobs: gs.jobs, Entry: jobs, Keeper: c.members, Clock: now, Book: book, Refuser: refuser,
+		Fleet: gs.fleet, Jobs: gs.jobs, Entry: jobs, Leases: c.members, Clock: now, Log: book, Refuser: refuser,
 		LoadInterval: loadInterval(settings),
-		Replicas:     operator.Replicas{Name: settings.Name, Identity: gs.identity, Status: gs.status, Change: gs.changeMember, Handover: gs.transferLeaderships},
+		Replicas:     operator.Replicas{Name: settings.Name, Identity: gs.identity, Status: gs.status, Change: gs.changeMember, TransferLeadership: gs.transferLeaderships},
 	})
 	limit := connect.WithHandlerOptions(connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(compressMinBytes))
 	mux := http.NewServeMux()
--- a/control/pkg/app/contract_test.go
+++ b/control/pkg/app/contract_test.go
@@ -40,7 +40,7 @@
 // TestFaultyUploadsAreRefused checks the code and the reason of each faulty upload. A
 // reason about an item names its line, and the job must not exist afterwards.
 func TestFaultyUploadsAreRefused(t *testing.T) {
-	c := newCluster(t, 1, func(s *config.Config) { s.Jobs.MostItems, s.Jobs.ItemBytes = 3, 100 })
+	c := newCluster(t, 1, func(s *config.Config) { s.Jobs.MaxItems, s.Jobs.ItemBytes = 3, 100 })
 	c.createContract()
 	good := newItem("a", `{}`)
 	scenarios := []struct {
--- a/control/pkg/app/state_collector.go
+++ b/control/pkg/app/state_collector.go
@@ -49,7 +49,7 @@
 	sendEvents(ch, "0", "settle-refused", n.SettlesRefused)
 	sendEvents(ch, "0", "member-dead", n.MembersDead)
 	sendHeld(ch, "0", "version", int(s.Version()))
-	sendHeld(ch, "0", "claims", s.Claims())
+	sendHeld(ch, "0", "claims", s.ClaimCount())
 }
 
 func (c *stateCollector) jobs(ch chan<- prometheus.Metric, group string, s *jobstate.State) {
--- a/control/pkg/batchrun/crash_report.go
+++ b/control/pkg/batchrun/crash_report.go
@@ -20,11 +20,11 @@
 // the caller every accepted item until then.
 func (r *run) quarantinedUntil(call runner.Call) clock.Millis {
 	x := r.driver.config.Exchange
-	if !x.Suspects() {
+	if !x.HasSuspects() {
 		return 0
 	}
-	verdict := x.Standing(fingerprintOf(call))
-	if verdict.Standing == crashes.Sound {
+	verdict := x.CheckRequest(fingerprintOf(call))
+	if verdict.Status == crashes.Allowed {
 		return 0
 	}
 	return verdict.Until
@@ -42,22 +42,22 @@
 		// slots, so the item has run since the call was sent.
 		running = elapsed
 	}
-	sign := crashes.SignOf(running, elapsed, true)
+	sign := crashes.PhaseOf(running, elapsed, true)
 	level.Info(config.Logger).Log(logs.KeyEvent, logs.EventRunnerCrashed, logs.KeyJob, r.key.Job, "index", r.key.Index,
-		logs.KeyItem, call.Request, logs.KeyContent, fingerprintOf(call), "runner", call.Runner.GetId(), "running-ms", running)
+		logs.KeyItem, call.Request, logs.KeyFingerprint, fingerprintOf(call), "runner", call.Runner.GetId(), "running-ms", running)
 	if sign == crashes.Late {
-		config.Exchange.Survived(fingerprintOf(call))
+		config.Exchange.RecordSuccess(fingerprintOf(call))
 	}
-	config.Exchange.Crashed(call.Runner, fingerprintOf(call), sign)
+	config.Exchange.ReportCrash(call.Runner, fingerprintOf(call), sign)
 }
 
 // clearSuspicion clears a suspected item that ran without crashing its runner.
 func (r *run) clearSuspicion(call runner.Call) {
-	if x := r.driver.config.Exchange; x.Suspects() {
-		x.Survived(fingerprintOf(call))
+	if x := r.driver.config.Exchange; x.HasSuspects() {
+		x.RecordSuccess(fingerprintOf(call))
 	}
 }
 
-func fingerprintOf(call runner.Call) crashes.Content {
-	return crashes.ContentOf(call.Method, call.Host, call.Target, call.Body)
+func fingerprintOf(call runner.Call) crashes.Fingerprint {
+	return crashes.FingerprintOf(call.Method, call.Host, call.Target, call.Body)
 }
--- a/control/pkg/batchrun/crash_report_test.go
+++ b/control/pkg/batchrun/crash_report_test.go
@@ -17,10 +17,10 @@
 func TestItemThatCrashesRunnersIsQuarantined(t *testing.T) {
 	f := start(t, func(int, runner.Call) (*runner.Answer, error) { return ok(brokenBody("")) })
 	f.refuses = true
-	f.exchange.SetRunners(12)
+	f.exchange.SetRunnerCount(12)
 	f.submit(1)
 	f.run()
-	require.Eventually(t, func() bool { return f.exchange.Quarantined() == 1 }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return f.exchange.QuarantineCount() == 1 }, 10*time.Second, 10*time.Millisecond)
 	calls := len(f.sent())
 	require.Equal(t, 3, calls)
 	time.Sleep(time.Second)
@@ -45,5 +45,5 @@
 	completed, text := f.result()
 	require.True(t, completed)
 	require.Equal(t, "x1\nx2\nx3\nx4\nx5\nx6", text)
-	require.Zero(t, f.exchange.Quarantined())
+	require.Zero(t, f.exchange.QuarantineCount())
 }
--- a/control/pkg/batchrun/driver.go
+++ b/control/pkg/batchrun/driver.go
@@ -275,14 +275,14 @@
 func externalLoad(now clock.Millis, id string, t *occupancy.Table) dispatch.Load {
 	total, own := t.Load(id), t.Own(id)
 	return dispatch.Load{
-		Online: total.Online, Batch: total.Batch - own.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Silent(now, id),
+		Online: total.Online, Batch: total.Batch - own.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Unresponsive(now, id),
 	}
 }
 
 func (d *Driver) dispatchInput(runners []*toucanhingev1.Runner) dispatch.Environment {
 	return dispatch.Environment{
 		Runners:  runners,
-		Load:     d.loads.At,
+		Load:     d.loads.Get,
 		Services: d.routes.services,
 		Near:     func(r *toucanhingev1.Runner) bool { return r.GetDataCentre() == d.config.DataCentre },
 	}
--- a/control/pkg/batchrun/driver_test.go
+++ b/control/pkg/batchrun/driver_test.go
@@ -247,7 +247,7 @@
 			case 2:
 				return nil, &runner.BrokenError{Runner: call.Runner.GetId(), Err: errWire}
 			case 3:
-				return &runner.Answer{Status: http.StatusMisdirectedRequest, Other: true, Body: completeBody("")}, nil
+				return &runner.Answer{Status: http.StatusMisdirectedRequest, OtherInstance: true, Body: completeBody("")}, nil
 			default:
 				return ok(completeBody(events(1, 4)))
 			}
@@ -379,7 +379,7 @@
 		return ok(&hangingBody{source: strings.NewReader(events(1, 1))})
 	})
 	now := clock.Millis(1_000_000)
-	f.driver.config.Clock = clock.Of(func() clock.Millis { f.mu.Lock(); defer f.mu.Unlock(); return now })
+	f.driver.config.Clock = clock.FromFunc(func() clock.Millis { f.mu.Lock(); defer f.mu.Unlock(); return now })
 	f.run()
 	f.submit(1)
 	f.apply(&toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_ReplaceTable{ReplaceTable: table(2, "/other/")}})
--- a/control/pkg/batchrun/run.go
+++ b/control/pkg/batchrun/run.go
@@ -230,8 +230,8 @@
 		}
 	}
 	defer func() { _ = answer.Body.Close() }()
-	if answer.Held != nil && !answer.Other && answer.Release == nil {
-		r.driver.config.Exchange.Observe(r.target.GetId(), answer.Held.All())
+	if answer.Load != nil && !answer.OtherInstance && answer.Release == nil {
+		r.driver.config.Exchange.Observe(r.target.GetId(), answer.Load.Total())
 	}
 	if kind, done := classifyAnswer(answer); done {
 		return kind, fmt.Errorf("%w %d", errStatus, answer.Status)
@@ -249,7 +249,7 @@
 	watchdog.Reset(eventTimeout)
 	return r.readStream(answer.Body, func() {
 		watchdog.Reset(eventTimeout)
-		watch.Heard()
+		watch.RecordEvent()
 	})
 }
 
@@ -269,7 +269,7 @@
 // stream to read.
 func classifyAnswer(answer *runner.Answer) (kind outcomeKind, done bool) {
 	switch {
-	case answer.NotRun, answer.Other:
+	case answer.NotRun, answer.OtherInstance:
 		return refused, true
 	case answer.Status == http.StatusOK:
 		return "", false
--- a/control/pkg/carrier/client.go
+++ b/control/pkg/carrier/client.go
@@ -261,11 +261,11 @@
 		return nil, err
 	}
 	answer := &runner.Answer{
-		Status: int(head.GetStatus()), Header: http.Header{}, Length: -1, NotRun: head.GetNotRun(), Other: head.GetOther(), Body: p,
+		Status: int(head.GetStatus()), Header: http.Header{}, Length: -1, NotRun: head.GetNotRun(), OtherInstance: head.GetOther(), Body: p,
 		Release: p.release,
 	}
 	if head.Running != nil {
-		answer.Held = &runner.Held{Running: int(head.GetRunning()), Waiting: int(head.GetWaiting())}
+		answer.Load = &runner.Load{Running: int(head.GetRunning()), Waiting: int(head.GetWaiting())}
 	}
 	return answer, nil
 }
--- a/control/pkg/carrier/client_test.go
+++ b/control/pkg/carrier/client_test.go
@@ -203,7 +203,7 @@
 			if err != nil {
 				return
 			}
-			require.Equal(t, &runner.Held{Running: 4, Waiting: 2}, answer.Held)
+			require.Equal(t, &runner.Load{Running: 4, Waiting: 2}, answer.Load)
 			text, err := io.ReadAll(answer.Body)
 			require.Equal(t, c.whole, err == nil, "%v", err)
 			require.Equal(t, c.text, string(text))
@@ -257,7 +257,7 @@
 
 	now := clock.Millis(1_000)
 	c := newClient()
-	c.config.Clock = clock.Of(func() clock.Millis { return now })
+	c.config.Clock = clock.FromFunc(func() clock.Millis { return now })
 	for range 3 {
 		_, err = c.RunnerClient().Open(context.Background(), newCall(""))
 		require.ErrorIs(t, err, ErrNoGateway)
--- a/control/pkg/config/config.go
+++ b/control/pkg/config/config.go
@@ -51,7 +51,7 @@
 	LeaseMS     int64  `toml:"lease_ms" doc:"silence after which leased items go to another sidecar, milliseconds"`
 	RetentionMS int64  `toml:"retention_ms" doc:"how long an ended job and its results stay, milliseconds; longer than clients resend"`
 	UploadMS    int64  `toml:"upload_ms" doc:"how long the items of a broken upload stay, milliseconds"`
-	MostItems   uint64 `toml:"most_items" doc:"items in one job"`
+	MaxItems   uint64 `toml:"most_items" doc:"items in one job"`
 	ItemBytes   int    `toml:"item_bytes" doc:"largest body of one item"`
 	ResultBytes int    `toml:"result_bytes" doc:"largest result of one item"`
 }
@@ -95,7 +95,7 @@
 		Members:   Members{LeaseMS: 10 * second, ForgetMS: 10 * minute},
 		Jobs: Jobs{
 			LeaseMS: 10 * second, RetentionMS: 7 * day, UploadMS: 10 * minute,
-			MostItems: 250_000, ItemBytes: largestItem / 2, ResultBytes: largestItem,
+			MaxItems: 250_000, ItemBytes: largestItem / 2, ResultBytes: largestItem,
 		},
 		Platform:  Platform{PollMS: 2 * second},
 		Claims:    Claims{KeepMS: day},
@@ -116,10 +116,10 @@
 }
 
 func validate(check *settings.Check, c *Config) {
-	check.Need(c.Name != "", "name", "missing")
+	check.Require(c.Name != "", "name", "missing")
 	check.Address("listen", c.Listen)
-	check.Need(c.DataFolder != "", "data_folder", "missing")
-	check.Need(c.Groups >= fewestGroups && c.Groups <= mostGroups, "groups", "want %d to %d, got %d", fewestGroups, mostGroups, c.Groups)
+	check.Require(c.DataFolder != "", "data_folder", "missing")
+	check.Require(c.Groups >= fewestGroups && c.Groups <= mostGroups, "groups", "want %d to %d, got %d", fewestGroups, mostGroups, c.Groups)
 	switch c.LogLevel {
 	case "debug", "info", "warn", "error":
 	default:
@@ -132,46 +132,46 @@
 }
 
 func validatePeers(check *settings.Check, c *Config) {
-	check.Need(len(c.Peers) >= 1 && len(c.Peers) <= mostPeers, "peers", "want 1 to %d, got %d", mostPeers, len(c.Peers))
+	check.Require(len(c.Peers) >= 1 && len(c.Peers) <= mostPeers, "peers", "want 1 to %d, got %d", mostPeers, len(c.Peers))
 	names, addresses := map[string]bool{}, map[string]bool{}
 	for _, p := range c.Peers {
-		check.Need(p.Name != "", "peers.name", "missing")
+		check.Require(p.Name != "", "peers.name", "missing")
 		check.Address("peers.address", p.Address)
-		check.Need(!names[p.Name], "peers.name", "%q is listed twice", p.Name)
-		check.Need(!addresses[p.Address], "peers.address", "%q is listed twice", p.Address)
+		check.Require(!names[p.Name], "peers.name", "%q is listed twice", p.Name)
+		check.Require(!addresses[p.Address], "peers.address", "%q is listed twice", p.Address)
 		names[p.Name], addresses[p.Address] = true, true
 	}
-	check.Need(names[c.Name], "peers", "this VM, %q, is not listed", c.Name)
+	check.Require(names[c.Name], "peers", "this VM, %q, is not listed", c.Name)
 }
 
 func validateTimes(check *settings.Check, c *Config) {
-	check.Need(c.Consensus.HeartbeatMS >= 10, "consensus.heartbeat_ms", "want at least 10, got %d", c.Consensus.HeartbeatMS)
-	check.Need(c.Consensus.ElectionMS >= heartbeatShare*c.Consensus.HeartbeatMS, "consensus.election_ms",
+	check.Require(c.Consensus.HeartbeatMS >= 10, "consensus.heartbeat_ms", "want at least 10, got %d", c.Consensus.HeartbeatMS)
+	check.Require(c.Consensus.ElectionMS >= heartbeatShare*c.Consensus.HeartbeatMS, "consensus.election_ms",
 		"want at least %d heartbeats, got %d ms", heartbeatShare, c.Consensus.ElectionMS)
-	check.Need(c.Consensus.CheckpointEntries >= 100, "consensus.checkpoint_entries", "want at least 100, got %d", c.Consensus.CheckpointEntries)
+	check.Require(c.Consensus.CheckpointEntries >= 100, "consensus.checkpoint_entries", "want at least 100, got %d", c.Consensus.CheckpointEntries)
 	// Processes send heartbeats every 2 s; two may be lost.
-	check.Need(c.Members.LeaseMS >= 6*second, "members.lease_ms", "want at least 6000, got %d", c.Members.LeaseMS)
-	check.Need(c.Members.ForgetMS >= minute, "members.forget_ms", "want at least a minute, got %d", c.Members.ForgetMS)
-	check.Need(c.Claims.KeepMS >= day, "claims.keep_ms", "want at least a day, got %d", c.Claims.KeepMS)
-	check.Need(c.Operators.RequestsMS >= hour, "operators.requests_ms", "want at least an hour, got %d", c.Operators.RequestsMS)
+	check.Require(c.Members.LeaseMS >= 6*second, "members.lease_ms", "want at least 6000, got %d", c.Members.LeaseMS)
+	check.Require(c.Members.ForgetMS >= minute, "members.forget_ms", "want at least a minute, got %d", c.Members.ForgetMS)
+	check.Require(c.Claims.KeepMS >= day, "claims.keep_ms", "want at least a day, got %d", c.Claims.KeepMS)
+	check.Require(c.Operators.RequestsMS >= hour, "operators.requests_ms", "want at least an hour, got %d", c.Operators.RequestsMS)
 }
 
 func validateJobs(check *settings.Check, c *Config) {
-	check.Need(c.Jobs.LeaseMS >= second, "jobs.lease_ms", "want at least 1000, got %d", c.Jobs.LeaseMS)
-	check.Need(c.Jobs.RetentionMS >= minute, "jobs.retention_ms", "want at least a minute, got %d", c.Jobs.RetentionMS)
-	check.Need(c.Jobs.UploadMS >= 10*second, "jobs.upload_ms", "want at least 10000, got %d", c.Jobs.UploadMS)
-	check.Need(c.Jobs.MostItems >= 1 && c.Jobs.MostItems <= 4*mib, "jobs.most_items", "want 1 to %d, got %d", 4*mib, c.Jobs.MostItems)
-	check.Need(c.Jobs.ItemBytes >= 1 && c.Jobs.ItemBytes <= largestItem, "jobs.item_bytes", "want 1 to %d, got %d", largestItem, c.Jobs.ItemBytes)
-	check.Need(c.Jobs.ResultBytes >= 1 && c.Jobs.ResultBytes <= largestItem, "jobs.result_bytes", "want 1 to %d, got %d", largestItem, c.Jobs.ResultBytes)
+	check.Require(c.Jobs.LeaseMS >= second, "jobs.lease_ms", "want at least 1000, got %d", c.Jobs.LeaseMS)
+	check.Require(c.Jobs.RetentionMS >= minute, "jobs.retention_ms", "want at least a minute, got %d", c.Jobs.RetentionMS)
+	check.Require(c.Jobs.UploadMS >= 10*second, "jobs.upload_ms", "want at least 10000, got %d", c.Jobs.UploadMS)
+	check.Require(c.Jobs.MaxItems >= 1 && c.Jobs.MaxItems <= 4*mib, "jobs.most_items", "want 1 to %d, got %d", 4*mib, c.Jobs.MaxItems)
+	check.Require(c.Jobs.ItemBytes >= 1 && c.Jobs.ItemBytes <= largestItem, "jobs.item_bytes", "want 1 to %d, got %d", largestItem, c.Jobs.ItemBytes)
+	check.Require(c.Jobs.ResultBytes >= 1 && c.Jobs.ResultBytes <= largestItem, "jobs.result_bytes", "want 1 to %d, got %d", largestItem, c.Jobs.ResultBytes)
 }
 
 func validatePlatform(check *settings.Check, c *Config) {
-	check.Need(c.Platform.PollMS >= 100, "platform.poll_ms", "want at least 100, got %d", c.Platform.PollMS)
-	check.Need(c.Platform.LoadsPerMinute >= 0, "platform.loads_per_minute", "want 0 or more, got %d", c.Platform.LoadsPerMinute)
+	check.Require(c.Platform.PollMS >= 100, "platform.poll_ms", "want at least 100, got %d", c.Platform.PollMS)
+	check.Require(c.Platform.LoadsPerMinute >= 0, "platform.loads_per_minute", "want 0 or more, got %d", c.Platform.LoadsPerMinute)
 	if c.Platform.VMListURL == "" {
 		return
 	}
 	u, err := url.Parse(c.Platform.VMListURL)
-	check.Need(err == nil && u.Host != "" && (u.Scheme == "http" || u.Scheme == "https"), "platform.vm_list_url",
+	check.Require(err == nil && u.Host != "" && (u.Scheme == "http" || u.Scheme == "https"), "platform.vm_list_url",
 		"want an http URL, got %q", c.Platform.VMListURL)
 }
--- a/control/pkg/core/cluster_test.go
+++ b/control/pkg/core/cluster_test.go
@@ -118,7 +118,7 @@
 }
 
 func client(addresses []string) *control.Client {
-	return control.New(control.Config{Addresses: addresses, Fresh: web.NewClient, AttemptTimeout: time.Second})
+	return control.New(control.Config{Addresses: addresses, NewHTTP: web.NewClient, AttemptTimeout: time.Second})
 }
 
 // kill stops the VM without a leadership transfer, like the end of its process.
--- a/control/pkg/core/directory.go
+++ b/control/pkg/core/directory.go
@@ -55,7 +55,7 @@
 		return
 	}
 	c.metrics.directoryReads.WithLabelValues("read").Inc()
-	c.config.Exchange.SetRunners(len(runners))
+	c.config.Exchange.SetRunnerCount(len(runners))
 	if ids := c.fleet.restartedRunners(runners); len(ids) > 0 {
 		level.Info(c.config.Logger).Log(logs.KeyEvent, "runners-restarted", "runners", strings.Join(ids, " "))
 	}
--- a/control/pkg/core/fleet.go
+++ b/control/pkg/core/fleet.go
@@ -53,7 +53,7 @@
 	vms           map[string]announcedVM
 	coreAddresses []string
 	// views logs the published views, from which differences are computed.
-	views fleetview.Log
+	views fleetview.ChangeLog
 }
 
 // gateway is a gateway as the leader last saw it.
@@ -92,7 +92,7 @@
 	f.gateways = map[string]gateway{}
 	f.proxies, f.tree = nil, nil
 	f.vms = map[string]announcedVM{}
-	f.views = fleetview.Log{}
+	f.views = fleetview.ChangeLog{}
 }
 
 func (f *fleet) currentRunners() []*toucanhingev1.Runner {
@@ -198,7 +198,7 @@
 // gateways of a large fleet treat it as a small one: they sent their digests to few peers, and
 // all of them subscribed to the leader. The caller holds the lock.
 func (f *fleet) lacksGateways(now clock.Millis, m *toucanhingev1.AttendRequest) bool {
-	return m.GetHaveFleet() != 0 && m.GetKnows() > fanout.MostDirect && now-f.leaderSince < gatheringPeriod &&
+	return m.GetHaveFleet() != 0 && m.GetKnows() > fanout.MaxDirect && now-f.leaderSince < gatheringPeriod &&
 		float64(len(f.gateways)) < minKnownShare*float64(m.GetKnows())
 }
 
@@ -213,7 +213,7 @@
 func (f *fleet) large() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.gateways) > fanout.MostDirect
+	return len(f.gateways) > fanout.MaxDirect
 }
 
 // expireGateways removes gateways that were last seen more than presenceExpiry ago.
@@ -277,8 +277,8 @@
 	if !f.runnersKnown || f.lacksGateways(now, m) {
 		return nil
 	}
-	if f.views.Newest() != f.revision {
-		f.views.Take(f.fullView(self))
+	if f.views.Revision() != f.revision {
+		f.views.Apply(f.fullView(self))
 	}
 	return f.views.Since(m.GetHaveFleet(), m.GetReadsDifferences())
 }
--- a/control/pkg/core/fleet_view_test.go
+++ b/control/pkg/core/fleet_view_test.go
@@ -64,7 +64,7 @@
 		{"nearly all gateways known", 90, leaderSince + 100, 1, gateways, true},
 		{"many gateways gone permanently", 50, leaderSince + gatheringPeriod, 1, gateways, true},
 		{"starting gateway has no view", 50, leaderSince + 100, 0, 0, true},
-		{"small fleet", 5, leaderSince + 100, 1, fanout.MostDirect, true},
+		{"small fleet", 5, leaderSince + 100, 1, fanout.MaxDirect, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet()
--- a/control/pkg/core/quarantines.go
+++ b/control/pkg/core/quarantines.go
@@ -26,7 +26,7 @@
 func (c *Core) syncQuarantines(ctx context.Context) {
 	var logged []crashes.Quarantine
 	c.machine.View(func(s *systemstate.State) { logged = s.Quarantines() })
-	c.config.Exchange.Impose(logged)
+	c.config.Exchange.ApplyQuarantines(logged)
 	ticker := time.NewTicker(quarantineInterval)
 	defer ticker.Stop()
 	for {
@@ -61,7 +61,7 @@
 func quarantineKeys(list []crashes.Quarantine) []quarantineKey {
 	keys := make([]quarantineKey, 0, len(list))
 	for _, q := range list {
-		keys = append(keys, quarantineKey{q.Content, q.Terms})
+		keys = append(keys, quarantineKey{q.Fingerprint, q.Count})
 	}
 	slices.SortFunc(keys, func(a, b quarantineKey) int {
 		if result := slices.Compare(a.fingerprint[:], b.fingerprint[:]); result != 0 {
@@ -74,6 +74,6 @@
 
 // quarantineKey identifies one imposition of a quarantine.
 type quarantineKey struct {
-	fingerprint crashes.Content
+	fingerprint crashes.Fingerprint
 	terms       int
 }
--- a/control/pkg/core/service.go
+++ b/control/pkg/core/service.go
@@ -191,7 +191,7 @@
 	if _, address, _ := c.group.Leader(); address != "" {
 		return address
 	}
-	if known := c.config.Core.Known(Group); known != "" && known != c.config.Address {
+	if known := c.config.Core.KnownLeader(Group); known != "" && known != c.config.Address {
 		return known
 	}
 	return c.group.OldIdentityLeader()
--- a/control/pkg/core/team_keys_test.go
+++ b/control/pkg/core/team_keys_test.go
@@ -111,7 +111,7 @@
 	require.Less(t, attendOnce(0).GetUsesKnownMs(), uint32(5_000), "a new leader knows the usage only since its term began")
 	now := leader.core.config.Boot.Now()
 	leader.core.config.Quota.Reset(now - 60_000)
-	leader.core.config.Quota.Heard(now, &toucanhingev1.LoadDigest{
+	leader.core.config.Quota.Receive(now, &toucanhingev1.LoadDigest{
 		Source: "g2", Epoch: 1, Sequence: 1, CountingMs: 10, Uses: []*toucanhingev1.TeamUse{{Team: 7, Count: 3}},
 	}, false)
 	answer := attendOnce(0)
@@ -142,7 +142,7 @@
 		return err == nil && answer.Msg.GetFleet() != nil
 	}, waitTimeout, 20*time.Millisecond)
 	core.config.Quota.Reset(core.config.Boot.Now() - 60_000)
-	core.config.Quota.Heard(core.config.Boot.Now(), &toucanhingev1.LoadDigest{
+	core.config.Quota.Receive(core.config.Boot.Now(), &toucanhingev1.LoadDigest{
 		Source: "g", Epoch: 1, Sequence: 1, CountingMs: 10, Uses: []*toucanhingev1.TeamUse{{Team: uint32(quota.IDOf("a")), Count: 3, Refused: 5}},
 	}, false)
 	answer, err := core.ListTeams(ctx, connect.NewRequest(&toucanhingev1.ListTeamsRequest{Team: "a"}))
--- a/control/pkg/core/updates.go
+++ b/control/pkg/core/updates.go
@@ -116,7 +116,7 @@
 		Fleet: c.fleet.view(c.config.Clock.Now(), m, c.digestPeer()), Confirmed: m.GetConfirm(),
 	}
 	if t := c.activeTable(); t != nil && t.Version > m.GetHaveVersion() {
-		updates.Table = t.Lean()
+		updates.Table = t.WithoutDocument()
 	}
 	if updates.Fleet != nil && m.GetHaveFleet() == 0 && c.config.Quota != nil {
 		usage, known := c.config.Quota.Snapshot(c.config.Boot.Now())
--- a/control/pkg/entry/handler.go
+++ b/control/pkg/entry/handler.go
@@ -46,7 +46,7 @@
 	// GroupCount is the number of consensus groups, including the configuration group.
 	GroupCount uint32
 	Fleet      *group.Fleet
-	Book       *record.Book
+	Book       *record.Log
 	Refuser    group.Refuser
 	// MaxItems is the maximum number of items of a job, ItemBytes the maximum size of
 	// each item's body.
--- a/control/pkg/fleet/handler.go
+++ b/control/pkg/fleet/handler.go
@@ -33,7 +33,7 @@
 // Config describes the handler.
 type Config struct {
 	Fleet   *group.Fleet
-	Keeper  *Keeper
+	Leases  *LeaseTracker
 	Clock   clock.Clock
 	Refuser group.Refuser
 	// Groups is the number of consensus groups, the one for configuration included.
@@ -85,17 +85,17 @@
 	var current, changed bool
 	var version uint64
 	h.config.Fleet.Machine.View(func(s *fleetstate.State) {
-		current, changed = s.Beat(beat.GetName(), beat.GetMember())
+		current, changed = s.CheckHeartbeat(beat.GetName(), beat.GetMember())
 		version = s.Version()
 	})
 	if current {
-		h.config.Keeper.Heard(beat)
+		h.config.Leases.RecordHeartbeat(beat)
 	}
 	if changed {
 		step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Member{
 			Member: &toucanhingev1.MemberStep{Name: beat.GetName(), Member: beat.GetMember()},
 		}}
-		answer, err := group.Do[fleetstate.MemberAnswer](ctx, h.config.Fleet.Steps, step, stepBytes)
+		answer, err := group.Do[fleetstate.MemberResult](ctx, h.config.Fleet.Steps, step, stepBytes)
 		if err != nil {
 			return nil, h.config.Refuser.Refuse(placeBeat, err)
 		}
@@ -134,7 +134,7 @@
 			"want a team, a request id of at most %d bytes, and a token", longestName)
 	}
 	step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Claim{Claim: c}}
-	answer, err := group.Do[fleetstate.ClaimAnswer](ctx, h.config.Fleet.Steps, step, stepBytes)
+	answer, err := group.Do[fleetstate.ClaimResult](ctx, h.config.Fleet.Steps, step, stepBytes)
 	if err != nil {
 		return nil, h.config.Refuser.Refuse(placeClaim, err)
 	}
@@ -149,7 +149,7 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.SettleRequest],
 ) (*connect.Response[toucanhingev1.SettleResponse], error) {
 	step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Settle{Settle: request.Msg}}
-	if _, err := group.Do[fleetstate.SettleAnswer](ctx, h.config.Fleet.Steps, step, stepBytes); err != nil {
+	if _, err := group.Do[fleetstate.SettleResult](ctx, h.config.Fleet.Steps, step, stepBytes); err != nil {
 		return nil, h.config.Refuser.Refuse(placeSettle, err)
 	}
 	return connect.NewResponse(&toucanhingev1.SettleResponse{}), nil
--- a/control/pkg/fleet/watch.go
+++ b/control/pkg/fleet/watch.go
@@ -61,7 +61,7 @@
 		return true
 	case <-ctx.Done():
 		return false
-	case <-h.config.Keeper.stopping:
+	case <-h.config.Leases.stopping:
 		return false
 	}
 	select {
--- a/control/pkg/systemstate/quarantine.go
+++ b/control/pkg/systemstate/quarantine.go
@@ -16,7 +16,7 @@
 	var saved []*toucanhingev1.SavedQuarantine
 	for _, q := range list {
 		saved = append(saved, &toucanhingev1.SavedQuarantine{
-			Content: q.Content[:], SinceMs: int64(q.Since), UntilMs: int64(q.Until), Terms: uint32(q.Terms),
+			Content: q.Fingerprint[:], SinceMs: int64(q.Since), UntilMs: int64(q.Until), Terms: uint32(q.Count),
 		})
 	}
 	return saved
@@ -27,11 +27,11 @@
 func decodeQuarantines(saved []*toucanhingev1.SavedQuarantine) []crashes.Quarantine {
 	var list []crashes.Quarantine
 	for _, m := range saved {
-		q := crashes.Quarantine{Since: clock.Millis(m.GetSinceMs()), Until: clock.Millis(m.GetUntilMs()), Terms: int(m.GetTerms())}
-		if len(m.GetContent()) != len(q.Content) {
+		q := crashes.Quarantine{Since: clock.Millis(m.GetSinceMs()), Until: clock.Millis(m.GetUntilMs()), Count: int(m.GetTerms())}
+		if len(m.GetContent()) != len(q.Fingerprint) {
 			continue
 		}
-		copy(q.Content[:], m.GetContent())
+		copy(q.Fingerprint[:], m.GetContent())
 		list = append(list, q)
 	}
 	return list
--- a/control/pkg/systemstate/quarantine_test.go
+++ b/control/pkg/systemstate/quarantine_test.go
@@ -13,7 +13,7 @@
 // entry in the format of a newer program version is skipped.
 func TestQuarantinesAreRestored(t *testing.T) {
 	s := New(Config{})
-	list := []crashes.Quarantine{{Content: crashes.Content{1}, Since: 5, Until: 500, Terms: 1}, {Content: crashes.Content{2}, Since: 7, Until: 900, Terms: 3}}
+	list := []crashes.Quarantine{{Fingerprint: crashes.Fingerprint{1}, Since: 5, Until: 500, Count: 1}, {Fingerprint: crashes.Fingerprint{2}, Since: 7, Until: 900, Count: 3}}
 	storeQuarantines := func(saved []*toucanhingev1.SavedQuarantine) {
 		s.Step(10, &toucanhingev1.SystemStep{Step: &toucanhingev1.SystemStep_KeepQuarantines{
 			KeepQuarantines: &toucanhingev1.KeepQuarantinesStep{Quarantines: saved},
--- a/control/pkg/work/handler.go
+++ b/control/pkg/work/handler.go
@@ -51,7 +51,7 @@
 	Fleet  *group.Fleet
 	Leases *LeaseTracker
 	Clock  clock.Clock
-	Book   *record.Book
+	Book   *record.Log
 	// Lease is the time after which a lease expires without a renewal.
 	Lease   clock.Millis
 	Refuser group.Refuser
@@ -167,7 +167,7 @@
 		if !found {
 			return
 		}
-		for _, team := range s.Restricted(service) {
+		for _, team := range s.RestrictedContracts(service) {
 			if !(world.Contract{Contract: team}).Allows(member.GetMember().GetDataCentre()) {
 				excluded = append(excluded, team.GetTeam())
 			}
--- a/control/pkg/work/lease_tracker_test.go
+++ b/control/pkg/work/lease_tracker_test.go
@@ -33,7 +33,7 @@
 	tt := &trackerTest{t: t, now: 1_000_000, term: 1, isLeader: true}
 	tt.machine = jobstate.NewMachine(jobstate.MachineConfig{Folder: t.TempDir(), Fatal: func(err error) { require.NoError(t, err) }})
 	require.NoError(t, tt.machine.Load(nil))
-	now := clock.Of(func() clock.Millis { return tt.now })
+	now := clock.FromFunc(func() clock.Millis { return tt.now })
 	tt.jobs = group.NewJobs(group.Group{
 		Number:  1,
 		Propose: func(_ context.Context, command []byte) (any, error) { return tt.machine.Apply(0, command), nil },
--- a/gateway/pkg/app/app.go
+++ b/gateway/pkg/app/app.go
@@ -56,6 +56,6 @@
 	return metrics.New(program)
 }
 
-func newBook(settings config.Settings, now clock.Clock) *record.Book {
+func newBook(settings config.Settings, now clock.Clock) *record.Log {
 	return record.New(record.Config{Clock: now, Process: settings.Name, Size: settings.Records})
 }
--- a/gateway/pkg/app/gateway_test.go
+++ b/gateway/pkg/app/gateway_test.go
@@ -31,7 +31,7 @@
 	url     string
 	control *fakeControl
 	parts   *parts
-	book    *record.Book
+	book    *record.Log
 	set     *metrics.Set
 }
 
--- a/gateway/pkg/app/parts.go
+++ b/gateway/pkg/app/parts.go
@@ -33,7 +33,7 @@
 	server    *caller.Server
 }
 
-func newParts(settings config.Settings, now clock.Clock, logger log.Logger, set *metrics.Set, book *record.Book) *parts {
+func newParts(settings config.Settings, now clock.Clock, logger log.Logger, set *metrics.Set, book *record.Log) *parts {
 	client := shared.New(shared.Config{Addresses: settings.Control, HTTP: web.NewClient(), Retried: set.Retried})
 	directory := newDirectory(settings, now, logger, set)
 	watcher := shared.NewWatcher(shared.WatcherConfig{
@@ -88,7 +88,7 @@
 }
 
 func newRunner(
-	settings config.Settings, now clock.Clock, logger log.Logger, directory *endpoint.Directory, book *record.Book, m *online.Metrics,
+	settings config.Settings, now clock.Clock, logger log.Logger, directory *endpoint.Directory, book *record.Log, m *online.Metrics,
 ) *online.Runner {
 	r := settings.Retry
 	return online.New(online.Config{
--- a/gateway/pkg/app/process.go
+++ b/gateway/pkg/app/process.go
@@ -35,8 +35,8 @@
 	parts       *parts
 	shutdowner  fx.Shutdowner
 	set         *metrics.Set
-	book        *record.Book
-	beater      *shared.Beater
+	book        *record.Log
+	beater      *shared.Heartbeater
 	incarnation uint64
 
 	callers *web.Server
@@ -49,15 +49,15 @@
 
 func newProcess(
 	settings config.Settings, now clock.Clock, status *health.Status, logger log.Logger, set *metrics.Set,
-	book *record.Book, parts *parts, shutdowner fx.Shutdowner,
+	book *record.Log, parts *parts, shutdowner fx.Shutdowner,
 ) *process {
 	p := &process{
 		settings: settings, status: status, logger: logger, parts: parts, shutdowner: shutdowner, set: set, book: book,
 		incarnation: uint64(now.Now()), gone: make(chan struct{}),
 	}
-	p.beater = shared.NewBeater(shared.BeaterConfig{
+	p.beater = shared.NewHeartbeater(shared.HeartbeaterConfig{
 		Client: parts.client, Logger: logger, Request: p.beat,
-		Accepted: parts.watcher.Expect, Superseded: p.shutdown,
+		Accepted: parts.watcher.RaiseMinVersion, Superseded: p.shutdown,
 	})
 	return p
 }
@@ -183,7 +183,7 @@
 func (p *process) stop(ctx context.Context) error {
 	p.status.NotReady("leaving")
 	p.leaving.Do(func() { close(p.gone) })
-	p.beater.Now()
+	p.beater.Trigger()
 	p.parts.server.Leave()
 	level.Info(p.logger).Log(logs.KeyEvent, "leaving")
 	time.Sleep(clock.Millis(p.settings.Drain.Balancer).Duration())
--- a/gateway/pkg/caller/server.go
+++ b/gateway/pkg/caller/server.go
@@ -37,7 +37,7 @@
 	Claims      *control.Claims
 	Jobs        *control.Jobs
 	Limiter     *limit.Limiter
-	Book        *record.Book
+	Book        *record.Log
 	Metrics     *online.Metrics
 	Logger      log.Logger
 }
--- a/gateway/pkg/carry/call.go
+++ b/gateway/pkg/carry/call.go
@@ -55,7 +55,7 @@
 	defer watchdog.Stop()
 	err := c.readAnswer(ctx, client, m, exchange, func() {
 		watchdog.Reset(eventTimeout)
-		watch.Heard()
+		watch.RecordEvent()
 	})
 	var unsent *runner.NotSentError
 	end := &toucanhingev1.CarryEnd{NotSent: errors.As(err, &unsent)}
@@ -83,8 +83,8 @@
 		return err
 	}
 	defer func() { _ = answer.Body.Close() }()
-	if answer.Held != nil && !answer.Other {
-		exchange.Observe(m.GetRunner().GetId(), answer.Held.All())
+	if answer.Load != nil && !answer.OtherInstance {
+		exchange.Observe(m.GetRunner().GetId(), answer.Load.Total())
 	}
 	c.mu.Lock()
 	c.head = newCarryHead(answer)
--- a/gateway/pkg/carry/server.go
+++ b/gateway/pkg/carry/server.go
@@ -200,10 +200,10 @@
 }
 
 func newCarryHead(answer *runner.Answer) *toucanhingev1.CarryHead {
-	head := &toucanhingev1.CarryHead{Status: uint32(answer.Status), NotRun: answer.NotRun, Other: answer.Other}
-	if answer.Held != nil {
-		running := uint32(answer.Held.Running)
-		head.Running, head.Waiting = &running, uint32(answer.Held.Waiting)
+	head := &toucanhingev1.CarryHead{Status: uint32(answer.Status), NotRun: answer.NotRun, Other: answer.OtherInstance}
+	if answer.Load != nil {
+		running := uint32(answer.Load.Running)
+		head.Running, head.Waiting = &running, uint32(answer.Load.Waiting)
 	}
 	return head
 }
--- a/gateway/pkg/carry/server_test.go
+++ b/gateway/pkg/carry/server_test.go
@@ -128,7 +128,7 @@
 }
 
 func newAnswer(body io.Reader) *runner.Answer {
-	return &runner.Answer{Status: http.StatusOK, Held: &runner.Held{Running: 3, Waiting: 1}, Body: io.NopCloser(body)}
+	return &runner.Answer{Status: http.StatusOK, Load: &runner.Load{Running: 3, Waiting: 1}, Body: io.NopCloser(body)}
 }
 
 func TestCallIsProxiedUnchanged(t *testing.T) {
@@ -292,7 +292,7 @@
 	}()
 	require.Eventually(t, func() bool {
 		unresponsive := false
-		f.server.config.Exchange.View(func(table *occupancy.Table) { unresponsive = table.Silent(clock.System().Now(), "r") })
+		f.server.config.Exchange.View(func(table *occupancy.Table) { unresponsive = table.Unresponsive(clock.System().Now(), "r") })
 		return unresponsive
 	}, eventTimeout/2, time.Millisecond)
 	c := <-ended
--- a/gateway/pkg/endpoint/directory.go
+++ b/gateway/pkg/endpoint/directory.go
@@ -88,7 +88,7 @@
 	for _, e := range fleet.Endpoints(service) {
 		list = append(list, route.Endpoint{
 			Name: e.Name, Address: e.Address, DataCentre: e.DataCentre, Incarnation: e.Incarnation,
-			Slots: e.Slots, Leaving: e.Leaving, Near: fleet.LatencyUS(d.config.DataCentre, e.DataCentre),
+			Slots: e.Slots, Leaving: e.Draining, Near: fleet.LatencyUS(d.config.DataCentre, e.DataCentre),
 		})
 	}
 	return list
--- a/gateway/pkg/forward/crash.go
+++ b/gateway/pkg/forward/crash.go
@@ -24,13 +24,13 @@
 // they know: without that, one that comes again 70 ms after a crash crashes a runner more.
 func (e *exchange) quarantined(ctx context.Context) *Refusal {
 	x := e.server.config.Exchange
-	for x.Suspects() {
-		verdict := x.Standing(e.contentID())
+	for x.HasSuspects() {
+		verdict := x.CheckRequest(e.contentID())
 		wait := (verdict.Until - e.now()).Duration()
-		switch verdict.Standing {
+		switch verdict.Status {
 		case crashes.Quarantined:
 			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonCrashes, RetryAfter: wait}
-		case crashes.Sound:
+		case crashes.Allowed:
 			return nil
 		}
 		timer := time.NewTimer(wait)
@@ -60,26 +60,26 @@
 	if e.heardAt > 0 {
 		running = e.now() - e.heardAt
 	}
-	sign := crashes.SignOf(running, e.now()-began, e.route.Streams())
+	sign := crashes.PhaseOf(running, e.now()-began, e.route.Streams())
 	e.server.metrics.crashes.Inc()
 	level.Info(e.server.config.Logger).Log(logs.KeyEvent, logs.EventRunnerCrashed, logs.KeyRequest, e.request.ID,
-		logs.KeyContent, e.contentID(), "runner", r.GetId(), "ran", e.ran, "running-ms", running)
+		logs.KeyFingerprint, e.contentID(), "runner", r.GetId(), "ran", e.ran, "running-ms", running)
 	if sign == crashes.Late {
 		e.survived()
 	}
-	e.server.config.Exchange.Crashed(r, e.contentID(), sign)
+	e.server.config.Exchange.ReportCrash(r, e.contentID(), sign)
 }
 
 // survived clears a request that ran without crashing its runner, if it was suspected.
 func (e *exchange) survived() {
-	if x := e.server.config.Exchange; x.Suspects() {
-		x.Survived(e.contentID())
+	if x := e.server.config.Exchange; x.HasSuspects() {
+		x.RecordSuccess(e.contentID())
 	}
 }
 
-func (e *exchange) contentID() crashes.Content {
+func (e *exchange) contentID() crashes.Fingerprint {
 	if e.content == nil {
-		content := crashes.ContentOf(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
+		content := crashes.FingerprintOf(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
 		e.content = &content
 	}
 	return *e.content
--- a/gateway/pkg/forward/crash_test.go
+++ b/gateway/pkg/forward/crash_test.go
@@ -129,14 +129,14 @@
 	require.NoError(f.t, err)
 	server.SetTable(table)
 	server.SetRunners(known, len(f.gateways)+1)
-	x.SetRunners(len(known))
+	x.SetRunnerCount(len(known))
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		require.NoError(f.t, err)
-		entry, refusal := server.Enter("q", "team", r.RequestURI, "")
+		entry, refusal := server.Authorize("q", "team", r.RequestURI, "")
 		require.Nil(f.t, refusal)
 		server.Serve(r.Context(), w, entry, Request{
-			ID: r.Header.Get("Id"), Method: r.Method, Target: r.RequestURI, Host: "team", Body: body, Patience: 5_000,
+			ID: r.Header.Get("Id"), Method: r.Method, Target: r.RequestURI, Host: "team", Body: body, Timeout: 5_000,
 			Arrived: server.config.Clock.Now(),
 		})
 	}))
@@ -313,7 +313,7 @@
 		require.Contains(t, got.body, ReasonBroken)
 	}
 	require.Equal(t, 20, f.ran("reset"), "two runners each time")
-	require.Zero(t, f.servers[0].config.Exchange.Quarantined())
+	require.Zero(t, f.servers[0].config.Exchange.QuarantineCount())
 }
 
 // Two attempts of a request are under way at two gateways while its third crash becomes
@@ -322,9 +322,9 @@
 func TestAnAttemptUnderWayWhenItsRequestIsQuarantined(t *testing.T) {
 	f := startCrashFleet(t, 1)
 	x := f.servers[0].config.Exchange
-	bad := crashes.ContentOf(http.MethodPost, "team", "/stream/bad", []byte("crash"))
+	bad := crashes.FingerprintOf(http.MethodPost, "team", "/stream/bad", []byte("crash"))
 	for n := range 2 {
-		x.Crashed(&toucanhingev1.Runner{Id: fmt.Sprint("earlier", n)}, bad, crashes.Silent)
+		x.ReportCrash(&toucanhingev1.Runner{Id: fmt.Sprint("earlier", n)}, bad, crashes.BeforeFirstEvent)
 	}
 	began := time.Now()
 	waits := f.ask(0, "/stream/bad", "q1", "crash")
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -49,7 +49,7 @@
 	server  *Server
 	w       http.ResponseWriter
 	route   routing.Route
-	entry   Entry
+	entry   Authorization
 	request Request
 	service string
 	ends    clock.Millis
@@ -71,7 +71,7 @@
 	// heardAt is when the first event of the present call came, 0 before.
 	heardAt clock.Millis
 	// content is what the request asks for, nil until it is needed.
-	content *crashes.Content
+	content *crashes.Fingerprint
 	inRoom  bool
 	// wait is what the last choice expected, waited how long it was in the room.
 	wait   clock.Millis
@@ -166,10 +166,10 @@
 		return e.unanswered(parent, r, began, silence.explain(parent, err))
 	}
 	defer func() { _ = answer.Body.Close() }()
-	if answer.Held != nil && !answer.Other {
-		e.server.config.Exchange.Observe(r.GetId(), answer.Held.All())
+	if answer.Load != nil && !answer.OtherInstance {
+		e.server.config.Exchange.Observe(r.GetId(), answer.Load.Total())
 	}
-	if answer.NotRun || answer.Other {
+	if answer.NotRun || answer.OtherInstance {
 		return e.notRun(r, answer)
 	}
 	e.ran++
@@ -196,7 +196,7 @@
 	return runner.Call{
 		Runner: r, Request: e.request.ID, Method: e.request.Method, Target: e.request.Target, Host: e.request.Host,
 		Header: e.request.Header, Team: e.entry.Team.GetName(), Body: e.request.Body, Chunked: e.request.Chunked,
-		Left: max(e.ends-e.now(), 1), Resume: e.resume, After: e.after,
+		Remaining: max(e.ends-e.now(), 1), Resume: e.resume, After: e.after,
 	}
 }
 
@@ -207,9 +207,9 @@
 		if ctx.Err() == nil {
 			e.server.learn(func(m *place.Machine) { m.Block(r.GetId(), e.now()+unreachablePause) })
 		}
-		if unsent.Silent {
+		if unsent.Unresponsive {
 			// Each gateway would else find out by a request of its own.
-			e.server.config.Exchange.SetSilent(r.GetId(), true)
+			e.server.config.Exchange.SetUnresponsive(r.GetId(), true)
 		}
 		return e.again(r, "unreachable", err)
 	}
@@ -220,7 +220,7 @@
 // notRun handles a runner's word that it didn't run the request.
 func (e *exchange) notRun(r *toucanhingev1.Runner, answer *runner.Answer) (again bool) {
 	pause, reason := refusedPause, "runner-full"
-	if answer.Other {
+	if answer.OtherInstance {
 		pause, reason = otherPause, "other-instance"
 	}
 	e.server.learn(func(m *place.Machine) { m.Block(r.GetId(), e.now()+pause) })
@@ -271,7 +271,7 @@
 // connection: its beginning has gone out, and it must not look whole.
 func (e *exchange) report() {
 	if e.ran == 0 {
-		e.server.GiveBack(e.entry)
+		e.server.ReleaseQuota(e.entry)
 	}
 	e.server.metrics.requests.WithLabelValues(e.outcome).Inc()
 	now := e.now()
@@ -286,7 +286,7 @@
 	}
 	if e.content != nil {
 		// The key to the lines of the request's other attempts.
-		logger = log.With(logger, logs.KeyContent, *e.content)
+		logger = log.With(logger, logs.KeyFingerprint, *e.content)
 	}
 	logger.Log(logs.KeyEvent, logs.EventRequestEnded, logs.KeyRequest, e.request.ID,
 		"route", e.route.Name, "team", e.entry.Team.GetName(), "version", e.server.Version(), "outcome", e.outcome, "reason", e.reason, "runners", e.tried, "ran", e.ran,
--- a/gateway/pkg/forward/server.go
+++ b/gateway/pkg/forward/server.go
@@ -35,7 +35,7 @@
 	// Boot goes on while the machine is suspended. Keys says by it whether what is known of
 	// callers' keys may be believed; nil if it always may.
 	Boot       clock.Clock
-	Keys       *lease.Lease
+	KeyLease       *lease.Lease
 	Logger     log.Logger
 	Registerer prometheus.Registerer
 }
@@ -76,13 +76,13 @@
 
 // New makes a server without routes.
 func New(config Config) *Server {
-	if config.Keys == nil {
-		config.Boot, config.Keys = config.Clock, lease.New(0)
+	if config.KeyLease == nil {
+		config.Boot, config.KeyLease = config.Clock, lease.New(0)
 	}
 	factory := promauto.With(config.Registerer)
 	factory.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "toucanhinge_requests_quarantined", Help: "Requests that are kept from all runners.",
-	}, func() float64 { return float64(config.Exchange.Quarantined()) })
+	}, func() float64 { return float64(config.Exchange.QuarantineCount()) })
 	return &Server{
 		config: config, places: place.New(place.Config{DataCentre: config.DataCentre}),
 		loads: &occupancy.Cache[place.Load]{Read: loadAt}, patience: admission.NewRetryDetector(), freed: make(chan struct{}), begun: make(chan struct{}),
@@ -173,8 +173,8 @@
 // gateway that said so before would refuse what another one could serve.
 func (s *Server) Ready() bool { return s.table.Load() != nil && s.fleetKnown.Load() }
 
-// Leave makes every answer from now on the last of its connection.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// Drain makes every answer from now on the last of its connection.
+func (s *Server) Drain() { s.leaving.Store(true) }
 
 // tableRetry is when a gateway that has just started knows its routes at the
 // latest, in most cases: after 50 ms if the core runs, after a second if all
@@ -187,16 +187,16 @@
 )
 
 // Serve answers a request that was let in.
-func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, entry Entry, request Request) {
+func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, entry Authorization, request Request) {
 	route := entry.Route
 	limit := route.TimeLimit()
-	if request.Patience > 0 {
-		limit = min(limit, request.Patience)
+	if request.Timeout > 0 {
+		limit = min(limit, request.Timeout)
 	}
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add((limit - (s.config.Clock.Now() - request.Arrived)).Duration()))
 	defer cancel()
 	s.mu.Lock()
-	returned := s.patience.IsRetry(route.Name, request.Patience)
+	returned := s.patience.IsRetry(route.Name, request.Timeout)
 	s.mu.Unlock()
 	e := &exchange{
 		returned: returned,
@@ -217,7 +217,7 @@
 	s.config.Exchange.View(func(t *occupancy.Table) {
 		now := s.config.Clock.Now()
 		s.loads.Refresh(now, s.runners, t)
-		choice, ok = s.places.Select(now, ask, s.loads.At)
+		choice, ok = s.places.Select(now, ask, s.loads.Get)
 	})
 	return choice, ok
 }
@@ -226,7 +226,7 @@
 func loadAt(now clock.Millis, id string, t *occupancy.Table) place.Load {
 	l := t.Load(id)
 	return place.Load{
-		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Silent(now, id),
+		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Unresponsive(now, id),
 	}
 }
 
--- a/gateway/pkg/forward/silence_test.go
+++ b/gateway/pkg/forward/silence_test.go
@@ -69,7 +69,7 @@
 			require.NoError(t, err)
 			met := f.sent()[0].Runner.GetId()
 			f.server.config.Exchange.View(func(table *occupancy.Table) {
-				require.Equal(t, c.silent, table.Silent(f.server.config.Clock.Now(), met))
+				require.Equal(t, c.silent, table.Unresponsive(f.server.config.Clock.Now(), met))
 			})
 		})
 	}
@@ -125,13 +125,13 @@
 		{"refused: the process is being restarted", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := start(t, reply{err: &runner.NotSentError{Runner: "x", Silent: c.silent, Err: errWire}}, reply{text: "answer"})
+			f := start(t, reply{err: &runner.NotSentError{Runner: "x", Unresponsive: c.silent, Err: errWire}}, reply{text: "answer"})
 			status, _, _, err := f.get("/once/x", 0)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, status)
 			met := f.sent()[0].Runner.GetId()
 			f.server.config.Exchange.View(func(table *occupancy.Table) {
-				require.Equal(t, c.silent, table.Silent(f.server.config.Clock.Now(), met))
+				require.Equal(t, c.silent, table.Unresponsive(f.server.config.Clock.Now(), met))
 			})
 		})
 	}
--- a/gateway/pkg/forward/stream.go
+++ b/gateway/pkg/forward/stream.go
@@ -48,7 +48,7 @@
 			return err
 		}
 		silence.restart(e.longestGap())
-		watch.Heard()
+		watch.RecordEvent()
 		if event.Numbered {
 			if e.resume && event.ID != e.after+1 {
 				return errGap
--- a/lab/pkg/bench/daemons.go
+++ b/lab/pkg/bench/daemons.go
@@ -86,8 +86,8 @@
 	name := fmt.Sprintf("daemon-%d", n)
 	client := control.New(control.Config{Addresses: f.ControlAddresses(), HTTP: web.NewClient()})
 	watcher := control.NewWatcher(control.WatcherConfig{Client: client, Process: name, Logger: log.NewNopLogger()})
-	beater := control.NewBeater(control.BeaterConfig{
-		Client: client, Logger: log.NewNopLogger(), Accepted: watcher.Expect,
+	beater := control.NewHeartbeater(control.HeartbeaterConfig{
+		Client: client, Logger: log.NewNopLogger(), Accepted: watcher.RaiseMinVersion,
 		Request: func() *toucanhingev1.BeatRequest {
 			return &toucanhingev1.BeatRequest{
 				Name: name, Version: watcher.Fleet().Version,
--- a/lab/pkg/leadload/member.go
+++ b/lab/pkg/leadload/member.go
@@ -53,7 +53,7 @@
 	var vm *core.Core
 	exchange, err := digest.Listen(digest.Config{
 		Address: m.Address, Source: m.Address, DataCentre: dataCentre(0), Core: true, Clock: clock.System(), Logger: log.NewNopLogger(),
-		Version: func() uint64 { return 1 }, Heard: func(version uint64) { vm.DigestReceived(version) },
+		Version: func() uint64 { return 1 }, OnDigest: func(version uint64) { vm.DigestReceived(version) },
 	})
 	if err != nil {
 		return fmt.Errorf("exchange: %w", err)
@@ -108,7 +108,7 @@
 }
 
 func newClient(addresses []string) *control.Client {
-	return control.New(control.Config{Addresses: addresses, Fresh: web.NewClient, FindLeader: control.NamedByCore})
+	return control.New(control.Config{Addresses: addresses, NewHTTP: web.NewClient, FindLeader: control.QueryLeader})
 }
 
 // TablePath is where a member takes the fleet's routing table.
--- a/lab/pkg/newsfleet/vm.go
+++ b/lab/pkg/newsfleet/vm.go
@@ -135,5 +135,5 @@
 }
 
 func newClient(addresses []string) *control.Client {
-	return control.New(control.Config{Addresses: addresses, Fresh: web.NewClient, FindLeader: control.NamedByCore})
+	return control.New(control.Config{Addresses: addresses, NewHTTP: web.NewClient, FindLeader: control.QueryLeader})
 }
--- a/lab/pkg/replay/world.go
+++ b/lab/pkg/replay/world.go
@@ -178,7 +178,7 @@
 // tell sends the own counts of daemons where they changed to the others.
 func (w *world) tell() {
 	for i, g := range w.daemons() {
-		if !g.changed && w.now%(occupancy.DigestEvery/tellEvery*tellEvery) != 0 || g == w.core && w.coreGone {
+		if !g.changed && w.now%(occupancy.DigestInterval/tellEvery*tellEvery) != 0 || g == w.core && w.coreGone {
 			continue
 		}
 		g.changed = false
@@ -198,7 +198,7 @@
 		w.digests = w.digests[1:]
 		for i, g := range w.daemons() {
 			if i != d.from {
-				g.table.Digest(w.now, d.message)
+				g.table.ApplyDigest(w.now, d.message)
 			}
 		}
 	}
--- a/sidecar/pkg/app/app.go
+++ b/sidecar/pkg/app/app.go
@@ -78,7 +78,7 @@
 	Logger     log.Logger
 	Metrics    *metrics.Set
 	Counters   *counters
-	Book       *record.Book
+	Book       *record.Log
 	Status     *health.Status
 	Dispatcher *dispatch.Dispatcher
 	Probe      *probe.Probe
@@ -87,7 +87,7 @@
 	Puller     *work.Puller
 	Orders     *order.Runner
 	Leaver     *leaver
-	Beater     *control.Beater
+	Beater     *control.Heartbeater
 }
 
 // process runs the duties, each on its goroutine.
@@ -107,7 +107,7 @@
 func (p *process) start(context.Context) error {
 	p.config.Watching.orders = p.config.Orders
 	p.config.Watching.leave = p.config.Leaver.leave
-	p.config.Leaver.beat = p.config.Beater.Now
+	p.config.Leaver.beat = p.config.Beater.Trigger
 	p.config.Counters.watch(p.config.Dispatcher)
 	if err := p.listen(); err != nil {
 		return err
@@ -215,7 +215,7 @@
 	return nil
 }
 
-func newBeater(s config.Settings, l log.Logger, c *control.Client, i incarnation, w *watching, o *order.Runner, v *leaver) *control.Beater {
+func newBeater(s config.Settings, l log.Logger, c *control.Client, i incarnation, w *watching, o *order.Runner, v *leaver) *control.Heartbeater {
 	request := func() *toucanhingev1.BeatRequest {
 		state := toucanhingev1.MemberState_MEMBER_STATE_READY
 		if v.leaving() {
@@ -230,8 +230,8 @@
 			},
 		}
 	}
-	return control.NewBeater(control.BeaterConfig{
-		Client: c, Logger: l, Request: request, Accepted: w.watcher.Expect,
+	return control.NewHeartbeater(control.HeartbeaterConfig{
+		Client: c, Logger: l, Request: request, Accepted: w.watcher.RaiseMinVersion,
 		Superseded: func() { v.leave("superseded") },
 	})
 }
--- a/sidecar/pkg/app/notes.go
+++ b/sidecar/pkg/app/notes.go
@@ -18,11 +18,11 @@
 type notes struct {
 	name     string
 	logger   log.Logger
-	book     *record.Book
+	book     *record.Log
 	counters *counters
 }
 
-func newNotes(s config.Settings, l log.Logger, book *record.Book, c *counters) *notes {
+func newNotes(s config.Settings, l log.Logger, book *record.Log, c *counters) *notes {
 	return &notes{name: s.Name, logger: l, book: book, counters: c}
 }
 
--- a/sidecar/pkg/app/parts.go
+++ b/sidecar/pkg/app/parts.go
@@ -53,7 +53,7 @@
 	return metrics.New(program)
 }
 
-func newBook(s config.Settings, c clock.Clock) *record.Book {
+func newBook(s config.Settings, c clock.Clock) *record.Log {
 	return record.New(record.Config{Clock: c, Process: s.Name, Size: s.Records})
 }
 
--- a/sidecar/pkg/config/config.go
+++ b/sidecar/pkg/config/config.go
@@ -98,7 +98,7 @@
 }
 
 func ms(d time.Duration) int64 {
-	return int64(clock.Span(d))
+	return int64(clock.FromDuration(d))
 }
 
 // Load reads and checks a settings file; the error names every fault.
--- a/sidecar/pkg/config/validate.go
+++ b/sidecar/pkg/config/validate.go
@@ -13,12 +13,12 @@
 		{"data_centre", s.DataCentre},
 		{"service", s.Service},
 	} {
-		c.Need(text.value != "", text.key, "must be set")
+		c.Require(text.value != "", text.key, "must be set")
 	}
 	c.Address("listen", s.Listen)
 	c.Address("admin_listen", s.AdminListen)
-	c.Need(s.Kind == KindModel || s.Kind == KindPlain, "kind", "want model or plain, got %q", s.Kind)
-	c.Need(len(s.Control) > 0, "control", "name at least one control VM")
+	c.Require(s.Kind == KindModel || s.Kind == KindPlain, "kind", "want model or plain, got %q", s.Kind)
+	c.Require(len(s.Control) > 0, "control", "name at least one control VM")
 	for _, address := range s.Control {
 		c.Address("control", address)
 	}
@@ -34,9 +34,9 @@
 	default:
 		c.Fail("batch.policy", "want yield, naive or fixed, got %q", s.Batch.Policy)
 	}
-	c.Need(s.Batch.Policy != "fixed" || s.Batch.Slots < s.Engine.Slots, "batch.slots",
+	c.Require(s.Batch.Policy != "fixed" || s.Batch.Slots < s.Engine.Slots, "batch.slots",
 		"must be below engine.slots under the fixed policy, got %d", s.Batch.Slots)
-	c.Need(s.Batch.Weight >= 0 && s.Batch.Weight <= 100, "batch.weight", "must be 0 to 100, got %d", s.Batch.Weight)
+	c.Require(s.Batch.Weight >= 0 && s.Batch.Weight <= 100, "batch.weight", "must be 0 to 100, got %d", s.Batch.Weight)
 }
 
 func validateEngine(c *settings.Check, e Engine) {
@@ -46,7 +46,7 @@
 		return
 	}
 	c.Address("engine.url", u.Host)
-	c.Need(e.Floor >= 0 && e.Floor <= e.Slots, "engine.floor", "must be 0 to engine.slots, got %d", e.Floor)
+	c.Require(e.Floor >= 0 && e.Floor <= e.Slots, "engine.floor", "must be 0 to engine.slots, got %d", e.Floor)
 }
 
 type number struct {
@@ -81,6 +81,6 @@
 		{"drain.linger_ms", s.Drain.Linger, 0},
 		{"drain.finish_ms", s.Drain.Finish, 1},
 	} {
-		c.Need(n.value >= n.least, n.key, "must be at least %d, got %d", n.least, n.value)
+		c.Require(n.value >= n.least, n.key, "must be at least %d, got %d", n.least, n.value)
 	}
 }
--- a/sidecar/pkg/entry/handler_test.go
+++ b/sidecar/pkg/entry/handler_test.go
@@ -170,7 +170,7 @@
 func TestThawedProcessStartsNothing(t *testing.T) {
 	asked := &atomic.Int64{}
 	f := newFixture(t, func(c *Config) {
-		c.Clock = clock.Of(func() clock.Millis {
+		c.Clock = clock.FromFunc(func() clock.Millis {
 			if asked.Add(1) == 1 {
 				return clock.System().Now()
 			}
--- a/sidecar/pkg/probe/probe_test.go
+++ b/sidecar/pkg/probe/probe_test.go
@@ -109,7 +109,7 @@
 	foreign := make(chan int, 1)
 	now := clock.Millis(10_000)
 	p := New(Config{
-		Clock: clock.Of(func() clock.Millis { return now }), Logger: log.NewNopLogger(), Failed: 1,
+		Clock: clock.FromFunc(func() clock.Millis { return now }), Logger: log.NewNopLogger(), Failed: 1,
 		Poll:    func(context.Context) (Report, error) { return Report{InFlight: 5, AsOf: 9_900}, nil },
 		Foreign: func(slots int) { foreign <- slots },
 		Health:  func(bool) {},
--- a/sidecar/pkg/work/item_test.go
+++ b/sidecar/pkg/work/item_test.go
@@ -205,7 +205,7 @@
 	if url == "" {
 		url = engines.URL
 	}
-	ticking := clock.Of(func() clock.Millis { return f.now() })
+	ticking := clock.FromFunc(func() clock.Millis { return f.now() })
 	machine := admit.New(admit.Config{Policy: admit.Yield, Slots: 1, Floor: 1, Queue: 2, BatchSlots: 1, PrefillTokens: 999, Weight: 100, BurstHalfLife: 1})
 	f.dispatcher = dispatch.New(dispatch.Config{Clock: ticking, Machine: machine, Ring: ring.Config{Size: 64}})
 	f.puller = New(Config{
