--- a/control/pkg/fleet/handler.go
+++ b/control/pkg/fleet/handler.go
@@ -78,7 +78,7 @@
 ) (*connect.Response[toucanhingev1.BeatResponse], error) {
 	beat := request.Msg
 	if reason := validateHeartbeat(beat); reason != "" {
-		return nil, h.config.Refuser.With(opBeat, reasonInvalid, connect.CodeInvalidArgument, "%s", reason)
+		return nil, h.config.Refuser.RefuseWith(opBeat, reasonInvalid, connect.CodeInvalidArgument, "%s", reason)
 	}
 	if err := h.requireLeader(); err != nil {
 		return nil, h.config.Refuser.Refuse(opBeat, err)
@@ -131,7 +131,7 @@
 ) (*connect.Response[toucanhingev1.ClaimResponse], error) {
 	c := request.Msg
 	if c.GetTeam() == "" || c.GetRequestId() == "" || c.GetToken() == "" || len(c.GetRequestId()) > maxNameBytes {
-		return nil, h.config.Refuser.With(opClaim, reasonInvalid, connect.CodeInvalidArgument,
+		return nil, h.config.Refuser.RefuseWith(opClaim, reasonInvalid, connect.CodeInvalidArgument,
 			"want a team, a request id of at most %d bytes, and a token", maxNameBytes)
 	}
 	step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Claim{Claim: c}}
@@ -140,7 +140,7 @@
 		return nil, h.config.Refuser.Refuse(opClaim, err)
 	}
 	if result.Full {
-		return nil, h.config.Refuser.With(opClaim, reasonFull, connect.CodeResourceExhausted, "too many claims are held")
+		return nil, h.config.Refuser.RefuseWith(opClaim, reasonFull, connect.CodeResourceExhausted, "too many claims are held")
 	}
 	return connect.NewResponse(&toucanhingev1.ClaimResponse{State: result.State}), nil
 }
--- a/control/pkg/fleet/watch.go
+++ b/control/pkg/fleet/watch.go
@@ -39,7 +39,7 @@
 			lastLeader = h.config.Clock.Now()
 		}
 		if (h.config.Clock.Now() - lastLeader).Duration() > maxLeaderAbsence {
-			return h.config.Refuser.With(opWatch, reasonNoLeader, connect.CodeUnavailable, "this replica has lost its leader")
+			return h.config.Refuser.RefuseWith(opWatch, reasonNoLeader, connect.CodeUnavailable, "this replica has lost its leader")
 		}
 		changed := h.config.Fleet.Machine.Changed()
 		var update *toucanhingev1.WatchResponse
--- a/control/pkg/operator/handler.go
+++ b/control/pkg/operator/handler.go
@@ -79,7 +79,7 @@
 ) (*connect.Response[toucanhingev1.ApplyResponse], error) {
 	size := entryBytes(request.Msg)
 	if size > maxEntryBytes {
-		return nil, h.config.Refuser.With(opApply, reasonInvalid, connect.CodeInvalidArgument,
+		return nil, h.config.Refuser.RefuseWith(opApply, reasonInvalid, connect.CodeInvalidArgument,
 			"the entry is larger than %d bytes", maxEntryBytes)
 	}
 	step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Apply{Apply: &toucanhingev1.ApplyStep{
@@ -174,15 +174,15 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.ChangeReplicaRequest],
 ) (*connect.Response[toucanhingev1.ChangeReplicaResponse], error) {
 	if request.Msg.GetName() == "" {
-		return nil, h.config.Refuser.With(opChange, reasonInvalid, connect.CodeInvalidArgument, "the replica's name is missing")
+		return nil, h.config.Refuser.RefuseWith(opChange, reasonInvalid, connect.CodeInvalidArgument, "the replica's name is missing")
 	}
 	if missing := missingLearnerField(request.Msg); missing != "" {
-		return nil, h.config.Refuser.With(opChange, reasonInvalid, connect.CodeInvalidArgument, "a newcomer needs its %s", missing)
+		return nil, h.config.Refuser.RefuseWith(opChange, reasonInvalid, connect.CodeInvalidArgument, "a newcomer needs its %s", missing)
 	}
 	if err := h.config.Replicas.Change(ctx, request.Msg); err != nil {
 		var refused *replica.RefusedError
 		if asRefused(err, &refused) {
-			return nil, h.config.Refuser.With(opChange, reasonRefused, connect.CodeFailedPrecondition, "%w", err)
+			return nil, h.config.Refuser.RefuseWith(opChange, reasonRefused, connect.CodeFailedPrecondition, "%w", err)
 		}
 		return nil, h.config.Refuser.Refuse(opChange, err)
 	}
