--- a/gateway/pkg/app/parts.go
+++ b/gateway/pkg/app/parts.go
@@ -50,11 +50,11 @@
 			Clock: now, Fleet: watcher.Fleet, Ready: func() bool { return started(watcher) },
 			Directory: directory,
 			Runner:    newRunner(settings, now, logger, directory, book, online),
-			Older:     older.New(older.Config{Clock: now}),
+			Legacy:     older.New(older.Config{Clock: now}),
 			Claims:    claims,
 			Jobs:      control.NewJobs(control.JobsConfig{Gateway: settings.Name, Client: client, Groups: watcher.Groups}),
 			Limiter:   limit.New(limit.Config{InFlight: settings.Limits.InFlight}),
-			Book:      book, Metrics: online, Logger: logger,
+			DecisionLog:      book, Metrics: online, Logger: logger,
 		}),
 	}
 }
--- a/gateway/pkg/app/process.go
+++ b/gateway/pkg/app/process.go
@@ -184,7 +184,7 @@
 	p.status.NotReady("leaving")
 	p.leaving.Do(func() { close(p.gone) })
 	p.beater.Trigger()
-	p.parts.server.Leave()
+	p.parts.server.Drain()
 	level.Info(p.logger).Log(logs.KeyEvent, "leaving")
 	time.Sleep(clock.Millis(p.settings.Drain.Balancer).Duration())
 	finish, cancel := context.WithTimeout(ctx, clock.Millis(p.settings.Drain.Finish).Duration())
--- a/gateway/pkg/caller/jobs.go
+++ b/gateway/pkg/caller/batch_jobs.go
@@ -13,8 +13,8 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// jobAnswer is a job as callers see it.
-type jobAnswer struct {
+// jobResponse is the JSON form of a job in responses to callers.
+type jobResponse struct {
 	ID       string `json:"id"`
 	Key      string `json:"key"`
 	Service  string `json:"service"`
@@ -29,52 +29,52 @@
 	Resend   bool   `json:"resend,omitempty"`
 }
 
-func jobOf(job *toucanhingev1.JobStatus) jobAnswer {
-	return jobAnswer{
-		ID: job.GetId(), Key: job.GetKey(), Service: job.GetService(), State: stateOf(job.GetState()),
+func newJobResponse(job *toucanhingev1.JobStatus) jobResponse {
+	return jobResponse{
+		ID: job.GetId(), Key: job.GetKey(), Service: job.GetService(), State: jobStateName(job.GetState()),
 		Deadline: job.GetDeadlineMs(), Accepted: job.GetAcceptedMs(), Ended: job.GetEndedMs(),
 		Items: job.GetItems(), Leased: job.GetLeased(), Done: job.GetDone(), Failed: job.GetFailed(),
 	}
 }
 
-func stateOf(state toucanhingev1.JobState) string {
+func jobStateName(state toucanhingev1.JobState) string {
 	return strings.ToLower(strings.TrimPrefix(state.String(), "JOB_STATE_"))
 }
 
-func (s *Server) job(c *gin.Context) {
-	e, r := s.enter(c)
+func (s *Server) getJob(c *gin.Context) {
+	info, r := s.checkHeaders(c)
 	if r != nil {
 		s.refuse(c, r)
 		return
 	}
-	job, err := s.config.Jobs.Get(c.Request.Context(), e.team.Name, c.Param("id"))
+	job, err := s.config.Jobs.Get(c.Request.Context(), info.team.Name, c.Param("id"))
 	if err != nil {
 		s.refuse(c, controlRefusal(err))
 		return
 	}
-	c.JSON(http.StatusOK, jobOf(job))
+	c.JSON(http.StatusOK, newJobResponse(job))
 }
 
-func (s *Server) cancel(c *gin.Context) {
-	e, r := s.enter(c)
+func (s *Server) cancelJob(c *gin.Context) {
+	info, r := s.checkHeaders(c)
 	if r != nil {
 		s.refuse(c, r)
 		return
 	}
-	id := e.caller
-	if id == "" {
-		id = e.id
+	requestID := info.callerID
+	if requestID == "" {
+		requestID = info.id
 	}
-	job, err := s.config.Jobs.Cancel(c.Request.Context(), e.team.Name, c.Param("id"), id)
+	job, err := s.config.Jobs.Cancel(c.Request.Context(), info.team.Name, c.Param("id"), requestID)
 	if err != nil {
 		s.refuse(c, controlRefusal(err))
 		return
 	}
-	s.config.Book.Add(e.id, "job-cancelled", job.GetId())
-	c.JSON(http.StatusOK, jobOf(job))
+	s.config.DecisionLog.Add(info.id, "job-cancelled", job.GetId())
+	c.JSON(http.StatusOK, newJobResponse(job))
 }
 
-// resultLine is one decided item.
+// resultLine is the JSON form of one decided item.
 type resultLine struct {
 	Index    uint64          `json:"index"`
 	CustomID string          `json:"custom_id"`
@@ -84,8 +84,8 @@
 	Attempts uint32          `json:"attempts"`
 }
 
-// lastLine closes the results. Without it they were cut off.
-type lastLine struct {
+// endLine is the last line of complete results. Results without it were cut off.
+type endLine struct {
 	End     bool   `json:"end"`
 	Count   uint64 `json:"count"`
 	Decided uint64 `json:"decided"`
@@ -93,70 +93,70 @@
 	State   string `json:"state"`
 }
 
-// results streams what is decided of a job, in item order.
-func (s *Server) results(c *gin.Context) {
-	e, r := s.enter(c)
+// readResults streams the decided items of a job, in item order.
+func (s *Server) readResults(c *gin.Context) {
+	info, r := s.checkHeaders(c)
 	if r != nil {
 		s.refuse(c, r)
 		return
 	}
 	from, err := strconv.ParseUint(c.DefaultQuery("from", "0"), 10, 64)
 	if err != nil {
-		s.refuse(c, refuse(http.StatusBadRequest, reasonBadQuery, "from must be the index of an item"))
+		s.refuse(c, newRefusal(http.StatusBadRequest, reasonBadQuery, "from must be the index of an item"))
 		return
 	}
-	if r := s.beginTransfer(); r != nil {
+	if r := s.acquireTransfer(); r != nil {
 		s.refuse(c, r)
 		return
 	}
-	defer s.uploads.Add(-1)
-	// The state is read first: what it counts as decided is then all in the results.
-	job, err := s.config.Jobs.Get(c.Request.Context(), e.team.Name, c.Param("id"))
+	defer s.transfers.Add(-1)
+	// The status is read before the results, so that the results contain every item that it counts as decided.
+	job, err := s.config.Jobs.Get(c.Request.Context(), info.team.Name, c.Param("id"))
 	if err != nil {
 		s.refuse(c, controlRefusal(err))
 		return
 	}
-	s.stream(c, e, job, from)
+	s.streamResults(c, info, job, from)
 }
 
-func (s *Server) stream(c *gin.Context, e *entry, job *toucanhingev1.JobStatus, from uint64) {
-	out := s.newAnswer(c, false)
-	last := lastLine{End: true, Decided: job.GetDone() + job.GetFailed(), Items: job.GetItems(), State: stateOf(job.GetState())}
+func (s *Server) streamResults(c *gin.Context, info *requestInfo, job *toucanhingev1.JobStatus, from uint64) {
+	resp := s.newResponse(c, false)
+	end := endLine{End: true, Decided: job.GetDone() + job.GetFailed(), Items: job.GetItems(), State: jobStateName(job.GetState())}
 	var lines []byte
-	err := s.config.Jobs.Results(c.Request.Context(), e.team.Name, job.GetId(), from, func(results []*toucanhingev1.Result) error {
+	err := s.config.Jobs.Results(c.Request.Context(), info.team.Name, job.GetId(), from, func(results []*toucanhingev1.Result) error {
 		lines = lines[:0]
 		for _, result := range results {
-			lines = appendLine(lines, resultOf(result))
-			last.Count++
+			lines = appendLine(lines, newResultLine(result))
+			end.Count++
 		}
-		s.headLines(c, out)
-		return out.data(lines)
+		s.writeResultsHead(c, resp)
+		return resp.writeData(lines)
 	})
-	if err != nil && !out.begun {
+	if err != nil && !resp.headSent {
 		s.refuse(c, controlRefusal(err))
 		return
 	}
-	s.headLines(c, out)
+	s.writeResultsHead(c, resp)
 	if err != nil {
 		r := controlRefusal(err)
 		s.config.Metrics.Set.Refused.WithLabelValues("caller", r.Reason).Inc()
-		_ = out.data(append(r.json(), '\n'))
+		_ = resp.writeData(append(r.json(), '\n'))
 		return
 	}
-	_ = out.data(appendLine(nil, last))
+	_ = resp.writeData(appendLine(nil, end))
 }
 
-func (s *Server) headLines(c *gin.Context, out *answer) {
-	if out.begun {
+func (s *Server) writeResultsHead(c *gin.Context, resp *response) {
+	if resp.headSent {
 		return
 	}
 	c.Header("Content-Type", "application/jsonl")
-	out.head(http.StatusOK, nil, -1)
+	resp.writeHead(http.StatusOK, nil, -1)
 }
 
-func resultOf(result *toucanhingev1.Result) resultLine {
+func newResultLine(result *toucanhingev1.Result) resultLine {
 	body := json.RawMessage(result.GetBody())
-	// An endpoint's answer need not be JSON; as a string it is still whole.
+	// The response of an endpoint need not be JSON; other text is returned as a JSON string.
 	if len(body) > 0 && !json.Valid(body) {
 		body, _ = json.Marshal(string(body))
 	}
@@ -167,18 +167,18 @@
 	}
 }
 
-func appendLine[T resultLine | lastLine](lines []byte, line T) []byte {
+func appendLine[T resultLine | endLine](lines []byte, line T) []byte {
 	text, err := json.Marshal(line)
 	if err != nil {
-		// Strings, numbers and checked JSON always encode.
+		// Strings, numbers and validated JSON can always be encoded.
 		panic(err)
 	}
 	return append(append(lines, text...), '\n')
 }
 
-// codeOf tells control's error in HTTP's terms.
-func codeOf(err error) (status int, reason string) {
-	// A replica that doesn't lead is no fault of the caller's.
+// controlStatus maps an error of control to an HTTP status and a refusal reason.
+func controlStatus(err error) (status int, reason string) {
+	// A replica that is not the leader is a temporary fault of control, not an error of the caller.
 	if _, refused := shared.LeaderOf(err); refused {
 		return http.StatusServiceUnavailable, reasonControl
 	}
--- a/gateway/pkg/caller/body.go
+++ b/gateway/pkg/caller/body.go
@@ -13,54 +13,54 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// bodyTaken marks a request whose body was read to its end.
-const bodyTaken = "body-taken"
+// keyBodyRead is the context key that is set once the request body was read to its end.
+const keyBodyRead = "body-taken"
 
-// body reads a whole body within its bounds of size and time.
-func (s *Server) body(c *gin.Context) ([]byte, *refusal) {
+// readBody reads a whole request body, within the limits on size and time.
+func (s *Server) readBody(c *gin.Context) ([]byte, *refusal) {
 	limit := int64(s.config.Limits.Body)
 	if c.Request.ContentLength > limit {
-		return nil, tooLarge()
+		return nil, bodyTooLarge()
 	}
-	s.extend(c)
-	defer s.unlimit(c)
-	var read bytes.Buffer
+	s.extendReadDeadline(c)
+	defer s.clearReadDeadline(c)
+	var buffer bytes.Buffer
 	if c.Request.ContentLength > 0 {
-		read.Grow(int(c.Request.ContentLength) + bytes.MinRead)
+		buffer.Grow(int(c.Request.ContentLength) + bytes.MinRead)
 	}
-	if _, err := read.ReadFrom(http.MaxBytesReader(c.Writer, c.Request.Body, limit)); err != nil {
-		return nil, badBody(err)
+	if _, err := buffer.ReadFrom(http.MaxBytesReader(c.Writer, c.Request.Body, limit)); err != nil {
+		return nil, bodyRefusal(err)
 	}
-	c.Set(bodyTaken, true)
-	return read.Bytes(), nil
+	c.Set(keyBodyRead, true)
+	return buffer.Bytes(), nil
 }
 
-// extend gives the sender its time anew. A sender that trickles would otherwise
-// hold a connection and a buffer for as long as it likes.
-func (s *Server) extend(c *gin.Context) {
-	limit := time.Now().Add(clock.Millis(s.config.Limits.Sender).Duration())
-	// A connection that can't have a deadline is one of a test's recorder.
-	_ = http.NewResponseController(c.Writer).SetReadDeadline(limit)
+// extendReadDeadline renews the read deadline. Without one, a sender that trickles its body could hold a
+// connection and a buffer indefinitely.
+func (s *Server) extendReadDeadline(c *gin.Context) {
+	deadline := time.Now().Add(clock.Millis(s.config.Limits.Sender).Duration())
+	// Only the response recorders of tests don't support deadlines, so the error is ignored.
+	_ = http.NewResponseController(c.Writer).SetReadDeadline(deadline)
 }
 
-func (s *Server) unlimit(c *gin.Context) {
+func (s *Server) clearReadDeadline(c *gin.Context) {
 	_ = http.NewResponseController(c.Writer).SetReadDeadline(time.Time{})
 }
 
-func tooLarge() *refusal {
-	return refuse(http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is larger than this gateway takes")
+func bodyTooLarge() *refusal {
+	return newRefusal(http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is larger than this gateway takes")
 }
 
-func badBody(err error) *refusal {
+func bodyRefusal(err error) *refusal {
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		return tooLarge()
+		return bodyTooLarge()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return refuse(http.StatusRequestTimeout, reasonSlowSender, "the body did not come in time")
+		return newRefusal(http.StatusRequestTimeout, reasonSlowSender, "the body did not come in time")
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return refuse(http.StatusBadRequest, reasonCutBody, "the body ended before its announced length")
+		return newRefusal(http.StatusBadRequest, reasonCutBody, "the body ended before its announced length")
 	default:
-		return refuse(http.StatusBadRequest, reasonCutBody, "the body could not be read to its end")
+		return newRefusal(http.StatusBadRequest, reasonCutBody, "the body could not be read to its end")
 	}
 }
--- a/gateway/pkg/caller/fields.go
+++ b/gateway/pkg/caller/fields.go
@@ -9,56 +9,56 @@
 	"github.com/pkg/errors"
 )
 
-// fields are the members of a request's JSON object as they stand.
+// fields holds the undecoded members of the JSON object in a request body.
 type fields map[string]json.RawMessage
 
-// shape checks the JSON type of one value.
-type shape struct {
-	name  string
-	match func(json.RawMessage) bool
+// valueType is a JSON type that a field may be required to have.
+type valueType struct {
+	name    string
+	matches func(json.RawMessage) bool
 }
 
 var (
-	shapeString  = shape{"a string", func(v json.RawMessage) bool { return v[0] == '"' }}
-	shapeBool    = shape{"true or false", func(v json.RawMessage) bool { return v[0] == 't' || v[0] == 'f' }}
-	shapeNumber  = shape{"a number", func(v json.RawMessage) bool { return v[0] == '-' || (v[0] >= '0' && v[0] <= '9') }}
-	shapeWhole   = shape{"a whole number above 0", wholeNumber}
-	shapePrompt  = shape{"a string or an array", func(v json.RawMessage) bool { return v[0] == '"' || v[0] == '[' }}
-	shapeObject  = shape{"an object", func(v json.RawMessage) bool { return v[0] == '{' }}
-	shapeArray   = shape{"an array", func(v json.RawMessage) bool { return v[0] == '[' }}
-	shapeContent = shape{"a string, an array or null", func(v json.RawMessage) bool {
+	typeString          = valueType{"a string", func(v json.RawMessage) bool { return v[0] == '"' }}
+	typeBool            = valueType{"true or false", func(v json.RawMessage) bool { return v[0] == 't' || v[0] == 'f' }}
+	typeNumber          = valueType{"a number", func(v json.RawMessage) bool { return v[0] == '-' || (v[0] >= '0' && v[0] <= '9') }}
+	typePositiveInteger = valueType{"a whole number above 0", isPositiveInteger}
+	typeStringOrArray   = valueType{"a string or an array", func(v json.RawMessage) bool { return v[0] == '"' || v[0] == '[' }}
+	typeObject          = valueType{"an object", func(v json.RawMessage) bool { return v[0] == '{' }}
+	typeArray           = valueType{"an array", func(v json.RawMessage) bool { return v[0] == '[' }}
+	typeMessageContent  = valueType{"a string, an array or null", func(v json.RawMessage) bool {
 		return v[0] == '"' || v[0] == '[' || v[0] == 'n'
 	}}
 )
 
-// rule is what one member must be. Members without a rule go to the engine as
-// they are: engines know more of them than we do.
-type rule struct {
-	key   string
-	shape shape
+// fieldRule is the required type of one field. Fields without a rule are passed to the engine unchecked,
+// because engines accept more fields than the gateway knows.
+type fieldRule struct {
+	key       string
+	valueType valueType
 }
 
-var rules = []rule{
-	{"model", shapeString},
-	{"stream", shapeBool},
-	{"max_tokens", shapeWhole},
-	{"max_completion_tokens", shapeWhole},
-	{"n", shapeWhole},
-	{"temperature", shapeNumber},
-	{"top_p", shapeNumber},
-	{"frequency_penalty", shapeNumber},
-	{"presence_penalty", shapeNumber},
-	{"seed", shapeNumber},
-	{"stop", shapePrompt},
-	{"user", shapeString},
-	{"messages", shapeArray},
-	{"prompt", shapePrompt},
-	{"tools", shapeArray},
-	{"stream_options", shapeObject},
-	{"response_format", shapeObject},
+var fieldRules = []fieldRule{
+	{"model", typeString},
+	{"stream", typeBool},
+	{"max_tokens", typePositiveInteger},
+	{"max_completion_tokens", typePositiveInteger},
+	{"n", typePositiveInteger},
+	{"temperature", typeNumber},
+	{"top_p", typeNumber},
+	{"frequency_penalty", typeNumber},
+	{"presence_penalty", typeNumber},
+	{"seed", typeNumber},
+	{"stop", typeStringOrArray},
+	{"user", typeString},
+	{"messages", typeArray},
+	{"prompt", typeStringOrArray},
+	{"tools", typeArray},
+	{"stream_options", typeObject},
+	{"response_format", typeObject},
 }
 
-func wholeNumber(v json.RawMessage) bool {
+func isPositiveInteger(v json.RawMessage) bool {
 	var number int64
 	return json.Unmarshal(v, &number) == nil && number > 0
 }
@@ -67,83 +67,85 @@
 	return len(v) == 0 || v[0] == 'n'
 }
 
-// parse reads one JSON object and nothing after it.
-func parse(body []byte) (fields, *refusal) {
+// parseObject decodes a body that must consist of exactly one JSON object.
+func parseObject(body []byte) (fields, *refusal) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	token, err := decoder.Token()
 	if err != nil {
-		return nil, malformed(err)
+		return nil, malformedJSON(err)
 	}
 	if token != json.Delim('{') {
-		return nil, refuse(http.StatusBadRequest, reasonWrongType, "the body must be a JSON object")
+		return nil, newRefusal(http.StatusBadRequest, reasonWrongType, "the body must be a JSON object")
 	}
 	found := fields{}
 	for decoder.More() {
 		key, err := decoder.Token()
 		if err != nil {
-			return nil, malformed(err)
+			return nil, malformedJSON(err)
 		}
 		name, _ := key.(string)
 		var value json.RawMessage
 		if err := decoder.Decode(&value); err != nil {
-			return nil, malformed(err)
+			return nil, malformedJSON(err)
 		}
-		// The engine might take the other one than we do.
-		if _, twice := found[name]; twice {
-			return nil, refuse(http.StatusBadRequest, reasonDuplicateField, "the field "+name+" is given more than once")
+		// The engine might use the other one of the two values.
+		if _, duplicate := found[name]; duplicate {
+			return nil, newRefusal(http.StatusBadRequest, reasonDuplicateField, "the field "+name+" is given more than once")
 		}
 		found[name] = value
 	}
 	if _, err := decoder.Token(); err != nil {
-		return nil, malformed(err)
+		return nil, malformedJSON(err)
 	}
 	if decoder.More() {
-		return nil, malformed(errors.New("there is more after the object"))
+		return nil, malformedJSON(errors.New("there is more after the object"))
 	}
 	return found, nil
 }
 
-func malformed(err error) *refusal {
-	return refuse(http.StatusBadRequest, reasonMalformed, "the body is not valid JSON: "+err.Error())
+func malformedJSON(err error) *refusal {
+	return newRefusal(http.StatusBadRequest, reasonMalformed, "the body is not valid JSON: "+err.Error())
 }
 
-// check applies the rules, and needs the given members.
-func (f fields) check(needed ...string) *refusal {
-	for _, key := range needed {
+// validate checks the types of all fields that have a rule, and that the required fields are present.
+func (f fields) validate(required ...string) *refusal {
+	for _, key := range required {
 		if isNull(f[key]) {
-			return refuse(http.StatusBadRequest, reasonMissing, "the field "+key+" is missing")
+			return newRefusal(http.StatusBadRequest, reasonMissing, "the field "+key+" is missing")
 		}
 	}
-	for _, r := range rules {
+	for _, r := range fieldRules {
 		value, found := f[r.key]
-		if !found || (isNull(value) && !slices.Contains(needed, r.key)) {
+		if !found || (isNull(value) && !slices.Contains(required, r.key)) {
 			continue
 		}
-		if !r.shape.match(value) {
-			return refuse(http.StatusBadRequest, reasonWrongType, "the field "+r.key+" must be "+r.shape.name)
+		if !r.valueType.matches(value) {
+			return newRefusal(http.StatusBadRequest, reasonWrongType, "the field "+r.key+" must be "+r.valueType.name)
 		}
 	}
 	return nil
 }
 
-// checkMessages looks into the messages of a chat.
-func (f fields) checkMessages() *refusal {
+// validateMessages checks the messages of a chat request.
+func (f fields) validateMessages() *refusal {
 	var messages []fields
 	if err := json.Unmarshal(f["messages"], &messages); err != nil || len(messages) == 0 {
-		return refuse(http.StatusBadRequest, reasonWrongType, "the field messages must be an array of objects, at least one")
+		return newRefusal(http.StatusBadRequest, reasonWrongType,
+			"the field messages must be an array of objects, at least one")
 	}
 	for _, m := range messages {
-		if isNull(m["role"]) || !shapeString.match(m["role"]) {
-			return refuse(http.StatusBadRequest, reasonWrongType, "the field role of each message must be a string")
+		if isNull(m["role"]) || !typeString.matches(m["role"]) {
+			return newRefusal(http.StatusBadRequest, reasonWrongType, "the field role of each message must be a string")
 		}
-		if content, found := m["content"]; found && !shapeContent.match(content) {
-			return refuse(http.StatusBadRequest, reasonWrongType, "the field content of each message must be "+shapeContent.name)
+		if content, found := m["content"]; found && !typeMessageContent.matches(content) {
+			return newRefusal(http.StatusBadRequest, reasonWrongType,
+				"the field content of each message must be "+typeMessageContent.name)
 		}
 	}
 	return nil
 }
 
-func (f fields) text(key string) string {
+func (f fields) stringValue(key string) string {
 	var text string
 	_ = json.Unmarshal(f[key], &text)
 	return text
--- a/gateway/pkg/caller/refusal.go
+++ b/gateway/pkg/caller/refusal.go
@@ -15,7 +15,7 @@
 	"toucanhinge.example/gateway/pkg/route"
 )
 
-// Reasons of refusals that the caller's side itself gives.
+// Refusal reasons that originate in this package.
 const (
 	reasonNoKey           = "no-key"
 	reasonWrongKey        = "wrong-key"
@@ -52,15 +52,15 @@
 	runYes     = "yes"
 )
 
-// refusal is an answer that is not the caller's: what is wrong, whether the
-// request was run, and when to come back.
+// refusal is an error response of the gateway. It states the reason, whether the request was run, and when to
+// retry.
 type refusal struct {
 	Status  int
 	Reason  string
 	Message string
 	Run     string
-	// Retry is a span; 0 leaves it out.
-	Retry clock.Millis
+	// RetryAfter is the time after which the caller may retry; 0 omits it.
+	RetryAfter clock.Millis
 }
 
 type refusalBody struct {
@@ -75,16 +75,16 @@
 	RetryMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-func refuse(status int, reason, message string) *refusal {
+func newRefusal(status int, reason, message string) *refusal {
 	return &refusal{Status: status, Reason: reason, Message: message, Run: runNo}
 }
 
-func (r *refusal) after(span clock.Millis) *refusal {
-	r.Retry = span
+func (r *refusal) withRetryAfter(interval clock.Millis) *refusal {
+	r.RetryAfter = interval
 	return r
 }
 
-func (r *refusal) kind() string {
+func (r *refusal) errorType() string {
 	switch r.Status {
 	case http.StatusUnauthorized:
 		return "authentication"
@@ -107,27 +107,27 @@
 
 func (r *refusal) json() []byte {
 	text, err := json.Marshal(refusalBody{Error: refusalError{
-		Type: r.kind(), Reason: r.Reason, Message: r.Message, Run: r.Run, RetryMS: int64(r.Retry),
+		Type: r.errorType(), Reason: r.Reason, Message: r.Message, Run: r.Run, RetryMS: int64(r.RetryAfter),
 	}})
 	if err != nil {
-		// A struct of strings and a number always encodes.
+		// Strings and numbers can always be encoded.
 		panic(err)
 	}
 	return text
 }
 
-// write sends the refusal as the whole answer.
+// write sends the refusal as the whole response.
 func (r *refusal) write(c *gin.Context) {
-	if r.Retry > 0 {
-		seconds := (r.Retry + 999) / 1_000
+	if r.RetryAfter > 0 {
+		seconds := (r.RetryAfter + 999) / 1_000
 		c.Header("Retry-After", strconv.FormatInt(int64(seconds), 10))
 	}
 	c.Data(r.Status, "application/json", r.json())
 }
 
-// ended tells in HTTP's terms why a request has no whole answer.
-func ended(e online.Ending) *refusal {
-	r := &refusal{Reason: e.Reason, Run: runOf(e.Ran), Retry: e.Retry, Message: messages[e.Reason]}
+// endingRefusal returns the refusal for a request that ended without a complete response.
+func endingRefusal(e online.Ending) *refusal {
+	r := &refusal{Reason: e.Reason, Run: runValue(e.Ran), RetryAfter: e.Retry, Message: reasonMessages[e.Reason]}
 	if r.Message == "" {
 		r.Message = "the endpoint refused: " + e.Reason
 	}
@@ -140,12 +140,12 @@
 		r.Status = http.StatusBadGateway
 	default:
 		r.Status = http.StatusServiceUnavailable
-		r.Retry = max(r.Retry, 1)
+		r.RetryAfter = max(r.RetryAfter, 1)
 	}
 	return r
 }
 
-func runOf(ran attempt.Ran) string {
+func runValue(ran attempt.Ran) string {
 	switch ran {
 	case attempt.RanNo:
 		return runNo
@@ -156,8 +156,8 @@
 	}
 }
 
-// messages say in words what the reasons of the decisions mean.
-var messages = map[string]string{
+// reasonMessages maps refusal reasons to messages for callers.
+var reasonMessages = map[string]string{
 	attempt.ReasonDeadline:     "the deadline passed, or can't be kept",
 	attempt.ReasonUnknown:      "the connection to the endpoint broke; whether the request was run is not known",
 	attempt.ReasonAlreadyRun:   "a request with this id was run already",
--- a/gateway/pkg/caller/serve.go
+++ b/gateway/pkg/caller/serve.go
@@ -14,84 +14,85 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// serve runs a checked request and answers it.
-func (s *Server) serve(c *gin.Context, e *entry, request *online.Request) {
-	if r := s.admit(e, request.Service); r != nil {
-		s.outcome(request, online.Ending{Reason: r.Reason})
+// serve runs a validated request and writes the response.
+func (s *Server) serve(c *gin.Context, info *requestInfo, request *online.Request) {
+	if r := s.admit(info, request.Service); r != nil {
+		s.recordOutcome(request, online.Ending{Reason: r.Reason})
 		s.refuse(c, r)
 		return
 	}
-	defer s.release(e, request.Service)
-	claim, r := s.claim(c, e, request)
+	defer s.release(info, request.Service)
+	claim, r := s.claim(c, info, request)
 	if r != nil {
-		s.outcome(request, online.Ending{Reason: r.Reason})
+		s.recordOutcome(request, online.Ending{Reason: r.Reason})
 		s.refuse(c, r)
 		return
 	}
-	out := s.newAnswer(c, request.Stream)
-	ending := s.run(c, e, request, out)
+	resp := s.newResponse(c, request.Stream)
+	ending := s.run(c, info, request, resp)
 	s.settle(c, claim, ending)
-	s.outcome(request, ending)
-	out.end(s, c, ending)
+	s.recordOutcome(request, ending)
+	resp.finish(s, c, ending)
 }
 
-func (s *Server) run(c *gin.Context, e *entry, request *online.Request, out *answer) online.Ending {
-	service, _ := e.fleet.Service(request.Service)
-	if olderWay(e, request, service.GetOlderPercent()) {
-		s.config.Book.Add(request.ID, "chosen", "older system at "+service.GetOlderUrl())
-		return s.config.Older.Forward(c.Request.Context(), service.GetOlderUrl(), request, out.raw())
+func (s *Server) run(c *gin.Context, info *requestInfo, request *online.Request, resp *response) online.Ending {
+	service, _ := info.fleet.Service(request.Service)
+	if usesLegacy(info, request, service.GetOlderPercent()) {
+		s.config.DecisionLog.Add(request.ID, "chosen", "older system at "+service.GetOlderUrl())
+		return s.config.Legacy.Forward(c.Request.Context(), service.GetOlderUrl(), request, resp.rawSink())
 	}
-	return s.config.Runner.Run(c.Request.Context(), request, out.sink())
+	return s.config.Runner.Run(c.Request.Context(), request, resp.sink())
 }
 
-// olderWay sends a share of the requests to the older serving system. The
-// choice hangs on the caller's own id where there is one, so that a resend goes
-// the same way and is not run by both.
-func olderWay(e *entry, request *online.Request, percent uint32) bool {
+// usesLegacy reports whether the request goes to the legacy system, which gets the given percentage. The choice
+// depends on the caller's own request id if there is one, so that a resend goes to the same system and is not
+// run by both.
+func usesLegacy(info *requestInfo, request *online.Request, percent uint32) bool {
 	if percent == 0 {
 		return false
 	}
 	id := request.ID
-	if e.caller != "" {
-		id = e.team.Name + "/" + e.caller
+	if info.callerID != "" {
+		id = info.team.Name + "/" + info.callerID
 	}
 	return xxhash.Sum64String(id)%100 < uint64(percent)
 }
 
-// claim asks for the right to run a non-idempotent request that has the
-// caller's id; nil when none is needed.
-func (s *Server) claim(c *gin.Context, e *entry, request *online.Request) (*control.Claim, *refusal) {
-	if request.Idempotent || e.caller == "" {
+// claim acquires a claim for a non-idempotent request that has an id of the caller. It returns nil if the
+// request needs no claim.
+func (s *Server) claim(c *gin.Context, info *requestInfo, request *online.Request) (*control.Claim, *refusal) {
+	if request.Idempotent || info.callerID == "" {
 		return nil, nil
 	}
-	claim := control.Claim{Team: e.team.Name, ID: e.caller, Token: newToken()}
+	claim := control.Claim{Team: info.team.Name, ID: info.callerID, Token: newClaimToken()}
 	state, err := s.config.Claims.Claim(c.Request.Context(), claim, request.Deadline)
 	if err != nil {
-		level.Warn(s.config.Logger).Log(logs.KeyEvent, "claim-failed", logs.KeyRequest, e.id, logs.KeyError, err)
-		return nil, refuse(http.StatusServiceUnavailable, reasonNoClaim,
-			"the right to run the request once could not be had; it was not run").after(2_000)
+		level.Warn(s.config.Logger).Log(logs.KeyEvent, "claim-failed", logs.KeyRequest, info.id, logs.KeyError, err)
+		return nil, newRefusal(http.StatusServiceUnavailable, reasonNoClaim,
+			"the right to run the request once could not be had; it was not run").withRetryAfter(2_000)
 	}
-	s.config.Book.Add(e.id, "claim", state.String())
+	s.config.DecisionLog.Add(info.id, "claim", state.String())
 	switch state {
 	case toucanhingev1.ClaimState_CLAIM_STATE_GRANTED:
 		return &claim, nil
 	case toucanhingev1.ClaimState_CLAIM_STATE_HELD:
-		r := refuse(http.StatusConflict, reasonInProgress, "a request with this id is under way")
+		r := newRefusal(http.StatusConflict, reasonInProgress, "a request with this id is under way")
 		r.Run = runUnknown
-		return nil, r.after(1_000)
+		return nil, r.withRetryAfter(1_000)
 	case toucanhingev1.ClaimState_CLAIM_STATE_RUN:
-		r := refuse(http.StatusConflict, attempt.ReasonAlreadyRun, messages[attempt.ReasonAlreadyRun])
+		r := newRefusal(http.StatusConflict, attempt.ReasonAlreadyRun, reasonMessages[attempt.ReasonAlreadyRun])
 		r.Run = runYes
 		return nil, r
 	default:
-		r := refuse(http.StatusConflict, attempt.ReasonUnknown, "a request with this id was given up; whether it was run is not known")
+		r := newRefusal(http.StatusConflict, attempt.ReasonUnknown,
+			"a request with this id was given up; whether it was run is not known")
 		r.Run = runUnknown
 		return nil, r
 	}
 }
 
-// settle tells how a claimed request ended. What was certainly not run is freed
-// before the caller hears of it, so that its resend is not refused.
+// settle reports to control how a claimed request ended. The claim of a request that was certainly not run is
+// released before the caller gets its response, so that a resend is not refused.
 func (s *Server) settle(c *gin.Context, claim *control.Claim, ending online.Ending) {
 	switch {
 	case claim == nil:
@@ -104,7 +105,7 @@
 	}
 }
 
-func (s *Server) outcome(request *online.Request, ending online.Ending) {
+func (s *Server) recordOutcome(request *online.Request, ending online.Ending) {
 	outcome := ending.Reason
 	switch {
 	case ending.Gone:
--- a/gateway/pkg/caller/server.go
+++ b/gateway/pkg/caller/server.go
@@ -1,5 +1,5 @@
-// Package caller serves the teams: OpenAI-style calls to models, plain
-// services, and batch jobs, over HTTP with JSON and server-sent events.
+// Package caller implements the HTTP API for teams: OpenAI-compatible requests to models, requests to plain
+// services, and batch jobs, with JSON and server-sent events.
 package caller
 
 import (
@@ -22,104 +22,106 @@
 	"toucanhinge.example/gateway/pkg/online"
 )
 
-// Config describes the callers' side.
+// Config configures a Server.
 type Config struct {
 	Gateway string
 	Limits  config.Limits
-	// PrefixBytes of the prompt that choose its preferred endpoint; 0 is none.
+	// PrefixBytes is the length of the prompt prefix that determines the preferred endpoint; 0 turns this off.
 	PrefixBytes int
 	Clock       clock.Clock
 	Fleet       func() *world.Fleet
 	Ready       func() bool
 	Directory   *endpoint.Directory
 	Runner      *online.Runner
-	Older       *older.Forwarder
+	Legacy      *older.Forwarder
 	Claims      *control.Claims
 	Jobs        *control.Jobs
 	Limiter     *limit.Limiter
-	Book        *record.Log
+	DecisionLog *record.Log
 	Metrics     *online.Metrics
 	Logger      log.Logger
 }
 
-// Server holds the handlers of one gateway.
+// Server handles the requests of callers to one gateway.
 type Server struct {
-	config  Config
-	mu      sync.Mutex
-	prefix  string
-	counter atomic.Uint64
-	// open counts requests from their first byte on, uploads and reads those of batch jobs.
-	open    atomic.Int64
-	uploads atomic.Int64
-	leaving atomic.Bool
+	config    Config
+	mu        sync.Mutex
+	idPrefix  string
+	idCounter atomic.Uint64
+	// openRequests counts all requests, including those whose bodies are still being read; transfers counts
+	// batch uploads and result reads.
+	openRequests atomic.Int64
+	transfers    atomic.Int64
+	draining     atomic.Bool
 }
 
-// New makes the handlers.
+// New returns a Server.
 func New(config Config) *Server {
-	return &Server{config: config, prefix: newPrefix(config.Gateway)}
+	return &Server{config: config, idPrefix: newIDPrefix(config.Gateway)}
 }
 
-// Leave asks callers to open their next connection elsewhere; what comes is
-// still answered.
-func (s *Server) Leave() {
-	s.leaving.Store(true)
+// Drain makes all further responses close their connections, so that callers open the next ones to other
+// gateways. Requests are still served.
+func (s *Server) Drain() {
+	s.draining.Store(true)
 }
 
-// Handler is the router of all callers' paths.
+// Handler returns the router for all paths.
 func (s *Server) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	router := gin.New()
 	router.HandleMethodNotAllowed = true
-	router.Use(s.count)
+	router.Use(s.limitOpenRequests)
 	router.NoRoute(func(c *gin.Context) {
-		s.refuse(c, refuse(http.StatusNotFound, reasonUnknownPath, "there is nothing at this path"))
+		s.refuse(c, newRefusal(http.StatusNotFound, reasonUnknownPath, "there is nothing at this path"))
 	})
 	router.NoMethod(func(c *gin.Context) {
-		s.refuse(c, refuse(http.StatusMethodNotAllowed, reasonUnknownMethod, "the path does not take this method"))
+		s.refuse(c, newRefusal(http.StatusMethodNotAllowed, reasonUnknownMethod, "the path does not take this method"))
 	})
-	router.POST("/v1/chat/completions", s.chat)
-	router.POST("/v1/completions", s.completion)
-	router.GET("/v1/models", s.models)
-	router.Any("/svc/:name", s.plain)
-	router.Any("/svc/:name/*path", s.plain)
-	router.POST("/v1/batches", s.upload)
-	router.GET("/v1/batches/:id", s.job)
-	router.POST("/v1/batches/:id/cancel", s.cancel)
-	router.GET("/v1/batches/:id/results", s.results)
+	router.POST("/v1/chat/completions", s.serveChat)
+	router.POST("/v1/completions", s.serveCompletion)
+	router.GET("/v1/models", s.listModels)
+	router.Any("/svc/:name", s.servePlain)
+	router.Any("/svc/:name/*path", s.servePlain)
+	router.POST("/v1/batches", s.uploadJob)
+	router.GET("/v1/batches/:id", s.getJob)
+	router.POST("/v1/batches/:id/cancel", s.cancelJob)
+	router.GET("/v1/batches/:id/results", s.readResults)
 	return router
 }
 
-// refuse answers at once and counts the reason.
+// refuse sends a refusal and counts its reason.
 func (s *Server) refuse(c *gin.Context, r *refusal) {
 	s.config.Metrics.Set.Refused.WithLabelValues("caller", r.Reason).Inc()
-	if c.Request.ContentLength != 0 && c.Request.ProtoMajor == 1 && !c.GetBool(bodyTaken) {
-		leaveBody(c)
+	if c.Request.ContentLength != 0 && c.Request.ProtoMajor == 1 && !c.GetBool(keyBodyRead) {
+		skipUnreadBody(c)
 	}
 	r.write(c)
 }
 
-// leaveBody keeps the library from reading the rest of a body before it sends a
-// refusal: a slow sender without a key would hold its connection for as long as
-// it likes, and hear nothing meanwhile.
-func leaveBody(c *gin.Context) {
+// skipUnreadBody keeps net/http from reading the rest of the body before it sends a refusal. Otherwise a slow
+// sender without a valid key could hold its connection indefinitely, and would not get the refusal meanwhile.
+func skipUnreadBody(c *gin.Context) {
 	c.Header("Connection", "close")
 	control := http.NewResponseController(c.Writer)
 	_ = control.EnableFullDuplex()
 	_ = control.SetReadDeadline(time.Unix(1, 0))
 }
 
-// openFactor is how many more requests may be reading their bodies than running.
-const openFactor = 2
+// openRequestsFactor is the ratio of open requests, whose bodies may still be being read, to running requests.
+const openRequestsFactor = 2
 
-// count bounds what slow senders can hold before any limit of a team applies.
-func (s *Server) count(c *gin.Context) {
-	if s.leaving.Load() {
+// limitOpenRequests bounds the connections and buffers that slow senders can hold before the limits of a team
+// apply.
+func (s *Server) limitOpenRequests(c *gin.Context) {
+	if s.draining.Load() {
 		c.Header("Connection", "close")
 	}
-	defer s.open.Add(-1)
-	if s.open.Add(1) > int64(openFactor*s.config.Limits.InFlight+s.config.Limits.Uploads) {
+	defer s.openRequests.Add(-1)
+	if s.openRequests.Add(1) > int64(openRequestsFactor*s.config.Limits.InFlight+s.config.Limits.Uploads) {
 		c.Abort()
-		s.refuse(c, refuse(http.StatusServiceUnavailable, limit.ReasonFull, messages[limit.ReasonFull]).after(1_000))
+		s.refuse(c, newRefusal(http.StatusServiceUnavailable, limit.ReasonFull,
+			reasonMessages[limit.ReasonFull]).withRetryAfter(1_000))
 		return
 	}
 	c.Next()
