--- a/gateway/pkg/app/app.go
+++ b/gateway/pkg/app/app.go
@@ -1,4 +1,4 @@
-// Package app joins the parts of the gateway and starts and stops them.
+// Package app wires the components of the gateway, and starts and stops them.
 package app
 
 import (
@@ -18,12 +18,12 @@
 
 const program = "gateway"
 
-// stopSlack is the time that stopping takes besides the waits that settings name.
-const stopSlack clock.Millis = 20_000
+// stopMargin is the time allowed for stopping in addition to the configured drain timeouts.
+const stopMargin clock.Millis = 20_000
 
-// Run serves until a signal, an operator or the VM list asks it to leave.
+// Run serves until it is stopped by a signal, an operator or a drain entry of the fleet configuration.
 func Run(settings config.Settings) error {
-	stop := clock.Millis(settings.Drain.Balancer+settings.Drain.Finish) + stopSlack
+	stop := clock.Millis(settings.Drain.Balancer+settings.Drain.Finish) + stopMargin
 	app := fx.New(
 		fx.NopLogger,
 		fx.StopTimeout(stop.Duration()),
@@ -33,8 +33,8 @@
 			health.New,
 			newLogger,
 			newMetrics,
-			newBook,
-			newParts,
+			newDecisionLog,
+			newComponents,
 			newProcess,
 		),
 		fx.Invoke(func(lifecycle fx.Lifecycle, p *process) {
@@ -56,6 +56,6 @@
 	return metrics.New(program)
 }
 
-func newBook(settings config.Settings, now clock.Clock) *record.Log {
+func newDecisionLog(settings config.Settings, now clock.Clock) *record.Log {
 	return record.New(record.Config{Clock: now, Process: settings.Name, Size: settings.Records})
 }
--- a/gateway/pkg/app/cut_test.go
+++ b/gateway/pkg/app/broken_responses_test.go
@@ -14,13 +14,12 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// A caller opens a stream and stops reading, its connection still open. Every
-// buffer on the way fills; without a limit the engine's slot would be held for
-// as long as the caller likes.
-func TestCallerThatDoesNotReadIsGivenUp(t *testing.T) {
+// A caller opens a stream and stops reading without closing the connection. All buffers on the path fill up;
+// without a write timeout, the caller would hold a slot of the engine indefinitely.
+func TestStreamIsCancelledWhenCallerStopsReading(t *testing.T) {
 	sidecar := newSidecar(t, "e1", service)
 	sidecar.run = func(ctx context.Context, r *toucanhingev1.RunRequest, out *connect.ServerStream[toucanhingev1.Frame]) error {
-		b := frames{r}
+		b := frameBuilder{r}
 		if err := out.Send(b.head(200, "text/event-stream")); err != nil {
 			return err
 		}
@@ -35,29 +34,29 @@
 	request, err := http.NewRequest(http.MethodPost, g.url+chatPath, strings.NewReader(streamBody))
 	require.NoError(t, err)
 	request.Header.Set("Authorization", "Bearer "+teamKey)
-	answer, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
-	defer func() { _ = answer.Body.Close() }()
-	require.Eventually(t, func() bool { return len(sidecar.cancels()) == 1 }, patience, tick)
+	defer func() { _ = resp.Body.Close() }()
+	require.Eventually(t, func() bool { return len(sidecar.cancels()) == 1 }, testTimeout, pollInterval)
 }
 
-// An answer of a plain service is too long to be held back. It is passed through
-// and its endpoint dies in the middle: the status is long gone, so the caller
-// must see its connection cut, not a short body that looks whole.
-func TestLongAnswerThatBreaksIsCutVisibly(t *testing.T) {
+// A response of a plain service is too long to be buffered, so it is passed through, and its endpoint fails in
+// the middle. The status was sent already, so the gateway must abort the connection: a truncated body would look
+// complete.
+func TestBrokenLongResponseAbortsConnection(t *testing.T) {
 	scenarios := []struct {
 		name string
-		then error
+		err  error
 		cut  bool
-	}{{"whole", nil, false}, {"dies", errDies, true}}
+	}{{"complete", nil, false}, {"fails", errSidecarFailed, true}}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			sidecar := newSidecar(t, "p1", plainName)
 			sidecar.run = func(_ context.Context, r *toucanhingev1.RunRequest, out *connect.ServerStream[toucanhingev1.Frame]) error {
-				b := frames{r}
+				b := frameBuilder{r}
 				half := strings.Repeat("x", 800)
-				if err := send(out, b.head(200, "text/plain"), b.data(1, half), b.data(2, half)); err != nil || s.then != nil {
-					return s.then
+				if err := sendFrames(out, b.head(200, "text/plain"), b.data(1, half), b.data(2, half)); err != nil || s.err != nil {
+					return s.err
 				}
 				return out.Send(b.end(2))
 			}
@@ -79,9 +78,9 @@
 	return lines.String()
 }
 
-// The control VM that serves the results stops in the middle. The caller must be
-// able to tell what it has from all there is.
-func TestResultsThatBreakOffSaySo(t *testing.T) {
+// The control VM that serves the results stops in the middle. The caller must be able to distinguish partial
+// results from complete ones.
+func TestInterruptedResultsEndWithError(t *testing.T) {
 	g := startGateway(t, nil)
 	require.Equal(t, http.StatusOK, g.send(http.MethodPost, "/v1/batches?service="+service+"&key=night-1", manyItems(10, 1)).status)
 	g.control.cutResults.Store(true)
@@ -92,10 +91,10 @@
 	require.NotContains(t, r.body, `"end":true`)
 }
 
-// The leader of the job's group loses its lead during an upload. While all that
-// was sent is at hand, the gateway begins again at the next one by itself; later
-// it can't, and says that nothing was accepted, so that the caller resends.
-func TestLeaderLostDuringAnUpload(t *testing.T) {
+// The leader of the job's group loses leadership during an upload. As long as the gateway retains everything it
+// sent, it restarts the upload at the next leader. Later it can't, and reports that nothing was accepted, so that
+// the caller resends.
+func TestLeaderLossDuringUpload(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		after  int64
@@ -104,7 +103,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			g := startGateway(t, nil)
-			g.control.loseLeadAfter.Store(s.after)
+			g.control.loseLeadershipAfter.Store(s.after)
 			r := g.send(http.MethodPost, "/v1/batches?service="+service+"&key=night-1", manyItems(2_000, 4_000))
 			require.Equal(t, s.status, r.status, r.body)
 			if s.status != http.StatusOK {
--- a/gateway/pkg/app/claims_test.go
+++ b/gateway/pkg/app/claims_test.go
@@ -19,14 +19,13 @@
 
 const visitPath = "/svc/" + plainName + "/visits"
 
-func (g *gateway) visit(id string) reply {
+func (g *gateway) postVisit(id string) response {
 	return g.send(http.MethodPost, visitPath, "{}", "X-Request-Id", id)
 }
 
-// A surveyor's program books a visit and resends when it hears nothing. The
-// second copy, through whichever gateway, must not book again: it is told what
-// became of the first. Each line brings the claim into one state.
-func TestNonIdempotentResendsAreClaimedFirst(t *testing.T) {
+// A caller resends a non-idempotent request because it got no response. The resend, through any gateway, must not
+// run again; its response states the outcome of the first request. Each scenario sets one state of the claim.
+func TestNonIdempotentResendIsRefusedByClaimState(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		state  toucanhingev1.ClaimState
@@ -34,7 +33,7 @@
 		reason string
 		run    string
 	}{
-		{"held by another try", 0, 409, "in-progress", "unknown"},
+		{"held by another attempt", 0, 409, "in-progress", "unknown"},
 		{"run already", toucanhingev1.ClaimState_CLAIM_STATE_RUN, 409, "already-run", "yes"},
 		{"given up", toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN, 409, "unknown-outcome", "unknown"},
 	}
@@ -43,10 +42,10 @@
 			sidecar := newSidecar(t, "p1", plainName)
 			g := startGateway(t, nil, sidecar)
 			g.control.mu.Lock()
-			g.control.claims[team+"/visit-1"] = &toucanhingev1.ClaimRequest{Token: "of another try"}
+			g.control.claims[team+"/visit-1"] = &toucanhingev1.ClaimRequest{Token: "of another attempt"}
 			g.control.states[team+"/visit-1"] = s.state
 			g.control.mu.Unlock()
-			r := g.visit("visit-1")
+			r := g.postVisit("visit-1")
 			require.Equal(t, s.status, r.status)
 			require.Equal(t, s.reason, r.refusal(t).Error.Reason)
 			require.Equal(t, s.run, r.refusal(t).Error.Run)
@@ -55,46 +54,46 @@
 	}
 }
 
-// The claim is settled by what became of the run: whole is "run", a lost answer
-// is "unknown", and only "not run" frees it, so that the resend is run.
-func TestClaimsAreSettledByWhatHappened(t *testing.T) {
+// The claim is settled by the outcome of the run: complete as "run", a lost response as "unknown". Only "not run"
+// releases the claim, so that a resend is run.
+func TestClaimIsSettledByOutcome(t *testing.T) {
 	scenarios := []struct {
 		name    string
 		step    step
 		status  int
 		settled toucanhingev1.ClaimState
 	}{
-		{"whole", sends(func(b frames) []*toucanhingev1.Frame {
+		{"complete", sendStep(func(b frameBuilder) []*toucanhingev1.Frame {
 			return []*toucanhingev1.Frame{b.head(200, "text/plain"), b.data(1, "x")}
-		}, nil, ends(1)), 200, toucanhingev1.ClaimState_CLAIM_STATE_RUN},
-		{"lost", sends(func(frames) []*toucanhingev1.Frame { return nil }, errDies), 502, toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN},
-		{"not run", refuses("leaving", toucanhingev1.Ran_RAN_NO), 503, 0},
+		}, nil, endFrame(1)), 200, toucanhingev1.ClaimState_CLAIM_STATE_RUN},
+		{"lost", sendStep(func(frameBuilder) []*toucanhingev1.Frame { return nil }, errSidecarFailed), 502, toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN},
+		{"not run", refuseStep("leaving", toucanhingev1.Ran_RAN_NO), 503, 0},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			sidecar := newSidecar(t, "p1", plainName)
-			follow([]step{s.step}, sidecar)
+			runSteps([]step{s.step}, sidecar)
 			g := startGateway(t, nil, sidecar)
-			require.Equal(t, s.status, g.visit("visit-1").status)
+			require.Equal(t, s.status, g.postVisit("visit-1").status)
 			settled := func() []toucanhingev1.ClaimState {
 				g.control.mu.Lock()
 				defer g.control.mu.Unlock()
 				return append([]toucanhingev1.ClaimState{}, g.control.settled...)
 			}
 			if s.settled == 0 {
-				require.Len(t, settled(), 1, "freed before the caller hears of it")
+				require.Len(t, settled(), 1, "the claim is released before the caller gets its response")
 			}
-			require.Eventually(t, func() bool { return len(settled()) == 1 }, patience, tick)
+			require.Eventually(t, func() bool { return len(settled()) == 1 }, testTimeout, pollInterval)
 			require.Equal(t, s.settled, settled()[0])
 			require.Len(t, sidecar.requests(), 1)
 		})
 	}
 }
 
-// The claim is granted, but only after the caller's deadline: control was slow,
-// or this gateway was frozen meanwhile. The caller has given up and perhaps
-// resent; running now would be for nobody. It is not run, said so, and freed.
-func TestClaimAfterTheDeadlineRunsNothing(t *testing.T) {
+// The claim is granted after the caller's deadline, because control was slow or the gateway was frozen. The caller
+// has given up and may have resent the request. The request must not run, the refusal must state that, and the
+// claim must be released.
+func TestClaimGrantedAfterDeadlineIsReleased(t *testing.T) {
 	sidecar := newSidecar(t, "p1", plainName)
 	g := startGateway(t, func(s *config.Settings) { s.Retry.Claim = 5_000 }, sidecar)
 	g.control.claimDelay = 400 * time.Millisecond
@@ -105,14 +104,13 @@
 	require.Empty(t, g.control.claims)
 }
 
-// No control VM leads for a while. Whether a resend of this request was run
-// can't be known without the claim, so it is refused as not run; an idempotent
-// one needs no claim and goes on.
-func TestWithoutALeaderNonIdempotentCallsAreRefused(t *testing.T) {
+// No control VM is the leader. Without a claim, the gateway can't know whether a copy of the request was run, so it
+// refuses the request as not run. An idempotent request needs no claim and is served.
+func TestNonIdempotentRequestIsRefusedWithoutLeader(t *testing.T) {
 	sidecar := newSidecar(t, "p1", plainName)
 	g := startGateway(t, nil, sidecar)
 	g.control.leaderless.Store(true)
-	r := g.visit("visit-1")
+	r := g.postVisit("visit-1")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.Equal(t, "no-claim", r.refusal(t).Error.Reason)
 	require.Equal(t, "no", r.refusal(t).Error.Run)
@@ -121,21 +119,20 @@
 	require.Equal(t, http.StatusOK, g.send(http.MethodGet, visitPath, "").status)
 }
 
-// A sidecar reads a request and its VM dies before any answer. Go's HTTP client
-// resends some requests by itself on such a loss; the second run would be one
-// that nobody asked for. We count what arrives on the wire.
-func TestTheHTTPClientDoesNotResend(t *testing.T) {
+// A sidecar reads a request and its VM fails before any response. Go's HTTP client resends some requests on its own
+// after such a loss, which would run the request twice. The test counts the requests that arrive.
+func TestHTTPClientDoesNotResend(t *testing.T) {
 	sidecar := newSidecar(t, "p1", plainName)
 	g := startGateway(t, nil, sidecar)
-	// The first call leaves a connection that is open and idle, as resends need.
+	// The first call leaves an open idle connection; the HTTP client only resends on reused connections.
 	require.Equal(t, http.StatusOK, g.send(http.MethodGet, visitPath, "").status)
 	var arrived atomic.Int32
 	sidecar.run = func(ctx context.Context, _ *toucanhingev1.RunRequest, _ *connect.ServerStream[toucanhingev1.Frame]) error {
 		arrived.Add(1)
-		// Shutdown with an ended context closes every connection at once.
-		ended, end := context.WithCancel(ctx)
-		end()
-		_ = sidecar.server.Shutdown(ended)
+		// Shutdown with a cancelled context closes all connections at once.
+		cancelledCtx, cancel := context.WithCancel(ctx)
+		cancel()
+		_ = sidecar.server.Shutdown(cancelledCtx)
 		return nil
 	}
 	r := g.send(http.MethodPost, visitPath, "{}", "Idempotency-Key", "k", "X-Idempotency-Key", "k")
@@ -143,13 +140,13 @@
 	require.Equal(t, int32(1), arrived.Load())
 }
 
-// The older system takes a share of a service until it is switched off. Every
-// request is run by one of the two, a resend under the same id by the same one,
-// and a connection that breaks is not tried again, not even by the HTTP client.
-func TestOlderSystemGetsItsShareOnce(t *testing.T) {
+// The legacy system gets a percentage of the requests to a service. Each request is run by exactly one of the two
+// systems, a resend with the same id by the same one. A request whose connection breaks is not retried, not even by
+// the HTTP client.
+func TestLegacySystemGetsItsPercentage(t *testing.T) {
 	sidecar := newSidecar(t, "p1", plainName)
-	var seen, broken atomic.Int32
-	older := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	var served, broken atomic.Int32
+	legacy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/break" {
 			broken.Add(1)
 			connection, _, _ := w.(http.Hijacker).Hijack()
@@ -157,43 +154,43 @@
 			_ = connection.Close()
 			return
 		}
-		seen.Add(1)
+		served.Add(1)
 		w.WriteHeader(http.StatusAccepted)
 		_, _ = w.Write([]byte("older"))
 	}))
-	defer older.Close()
+	defer legacy.Close()
 	g := startGateway(t, func(s *config.Settings) { s.Retry.Claim = 2_000 }, sidecar)
-	g.control.put(serviceEntry(plainName, &toucanhingev1.Service{
-		Kind: toucanhingev1.ServiceKind_SERVICE_KIND_PLAIN, OlderPercent: 50, OlderUrl: older.URL,
+	g.control.putEntries(serviceEntry(plainName, &toucanhingev1.Service{
+		Kind: toucanhingev1.ServiceKind_SERVICE_KIND_PLAIN, OlderPercent: 50, OlderUrl: legacy.URL,
 	}))
-	require.Eventually(t, func() bool { return g.parts.watcher.Fleet().Version == 2 }, patience, tick)
-	ways := map[string]int{}
+	require.Eventually(t, func() bool { return g.components.watcher.Fleet().Version == 2 }, testTimeout, pollInterval)
+	statuses := map[string]int{}
 	for i := range 60 {
 		id := "visit-" + string(rune('A'+i))
 		first := g.send(http.MethodGet, visitPath, "", "X-Request-Id", id)
-		again := g.send(http.MethodGet, visitPath, "", "X-Request-Id", id)
-		require.Equal(t, first.status, again.status)
-		ways[http.StatusText(first.status)]++
+		second := g.send(http.MethodGet, visitPath, "", "X-Request-Id", id)
+		require.Equal(t, first.status, second.status)
+		statuses[http.StatusText(first.status)]++
 	}
-	require.Greater(t, ways["Accepted"], 15)
-	require.Greater(t, ways["OK"], 15)
-	require.Equal(t, 120, int(seen.Load())+len(sidecar.requests()))
+	require.Greater(t, statuses["Accepted"], 15)
+	require.Greater(t, statuses["OK"], 15)
+	require.Equal(t, 120, int(served.Load())+len(sidecar.requests()))
 	for i := range 10 {
 		g.send(http.MethodGet, "/svc/"+plainName+"/break", "", "X-Request-Id", "break-"+string(rune('A'+i)))
 	}
-	require.Equal(t, 10, int(broken.Load())+len(sidecar.requests())-(120-int(seen.Load())))
+	require.Equal(t, 10, int(broken.Load())+len(sidecar.requests())-(120-int(served.Load())))
 }
 
-// Two teams, one of them limited. The limited one hears at once that it is, and
-// when to come back; the other isn't touched.
-func TestTeamLimitsAreTold(t *testing.T) {
+// Of two teams, one exceeds its rate limit. Its requests are refused at once with the time after which to retry; the
+// other team is not affected.
+func TestTeamRateLimitReturnsRetryAfter(t *testing.T) {
 	sidecar := newSidecar(t, "e1", service)
 	g := startGateway(t, nil, sidecar)
 	limited := teamEntry(team, &toucanhingev1.TeamRecord{KeyHashes: []string{hash(teamKey)}, Rate: 0.5, Burst: 2})
-	g.control.put(limited, contractEntry(otherTeam, service))
-	require.Eventually(t, func() bool { return g.parts.watcher.Fleet().Version == 2 }, patience, tick)
+	g.control.putEntries(limited, contractEntry(otherTeam, service))
+	require.Eventually(t, func() bool { return g.components.watcher.Fleet().Version == 2 }, testTimeout, pollInterval)
 	statuses := map[int]int{}
-	var last reply
+	var last response
 	for range 5 {
 		last = g.send(http.MethodPost, chatPath, streamBody)
 		statuses[last.status]++
--- a/gateway/pkg/app/parts.go
+++ b/gateway/pkg/app/components.go
@@ -24,8 +24,8 @@
 	"toucanhinge.example/gateway/pkg/route"
 )
 
-// parts are what the process runs.
-type parts struct {
+// components are the parts of the gateway that the process runs.
+type components struct {
 	client    *shared.Client
 	watcher   *shared.Watcher
 	directory *endpoint.Directory
@@ -33,7 +33,9 @@
 	server    *caller.Server
 }
 
-func newParts(settings config.Settings, now clock.Clock, logger log.Logger, set *metrics.Set, book *record.Log) *parts {
+func newComponents(
+	settings config.Settings, now clock.Clock, logger log.Logger, set *metrics.Set, decisionLog *record.Log,
+) *components {
 	client := shared.New(shared.Config{Addresses: settings.Control, HTTP: web.NewClient(), Retried: set.Retried})
 	directory := newDirectory(settings, now, logger, set)
 	watcher := shared.NewWatcher(shared.WatcherConfig{
@@ -42,24 +44,24 @@
 	claims := control.NewClaims(control.ClaimsConfig{
 		Gateway: settings.Name, Client: client, Logger: logger, Wait: clock.Millis(settings.Retry.Claim),
 	})
-	online := online.NewMetrics(set)
-	return &parts{
+	onlineMetrics := online.NewMetrics(set)
+	return &components{
 		client: client, watcher: watcher, directory: directory, claims: claims,
 		server: caller.New(caller.Config{
 			Gateway: settings.Name, Limits: settings.Limits, PrefixBytes: settings.Route.Prefix,
-			Clock: now, Fleet: watcher.Fleet, Ready: func() bool { return started(watcher) },
-			Directory: directory,
-			Runner:    newRunner(settings, now, logger, directory, book, online),
-			Legacy:     older.New(older.Config{Clock: now}),
-			Claims:    claims,
-			Jobs:      control.NewJobs(control.JobsConfig{Gateway: settings.Name, Client: client, Groups: watcher.Groups}),
-			Limiter:   limit.New(limit.Config{InFlight: settings.Limits.InFlight}),
-			DecisionLog:      book, Metrics: online, Logger: logger,
+			Clock: now, Fleet: watcher.Fleet, Ready: func() bool { return watcherStarted(watcher) },
+			Directory:   directory,
+			Runner:      newRunner(settings, now, logger, directory, decisionLog, onlineMetrics),
+			Legacy:      older.New(older.Config{Clock: now}),
+			Claims:      claims,
+			Jobs:        control.NewJobs(control.JobsConfig{Gateway: settings.Name, Client: client, Groups: watcher.Groups}),
+			Limiter:     limit.New(limit.Config{InFlight: settings.Limits.InFlight}),
+			DecisionLog: decisionLog, Metrics: onlineMetrics, Logger: logger,
 		}),
 	}
 }
 
-func started(watcher *shared.Watcher) bool {
+func watcherStarted(watcher *shared.Watcher) bool {
 	select {
 	case <-watcher.Started():
 		return true
@@ -70,14 +72,13 @@
 
 func newDirectory(settings config.Settings, now clock.Clock, logger log.Logger, set *metrics.Set) *endpoint.Directory {
 	r := settings.Route
-	// The seed differs between gateways, so that they don't choose alike, and
-	// between starts.
+	// The seed differs between gateways, so that they don't all choose the same endpoints, and between starts.
 	random := rand.New(rand.NewPCG(xxhash.Sum64String(settings.Name), uint64(now.Now())))
 	return endpoint.New(endpoint.Config{
 		Gateway: settings.Name, DataCentre: settings.DataCentre, Clock: now, HTTP: web.NewClient(), Logger: logger,
 		PollTimeout: clock.Millis(r.PollTimeout),
 		Ejected: promauto.With(set.Registry).NewCounterVec(prometheus.CounterOpts{
-			Name: "toucanhinge_gateway_ejected_total", Help: "Endpoints taken out of use, by reason.",
+			Name: "toucanhinge_gateway_ejected_total", Help: "Endpoints ejected, by reason.",
 		}, []string{"reason"}),
 		Router: route.New(route.Config{
 			Gateway: settings.Name, Policy: route.Policy(r.Policy), Subset: r.Subset, Bound: r.Bound,
@@ -88,11 +89,12 @@
 }
 
 func newRunner(
-	settings config.Settings, now clock.Clock, logger log.Logger, directory *endpoint.Directory, book *record.Log, m *online.Metrics,
+	settings config.Settings, now clock.Clock, logger log.Logger, directory *endpoint.Directory,
+	decisionLog *record.Log, m *online.Metrics,
 ) *online.Runner {
 	r := settings.Retry
 	return online.New(online.Config{
-		Gateway: settings.Name, Clock: now, Directory: directory, Book: book, Metrics: m, Logger: logger,
+		Gateway: settings.Name, Clock: now, Directory: directory, Book: decisionLog, Metrics: m, Logger: logger,
 		Budget:   attempt.NewBudget(attempt.BudgetConfig{Ratio: r.Ratio, Burst: float64(r.Burst), Refused: float64(r.Refused)}),
 		Attempts: uint32(r.Attempts), Stall: clock.Millis(r.Stall), Held: settings.Limits.Answer,
 	})
--- a/gateway/pkg/app/endpoint_faults_test.go
+++ b/gateway/pkg/app/endpoint_faults_test.go
@@ -17,14 +17,15 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-var errDies = connect.NewError(connect.CodeInternal, errors.New("the sidecar gives up"))
+var errSidecarFailed = connect.NewError(connect.CodeInternal, errors.New("the sidecar failed"))
 
-// step is what a sidecar does with one attempt; it returns how the call ends.
-type step func(ctx context.Context, b frames, out *connect.ServerStream[toucanhingev1.Frame]) error
+// step handles one attempt in a sidecar. Its error ends the call.
+type step func(ctx context.Context, b frameBuilder, out *connect.ServerStream[toucanhingev1.Frame]) error
 
-// pieces sends data frames "a", "b", "c" … with the given sequence numbers.
-func pieces(id string, sequences ...uint64) func(frames) []*toucanhingev1.Frame {
-	return func(b frames) []*toucanhingev1.Frame {
+// dataFrames returns a head and data frames with the given sequence numbers. Frame 1 contains "a", frame 2 "b", and
+// so on.
+func dataFrames(id string, sequences ...uint64) func(frameBuilder) []*toucanhingev1.Frame {
+	return func(b frameBuilder) []*toucanhingev1.Frame {
 		list := []*toucanhingev1.Frame{b.head(200, "text/event-stream")}
 		for _, n := range sequences {
 			list = append(list, b.data(n, chunk(id, string(rune('a'+n-1)))))
@@ -33,32 +34,32 @@
 	}
 }
 
-func sends(first func(frames) []*toucanhingev1.Frame, then error, more ...func(frames) *toucanhingev1.Frame) step {
-	return func(_ context.Context, b frames, out *connect.ServerStream[toucanhingev1.Frame]) error {
+func sendStep(first func(frameBuilder) []*toucanhingev1.Frame, result error, more ...func(frameBuilder) *toucanhingev1.Frame) step {
+	return func(_ context.Context, b frameBuilder, out *connect.ServerStream[toucanhingev1.Frame]) error {
 		list := first(b)
 		for _, m := range more {
 			list = append(list, m(b))
 		}
-		if err := send(out, list...); err != nil {
+		if err := sendFrames(out, list...); err != nil {
 			return err
 		}
-		return then
+		return result
 	}
 }
 
-func ends(count uint64) func(frames) *toucanhingev1.Frame {
-	return func(b frames) *toucanhingev1.Frame { return b.end(count) }
+func endFrame(count uint64) func(frameBuilder) *toucanhingev1.Frame {
+	return func(b frameBuilder) *toucanhingev1.Frame { return b.end(count) }
 }
 
-func refuses(reason string, ran toucanhingev1.Ran) step {
-	return func(_ context.Context, b frames, out *connect.ServerStream[toucanhingev1.Frame]) error {
+func refuseStep(reason string, ran toucanhingev1.Ran) step {
+	return func(_ context.Context, b frameBuilder, out *connect.ServerStream[toucanhingev1.Frame]) error {
 		return out.Send(b.refusal(reason, ran, 700))
 	}
 }
 
-func hangs(first func(frames) []*toucanhingev1.Frame) step {
-	return func(ctx context.Context, b frames, out *connect.ServerStream[toucanhingev1.Frame]) error {
-		if err := send(out, first(b)...); err != nil {
+func hangStep(first func(frameBuilder) []*toucanhingev1.Frame) step {
+	return func(ctx context.Context, b frameBuilder, out *connect.ServerStream[toucanhingev1.Frame]) error {
+		if err := sendFrames(out, first(b)...); err != nil {
 			return err
 		}
 		<-ctx.Done()
@@ -66,8 +67,8 @@
 	}
 }
 
-func foreign(request string, attempt uint32) func(frames) *toucanhingev1.Frame {
-	return func(b frames) *toucanhingev1.Frame {
+func foreignFrame(request string, attempt uint32) func(frameBuilder) *toucanhingev1.Frame {
+	return func(b frameBuilder) *toucanhingev1.Frame {
 		f := b.data(2, chunk("x", "FOREIGN"))
 		if request != "" {
 			f.RequestId = request
@@ -77,83 +78,82 @@
 	}
 }
 
-// follow makes sidecars act by the attempt's number, whichever gets it; the last
-// step repeats.
-func follow(steps []step, sidecars ...*fakeSidecar) {
+// runSteps makes the sidecars run the step with the number of the attempt, regardless of which sidecar gets it. The
+// last step repeats.
+func runSteps(steps []step, sidecars ...*fakeSidecar) {
 	for _, f := range sidecars {
 		f.run = func(ctx context.Context, r *toucanhingev1.RunRequest, out *connect.ServerStream[toucanhingev1.Frame]) error {
-			at := min(int(r.GetAttempt()), len(steps)) - 1
-			return steps[at](ctx, frames{r}, out)
+			index := min(int(r.GetAttempt()), len(steps)) - 1
+			return steps[index](ctx, frameBuilder{r}, out)
 		}
 	}
 }
 
-func given(sidecars ...*fakeSidecar) (all []*toucanhingev1.RunRequest) {
+func allRequests(sidecars ...*fakeSidecar) (all []*toucanhingev1.RunRequest) {
 	for _, f := range sidecars {
 		all = append(all, f.requests()...)
 	}
 	return all
 }
 
-// The caller reads one stream, whatever its endpoints do to it: the text "abc"
-// in order and closed by [DONE], or an explicit error event and no [DONE]. Each
-// line makes the first attempts misbehave in one way.
-func TestStreamIsWholeOrSaysThatItIsNot(t *testing.T) {
-	none := func(frames) []*toucanhingev1.Frame { return nil }
-	whole := sends(pieces("second", 1, 2, 3), nil, ends(3))
-	rest := sends(pieces("first", 3), nil, ends(3))
-	gone := refuses("resume-gone", toucanhingev1.Ran_RAN_YES)
+// Endpoints fail in various ways during a stream. The caller must get either the text "abc" in order, ended by
+// [DONE], or an explicit error event and no [DONE]. Each scenario makes the first attempts misbehave in one way.
+func TestStreamIsCompleteOrEndsWithError(t *testing.T) {
+	noFrames := func(frameBuilder) []*toucanhingev1.Frame { return nil }
+	complete := sendStep(dataFrames("second", 1, 2, 3), nil, endFrame(3))
+	rest := sendStep(dataFrames("first", 3), nil, endFrame(3))
+	resumeGone := refuseStep("resume-gone", toucanhingev1.Ran_RAN_YES)
 	scenarios := []struct {
 		name     string
 		steps    []step
 		text     string
-		whole    bool
+		complete bool
 		attempts int
 	}{
-		{"answers well", []step{whole}, "abc", true, 1},
-		{"doubles frames", []step{sends(pieces("first", 1, 1, 2, 1, 2, 3, 3), nil, ends(3))}, "abc", true, 1},
-		{"out of order", []step{sends(pieces("first", 3, 1, 2), nil, ends(3))}, "abc", true, 1},
-		{"end before the last piece", []step{sends(pieces("first", 1, 2), nil, ends(3), func(b frames) *toucanhingev1.Frame { return b.data(3, chunk("first", "c")) })}, "abc", true, 1},
-		{"two ends", []step{sends(pieces("first", 1, 2, 3), nil, ends(3), ends(1))}, "abc", true, 1},
-		{"frames of another request", []step{sends(none, nil, foreign("other", 1), func(b frames) *toucanhingev1.Frame { return b.data(1, chunk("f", "abc")) }, ends(1))}, "abc", true, 1},
-		{"frames of another attempt", []step{sends(none, nil, foreign("", 7), func(b frames) *toucanhingev1.Frame { return b.data(1, chunk("f", "abc")) }, ends(1))}, "abc", true, 1},
-		{"refuses, not run", []step{refuses("queue-full", toucanhingev1.Ran_RAN_NO), whole}, "abc", true, 2},
-		{"refuses, unknown", []step{refuses("duplicate", toucanhingev1.Ran_RAN_UNKNOWN), whole}, "abc", true, 2},
-		{"engine's error status", []step{sends(func(b frames) []*toucanhingev1.Frame {
+		{"responds correctly", []step{complete}, "abc", true, 1},
+		{"duplicates frames", []step{sendStep(dataFrames("first", 1, 1, 2, 1, 2, 3, 3), nil, endFrame(3))}, "abc", true, 1},
+		{"out of order", []step{sendStep(dataFrames("first", 3, 1, 2), nil, endFrame(3))}, "abc", true, 1},
+		{"end before the last piece", []step{sendStep(dataFrames("first", 1, 2), nil, endFrame(3), func(b frameBuilder) *toucanhingev1.Frame { return b.data(3, chunk("first", "c")) })}, "abc", true, 1},
+		{"two ends", []step{sendStep(dataFrames("first", 1, 2, 3), nil, endFrame(3), endFrame(1))}, "abc", true, 1},
+		{"frames of another request", []step{sendStep(noFrames, nil, foreignFrame("other", 1), func(b frameBuilder) *toucanhingev1.Frame { return b.data(1, chunk("f", "abc")) }, endFrame(1))}, "abc", true, 1},
+		{"frames of another attempt", []step{sendStep(noFrames, nil, foreignFrame("", 7), func(b frameBuilder) *toucanhingev1.Frame { return b.data(1, chunk("f", "abc")) }, endFrame(1))}, "abc", true, 1},
+		{"refuses, not run", []step{refuseStep("queue-full", toucanhingev1.Ran_RAN_NO), complete}, "abc", true, 2},
+		{"refuses, unknown", []step{refuseStep("duplicate", toucanhingev1.Ran_RAN_UNKNOWN), complete}, "abc", true, 2},
+		{"engine's error status", []step{sendStep(func(b frameBuilder) []*toucanhingev1.Frame {
 			return []*toucanhingev1.Frame{b.head(500, "text/plain"), b.data(1, "oops"), b.end(1)}
-		}, nil), whole}, "abc", true, 2},
-		{"breaks before anything", []step{sends(none, errDies), whole}, "abc", true, 2},
-		{"ends without an end frame", []step{sends(pieces("first", 1, 2), nil), rest}, "abc", true, 2},
-		{"short by one, resumed there", []step{sends(pieces("first", 1, 2), nil, ends(3)), rest}, "abc", true, 2},
-		{"counts fewer than it sent", []step{sends(pieces("first", 1, 2), nil, ends(1)), rest}, "abc", true, 2},
-		{"ends with an error", []step{sends(pieces("first", 1, 2), nil, func(b frames) *toucanhingev1.Frame {
+		}, nil), complete}, "abc", true, 2},
+		{"fails before the first frame", []step{sendStep(noFrames, errSidecarFailed), complete}, "abc", true, 2},
+		{"ends without an end frame", []step{sendStep(dataFrames("first", 1, 2), nil), rest}, "abc", true, 2},
+		{"one frame missing, resumed at the same endpoint", []step{sendStep(dataFrames("first", 1, 2), nil, endFrame(3)), rest}, "abc", true, 2},
+		{"end counts fewer frames than sent", []step{sendStep(dataFrames("first", 1, 2), nil, endFrame(1)), rest}, "abc", true, 2},
+		{"ends with an error", []step{sendStep(dataFrames("first", 1, 2), nil, func(b frameBuilder) *toucanhingev1.Frame {
 			f := b.end(2)
 			f.GetEnd().Error = "engine-lost"
 			return f
 		}), rest}, "abc", true, 2},
-		{"stalls, goes on elsewhere", []step{hangs(pieces("first", 1, 2)), sends(pieces("second", 1), nil, ends(1))}, "aba", true, 2},
-		{"dies, resume gone, goes on elsewhere", []step{sends(pieces("first", 1, 2), errDies), gone, sends(pieces("second", 1), nil, ends(1))}, "aba", true, 3},
-		{"stalls, the next one can't say", []step{hangs(pieces("first", 1, 2)), refuses("duplicate", toucanhingev1.Ran_RAN_UNKNOWN), whole}, "ab", false, 2},
-		{"dies again and again", []step{sends(pieces("first", 1, 2), errDies), gone, refuses("queue-full", toucanhingev1.Ran_RAN_NO)}, "ab", false, 3},
-		{"says [DONE] itself, then dies", []step{sends(pieces("first", 1, 2), errDies, func(b frames) *toucanhingev1.Frame {
+		{"stalls, resumed elsewhere", []step{hangStep(dataFrames("first", 1, 2)), sendStep(dataFrames("second", 1), nil, endFrame(1))}, "aba", true, 2},
+		{"fails, resume gone, resumed elsewhere", []step{sendStep(dataFrames("first", 1, 2), errSidecarFailed), resumeGone, sendStep(dataFrames("second", 1), nil, endFrame(1))}, "aba", true, 3},
+		{"stalls, next refuses with unknown outcome", []step{hangStep(dataFrames("first", 1, 2)), refuseStep("duplicate", toucanhingev1.Ran_RAN_UNKNOWN), complete}, "ab", false, 2},
+		{"fails repeatedly", []step{sendStep(dataFrames("first", 1, 2), errSidecarFailed), resumeGone, refuseStep("queue-full", toucanhingev1.Ran_RAN_NO)}, "ab", false, 3},
+		{"sends [DONE] itself, then fails", []step{sendStep(dataFrames("first", 1, 2), errSidecarFailed, func(b frameBuilder) *toucanhingev1.Frame {
 			return b.data(3, "[DONE]")
-		}), gone, refuses("queue-full", toucanhingev1.Ran_RAN_NO)}, "ab", false, 3},
-		{"a gap that never fills", []step{sends(pieces("first", 1, 3), errDies), gone, refuses("queue-full", toucanhingev1.Ran_RAN_NO)}, "a", false, 3},
-		{"not run, said after data", []step{sends(pieces("first", 1, 2), nil, func(b frames) *toucanhingev1.Frame {
+		}), resumeGone, refuseStep("queue-full", toucanhingev1.Ran_RAN_NO)}, "ab", false, 3},
+		{"gap that is never filled", []step{sendStep(dataFrames("first", 1, 3), errSidecarFailed), resumeGone, refuseStep("queue-full", toucanhingev1.Ran_RAN_NO)}, "a", false, 3},
+		{"refusal as not run after data", []step{sendStep(dataFrames("first", 1, 2), nil, func(b frameBuilder) *toucanhingev1.Frame {
 			return b.refusal("queue-full", toucanhingev1.Ran_RAN_NO, 1)
 		}), rest}, "abc", true, 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			a, b := newSidecar(t, "e1", service), newSidecar(t, "e2", service)
-			follow(s.steps, a, b)
+			runSteps(s.steps, a, b)
 			g := startGateway(t, nil, a, b)
 			r := g.send(http.MethodPost, chatPath, streamBody)
-			text, whole := r.text()
+			text, done := r.joinedText()
 			require.Equal(t, s.text, text, r.body)
-			require.Equal(t, s.whole, whole, r.body)
-			require.Len(t, given(a, b), s.attempts)
-			if !s.whole {
+			require.Equal(t, s.complete, done, r.body)
+			require.Len(t, allRequests(a, b), s.attempts)
+			if !s.complete {
 				require.Contains(t, r.body, "event: error\n")
 				require.Contains(t, r.body, `"reason":"answer-cut"`)
 			}
@@ -161,21 +161,21 @@
 	}
 }
 
-// An endpoint dies in the middle of "ab". The one that goes on must be told the
-// text so far, asked for no more tokens than are left, and its pieces must carry
-// the id that the caller knows, or the caller's library would see a second answer.
-func TestResumeElsewhereHandsTheTextOver(t *testing.T) {
+// An endpoint stalls after "ab". The endpoint that resumes must get the text so far and a request for the remaining
+// tokens only. Its chunks must carry the id of the first ones, otherwise the client library of the caller would see a
+// second response.
+func TestResumeSendsPartialTextToNextEndpoint(t *testing.T) {
 	a, b := newSidecar(t, "e1", service), newSidecar(t, "e2", service)
-	follow([]step{hangs(pieces("first", 1, 2)), sends(pieces("second", 1), nil, ends(1))}, a, b)
+	runSteps([]step{hangStep(dataFrames("first", 1, 2)), sendStep(dataFrames("second", 1), nil, endFrame(1))}, a, b)
 	g := startGateway(t, nil, a, b)
 	body := strings.Replace(streamBody, `"stream":true`, `"stream":true,"max_tokens":10`, 1)
 	r := g.send(http.MethodPost, chatPath, body)
-	_, whole := r.text()
-	require.True(t, whole, r.body)
+	_, done := r.joinedText()
+	require.True(t, done, r.body)
 	require.NotContains(t, r.body, `"second"`)
 	require.Equal(t, 3, strings.Count(r.body, `"id":"first"`))
 	var second *toucanhingev1.RunRequest
-	for _, request := range given(a, b) {
+	for _, request := range allRequests(a, b) {
 		if request.GetAttempt() == 2 {
 			second = request
 		}
@@ -185,33 +185,33 @@
 	require.Zero(t, second.GetResumeAfter())
 }
 
-// A sidecar freezes in the middle of a stream: its connections stay open, and it
-// answers no report. Its caller must not wait for the stall limit or for the
-// connection's pings; the unanswered reports are enough to go on elsewhere.
-func TestFrozenSidecarsStreamsGoOnElsewhere(t *testing.T) {
+// A sidecar freezes in the middle of a stream: its connections stay open, but it no longer answers report calls. The
+// unanswered reports must suffice to resume elsewhere, without waiting for the stall timeout or the pings of the
+// connection.
+func TestStreamResumesWhenSidecarFreezes(t *testing.T) {
 	a, b := newSidecar(t, "e1", service), newSidecar(t, "e2", service)
-	follow([]step{hangs(pieces("first", 1, 2)), sends(pieces("second", 1), nil, ends(1))}, a, b)
+	runSteps([]step{hangStep(dataFrames("first", 1, 2)), sendStep(dataFrames("second", 1), nil, endFrame(1))}, a, b)
 	for _, f := range []*fakeSidecar{a, b} {
 		f.load = func() *toucanhingev1.Load {
 			if len(f.requests()) > 0 && f.requests()[0].GetAttempt() == 1 {
 				return nil
 			}
-			return idle()
+			return idleLoad()
 		}
 	}
 	g := startGateway(t, func(s *config.Settings) { s.Retry.Stall = 3_600_000 }, a, b)
-	text, whole := g.send(http.MethodPost, chatPath, streamBody).text()
+	text, done := g.send(http.MethodPost, chatPath, streamBody).joinedText()
 	require.Equal(t, "aba", text)
-	require.True(t, whole)
+	require.True(t, done)
 }
 
-// A whole answer is held back until its end frame, so a caller never reads half
-// of one, and a failure before it can still be retried.
-func TestWholeAnswersAndNonIdempotentCalls(t *testing.T) {
-	said := func(b frames) []*toucanhingev1.Frame {
+// A response that is not streamed is buffered until its end frame, so that a caller never gets a part of it and a
+// failure before the end can still be retried.
+func TestNonStreamedResponsesAndRetries(t *testing.T) {
+	twoPieces := func(b frameBuilder) []*toucanhingev1.Frame {
 		return []*toucanhingev1.Frame{b.head(201, "text/plain"), b.data(1, "one"), b.data(2, "two")}
 	}
-	good := sends(said, nil, ends(2))
+	good := sendStep(twoPieces, nil, endFrame(2))
 	scenarios := []struct {
 		name       string
 		idempotent string
@@ -222,32 +222,32 @@
 		attempts   int
 	}{
 		{"good", "false", []step{good}, 201, "", "", 1},
-		{"idempotent, dies in the middle", "true", []step{sends(said, errDies), good}, 201, "", "", 2},
-		{"idempotent, short", "true", []step{sends(said, nil, ends(3)), good}, 201, "", "", 2},
-		{"idempotent, all refuse", "true", []step{refuses("queue-full", toucanhingev1.Ran_RAN_NO)}, 503, "queue-full", "no", 2},
-		{"idempotent, dies, then refused", "true", []step{sends(said, errDies), refuses("queue-full", toucanhingev1.Ran_RAN_NO)}, 502, "unknown-outcome", "unknown", 2},
-		{"not idempotent, dies before anything", "false", []step{sends(func(frames) []*toucanhingev1.Frame { return nil }, errDies), good}, 502, "unknown-outcome", "unknown", 1},
-		{"not idempotent, dies in the middle", "false", []step{sends(said, errDies), good}, 502, "unknown-outcome", "unknown", 1},
-		{"not idempotent, short", "false", []step{sends(said, nil, ends(3)), good}, 502, "unknown-outcome", "unknown", 1},
-		{"not idempotent, refused as not run", "false", []step{refuses("leaving", toucanhingev1.Ran_RAN_NO), good}, 201, "", "", 2},
-		{"not idempotent, not run said after data", "false", []step{sends(said, nil, func(b frames) *toucanhingev1.Frame {
+		{"idempotent, fails in the middle", "true", []step{sendStep(twoPieces, errSidecarFailed), good}, 201, "", "", 2},
+		{"idempotent, frame missing", "true", []step{sendStep(twoPieces, nil, endFrame(3)), good}, 201, "", "", 2},
+		{"idempotent, all refuse", "true", []step{refuseStep("queue-full", toucanhingev1.Ran_RAN_NO)}, 503, "queue-full", "no", 2},
+		{"idempotent, fails, then refused", "true", []step{sendStep(twoPieces, errSidecarFailed), refuseStep("queue-full", toucanhingev1.Ran_RAN_NO)}, 502, "unknown-outcome", "unknown", 2},
+		{"not idempotent, fails before the first frame", "false", []step{sendStep(func(frameBuilder) []*toucanhingev1.Frame { return nil }, errSidecarFailed), good}, 502, "unknown-outcome", "unknown", 1},
+		{"not idempotent, fails in the middle", "false", []step{sendStep(twoPieces, errSidecarFailed), good}, 502, "unknown-outcome", "unknown", 1},
+		{"not idempotent, frame missing", "false", []step{sendStep(twoPieces, nil, endFrame(3)), good}, 502, "unknown-outcome", "unknown", 1},
+		{"not idempotent, refused as not run", "false", []step{refuseStep("leaving", toucanhingev1.Ran_RAN_NO), good}, 201, "", "", 2},
+		{"not idempotent, refused as not run after data", "false", []step{sendStep(twoPieces, nil, func(b frameBuilder) *toucanhingev1.Frame {
 			return b.refusal("leaving", toucanhingev1.Ran_RAN_NO, 1)
 		}), good}, 502, "unknown-outcome", "unknown", 1},
-		{"not idempotent, run already", "false", []step{refuses("duplicate", toucanhingev1.Ran_RAN_YES), good}, 409, "already-run", "yes", 1},
-		{"not idempotent, can't say", "false", []step{refuses("duplicate", toucanhingev1.Ran_RAN_UNKNOWN), good}, 502, "unknown-outcome", "unknown", 1},
-		{"a plain service's 500 is its answer", "true", []step{sends(func(b frames) []*toucanhingev1.Frame {
+		{"not idempotent, run already", "false", []step{refuseStep("duplicate", toucanhingev1.Ran_RAN_YES), good}, 409, "already-run", "yes", 1},
+		{"not idempotent, refused with unknown outcome", "false", []step{refuseStep("duplicate", toucanhingev1.Ran_RAN_UNKNOWN), good}, 502, "unknown-outcome", "unknown", 1},
+		{"status 500 of a plain service is passed on", "true", []step{sendStep(func(b frameBuilder) []*toucanhingev1.Frame {
 			return []*toucanhingev1.Frame{b.head(500, "text/plain"), b.data(1, "onetwo")}
-		}, nil, ends(1)), good}, 500, "", "", 1},
+		}, nil, endFrame(1)), good}, 500, "", "", 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			a, b := newSidecar(t, "p1", plainName), newSidecar(t, "p2", plainName)
-			follow(s.steps, a, b)
+			runSteps(s.steps, a, b)
 			g := startGateway(t, nil, a, b)
 			r := g.send(http.MethodPost, "/svc/"+plainName+"/visits", "{}", "X-Idempotent", s.idempotent, "Idempotency-Key", "k")
 			require.Equal(t, s.status, r.status, r.body)
-			require.Len(t, given(a, b), s.attempts)
-			for _, request := range given(a, b) {
+			require.Len(t, allRequests(a, b), s.attempts)
+			for _, request := range allRequests(a, b) {
 				for _, h := range request.GetHeaders() {
 					require.NotEqual(t, "Idempotency-Key", h.GetName())
 				}
@@ -264,48 +264,47 @@
 	}
 }
 
-// The caller closes its connection in the middle of a stream. The engine would
-// go on for nobody: a sidecar keeps the run of a lost stream for a resume, so it
-// must be told by a call of its own.
-func TestCallerGoneIsToldToTheSidecar(t *testing.T) {
+// The caller closes its connection in the middle of a stream. A sidecar retains the run of a lost stream so that it
+// can be resumed, so the engine would continue in vain unless the gateway sends the sidecar a cancel call.
+func TestCallerDisconnectCancelsRun(t *testing.T) {
 	sidecar := newSidecar(t, "e1", service)
-	follow([]step{hangs(pieces("first", 1))}, sidecar)
+	runSteps([]step{hangStep(dataFrames("first", 1))}, sidecar)
 	g := startGateway(t, nil, sidecar)
 	ctx, cancel := context.WithCancel(context.Background())
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, g.url+chatPath, strings.NewReader(streamBody))
 	require.NoError(t, err)
 	request.Header.Set("Authorization", "Bearer "+teamKey)
-	answer, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
-	defer func() { _ = answer.Body.Close() }()
+	defer func() { _ = resp.Body.Close() }()
 	cancel()
 	require.Eventually(t, func() bool {
 		return len(sidecar.cancels()) == 1 && sidecar.cancels()[0].GetRequestId() == sidecar.requests()[0].GetRequestId()
-	}, patience, tick)
+	}, testTimeout, pollInterval)
 }
 
-// The endpoint accepts the request and says nothing until the caller's deadline:
-// the caller is told at that time, and that it may have run.
-func TestDeadlinePassesWhileTheEndpointIsSilent(t *testing.T) {
+// The endpoint accepts the request and sends nothing until the caller's deadline. The caller must get a refusal at
+// that time, which states that the request may have been run.
+func TestDeadlineExpiresAtUnresponsiveEndpoint(t *testing.T) {
 	sidecar := newSidecar(t, "e1", service)
-	follow([]step{hangs(func(frames) []*toucanhingev1.Frame { return nil })}, sidecar)
+	runSteps([]step{hangStep(func(frameBuilder) []*toucanhingev1.Frame { return nil })}, sidecar)
 	g := startGateway(t, nil, sidecar)
 	r := g.send(http.MethodPost, chatPath, streamBody, "X-Deadline-Ms", "200")
 	require.Equal(t, http.StatusGatewayTimeout, r.status)
 	require.Equal(t, "deadline", r.refusal(t).Error.Reason)
 	require.Equal(t, "unknown", r.refusal(t).Error.Run)
-	require.Eventually(t, func() bool { return len(sidecar.cancels()) == 1 }, patience, tick)
+	require.Eventually(t, func() bool { return len(sidecar.cancels()) == 1 }, testTimeout, pollInterval)
 }
 
-// Every endpoint says that a new request waits 30 s; the caller waits 1 s. It is
-// refused at once, and told when to come back, instead of waiting for nothing.
-func TestWhatCannotBeInTimeIsRefusedAtOnce(t *testing.T) {
+// Every endpoint reports a wait of 30 s for new requests; the caller waits 1 s. Its request must be refused at once,
+// with the time after which to retry.
+func TestRequestIsRefusedWhenWaitExceedsDeadline(t *testing.T) {
 	sidecar := newSidecar(t, "e1", service)
 	sidecar.load = func() *toucanhingev1.Load {
 		return &toucanhingev1.Load{Running: 8, Queued: 90, Slots: 8, Healthy: true, WaitMs: 30_000}
 	}
 	g := startGateway(t, nil, sidecar)
-	require.Eventually(t, func() bool { return g.parts.directory.Short(service) }, patience, tick)
+	require.Eventually(t, func() bool { return g.components.directory.Short(service) }, testTimeout, pollInterval)
 	r := g.send(http.MethodPost, chatPath, streamBody, "X-Deadline-Ms", "1000")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.Equal(t, "deadline", r.refusal(t).Error.Reason)
@@ -314,18 +313,17 @@
 	require.Empty(t, sidecar.requests())
 }
 
-// An endpoint leaves in the middle of the day: its load says so, or its entry
-// does. Nothing new may go there from then on.
-func TestLeavingEndpointGetsNothing(t *testing.T) {
+// An endpoint drains, as stated by its load reports or by its fleet entry. From then on, it must get no new requests.
+func TestDrainingEndpointGetsNoRequests(t *testing.T) {
 	a, b := newSidecar(t, "e1", service), newSidecar(t, "e2", service)
-	var told atomic.Int32
+	var reports atomic.Int32
 	a.load = func() *toucanhingev1.Load {
-		told.Add(1)
+		reports.Add(1)
 		return &toucanhingev1.Load{Slots: 8, Healthy: true, Leaving: true}
 	}
 	g := startGateway(t, nil, a, b)
-	// The third report is asked for after the first one's answer was taken.
-	require.Eventually(t, func() bool { return told.Load() >= 3 }, patience, tick)
+	// The third report is requested only after the first response was applied.
+	require.Eventually(t, func() bool { return reports.Load() >= 3 }, testTimeout, pollInterval)
 	for range 20 {
 		require.Equal(t, http.StatusOK, g.send(http.MethodPost, chatPath, streamBody).status)
 	}
@@ -333,42 +331,40 @@
 	require.Len(t, b.requests(), 20)
 	leaving := b.entry()
 	leaving.GetMember().State = toucanhingev1.MemberState_MEMBER_STATE_LEAVING
-	g.control.put(leaving)
+	g.control.putEntries(leaving)
 	require.Eventually(t, func() bool {
 		return g.send(http.MethodPost, chatPath, streamBody).status == http.StatusServiceUnavailable
-	}, patience, tick)
+	}, testTimeout, pollInterval)
 }
 
-// A caller in a hurry is refused by the only endpoint, which can't make its
-// deadline. The next caller has time: the first one's refusal must not make the
-// endpoint look full to it.
-func TestRefusalForOneDeadlineKeepsNobodyElseAway(t *testing.T) {
+// The only endpoint refuses a request because it can't meet its short deadline. That refusal must not make the
+// endpoint look full to the next request, which has a longer deadline.
+func TestDeadlineRefusalDoesNotMarkEndpointFull(t *testing.T) {
 	sidecar := newSidecar(t, "e1", service)
-	whole := sidecar.say("all is well")
+	respond := sidecar.respondWith("all is well")
 	sidecar.run = func(ctx context.Context, r *toucanhingev1.RunRequest, out *connect.ServerStream[toucanhingev1.Frame]) error {
 		if r.GetBudgetMs() <= 5_000 {
-			return out.Send(frames{r}.refusal("deadline", toucanhingev1.Ran_RAN_NO, 400))
+			return out.Send(frameBuilder{r}.refusal("deadline", toucanhingev1.Ran_RAN_NO, 400))
 		}
-		return whole(ctx, r, out)
+		return respond(ctx, r, out)
 	}
 	g := startGateway(t, nil, sidecar)
-	hurried := g.send(http.MethodPost, chatPath, streamBody, "X-Deadline-Ms", "5000")
-	require.Equal(t, "deadline", hurried.refusal(t).Error.Reason)
-	require.Equal(t, "no", hurried.refusal(t).Error.Run)
+	urgent := g.send(http.MethodPost, chatPath, streamBody, "X-Deadline-Ms", "5000")
+	require.Equal(t, "deadline", urgent.refusal(t).Error.Reason)
+	require.Equal(t, "no", urgent.refusal(t).Error.Run)
 	require.Equal(t, http.StatusOK, g.send(http.MethodPost, chatPath, streamBody).status)
 	require.Empty(t, sidecar.cancels())
 }
 
-// The deadline travels with the call as whole milliseconds, so the endpoint's runs out a
-// moment before the gateway's own. The endpoint ends the stream then; the gateway hears of
-// that first. The caller must still be told that its time is up, and not that the
-// endpoint broke off.
-func TestTheEndpointsDeadlineRunsOutFirst(t *testing.T) {
+// The deadline is sent with the call in whole milliseconds, so the deadline at the endpoint expires slightly before
+// that of the gateway, and the gateway sees the endpoint end the stream first. The refusal must still state that the
+// deadline passed, and not that the endpoint failed.
+func TestEndpointDeadlineExpiresBeforeGatewayDeadline(t *testing.T) {
 	const deadline, early = 200 * time.Millisecond, 4 * time.Millisecond
 	sidecar := newSidecar(t, "e1", service)
-	follow([]step{func(ctx context.Context, _ frames, _ *connect.ServerStream[toucanhingev1.Frame]) error {
-		at, _ := ctx.Deadline()
-		time.Sleep(time.Until(at) - early)
+	runSteps([]step{func(ctx context.Context, _ frameBuilder, _ *connect.ServerStream[toucanhingev1.Frame]) error {
+		expiry, _ := ctx.Deadline()
+		time.Sleep(time.Until(expiry) - early)
 		return nil
 	}}, sidecar)
 	g := startGateway(t, nil, sidecar)
--- a/gateway/pkg/app/fakes_test.go
+++ b/gateway/pkg/app/fakes_test.go
@@ -20,7 +20,7 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
-// Names that all tests use.
+// Names used by all tests.
 const (
 	team        = "agence"
 	otherTeam   = "heredia"
@@ -33,20 +33,20 @@
 	gatewayName = "gateway-1"
 )
 
-// jobID is the one job that fakeControl knows.
+// jobID is the only job that fakeControl knows.
 var jobID = job.ID(team, "night-1", 2)
 
-// fakeSidecar runs requests by a script and counts what it was given.
+// fakeSidecar handles requests with a configurable function and records the requests it receives.
 type fakeSidecar struct {
 	toucanhingev1connect.UnimplementedEndpointServiceHandler
-	name    string
-	service string
-	server  *web.Server
-	run     func(context.Context, *toucanhingev1.RunRequest, *connect.ServerStream[toucanhingev1.Frame]) error
-	load    func() *toucanhingev1.Load
-	mu      sync.Mutex
-	given   []*toucanhingev1.RunRequest
-	ended   []*toucanhingev1.CancelRequest
+	name      string
+	service   string
+	server    *web.Server
+	run       func(context.Context, *toucanhingev1.RunRequest, *connect.ServerStream[toucanhingev1.Frame]) error
+	load      func() *toucanhingev1.Load
+	mu        sync.Mutex
+	received  []*toucanhingev1.RunRequest
+	cancelled []*toucanhingev1.CancelRequest
 }
 
 func (f *fakeSidecar) Cancel(
@@ -54,17 +54,17 @@
 ) (*connect.Response[toucanhingev1.CancelResponse], error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ended = append(f.ended, r.Msg)
+	f.cancelled = append(f.cancelled, r.Msg)
 	return connect.NewResponse(&toucanhingev1.CancelResponse{}), nil
 }
 
 func (f *fakeSidecar) cancels() []*toucanhingev1.CancelRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*toucanhingev1.CancelRequest{}, f.ended...)
+	return append([]*toucanhingev1.CancelRequest{}, f.cancelled...)
 }
 
-func idle() *toucanhingev1.Load {
+func idleLoad() *toucanhingev1.Load {
 	return &toucanhingev1.Load{Slots: 8, Healthy: true}
 }
 
@@ -72,7 +72,7 @@
 	ctx context.Context, r *connect.Request[toucanhingev1.RunRequest], out *connect.ServerStream[toucanhingev1.Frame],
 ) error {
 	f.mu.Lock()
-	f.given = append(f.given, r.Msg)
+	f.received = append(f.received, r.Msg)
 	f.mu.Unlock()
 	return f.run(ctx, r.Msg, out)
 }
@@ -86,33 +86,34 @@
 func (f *fakeSidecar) requests() []*toucanhingev1.RunRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*toucanhingev1.RunRequest{}, f.given...)
+	return append([]*toucanhingev1.RunRequest{}, f.received...)
 }
 
-// fakeControl is one control VM without any replication.
+// fakeControl is a control VM without replication.
 type fakeControl struct {
 	toucanhingev1connect.UnimplementedFleetServiceHandler
 	toucanhingev1connect.UnimplementedJobServiceHandler
-	mu      sync.Mutex
-	version uint64
-	entries []*toucanhingev1.Entry
-	changed chan struct{}
-	claims  map[string]*toucanhingev1.ClaimRequest
-	states  map[string]toucanhingev1.ClaimState
-	settled []toucanhingev1.ClaimState
-	beats   []*toucanhingev1.BeatRequest
-	items   []*toucanhingev1.Item
-	header  *toucanhingev1.UploadHeader
-	// claimDelay is how long a claim takes.
+	mu         sync.Mutex
+	version    uint64
+	entries    []*toucanhingev1.Entry
+	changed    chan struct{}
+	claims     map[string]*toucanhingev1.ClaimRequest
+	states     map[string]toucanhingev1.ClaimState
+	settled    []toucanhingev1.ClaimState
+	heartbeats []*toucanhingev1.BeatRequest
+	items      []*toucanhingev1.Item
+	header     *toucanhingev1.UploadHeader
+	// claimDelay is the time that a claim takes.
 	claimDelay time.Duration
-	// leaderless makes every call to a leader fail.
+	// leaderless makes claims fail because there is no leader.
 	leaderless atomic.Bool
-	// refuseUploads is how many uploads get "not the leader" first.
+	// refuseUploads is the number of uploads that are first refused by a replica that is not the leader.
 	refuseUploads atomic.Int32
 	uploads       atomic.Int32
-	// loseLeadAfter makes the replica lose its lead, once, when it has so many bytes of an upload; 0 never.
-	loseLeadAfter atomic.Int64
-	// cutResults ends the reading of results in the middle.
+	// loseLeadershipAfter is the number of received bytes of an upload after which the replica loses leadership,
+	// once; 0 means never.
+	loseLeadershipAfter atomic.Int64
+	// cutResults interrupts the results in the middle.
 	cutResults atomic.Bool
 }
 
@@ -141,8 +142,8 @@
 	}
 }
 
-// put changes the configuration.
-func (f *fakeControl) put(entries ...*toucanhingev1.Entry) {
+// putEntries adds entries to the fleet configuration.
+func (f *fakeControl) putEntries(entries ...*toucanhingev1.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.version++
@@ -156,7 +157,7 @@
 ) (*connect.Response[toucanhingev1.BeatResponse], error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.beats = append(f.beats, r.Msg)
+	f.heartbeats = append(f.heartbeats, r.Msg)
 	return connect.NewResponse(&toucanhingev1.BeatResponse{LeaseMs: 10_000, Version: f.version, Current: true}), nil
 }
 
@@ -207,13 +208,13 @@
 	}
 	var header *toucanhingev1.UploadHeader
 	var items []*toucanhingev1.Item
-	ended, size := false, int64(0)
+	complete, size := false, int64(0)
 	for in.Receive() {
 		for _, item := range in.Msg().GetItems().GetItems() {
 			size += int64(len(item.GetBody()))
 		}
-		if after := f.loseLeadAfter.Load(); after > 0 && size > after {
-			f.loseLeadAfter.Store(0)
+		if after := f.loseLeadershipAfter.Load(); after > 0 && size > after {
+			f.loseLeadershipAfter.Store(0)
 			return nil, shared.NotLeader("")
 		}
 		switch part := in.Msg().GetPart().(type) {
@@ -222,10 +223,10 @@
 		case *toucanhingev1.UploadRequest_Items:
 			items = append(items, part.Items.GetItems()...)
 		case *toucanhingev1.UploadRequest_End:
-			ended = part.End.GetCount() == uint64(len(items))
+			complete = part.End.GetCount() == uint64(len(items))
 		}
 	}
-	if in.Err() != nil || !ended {
+	if in.Err() != nil || !complete {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New("no end mark"))
 	}
 	f.mu.Lock()
@@ -283,7 +284,7 @@
 	return nil
 }
 
-// serveFake serves a handler on loopback for the length of a test.
+// serveFake serves a handler on a loopback address until the test ends.
 func serveFake(t testing.TB, mount func(*http.ServeMux)) *web.Server {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -299,10 +300,10 @@
 	return server
 }
 
-func newSidecar(t testing.TB, name, of string) *fakeSidecar {
+func newSidecar(t testing.TB, name, service string) *fakeSidecar {
 	t.Helper()
-	f := &fakeSidecar{name: name, service: of, load: idle}
-	f.run = f.say("all", " is", " well")
+	f := &fakeSidecar{name: name, service: service, load: idleLoad}
+	f.run = f.respondWith("all", " is", " well")
 	f.server = serveFake(t, func(mux *http.ServeMux) { mux.Handle(toucanhingev1connect.NewEndpointServiceHandler(f)) })
 	return f
 }
@@ -344,8 +345,8 @@
 	return &toucanhingev1.Entry{Kind: toucanhingev1.Kind_KIND_SERVICE, Name: name, Body: &toucanhingev1.Entry_Service{Service: s}}
 }
 
-func teamEntry(name string, d *toucanhingev1.TeamRecord) *toucanhingev1.Entry {
-	return &toucanhingev1.Entry{Kind: toucanhingev1.Kind_KIND_TEAM, Name: name, Body: &toucanhingev1.Entry_Team{Team: d}}
+func teamEntry(name string, r *toucanhingev1.TeamRecord) *toucanhingev1.Entry {
+	return &toucanhingev1.Entry{Kind: toucanhingev1.Kind_KIND_TEAM, Name: name, Body: &toucanhingev1.Entry_Team{Team: r}}
 }
 
 func contractEntry(team, service string) *toucanhingev1.Entry {
--- a/gateway/pkg/app/script_test.go
+++ b/gateway/pkg/app/frames_test.go
@@ -12,52 +12,52 @@
 
 type runFunc func(context.Context, *toucanhingev1.RunRequest, *connect.ServerStream[toucanhingev1.Frame]) error
 
-// frames builds the frames of one attempt.
-type frames struct {
+// frameBuilder builds the frames of one attempt.
+type frameBuilder struct {
 	request *toucanhingev1.RunRequest
 }
 
-func (f frames) frame() *toucanhingev1.Frame {
+func (f frameBuilder) frame() *toucanhingev1.Frame {
 	return &toucanhingev1.Frame{RequestId: f.request.GetRequestId(), Attempt: f.request.GetAttempt()}
 }
 
-func (f frames) head(status uint32, kind string) *toucanhingev1.Frame {
+func (f frameBuilder) head(status uint32, contentType string) *toucanhingev1.Frame {
 	frame := f.frame()
 	frame.Part = &toucanhingev1.Frame_Head{Head: &toucanhingev1.Head{
-		Status: status, Headers: []*toucanhingev1.Header{{Name: "content-type", Value: kind}},
+		Status: status, Headers: []*toucanhingev1.Header{{Name: "content-type", Value: contentType}},
 	}}
-	frame.Load = idle()
+	frame.Load = idleLoad()
 	return frame
 }
 
-func (f frames) data(sequence uint64, data string) *toucanhingev1.Frame {
+func (f frameBuilder) data(sequence uint64, data string) *toucanhingev1.Frame {
 	frame := f.frame()
 	frame.Sequence = sequence
 	frame.Part = &toucanhingev1.Frame_Data{Data: []byte(data)}
 	return frame
 }
 
-func (f frames) end(count uint64) *toucanhingev1.Frame {
+func (f frameBuilder) end(count uint64) *toucanhingev1.Frame {
 	frame := f.frame()
 	frame.Part = &toucanhingev1.Frame_End{End: &toucanhingev1.End{Frames: count, Ran: toucanhingev1.Ran_RAN_YES}}
-	frame.Load = idle()
+	frame.Load = idleLoad()
 	return frame
 }
 
-func (f frames) refusal(reason string, ran toucanhingev1.Ran, retry int64) *toucanhingev1.Frame {
+func (f frameBuilder) refusal(reason string, ran toucanhingev1.Ran, retry int64) *toucanhingev1.Frame {
 	frame := f.frame()
 	frame.Part = &toucanhingev1.Frame_Refusal{Refusal: &toucanhingev1.Refusal{Reason: reason, Ran: ran, RetryMs: retry}}
-	frame.Load = idle()
+	frame.Load = idleLoad()
 	return frame
 }
 
-// chunk is one event of a chat's answer, as an engine words it.
+// chunk returns one event of a streamed chat response, in the format of engines.
 func chunk(id, text string) string {
 	quoted, _ := json.Marshal(text)
 	return fmt.Sprintf(`{"id":"%s","object":"chat.completion.chunk","choices":[{"index":0,"delta":{"content":%s},"finish_reason":null}]}`, id, quoted)
 }
 
-func send(out *connect.ServerStream[toucanhingev1.Frame], frames ...*toucanhingev1.Frame) error {
+func sendFrames(out *connect.ServerStream[toucanhingev1.Frame], frames ...*toucanhingev1.Frame) error {
 	for _, frame := range frames {
 		if err := out.Send(frame); err != nil {
 			return err
@@ -66,12 +66,12 @@
 	return nil
 }
 
-// say answers with the given pieces of text: as events, or as one body.
-func (f *fakeSidecar) say(texts ...string) runFunc {
+// respondWith returns a run function that responds with the given pieces of text, as events or as one body.
+func (f *fakeSidecar) respondWith(texts ...string) runFunc {
 	return func(_ context.Context, r *toucanhingev1.RunRequest, out *connect.ServerStream[toucanhingev1.Frame]) error {
-		b := frames{r}
+		b := frameBuilder{r}
 		if !r.GetStream() {
-			return send(out, b.head(200, "application/json"), b.data(1, `{"echo":`), b.data(2, string(orNull(r.GetBody()))+"}"), b.end(2))
+			return sendFrames(out, b.head(200, "application/json"), b.data(1, `{"echo":`), b.data(2, string(orNull(r.GetBody()))+"}"), b.end(2))
 		}
 		list := []*toucanhingev1.Frame{b.head(200, "text/event-stream")}
 		for i, text := range texts {
@@ -79,7 +79,7 @@
 				list = append(list, b.data(uint64(i+1), chunk("chatcmpl-"+f.name, text)))
 			}
 		}
-		return send(out, append(list, b.end(uint64(len(texts))))...)
+		return sendFrames(out, append(list, b.end(uint64(len(texts))))...)
 	}
 }
 
--- a/gateway/pkg/app/gateway_bench_test.go
+++ b/gateway/pkg/app/gateway_bench_test.go
@@ -18,10 +18,10 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
-// talk answers with that many tokens, as fast as it can.
-func talk(tokens int) runFunc {
+// streamTokens returns a run function that streams the given number of tokens without pauses.
+func streamTokens(tokens int) runFunc {
 	return func(_ context.Context, r *toucanhingev1.RunRequest, out *connect.ServerStream[toucanhingev1.Frame]) error {
-		b := frames{r}
+		b := frameBuilder{r}
 		if err := out.Send(b.head(200, "text/event-stream")); err != nil {
 			return err
 		}
@@ -35,17 +35,17 @@
 	}
 }
 
-// BenchmarkToken is the cost of one token on its whole way: the fake sidecar,
-// the gateway and the caller are all in this process.
+// BenchmarkToken measures the cost of one token from the fake sidecar through the gateway to the caller, which
+// all run in this process.
 func BenchmarkToken(b *testing.B) {
 	sidecar := newSidecar(b, "e1", service)
-	sidecar.run = talk(b.N)
+	sidecar.run = streamTokens(b.N)
 	g := startGateway(b, nil, sidecar)
 	b.ReportAllocs()
 	b.ResetTimer()
-	answer := g.open(b, streamBody)
-	defer func() { _ = answer.Body.Close() }()
-	lines, events := bufio.NewScanner(answer.Body), 0
+	resp := g.openStream(b, streamBody)
+	defer func() { _ = resp.Body.Close() }()
+	lines, events := bufio.NewScanner(resp.Body), 0
 	for lines.Scan() {
 		if len(lines.Bytes()) > 0 {
 			events++
@@ -54,25 +54,25 @@
 	require.Equal(b, b.N+1, events)
 }
 
-func (g *gateway) open(b *testing.B, body string) *http.Response {
+func (g *gateway) openStream(b *testing.B, body string) *http.Response {
 	request, err := http.NewRequest(http.MethodPost, g.url+chatPath, strings.NewReader(body))
 	require.NoError(b, err)
 	request.Header.Set("Authorization", "Bearer "+teamKey)
-	answer, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(request)
 	require.NoError(b, err)
-	return answer
+	return resp
 }
 
-// BenchmarkFirstToken compares the time to the first token through the gateway
-// with a call of the sidecar itself, one after the other in one run.
+// BenchmarkFirstToken compares the time to the first token through the gateway with that of a direct call to the
+// sidecar. Both are measured alternately in one run.
 func BenchmarkFirstToken(b *testing.B) {
 	sidecar := newSidecar(b, "e1", service)
-	sidecar.run = talk(1)
+	sidecar.run = streamTokens(1)
 	g := startGateway(b, nil, sidecar)
 	client := toucanhingev1connect.NewEndpointServiceClient(web.NewClient(), "http://"+sidecar.server.Address(), connect.WithAcceptCompression("gzip", nil, nil))
 	var mu sync.Mutex
 	var through, direct []time.Duration
-	note := func(list *[]time.Duration, start time.Time) {
+	record := func(list *[]time.Duration, start time.Time) {
 		mu.Lock()
 		defer mu.Unlock()
 		*list = append(*list, time.Since(start))
@@ -87,23 +87,23 @@
 		for stream.Receive() && stream.Msg().GetData() == nil {
 			continue
 		}
-		note(&direct, start)
+		record(&direct, start)
 		_ = stream.Close()
 		start = time.Now()
-		answer := g.open(b, streamBody)
-		lines := bufio.NewScanner(answer.Body)
+		resp := g.openStream(b, streamBody)
+		lines := bufio.NewScanner(resp.Body)
 		require.True(b, lines.Scan())
-		note(&through, start)
+		record(&through, start)
 		for lines.Scan() {
 			continue
 		}
-		_ = answer.Body.Close()
+		_ = resp.Body.Close()
 	}
 	slices.Sort(through)
 	slices.Sort(direct)
-	at := func(list []time.Duration, part float64) float64 {
-		return float64(list[int(float64(len(list)-1)*part)].Microseconds())
+	percentile := func(list []time.Duration, fraction float64) float64 {
+		return float64(list[int(float64(len(list)-1)*fraction)].Microseconds())
 	}
-	b.ReportMetric(at(through, 0.5)-at(direct, 0.5), "added-p50-us")
-	b.ReportMetric(at(through, 0.99)-at(direct, 0.99), "added-p99-us")
+	b.ReportMetric(percentile(through, 0.5)-percentile(direct, 0.5), "added-p50-us")
+	b.ReportMetric(percentile(through, 0.99)-percentile(direct, 0.99), "added-p99-us")
 }
--- a/gateway/pkg/app/gateway_test.go
+++ b/gateway/pkg/app/gateway_test.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	patience = 20 * time.Second
-	tick     = 5 * time.Millisecond
+	testTimeout  = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-// gateway is a whole gateway on loopback with its callers' side open.
+// gateway is a complete gateway that serves callers on a loopback address.
 type gateway struct {
-	t       testing.TB
-	url     string
-	control *fakeControl
-	parts   *parts
-	book    *record.Log
-	set     *metrics.Set
+	t           testing.TB
+	url         string
+	control     *fakeControl
+	components  *components
+	decisionLog *record.Log
+	set         *metrics.Set
 }
 
 func testSettings(control string) config.Settings {
@@ -53,8 +53,8 @@
 	}
 	now := clock.System()
 	set := metrics.New(program)
-	book := newBook(settings, now)
-	p := newParts(settings, now, log.NewNopLogger(), set, book)
+	decisionLog := newDecisionLog(settings, now)
+	p := newComponents(settings, now, log.NewNopLogger(), set, decisionLog)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go p.watcher.Run(ctx)
@@ -65,38 +65,38 @@
 	require.NoError(t, err)
 	go func() { _ = server.Serve() }()
 	t.Cleanup(func() {
-		ended, end := context.WithCancel(context.Background())
-		end()
-		_ = server.Shutdown(ended)
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		_ = server.Shutdown(ctx)
 	})
-	require.Eventually(t, func() bool { return started(p.watcher) }, patience, tick)
-	return &gateway{t: t, url: "http://" + server.Address(), control: fake, parts: p, book: book, set: set}
+	require.Eventually(t, func() bool { return watcherStarted(p.watcher) }, testTimeout, pollInterval)
+	return &gateway{t: t, url: "http://" + server.Address(), control: fake, components: p, decisionLog: decisionLog, set: set}
 }
 
-// reply is what a caller got.
-type reply struct {
+// response is the response that a caller received.
+type response struct {
 	status int
 	header http.Header
 	body   string
 	cut    bool
 }
 
-func (g *gateway) send(method, path, body string, headers ...string) reply {
+func (g *gateway) send(method, path, content string, headers ...string) response {
 	g.t.Helper()
-	request, err := http.NewRequest(method, g.url+path, strings.NewReader(body))
+	request, err := http.NewRequest(method, g.url+path, strings.NewReader(content))
 	require.NoError(g.t, err)
 	request.Header.Set("Authorization", "Bearer "+teamKey)
 	for i := 0; i+1 < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
 	}
-	answer, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(request)
 	require.NoError(g.t, err)
-	defer func() { _ = answer.Body.Close() }()
-	text, err := io.ReadAll(answer.Body)
-	return reply{status: answer.StatusCode, header: answer.Header, body: string(text), cut: err != nil}
+	defer func() { _ = resp.Body.Close() }()
+	body, err := io.ReadAll(resp.Body)
+	return response{status: resp.StatusCode, header: resp.Header, body: string(body), cut: err != nil}
 }
 
-type refused struct {
+type refusalBody struct {
 	Error struct {
 		Type   string `json:"type"`
 		Reason string `json:"reason"`
@@ -105,16 +105,16 @@
 	} `json:"error"`
 }
 
-func (r reply) refusal(t *testing.T) refused {
+func (r response) refusal(t *testing.T) refusalBody {
 	t.Helper()
-	var found refused
+	var found refusalBody
 	require.NoError(t, json.Unmarshal([]byte(r.body), &found), r.body)
 	require.NotEmpty(t, found.Error.Type)
 	return found
 }
 
-// events are the data of the server-sent events; texts their joined content.
-func (r reply) events() (events []string) {
+// events returns the data of the server-sent events.
+func (r response) events() (events []string) {
 	lines := bufio.NewScanner(strings.NewReader(r.body))
 	for lines.Scan() {
 		if data, found := strings.CutPrefix(lines.Text(), "data: "); found {
@@ -124,7 +124,8 @@
 	return events
 }
 
-func (r reply) text() (text string, whole bool) {
+// joinedText returns the joined content of the events, and reports whether [DONE] ended them.
+func (r response) joinedText() (text string, complete bool) {
 	for _, event := range r.events() {
 		if event == "[DONE]" {
 			return text, true
@@ -143,12 +144,12 @@
 }
 
 const (
-	chatPath   = "/v1/chat/completions"
-	streamBody = `{"model":"` + model + `","stream":true,"messages":[{"role":"user","content":"is parcel 7 under servitude?"}]}`
-	wholeBody  = `{"model":"` + model + `","messages":[{"role":"user","content":"is parcel 7 under servitude?"}]}`
+	chatPath      = "/v1/chat/completions"
+	streamBody    = `{"model":"` + model + `","stream":true,"messages":[{"role":"user","content":"is parcel 7 under servitude?"}]}`
+	nonStreamBody = `{"model":"` + model + `","messages":[{"role":"user","content":"is parcel 7 under servitude?"}]}`
 )
 
-func TestOnePathThroughOneSidecar(t *testing.T) {
+func TestRequestsAreForwardedToSidecars(t *testing.T) {
 	modelSidecar := newSidecar(t, "e1", service)
 	plainSidecar := newSidecar(t, "p1", plainName)
 	g := startGateway(t, nil, modelSidecar, plainSidecar)
@@ -156,22 +157,22 @@
 	streamed := g.send(http.MethodPost, chatPath, streamBody)
 	require.Equal(t, http.StatusOK, streamed.status, streamed.body)
 	require.Equal(t, "text/event-stream", streamed.header.Get("Content-Type"))
-	text, whole := streamed.text()
+	text, complete := streamed.joinedText()
 	require.Equal(t, "all is well", text)
-	require.True(t, whole)
+	require.True(t, complete)
 
-	answer := g.send(http.MethodPost, chatPath, wholeBody)
-	require.Equal(t, http.StatusOK, answer.status)
-	require.JSONEq(t, `{"echo":`+wholeBody+`}`, answer.body)
+	unstreamed := g.send(http.MethodPost, chatPath, nonStreamBody)
+	require.Equal(t, http.StatusOK, unstreamed.status)
+	require.JSONEq(t, `{"echo":`+nonStreamBody+`}`, unstreamed.body)
 
 	plain := g.send(http.MethodPut, "/svc/"+plainName+"/parcel/a%2Fb?crew=2", `{"entry":"monday"}`, "X-Crew", "7")
 	require.Equal(t, http.StatusOK, plain.status)
 	require.JSONEq(t, `{"echo":{"entry":"monday"}}`, plain.body)
-	given := plainSidecar.requests()[0]
-	require.Equal(t, "/parcel/a%2Fb?crew=2", given.GetPath())
-	require.Equal(t, http.MethodPut, given.GetMethod())
+	forwarded := plainSidecar.requests()[0]
+	require.Equal(t, "/parcel/a%2Fb?crew=2", forwarded.GetPath())
+	require.Equal(t, http.MethodPut, forwarded.GetMethod())
 	names := map[string]string{}
-	for _, h := range given.GetHeaders() {
+	for _, h := range forwarded.GetHeaders() {
 		names[h.GetName()] = h.GetValue()
 	}
 	require.Equal(t, "7", names["X-Crew"])
@@ -186,7 +187,7 @@
 	require.Equal(t, "wrong-key", wrong.refusal(t).Error.Reason)
 }
 
-func TestBatchJobGoesThroughAndIsReadBack(t *testing.T) {
+func TestBatchJobUploadResultsAndCancel(t *testing.T) {
 	g := startGateway(t, nil)
 	var lines strings.Builder
 	for i := range 3_000 {
--- a/gateway/pkg/app/process.go
+++ b/gateway/pkg/app/process.go
@@ -24,71 +24,72 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
-// leaveTick is how often the process looks whether it was asked to leave.
-const leaveTick = 200 * time.Millisecond
+// drainPollInterval is the interval at which the process checks whether its drain was requested.
+const drainPollInterval = 200 * time.Millisecond
 
-// process owns the listeners and the goroutines of the gateway's duties.
+// process owns the listeners and the background goroutines of the gateway.
 type process struct {
 	settings    config.Settings
 	status      *health.Status
 	logger      log.Logger
-	parts       *parts
+	components  *components
 	shutdowner  fx.Shutdowner
 	set         *metrics.Set
-	book        *record.Log
-	beater      *shared.Heartbeater
+	decisionLog *record.Log
+	heartbeater *shared.Heartbeater
 	incarnation uint64
 
-	callers *web.Server
-	admin   *web.Server
-	duties  sync.WaitGroup
-	cancel  context.CancelFunc
-	leaving sync.Once
-	gone    chan struct{}
+	callerServer *web.Server
+	adminServer  *web.Server
+	background   sync.WaitGroup
+	cancel       context.CancelFunc
+	shutdownOnce sync.Once
+	shuttingDown chan struct{}
 }
 
 func newProcess(
 	settings config.Settings, now clock.Clock, status *health.Status, logger log.Logger, set *metrics.Set,
-	book *record.Log, parts *parts, shutdowner fx.Shutdowner,
+	decisionLog *record.Log, components *components, shutdowner fx.Shutdowner,
 ) *process {
 	p := &process{
-		settings: settings, status: status, logger: logger, parts: parts, shutdowner: shutdowner, set: set, book: book,
-		incarnation: uint64(now.Now()), gone: make(chan struct{}),
+		settings: settings, status: status, logger: logger, components: components, shutdowner: shutdowner, set: set,
+		decisionLog: decisionLog,
+		incarnation: uint64(now.Now()), shuttingDown: make(chan struct{}),
 	}
-	p.beater = shared.NewHeartbeater(shared.HeartbeaterConfig{
-		Client: parts.client, Logger: logger, Request: p.beat,
-		Accepted: parts.watcher.RaiseMinVersion, Superseded: p.shutdown,
+	p.heartbeater = shared.NewHeartbeater(shared.HeartbeaterConfig{
+		Client: components.client, Logger: logger, Request: p.heartbeat,
+		Accepted: components.watcher.RaiseMinVersion, Superseded: p.shutdown,
 	})
 	return p
 }
 
-// start takes the addresses first, so that a port in use is told at once.
+// start opens the listeners first, so that a port in use is reported at once.
 func (p *process) start(context.Context) error {
 	var err error
-	if p.callers, err = web.Listen(p.settings.Listen, p.parts.server.Handler()); err != nil {
+	if p.callerServer, err = web.Listen(p.settings.Listen, p.components.server.Handler()); err != nil {
 		return fmt.Errorf("serve callers: %w", err)
 	}
-	if p.admin, err = web.Listen(p.settings.AdminListen, p.adminHandler()); err != nil {
+	if p.adminServer, err = web.Listen(p.settings.AdminListen, p.adminHandler()); err != nil {
 		return fmt.Errorf("serve operators: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
-	p.duty(func() { p.serve(p.callers) })
-	p.duty(func() { p.serve(p.admin) })
-	p.duty(func() { p.parts.watcher.Run(ctx) })
-	p.duty(func() { p.beater.Run(ctx) })
-	p.duty(func() { p.parts.directory.Poll(ctx) })
-	p.duty(func() { p.parts.directory.SendCancels(ctx) })
-	p.duty(func() { p.parts.claims.Run(ctx) })
-	p.duty(func() { p.watch(ctx) })
-	level.Info(p.logger).Log(logs.KeyEvent, "started", "listen", p.callers.Address(), "admin", p.admin.Address())
+	p.goBackground(func() { p.serve(p.callerServer) })
+	p.goBackground(func() { p.serve(p.adminServer) })
+	p.goBackground(func() { p.components.watcher.Run(ctx) })
+	p.goBackground(func() { p.heartbeater.Run(ctx) })
+	p.goBackground(func() { p.components.directory.Poll(ctx) })
+	p.goBackground(func() { p.components.directory.SendCancels(ctx) })
+	p.goBackground(func() { p.components.claims.Run(ctx) })
+	p.goBackground(func() { p.watchFleet(ctx) })
+	level.Info(p.logger).Log(logs.KeyEvent, "started", "listen", p.callerServer.Address(), "admin", p.adminServer.Address())
 	return nil
 }
 
-func (p *process) duty(run func()) {
-	p.duties.Add(1)
+func (p *process) goBackground(run func()) {
+	p.background.Add(1)
 	go func() {
-		defer p.duties.Done()
+		defer p.background.Done()
 		run()
 	}()
 }
@@ -104,15 +105,15 @@
 	gin.SetMode(gin.ReleaseMode)
 	router := gin.New()
 	p.status.Mount(router, p.set.Registry)
-	path, explain := toucanhingev1connect.NewExplainServiceHandler(p.book)
+	path, explain := toucanhingev1connect.NewExplainServiceHandler(p.decisionLog)
 	router.Any(path+"*call", gin.WrapH(explain))
 	return router
 }
 
-// beat says what this process is now.
-func (p *process) beat() *toucanhingev1.BeatRequest {
+// heartbeat returns the heartbeat request with the current state of the process.
+func (p *process) heartbeat() *toucanhingev1.BeatRequest {
 	state := toucanhingev1.MemberState_MEMBER_STATE_READY
-	if p.isLeaving() {
+	if p.isShuttingDown() {
 		state = toucanhingev1.MemberState_MEMBER_STATE_LEAVING
 	}
 	return &toucanhingev1.BeatRequest{
@@ -121,25 +122,25 @@
 			Role: toucanhingev1.Role_ROLE_GATEWAY, Address: p.settings.Listen, Admin: p.settings.AdminListen,
 			Vm: p.settings.VM, DataCentre: p.settings.DataCentre, Incarnation: p.incarnation, State: state,
 		},
-		Version: p.parts.watcher.Fleet().Version,
+		Version: p.components.watcher.Fleet().Version,
 	}
 }
 
-func (p *process) isLeaving() bool {
+func (p *process) isShuttingDown() bool {
 	select {
-	case <-p.gone:
+	case <-p.shuttingDown:
 		return true
 	default:
 		return false
 	}
 }
 
-// watch makes the process ready once its configuration is in force, and stops
-// it when the configuration asks it to leave.
-func (p *process) watch(ctx context.Context) {
+// watchFleet marks the process ready once it has the fleet configuration, and stops it when that
+// configuration requests its drain.
+func (p *process) watchFleet(ctx context.Context) {
 	select {
-	case <-p.parts.watcher.Started():
-		if p.isLeaving() {
+	case <-p.components.watcher.Started():
+		if p.isShuttingDown() {
 			return
 		}
 		p.status.Ready()
@@ -147,9 +148,9 @@
 	case <-ctx.Done():
 		return
 	}
-	ticker := time.NewTicker(leaveTick)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for !p.askedToLeave() {
+	for !p.drainRequested() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -160,8 +161,8 @@
 	p.shutdown()
 }
 
-func (p *process) askedToLeave() bool {
-	fleet := p.parts.watcher.Fleet()
+func (p *process) drainRequested() bool {
+	fleet := p.components.watcher.Fleet()
 	if fleet.Drained(p.settings.Name, p.settings.VM) {
 		return true
 	}
@@ -177,26 +178,25 @@
 	}
 }
 
-// stop leaves without cutting a request off: readiness fails first and new
-// requests are still answered, so that the balancer has time to turn away; then
-// the listener closes and what is under way ends.
+// stop shuts down without interrupting requests. Readiness fails first while new requests are still served, so
+// that the load balancer has time to stop sending them. Then the listener closes and open requests finish.
 func (p *process) stop(ctx context.Context) error {
 	p.status.NotReady("leaving")
-	p.leaving.Do(func() { close(p.gone) })
-	p.beater.Trigger()
-	p.parts.server.Drain()
+	p.shutdownOnce.Do(func() { close(p.shuttingDown) })
+	p.heartbeater.Trigger()
+	p.components.server.Drain()
 	level.Info(p.logger).Log(logs.KeyEvent, "leaving")
 	time.Sleep(clock.Millis(p.settings.Drain.Balancer).Duration())
-	finish, cancel := context.WithTimeout(ctx, clock.Millis(p.settings.Drain.Finish).Duration())
+	finishCtx, cancel := context.WithTimeout(ctx, clock.Millis(p.settings.Drain.Finish).Duration())
 	defer cancel()
-	err := p.callers.Shutdown(finish)
+	err := p.callerServer.Shutdown(finishCtx)
 	p.cancel()
-	if adminErr := p.admin.Shutdown(ctx); err == nil {
+	if adminErr := p.adminServer.Shutdown(ctx); err == nil {
 		err = adminErr
 	}
-	p.duties.Wait()
+	p.background.Wait()
 	if err != nil {
-		return fmt.Errorf("leave: %w", err)
+		return fmt.Errorf("stop the gateway: %w", err)
 	}
 	level.Info(p.logger).Log(logs.KeyEvent, "stopped")
 	return nil
