--- a/gateway/pkg/app/components.go
+++ b/gateway/pkg/app/components.go
@@ -42,7 +42,7 @@
 		Client: client, Process: settings.Name, Logger: logger, Changed: directory.Changed,
 	})
 	claims := control.NewClaims(control.ClaimsConfig{
-		Gateway: settings.Name, Client: client, Logger: logger, Wait: clock.Millis(settings.Retry.Claim),
+		Gateway: settings.Name, Client: client, Logger: logger, Timeout: clock.Millis(settings.Retry.Claim),
 	})
 	onlineMetrics := online.NewMetrics(set)
 	return &components{
--- a/gateway/pkg/caller/batch_upload.go
+++ b/gateway/pkg/caller/batch_upload.go
@@ -189,7 +189,7 @@
 
 // controlRefusal returns the refusal for an error of control.
 func controlRefusal(err error) *refusal {
-	if errors.Is(err, control.ErrUnknown) {
+	if errors.Is(err, control.ErrUnknownOutcome) {
 		r := newRefusal(http.StatusBadGateway, reasonControl, "the answer was lost; a resend under the same key is harmless")
 		r.Run = runUnknown
 		return r.withRetryAfter(1_000)
--- a/gateway/pkg/caller/serve.go
+++ b/gateway/pkg/caller/serve.go
@@ -101,7 +101,7 @@
 	case ending.Reached:
 		s.config.Claims.Settle(*claim, toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN)
 	default:
-		s.config.Claims.Free(c.Request.Context(), *claim)
+		s.config.Claims.Release(c.Request.Context(), *claim)
 	}
 }
 
--- a/gateway/pkg/control/claims.go
+++ b/gateway/pkg/control/claims.go
@@ -1,5 +1,5 @@
-// Package control speaks to the control VMs for the gateway: claims of
-// non-idempotent requests, and batch jobs.
+// Package control implements the gateway's calls to the control VMs: claims of non-idempotent requests, and batch
+// jobs.
 package control
 
 import (
@@ -17,11 +17,11 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// settleWait bounds one settling, a span. A claim that stays open only keeps its
-// request from being run again, which is the safe side.
-const settleWait clock.Millis = 30_000
+// settleTimeout bounds one settle call. An unsettled claim is safe: it only prevents the request from being run
+// again.
+const settleTimeout clock.Millis = 30_000
 
-// Claim is the right to run one non-idempotent request once.
+// Claim is the permission to run one non-idempotent request once.
 type Claim struct {
 	Team  string
 	ID    string
@@ -33,82 +33,81 @@
 	state toucanhingev1.ClaimState
 }
 
-// ClaimsConfig describes claims.
+// ClaimsConfig configures Claims.
 type ClaimsConfig struct {
 	Gateway string
 	Client  *control.Client
 	Logger  log.Logger
-	// Wait is the longest wait for a claim, a span.
-	Wait clock.Millis
+	// Timeout is the maximum time that acquiring or releasing a claim may take.
+	Timeout clock.Millis
 }
 
-// Claims asks for claims and settles them.
+// Claims acquires, settles and releases claims.
 type Claims struct {
-	config ClaimsConfig
-	open   *ring.Ring[settlement]
+	config  ClaimsConfig
+	pending *ring.Ring[settlement]
 }
 
-// settlements is how many may wait for control; more are left to run out there.
-const settlements = 1_024
+// maxPendingSettlements bounds the settlements waiting for control. The claims of dropped ones are left to expire.
+const maxPendingSettlements = 1_024
 
-// NewClaims makes claims.
+// NewClaims returns Claims. Run must be running for settlements to be sent.
 func NewClaims(config ClaimsConfig) *Claims {
-	return &Claims{config: config, open: ring.New[settlement](ring.Config{Size: settlements})}
+	return &Claims{config: config, pending: ring.New[settlement](ring.Config{Size: maxPendingSettlements})}
 }
 
-// Claim asks for the right to run. An error means that nothing is known of the
-// claim, so the request must not be run; a claim that was granted meanwhile
-// runs out unused.
+// Claim requests a claim. After an error, the state of the claim is unknown, so the request must not be run; a claim
+// that was granted nevertheless expires unused.
 func (c *Claims) Claim(ctx context.Context, claim Claim, deadline clock.Millis) (toucanhingev1.ClaimState, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Wait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout.Duration())
 	defer cancel()
 	request := &toucanhingev1.ClaimRequest{
 		Team: claim.Team, RequestId: claim.ID, Gateway: c.config.Gateway, Token: claim.Token, DeadlineMs: int64(deadline),
 	}
-	reply, err := control.Call(ctx, c.config.Client, 0, "claim",
+	response, err := control.Call(ctx, c.config.Client, 0, "claim",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.ClaimResponse], error) {
 			return r.Fleet.Claim(ctx, connect.NewRequest(request))
 		})
 	if err != nil {
 		return toucanhingev1.ClaimState_CLAIM_STATE_UNSPECIFIED, fmt.Errorf("claim the request: %w", err)
 	}
-	return reply.Msg.GetState(), nil
+	return response.Msg.GetState(), nil
 }
 
-// Settle tells how a claimed request ended, without holding up its caller.
+// Settle reports the outcome of a claimed request asynchronously, so that its caller doesn't wait.
 func (c *Claims) Settle(claim Claim, state toucanhingev1.ClaimState) {
-	if !c.open.Offer(settlement{claim: claim, state: state}) {
+	if !c.pending.Offer(settlement{claim: claim, state: state}) {
 		level.Warn(c.config.Logger).Log(logs.KeyEvent, "settlement-dropped", logs.KeyRequest, claim.ID)
 	}
 }
 
-// Free gives a claim back at once: the caller that is told "not run" may resend
-// immediately, and must not meet its own claim.
-func (c *Claims) Free(ctx context.Context, claim Claim) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.config.Wait.Duration())
+// Release releases a claim before it returns. A caller that gets the response "not run" may resend immediately, and
+// that resend must not be refused because of the earlier claim.
+func (c *Claims) Release(ctx context.Context, claim Claim) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.config.Timeout.Duration())
 	defer cancel()
 	if err := c.settle(ctx, settlement{claim: claim}); err != nil {
 		c.Settle(claim, toucanhingev1.ClaimState_CLAIM_STATE_UNSPECIFIED)
 	}
 }
 
-// Run settles until the context ends, then what is still open.
+// Run sends settlements until ctx ends, and then those still pending.
 func (c *Claims) Run(ctx context.Context) {
 	for {
 		select {
-		case s := <-c.open.Items():
-			c.try(s)
+		case s := <-c.pending.Items():
+			c.settleOrLog(s)
 		case <-ctx.Done():
-			for _, s := range c.open.Drain(settlements) {
-				c.try(s)
+			for _, s := range c.pending.Drain(maxPendingSettlements) {
+				c.settleOrLog(s)
 			}
 			return
 		}
 	}
 }
 
-func (c *Claims) try(s settlement) {
-	ctx, cancel := context.WithTimeout(context.Background(), settleWait.Duration())
+func (c *Claims) settleOrLog(s settlement) {
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout.Duration())
 	defer cancel()
 	if err := c.settle(ctx, s); err != nil {
 		level.Warn(c.config.Logger).Log(logs.KeyEvent, "settle-failed", logs.KeyRequest, s.claim.ID, logs.KeyError, err)
--- a/gateway/pkg/control/jobs.go
+++ b/gateway/pkg/control/jobs.go
@@ -12,11 +12,11 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// JobsConfig describes jobs.
+// JobsConfig configures Jobs.
 type JobsConfig struct {
 	Gateway string
 	Client  *control.Client
-	// Groups is how many consensus groups control runs.
+	// Groups returns the number of consensus groups of control.
 	Groups func() uint32
 }
 
@@ -27,14 +27,14 @@
 	leaders map[uint32]string
 }
 
-// NewJobs makes jobs.
+// NewJobs returns Jobs.
 func NewJobs(config JobsConfig) *Jobs {
 	return &Jobs{config: config, leaders: map[uint32]string{}}
 }
 
-// leader is the replica to which the group's next upload goes. Uploads stream
-// for long, so they can't go through the client's search for a leader, which
-// bounds each try; we remember what refusals told us ourselves.
+// leader returns the replica to which the next upload of the group goes. The leader search of the client limits the
+// duration of each attempt, which long uploads would exceed. Jobs therefore records the leaders named in refusals
+// itself.
 func (j *Jobs) leader(group uint32) *control.Replica {
 	j.mu.Lock()
 	address := j.leaders[group]
@@ -45,9 +45,9 @@
 	return j.config.Client.Replica(address)
 }
 
-// blame notes what a failed upload says of the leader, and tells whether
-// another try may find a better one.
-func (j *Jobs) blame(group uint32, err error) bool {
+// updateLeader records the leader named by the error of a failed upload, or else another replica. It reports whether
+// another attempt may succeed.
+func (j *Jobs) updateLeader(group uint32, err error) bool {
 	address, refused := control.LeaderOf(err)
 	if !refused {
 		switch connect.CodeOf(err) {
@@ -65,67 +65,69 @@
 	return true
 }
 
-// group reads the group out of a job's id; an id that nobody made is no job.
-func group(id string) (uint32, error) {
-	found, err := job.GroupOf(id)
+// groupOf returns the group in the id of a job. For a malformed id, it returns a not-found error.
+func groupOf(id string) (uint32, error) {
+	group, err := job.GroupOf(id)
 	if err != nil {
 		return 0, connect.NewError(connect.CodeNotFound, err)
 	}
-	return found, nil
+	return group, nil
 }
 
-// Get reads a job's state.
+// Get returns the status of a job.
 func (j *Jobs) Get(ctx context.Context, team, id string) (*toucanhingev1.JobStatus, error) {
-	of, err := group(id)
+	group, err := groupOf(id)
 	if err != nil {
 		return nil, err
 	}
 	request := &toucanhingev1.GetJobRequest{Team: team, Id: id}
-	reply, err := control.Call(ctx, j.config.Client, of, "get-job",
+	response, err := control.Call(ctx, j.config.Client, group, "get-job",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.GetJobResponse], error) {
 			return r.Jobs.GetJob(ctx, connect.NewRequest(request))
 		})
 	if err != nil {
 		return nil, fmt.Errorf("read the job: %w", err)
 	}
-	return reply.Msg.GetJob(), nil
+	return response.Msg.GetJob(), nil
 }
 
-// Cancel stops a job; it is durable once this returns.
+// Cancel cancels a job. The cancellation is durable when Cancel returns.
 func (j *Jobs) Cancel(ctx context.Context, team, id, requestID string) (*toucanhingev1.JobStatus, error) {
-	of, err := group(id)
+	group, err := groupOf(id)
 	if err != nil {
 		return nil, err
 	}
 	request := &toucanhingev1.CancelJobRequest{Team: team, Id: id, RequestId: requestID}
-	reply, err := control.Call(ctx, j.config.Client, of, "cancel-job",
+	response, err := control.Call(ctx, j.config.Client, group, "cancel-job",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.CancelJobResponse], error) {
 			return r.Jobs.CancelJob(ctx, connect.NewRequest(request))
 		})
 	if err != nil {
 		return nil, fmt.Errorf("cancel the job: %w", err)
 	}
-	return reply.Msg.GetJob(), nil
+	return response.Msg.GetJob(), nil
 }
 
-// Results streams what is decided of a job from an item on. The error of take
-// ends the reading and is returned as it is.
-func (j *Jobs) Results(ctx context.Context, team, id string, from uint64, take func([]*toucanhingev1.Result) error) error {
-	of, err := group(id)
+// Results passes the decided items of a job to handle, starting with the item with index from. An error of handle
+// ends the stream and is returned unchanged.
+func (j *Jobs) Results(
+	ctx context.Context, team, id string, from uint64, handle func([]*toucanhingev1.Result) error,
+) error {
+	group, err := groupOf(id)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	request := &toucanhingev1.ReadResultsRequest{Team: team, Id: id, From: from}
-	// The job was just read from its leader, so that one is known.
-	stream, err := j.config.Client.Leader(of).Jobs.ReadResults(ctx, connect.NewRequest(request))
+	// The status of the job was read from the leader just before, so the client knows the leader.
+	stream, err := j.config.Client.Leader(group).Jobs.ReadResults(ctx, connect.NewRequest(request))
 	if err != nil {
 		return fmt.Errorf("open the results: %w", err)
 	}
 	defer func() { _ = stream.Close() }()
 	for stream.Receive() {
-		if err := take(stream.Msg().GetResults()); err != nil {
+		if err := handle(stream.Msg().GetResults()); err != nil {
 			return err
 		}
 	}
--- a/gateway/pkg/control/upload.go
+++ b/gateway/pkg/control/upload.go
@@ -13,54 +13,54 @@
 )
 
 const (
-	// chunkItems and chunkBytes bound one message of an upload.
-	chunkItems = 512
-	chunkBytes = 256 << 10
-	// replayBytes is the beginning of an upload that is kept until it is
-	// passed: a replica that doesn't lead refuses within the first of it, and
-	// the caller's body can't be read a second time.
-	replayBytes = 2 << 20
-	// uploadTries and uploadPause bound the search for the leader.
-	uploadTries = 30
-	uploadPause = 100 * time.Millisecond
+	// maxChunkItems and maxChunkBytes bound one message of an upload.
+	maxChunkItems = 512
+	maxChunkBytes = 256 << 10
+	// maxReplayBytes is the size up to which an upload is retained for a restart at another replica, because the
+	// body of the caller can't be read a second time. A replica that is not the leader refuses the upload well
+	// before this size.
+	maxReplayBytes = 2 << 20
+	// maxUploadAttempts and uploadRetryInterval bound the search for the leader.
+	maxUploadAttempts   = 30
+	uploadRetryInterval = 100 * time.Millisecond
 )
 
-// ErrLeaderMoved ends an upload whose leader was lost after more was sent than
-// we keep. Nothing of it is visible; the caller's resend under its key is harmless.
+// ErrLeaderMoved ends an upload whose leader was lost after more was sent than is retained. Nothing of the upload is
+// visible, so a resend with the same key is harmless.
 var ErrLeaderMoved = errors.New("the group's leader moved during the upload")
 
-// ErrUnknown ends an upload whose answer was lost after its end was sent: the
-// job may have been accepted.
-var ErrUnknown = errors.New("the answer to the upload was lost")
+// ErrUnknownOutcome ends an upload whose response was lost after its end mark was sent: the job may have been
+// accepted.
+var ErrUnknownOutcome = errors.New("the response to the upload was lost")
 
-// Upload is one job on its way to the leader of its group.
+// Upload streams one job to the leader of its group.
 type Upload struct {
 	jobs   *Jobs
 	group  uint32
 	stream *connect.ClientStreamForClient[toucanhingev1.UploadRequest, toucanhingev1.UploadResponse]
-	// replay holds all messages sent so far; nil once they are too many.
+	// replay holds all messages sent so far; nil once they exceed maxReplayBytes.
 	replay      []*toucanhingev1.UploadRequest
 	replayBytes int
 	chunk       []*toucanhingev1.Item
 	chunkBytes  int
 	count       uint64
-	// sent is true once the end mark went out: from then on the job may exist.
-	sent bool
-	// early is a verdict that came before the end: the key is known already.
-	early  *toucanhingev1.UploadResponse
-	cancel context.CancelFunc
+	// endSent is true once the end mark was sent; from then on the job may exist.
+	endSent bool
+	// earlyVerdict is a verdict received before the end mark was sent, because a job with this key exists already.
+	earlyVerdict *toucanhingev1.UploadResponse
+	cancel       context.CancelFunc
 }
 
-// Upload opens an upload.
+// Upload starts an upload.
 func (j *Jobs) Upload(ctx context.Context, header *toucanhingev1.UploadHeader) (*Upload, error) {
 	header.Gateway = j.config.Gateway
-	of, err := group(job.ID(header.GetTeam(), header.GetKey(), j.config.Groups()))
+	group, err := groupOf(job.ID(header.GetTeam(), header.GetKey(), j.config.Groups()))
 	if err != nil {
 		return nil, err
 	}
-	u := &Upload{jobs: j, group: of}
+	u := &Upload{jobs: j, group: group}
 	u.replay = []*toucanhingev1.UploadRequest{}
-	u.open(ctx)
+	u.openStream(ctx)
 	message := &toucanhingev1.UploadRequest{Part: &toucanhingev1.UploadRequest_Header{Header: header}}
 	if err := u.send(ctx, message, 0); err != nil {
 		u.Abandon()
@@ -69,17 +69,17 @@
 	return u, nil
 }
 
-func (u *Upload) open(ctx context.Context) {
+func (u *Upload) openStream(ctx context.Context) {
 	ctx, u.cancel = context.WithCancel(ctx)
 	u.stream = u.jobs.leader(u.group).Jobs.Upload(ctx)
 }
 
-// Add sends one item, with others that follow it closely.
+// Add adds one item. Items are sent in chunks.
 func (u *Upload) Add(ctx context.Context, item *toucanhingev1.Item) error {
 	u.chunk = append(u.chunk, item)
 	u.chunkBytes += len(item.GetBody()) + len(item.GetCustomId())
 	u.count++
-	if len(u.chunk) < chunkItems && u.chunkBytes < chunkBytes {
+	if len(u.chunk) < maxChunkItems && u.chunkBytes < maxChunkBytes {
 		return nil
 	}
 	return u.flush(ctx)
@@ -98,23 +98,23 @@
 }
 
 func (u *Upload) send(ctx context.Context, message *toucanhingev1.UploadRequest, size int) error {
-	u.keep(message, size)
-	if u.early != nil || u.stream.Send(message) == nil {
+	u.addToReplay(message, size)
+	if u.earlyVerdict != nil || u.stream.Send(message) == nil {
 		return nil
 	}
-	// The replica closed the stream early; its verdict says why.
-	reply, err := u.verdict(ctx)
-	u.early = reply
+	// The replica closed the stream early; the verdict contains the reason.
+	response, err := u.receiveVerdict(ctx)
+	u.earlyVerdict = response
 	return err
 }
 
-func (u *Upload) keep(message *toucanhingev1.UploadRequest, size int) {
+func (u *Upload) addToReplay(message *toucanhingev1.UploadRequest, size int) {
 	if u.replay == nil {
 		return
 	}
 	u.replay = append(u.replay, message)
 	u.replayBytes += size
-	if u.replayBytes > replayBytes {
+	if u.replayBytes > maxReplayBytes {
 		u.replay = nil
 	}
 }
@@ -124,62 +124,62 @@
 	if err := u.flush(ctx); err != nil {
 		return nil, err
 	}
-	if u.early != nil {
-		return u.early, nil
+	if u.earlyVerdict != nil {
+		return u.earlyVerdict, nil
 	}
-	u.sent = true
+	u.endSent = true
 	message := &toucanhingev1.UploadRequest{
 		Part: &toucanhingev1.UploadRequest_End{End: &toucanhingev1.UploadEnd{Count: u.count}},
 	}
-	u.keep(message, 0)
-	// A failed send shows in the verdict.
+	u.addToReplay(message, 0)
+	// The verdict also reports a failed send.
 	_ = u.stream.Send(message)
-	return u.verdict(ctx)
+	return u.receiveVerdict(ctx)
 }
 
-// Abandon drops an upload that will not be ended; nothing of it becomes visible.
+// Abandon cancels an upload. Unless its end mark was sent, nothing of it becomes visible.
 func (u *Upload) Abandon() {
 	u.cancel()
 }
 
-// Count is how many items were added.
+// Count returns the number of items added.
 func (u *Upload) Count() uint64 {
 	return u.count
 }
 
-// verdict reads the replica's answer, and starts again at another replica as
-// long as all that was sent is still at hand. That is harmless at any point:
-// the job's key makes the second copy a resend. Both results are nil when the
-// upload goes on after a new start.
-func (u *Upload) verdict(ctx context.Context) (*toucanhingev1.UploadResponse, error) {
-	for tries := 1; ; tries++ {
-		reply, err := u.stream.CloseAndReceive()
+// receiveVerdict receives the response of the replica, and restarts the upload at another replica as long as all sent
+// messages are retained. A restart is harmless at any point, because the key of the job identifies the second copy as
+// a resend. If the upload continues after a restart, both results are nil.
+func (u *Upload) receiveVerdict(ctx context.Context) (*toucanhingev1.UploadResponse, error) {
+	for attempt := 1; ; attempt++ {
+		response, err := u.stream.CloseAndReceive()
 		if err == nil {
-			return reply.Msg, nil
+			return response.Msg, nil
 		}
-		if !u.jobs.blame(u.group, err) {
+		if !u.jobs.updateLeader(u.group, err) {
 			return nil, fmt.Errorf("upload the job: %w", err)
 		}
-		if u.replay == nil || tries >= uploadTries || pause(ctx) != nil {
-			return nil, u.lost(err)
+		if u.replay == nil || attempt >= maxUploadAttempts || waitForRetry(ctx) != nil {
+			return nil, u.lostError(err)
 		}
-		if u.restart(ctx) && !u.sent {
+		if u.replayAll(ctx) && !u.endSent {
 			return nil, nil
 		}
 	}
 }
 
-// lost says what the caller may believe when no verdict can be had any more.
-func (u *Upload) lost(err error) error {
-	if u.sent {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+// lostError returns the error for an upload that gets no verdict: whether the job may have been accepted depends on
+// whether the end mark was sent.
+func (u *Upload) lostError(err error) error {
+	if u.endSent {
+		return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
 	return fmt.Errorf("%w: %w", ErrLeaderMoved, err)
 }
 
-func (u *Upload) restart(ctx context.Context) bool {
+func (u *Upload) replayAll(ctx context.Context) bool {
 	u.cancel()
-	u.open(ctx)
+	u.openStream(ctx)
 	for _, message := range u.replay {
 		if u.stream.Send(message) != nil {
 			return false
@@ -188,8 +188,8 @@
 	return true
 }
 
-func pause(ctx context.Context) error {
-	timer := time.NewTimer(uploadPause)
+func waitForRetry(ctx context.Context) error {
+	timer := time.NewTimer(uploadRetryInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
