--- a/gateway/pkg/app/app.go
+++ b/gateway/pkg/app/app.go
@@ -23,7 +23,7 @@
 
 // Run serves until it is stopped by a signal, an operator or a drain entry of the fleet configuration.
 func Run(settings config.Settings) error {
-	stop := clock.Millis(settings.Drain.Balancer+settings.Drain.Finish) + stopMargin
+	stop := clock.Millis(settings.Drain.BalancerWait+settings.Drain.FinishTimeout) + stopMargin
 	app := fx.New(
 		fx.NopLogger,
 		fx.StopTimeout(stop.Duration()),
@@ -57,5 +57,5 @@
 }
 
 func newDecisionLog(settings config.Settings, now clock.Clock) *record.Log {
-	return record.New(record.Config{Clock: now, Process: settings.Name, Size: settings.Records})
+	return record.New(record.Config{Clock: now, Process: settings.Name, Size: settings.DecisionLogSize})
 }
--- a/gateway/pkg/app/caller_faults_test.go
+++ b/gateway/pkg/app/caller_faults_test.go
@@ -17,10 +17,10 @@
 )
 
 func smallLimits(s *config.Settings) {
-	s.Limits.Body = 4_096
-	s.Limits.BatchLine = 512
-	s.Limits.BatchItems = 4
-	s.Limits.Sender = 300
+	s.Limits.MaxBodyBytes = 4_096
+	s.Limits.MaxBatchLineBytes = 512
+	s.Limits.MaxBatchItems = 4
+	s.Limits.SenderTimeout = 300
 }
 
 // An invalid request must be refused at once, with a machine-readable reason and the statement that nothing was run.
--- a/gateway/pkg/app/claims_test.go
+++ b/gateway/pkg/app/claims_test.go
@@ -95,7 +95,7 @@
 // claim must be released.
 func TestClaimGrantedAfterDeadlineIsReleased(t *testing.T) {
 	sidecar := newSidecar(t, "p1", plainName)
-	g := startGateway(t, func(s *config.Settings) { s.Retry.Claim = 5_000 }, sidecar)
+	g := startGateway(t, func(s *config.Settings) { s.Retry.ClaimTimeout = 5_000 }, sidecar)
 	g.control.claimDelay = 400 * time.Millisecond
 	r := g.send(http.MethodPost, visitPath, "{}", "X-Request-Id", "visit-1", "X-Deadline-Ms", "100")
 	require.Equal(t, "deadline", r.refusal(t).Error.Reason)
@@ -159,7 +159,7 @@
 		_, _ = w.Write([]byte("older"))
 	}))
 	defer legacy.Close()
-	g := startGateway(t, func(s *config.Settings) { s.Retry.Claim = 2_000 }, sidecar)
+	g := startGateway(t, func(s *config.Settings) { s.Retry.ClaimTimeout = 2_000 }, sidecar)
 	g.control.putEntries(serviceEntry(plainName, &toucanhingev1.Service{
 		Kind: toucanhingev1.ServiceKind_SERVICE_KIND_PLAIN, OlderPercent: 50, OlderUrl: legacy.URL,
 	}))
--- a/gateway/pkg/app/components.go
+++ b/gateway/pkg/app/components.go
@@ -42,20 +42,20 @@
 		Client: client, Process: settings.Name, Logger: logger, Changed: directory.Changed,
 	})
 	claims := control.NewClaims(control.ClaimsConfig{
-		Gateway: settings.Name, Client: client, Logger: logger, Timeout: clock.Millis(settings.Retry.Claim),
+		Gateway: settings.Name, Client: client, Logger: logger, Timeout: clock.Millis(settings.Retry.ClaimTimeout),
 	})
 	onlineMetrics := online.NewMetrics(set)
 	return &components{
 		client: client, watcher: watcher, directory: directory, claims: claims,
 		server: caller.New(caller.Config{
-			Gateway: settings.Name, Limits: settings.Limits, PrefixBytes: settings.Route.Prefix,
+			Gateway: settings.Name, Limits: settings.Limits, PrefixBytes: settings.Route.PrefixBytes,
 			Clock: now, Fleet: watcher.Fleet, Ready: func() bool { return watcherStarted(watcher) },
 			Directory:   directory,
 			Runner:      newRunner(settings, now, logger, directory, decisionLog, onlineMetrics),
 			Legacy:      older.New(older.Config{Clock: now}),
 			Claims:      claims,
 			Jobs:        control.NewJobs(control.JobsConfig{Gateway: settings.Name, Client: client, Groups: watcher.Groups}),
-			Limiter:     limit.New(limit.Config{InFlight: settings.Limits.InFlight}),
+			Limiter:     limit.New(limit.Config{InFlight: settings.Limits.MaxInFlight}),
 			DecisionLog: decisionLog, Metrics: onlineMetrics, Logger: logger,
 		}),
 	}
@@ -81,9 +81,10 @@
 			Name: "toucanhinge_gateway_ejected_total", Help: "Endpoints ejected, by reason.",
 		}, []string{"reason"}),
 		Router: route.New(route.Config{
-			Gateway: settings.Name, Policy: route.Policy(r.Policy), Subset: r.Subset, Bound: r.Bound,
-			Failures: r.Failures, Eject: clock.Millis(r.Eject), EjectMost: clock.Millis(r.EjectMost),
-			Outlier: r.Outlier, SlowStart: clock.Millis(r.SlowStart), Report: clock.Millis(r.Report), Reports: r.Reports, Random: random,
+			Gateway: settings.Name, Policy: route.Policy(r.Policy), Subset: r.SubsetSize, Bound: r.LoadBound,
+			Failures: r.ConsecutiveFailures, Eject: clock.Millis(r.BaseEjectionTime), EjectMost: clock.Millis(r.MaxEjectionTime),
+			Outlier: r.OutlierFactor, SlowStart: clock.Millis(r.SlowStartWindow),
+			Report: clock.Millis(r.ReportInterval), Reports: r.MaxReportsPerSecond, Random: random,
 		}),
 	})
 }
@@ -95,7 +96,9 @@
 	r := settings.Retry
 	return online.New(online.Config{
 		Gateway: settings.Name, Clock: now, Directory: directory, Book: decisionLog, Metrics: m, Logger: logger,
-		Budget:   attempt.NewBudget(attempt.BudgetConfig{Ratio: r.Ratio, Burst: float64(r.Burst), Refused: float64(r.Refused)}),
-		Attempts: uint32(r.Attempts), Stall: clock.Millis(r.Stall), Held: settings.Limits.Answer,
+		Budget: attempt.NewBudget(attempt.BudgetConfig{
+			Ratio: r.Ratio, Burst: float64(r.Burst), Refused: float64(r.RefusedBurst),
+		}),
+		Attempts: uint32(r.MaxAttempts), Stall: clock.Millis(r.StallTimeout), Held: settings.Limits.ResponseBufferBytes,
 	})
 }
--- a/gateway/pkg/app/endpoint_faults_test.go
+++ b/gateway/pkg/app/endpoint_faults_test.go
@@ -199,7 +199,7 @@
 			return idleLoad()
 		}
 	}
-	g := startGateway(t, func(s *config.Settings) { s.Retry.Stall = 3_600_000 }, a, b)
+	g := startGateway(t, func(s *config.Settings) { s.Retry.StallTimeout = 3_600_000 }, a, b)
 	text, done := g.send(http.MethodPost, chatPath, streamBody).joinedText()
 	require.Equal(t, "aba", text)
 	require.True(t, done)
--- a/gateway/pkg/caller/batch_upload.go
+++ b/gateway/pkg/caller/batch_upload.go
@@ -62,7 +62,7 @@
 }
 
 func (s *Server) acquireTransfer() *refusal {
-	if s.transfers.Add(1) <= int64(s.config.Limits.Uploads) {
+	if s.transfers.Add(1) <= int64(s.config.Limits.MaxTransfers) {
 		return nil
 	}
 	s.transfers.Add(-1)
@@ -107,7 +107,7 @@
 	}
 	defer upload.Abandon()
 	lines := bufio.NewScanner(&progressReader{server: s, context: c, reader: c.Request.Body})
-	lines.Buffer(make([]byte, 0, min(initialLineBytes, s.config.Limits.BatchLine)), s.config.Limits.BatchLine)
+	lines.Buffer(make([]byte, 0, min(initialLineBytes, s.config.Limits.MaxBatchLineBytes)), s.config.Limits.MaxBatchLineBytes)
 	seen := map[uint64]struct{}{}
 	for number := 1; lines.Scan(); number++ {
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
@@ -164,7 +164,7 @@
 		return nil, invalid("custom_id " + line.CustomID + " is given more than once")
 	}
 	seen[hash] = struct{}{}
-	if len(seen) > s.config.Limits.BatchItems {
+	if len(seen) > s.config.Limits.MaxBatchItems {
 		return nil, newRefusal(http.StatusRequestEntityTooLarge, reasonTooLarge,
 			"the job has more items than this gateway takes")
 	}
--- a/gateway/pkg/caller/body.go
+++ b/gateway/pkg/caller/body.go
@@ -18,7 +18,7 @@
 
 // readBody reads a whole request body, within the limits on size and time.
 func (s *Server) readBody(c *gin.Context) ([]byte, *refusal) {
-	limit := int64(s.config.Limits.Body)
+	limit := int64(s.config.Limits.MaxBodyBytes)
 	if c.Request.ContentLength > limit {
 		return nil, bodyTooLarge()
 	}
@@ -38,7 +38,7 @@
 // extendReadDeadline renews the read deadline. Without one, a sender that trickles its body could hold a
 // connection and a buffer indefinitely.
 func (s *Server) extendReadDeadline(c *gin.Context) {
-	deadline := time.Now().Add(clock.Millis(s.config.Limits.Sender).Duration())
+	deadline := time.Now().Add(clock.Millis(s.config.Limits.SenderTimeout).Duration())
 	// Only the response recorders of tests don't support deadlines, so the error is ignored.
 	_ = http.NewResponseController(c.Writer).SetReadDeadline(deadline)
 }
--- a/gateway/pkg/caller/online.go
+++ b/gateway/pkg/caller/online.go
@@ -69,7 +69,7 @@
 	request := &online.Request{
 		ID: info.id, Caller: info.callerID, Team: info.team.Name, Service: service.Name, Method: http.MethodPost, Body: body,
 		Headers:     []*toucanhingev1.Header{{Name: "Content-Type", Value: "application/json"}},
-		Deadline:    info.deadline(service, s.config.Limits.Deadline),
+		Deadline:    info.deadline(service, s.config.Limits.DefaultDeadline),
 		Idempotent:  info.idempotent == nil || *info.idempotent,
 		Stream:      parsed.isTrue("stream"),
 		Model:       true,
@@ -77,7 +77,7 @@
 		Prefix:      s.prefixHash(service.Name, parsed[promptField]),
 	}
 	if request.Stream && request.Idempotent && resume.Able(parsed) {
-		request.Text = resume.NewText(resume.Config{Kind: kind, Limit: s.config.Limits.Text})
+		request.Text = resume.NewText(resume.Config{Kind: kind, Limit: s.config.Limits.ResumeTextBytes})
 	}
 	return request, nil
 }
@@ -153,7 +153,7 @@
 	s.serve(c, info, &online.Request{
 		ID: info.id, Caller: info.callerID, Team: info.team.Name, Service: service.Name,
 		Method: c.Request.Method, Path: plainPath(c), Headers: forwardedHeaders(c.Request.Header), Body: body,
-		Deadline:    info.deadline(service, s.config.Limits.Deadline),
+		Deadline:    info.deadline(service, s.config.Limits.DefaultDeadline),
 		Idempotent:  isIdempotent(info, c.Request.Method),
 		DataCentres: contract.GetDataCentres(),
 	})
--- a/gateway/pkg/caller/request_info.go
+++ b/gateway/pkg/caller/request_info.go
@@ -76,7 +76,7 @@
 	if r := info.authenticate(c.GetHeader(headerAuthorization)); r != nil {
 		return nil, r
 	}
-	if r := info.parseHeaders(c, clock.Millis(s.config.Limits.LongDeadline)); r != nil {
+	if r := info.parseHeaders(c, clock.Millis(s.config.Limits.MaxDeadline)); r != nil {
 		return nil, r
 	}
 	s.config.DecisionLog.Add(info.id, "arrived", info.team.Name+" "+c.Request.Method+" "+c.Request.URL.Path)
--- a/gateway/pkg/caller/response.go
+++ b/gateway/pkg/caller/response.go
@@ -46,7 +46,7 @@
 	return &response{
 		writer:          c.Writer,
 		control:         http.NewResponseController(c.Writer),
-		writeTimeout:    clock.Millis(s.config.Limits.Reader).Duration(),
+		writeTimeout:    clock.Millis(s.config.Limits.ReaderTimeout).Duration(),
 		method:          c.Request.Method,
 		streamRequested: stream,
 	}
--- a/gateway/pkg/caller/server.go
+++ b/gateway/pkg/caller/server.go
@@ -118,7 +118,7 @@
 		c.Header("Connection", "close")
 	}
 	defer s.openRequests.Add(-1)
-	if s.openRequests.Add(1) > int64(openRequestsFactor*s.config.Limits.InFlight+s.config.Limits.Uploads) {
+	if s.openRequests.Add(1) > int64(openRequestsFactor*s.config.Limits.MaxInFlight+s.config.Limits.MaxTransfers) {
 		c.Abort()
 		s.refuse(c, newRefusal(http.StatusServiceUnavailable, limit.ReasonFull,
 			reasonMessages[limit.ReasonFull]).withRetryAfter(1_000))
