--- a/gateway/main.go
+++ b/gateway/main.go
@@ -1,5 +1,4 @@
-// The gateway takes callers' requests at an entry VM and sends each to the
-// endpoint that serves it best.
+// Gateway accepts HTTP requests of callers and forwards each to the endpoint selected for it.
 package main
 
 import (
@@ -10,7 +9,7 @@
 
 func main() {
 	program.Program[config.Settings]{
-		Description: "gateway: callers' HTTP surface of toucanhinge",
+		Description: "gateway: HTTP API of toucanhinge for callers",
 		Load:        config.Load,
 		Run:         app.Run,
 	}.Main()
