--- a/gateway/pkg/app/components.go
+++ b/gateway/pkg/app/components.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 
 	"toucanhinge.example/common/pkg/clock"
-	shared "toucanhinge.example/common/pkg/control"
+	commoncontrol "toucanhinge.example/common/pkg/control"
 	"toucanhinge.example/common/pkg/metrics"
 	"toucanhinge.example/common/pkg/record"
 	"toucanhinge.example/common/pkg/web"
@@ -26,8 +26,8 @@
 
 // components are the parts of the gateway that the process runs.
 type components struct {
-	client    *shared.Client
-	watcher   *shared.Watcher
+	client    *commoncontrol.Client
+	watcher   *commoncontrol.Watcher
 	directory *endpoint.Directory
 	claims    *control.Claims
 	server    *caller.Server
@@ -36,9 +36,9 @@
 func newComponents(
 	settings config.Settings, now clock.Clock, logger log.Logger, set *metrics.Set, decisionLog *record.Log,
 ) *components {
-	client := shared.New(shared.Config{Addresses: settings.Control, HTTP: web.NewClient(), Retried: set.Retried})
+	client := commoncontrol.New(commoncontrol.Config{Addresses: settings.Control, HTTP: web.NewClient(), Retried: set.Retried})
 	directory := newDirectory(settings, now, logger, set)
-	watcher := shared.NewWatcher(shared.WatcherConfig{
+	watcher := commoncontrol.NewWatcher(commoncontrol.WatcherConfig{
 		Client: client, Process: settings.Name, Logger: logger, Changed: directory.Changed,
 	})
 	claims := control.NewClaims(control.ClaimsConfig{
@@ -61,7 +61,7 @@
 	}
 }
 
-func watcherStarted(watcher *shared.Watcher) bool {
+func watcherStarted(watcher *commoncontrol.Watcher) bool {
 	select {
 	case <-watcher.Started():
 		return true
--- a/gateway/pkg/app/fakes_test.go
+++ b/gateway/pkg/app/fakes_test.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 	"github.com/stretchr/testify/require"
 
-	shared "toucanhinge.example/common/pkg/control"
+	commoncontrol "toucanhinge.example/common/pkg/control"
 	"toucanhinge.example/common/pkg/job"
 	"toucanhinge.example/common/pkg/web"
 	"toucanhinge.example/common/pkg/world"
@@ -165,7 +165,7 @@
 	_ context.Context, r *connect.Request[toucanhingev1.ClaimRequest],
 ) (*connect.Response[toucanhingev1.ClaimResponse], error) {
 	if f.leaderless.Load() {
-		return nil, shared.NotLeader("")
+		return nil, commoncontrol.NotLeader("")
 	}
 	time.Sleep(f.claimDelay)
 	f.mu.Lock()
@@ -204,7 +204,7 @@
 ) (*connect.Response[toucanhingev1.UploadResponse], error) {
 	f.uploads.Add(1)
 	if f.refuseUploads.Add(-1) >= 0 {
-		return nil, shared.NotLeader("")
+		return nil, commoncontrol.NotLeader("")
 	}
 	var header *toucanhingev1.UploadHeader
 	var items []*toucanhingev1.Item
@@ -215,7 +215,7 @@
 		}
 		if after := f.loseLeadershipAfter.Load(); after > 0 && size > after {
 			f.loseLeadershipAfter.Store(0)
-			return nil, shared.NotLeader("")
+			return nil, commoncontrol.NotLeader("")
 		}
 		switch part := in.Msg().GetPart().(type) {
 		case *toucanhingev1.UploadRequest_Header:
--- a/gateway/pkg/app/process.go
+++ b/gateway/pkg/app/process.go
@@ -13,7 +13,7 @@
 	"go.uber.org/fx"
 
 	"toucanhinge.example/common/pkg/clock"
-	shared "toucanhinge.example/common/pkg/control"
+	commoncontrol "toucanhinge.example/common/pkg/control"
 	"toucanhinge.example/common/pkg/health"
 	"toucanhinge.example/common/pkg/logs"
 	"toucanhinge.example/common/pkg/metrics"
@@ -36,7 +36,7 @@
 	shutdowner  fx.Shutdowner
 	set         *metrics.Set
 	decisionLog *record.Log
-	heartbeater *shared.Heartbeater
+	heartbeater *commoncontrol.Heartbeater
 	incarnation uint64
 
 	callerServer *web.Server
@@ -56,7 +56,7 @@
 		decisionLog: decisionLog,
 		incarnation: uint64(now.Now()), shuttingDown: make(chan struct{}),
 	}
-	p.heartbeater = shared.NewHeartbeater(shared.HeartbeaterConfig{
+	p.heartbeater = commoncontrol.NewHeartbeater(commoncontrol.HeartbeaterConfig{
 		Client: components.client, Logger: logger, Request: p.heartbeat,
 		Accepted: components.watcher.RaiseMinVersion, Superseded: p.shutdown,
 	})
--- a/gateway/pkg/caller/batch_jobs.go
+++ b/gateway/pkg/caller/batch_jobs.go
@@ -9,7 +9,7 @@
 	"connectrpc.com/connect"
 	"github.com/gin-gonic/gin"
 
-	shared "toucanhinge.example/common/pkg/control"
+	commoncontrol "toucanhinge.example/common/pkg/control"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -179,7 +179,7 @@
 // controlStatus maps an error of control to an HTTP status and a refusal reason.
 func controlStatus(err error) (status int, reason string) {
 	// A replica that is not the leader is a temporary fault of control, not an error of the caller.
-	if _, refused := shared.LeaderOf(err); refused {
+	if _, refused := commoncontrol.LeaderOf(err); refused {
 		return http.StatusServiceUnavailable, reasonControl
 	}
 	switch connect.CodeOf(err) {
