--- a/gateway/pkg/app/parts.go
+++ b/gateway/pkg/app/parts.go
@@ -80,9 +80,9 @@
 			Name: "toucanhinge_gateway_ejected_total", Help: "Endpoints taken out of use, by reason.",
 		}, []string{"reason"}),
 		Router: route.New(route.Config{
-			Gateway: settings.Name, Policy: route.Policy(r.Policy), Subset: r.Subset, Bound: r.Bound,
-			Failures: r.Failures, Eject: clock.Millis(r.Eject), EjectMost: clock.Millis(r.EjectMost),
-			Outlier: r.Outlier, SlowStart: clock.Millis(r.SlowStart), Report: clock.Millis(r.Report), Reports: r.Reports, Random: random,
+			Gateway: settings.Name, Policy: route.Policy(r.Policy), SubsetSize: r.Subset, LoadBound: r.Bound,
+			MaxFailures: r.Failures, MinEjection: clock.Millis(r.Eject), MaxEjection: clock.Millis(r.EjectMost),
+			OutlierFactor: r.Outlier, SlowStart: clock.Millis(r.SlowStart), PollInterval: clock.Millis(r.Report), MaxPollRate: r.Reports, Random: random,
 		}),
 	})
 }
--- a/gateway/pkg/caller/refusal.go
+++ b/gateway/pkg/caller/refusal.go
@@ -162,7 +162,7 @@
 	attempt.ReasonUnknown:      "the connection to the endpoint broke; whether the request was run is not known",
 	attempt.ReasonAlreadyRun:   "a request with this id was run already",
 	attempt.ReasonCut:          "the answer broke off and could not be resumed; what was sent is not whole",
-	route.ReasonNone:           "no endpoint of the service can take the request",
+	route.ReasonNoEndpoint:     "no endpoint of the service can take the request",
 	route.ReasonOverloaded:     "every endpoint of the service is full",
 	endpoint.ReasonUnreachable: "no endpoint of the service could be reached",
 	limit.ReasonRate:           "the team's rate is used up",
--- a/gateway/pkg/online/answer.go
+++ b/gateway/pkg/online/answer.go
@@ -96,7 +96,7 @@
 		}
 	}
 	f.note("whole", f.choice.Endpoint)
-	f.closeStream(route.OutcomeWhole)
+	f.closeStream(route.OutcomeComplete)
 	return attempt.Event{}
 }
 
--- a/gateway/pkg/online/flight.go
+++ b/gateway/pkg/online/flight.go
@@ -155,7 +155,7 @@
 func (f *flight) choose() attempt.Event {
 	f.closeStream(f.outcome)
 	f.cancelLeft()
-	choice := f.runner.config.Directory.Choose(route.Ask{
+	choice := f.runner.config.Directory.Choose(route.Request{
 		Service:     f.request.Service,
 		DataCentres: f.request.DataCentres,
 		Prefix:      f.request.Prefix,
@@ -166,9 +166,9 @@
 	f.choice = choice
 	if choice.Endpoint == "" {
 		f.note("no-choice", choice.Reason)
-		return attempt.Event{Kind: attempt.EventNone, Reason: choice.Reason, Retry: choice.Retry}
+		return attempt.Event{Kind: attempt.EventNone, Reason: choice.Reason, Retry: choice.RetryAfter}
 	}
-	f.note("chosen", choice.Endpoint+" "+choice.Why)
+	f.note("chosen", choice.Endpoint+" "+choice.Rule)
 	return attempt.Event{Kind: attempt.EventChosen, Endpoint: choice.Endpoint}
 }
 
@@ -289,7 +289,7 @@
 	f.keepRun = true
 	outcome := route.OutcomeFailed
 	if failure.Dead {
-		outcome = route.OutcomeDead
+		outcome = route.OutcomeUnreachable
 	}
 	f.closeStream(outcome)
 	f.keepRun = false
@@ -322,7 +322,7 @@
 		f.stream.Close()
 		f.stream = nil
 	}
-	if f.open && !f.keepRun && !f.notRun && outcome != route.OutcomeWhole {
+	if f.open && !f.keepRun && !f.notRun && outcome != route.OutcomeComplete {
 		f.runner.config.Directory.Cancel(f.choice.Address, f.request.ID, f.attempt)
 	}
 	f.open, f.notRun = false, false
--- a/gateway/pkg/route/choose.go
+++ b/gateway/pkg/route/choose.go
@@ -7,143 +7,144 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// Ask describes a request that needs an endpoint.
-type Ask struct {
+// Request describes a request that needs an endpoint.
+type Request struct {
 	Service string
-	// DataCentres that the contract allows; empty means all.
+	// DataCentres lists the data centres that the contract allows; empty allows all.
 	DataCentres []string
 	// Prefix is the hash of the prompt's first bytes; 0 means no affinity.
 	Prefix uint64
-	// Tried endpoints are not chosen again.
+	// Tried lists the endpoints of earlier attempts, which are not selected again.
 	Tried []string
-	// Budget is the time left, a span.
+	// Budget is the time until the request's deadline.
 	Budget clock.Millis
-	// Idempotent requests may try out an endpoint after its ejection.
+	// Idempotent is true when the request may probe an endpoint after its ejection.
 	Idempotent bool
 }
 
-// Choice is the answer: an endpoint and why, or a reason why there is none.
+// Choice is the result of a Request: an endpoint, or the reason why none was selected.
 type Choice struct {
 	Endpoint string
 	Address  string
-	// Why this endpoint, for the records.
-	Why string
-	// Reason and Retry (a span) when there is none.
-	Reason string
-	Retry  clock.Millis
+	// Rule names the rule that selected the endpoint. It is written to the event log.
+	Rule string
+	// Reason and RetryAfter (a duration) are set when no endpoint was selected.
+	Reason     string
+	RetryAfter clock.Millis
 }
 
-// Reasons for a choice and for none.
+// Rules that select an endpoint, and reasons why none is selected.
 const (
-	WhyProbe    = "probe-after-ejection"
-	WhyAffinity = "prefix"
-	WhySecond   = "prefix-second"
-	WhyTwo      = "two-choices"
-	WhyFar      = "near-ones-full"
-	WhyPolicy   = "baseline"
-	WhyLast     = "all-ejected"
+	RuleProbe          = "probe-after-ejection"
+	RuleAffinity       = "prefix"
+	RuleSecondAffinity = "prefix-second"
+	RuleTwoChoices     = "two-choices"
+	RuleRemote         = "near-ones-full"
+	RuleBaseline       = "baseline"
+	RuleAllEjected     = "all-ejected"
 
-	ReasonNone       = "no-endpoint"
+	ReasonNoEndpoint = "no-endpoint"
 	ReasonOverloaded = "overloaded"
 	ReasonDeadline   = "deadline"
 )
 
 const (
-	// nearBand is how much farther than the nearest an endpoint may be and
-	// still count as near, microseconds: little against the time to a first token.
-	nearBand = 5_000
-	// nearUnit is the distance that weighs as much as a whole endpoint's load, microseconds.
-	nearUnit = 20_000
-	// halfFull is the load up to which the preferred endpoint is kept whatever
-	// the mean is: nothing waits there yet.
-	halfFull = 0.5
-	// fresh is the age up to which a told wait is believed.
-	fresh clock.Millis = 2_000
-	// noneRetry is told when no endpoint is usable, a span.
-	noneRetry clock.Millis = 1_000
+	// maxExtraLatency is how much farther than the nearest endpoint another one may be and
+	// still count as near, in microseconds. It is short compared with the time to a first token.
+	maxExtraLatency = 5_000
+	// latencyPerLoad is the one-way latency, in microseconds, that costs as much as a full endpoint's load.
+	latencyPerLoad = 20_000
+	// minAffinityLoad is the load up to which a preferred endpoint is used whatever the
+	// mean load is: no request waits at a half-full endpoint.
+	minAffinityLoad = 0.5
+	// maxLoadAge is the age from which a reported wait is ignored.
+	maxLoadAge clock.Millis = 2_000
+	// noEndpointRetry is the retry delay returned when no endpoint is usable.
+	noEndpointRetry clock.Millis = 1_000
 )
 
-// Choose picks an endpoint. It changes nothing but the random source and which
-// reports are wanted; Sent tells that the choice was used.
-func (r *Router) Choose(now clock.Millis, ask Ask) Choice {
-	r.wanted(now, ask.Service)
-	able := r.able(now, ask)
-	if len(able) == 0 {
-		return r.lastResort(now, ask)
+// Choose selects an endpoint. It changes only the random source and the times of the
+// next polls; the caller reports with RecordSent that it sent the request.
+func (r *Router) Choose(now clock.Millis, request Request) Choice {
+	r.recordRequest(now, request.Service)
+	endpoints := r.eligible(now, request)
+	if len(endpoints) == 0 {
+		return r.lastResort(now, request)
 	}
-	if retry, full := allFull(now, able); full {
-		return Choice{Reason: ReasonOverloaded, Retry: retry}
+	if retry, full := allFull(now, endpoints); full {
+		return Choice{Reason: ReasonOverloaded, RetryAfter: retry}
 	}
-	// What can't be in time isn't started: it would take a slot from one that can.
-	if wait := leastWait(now, able); wait > ask.Budget {
-		return Choice{Reason: ReasonDeadline, Retry: wait}
+	// A request that can't meet its deadline would take a slot from one that can.
+	if wait := minWait(now, endpoints); wait > request.Budget {
+		return Choice{Reason: ReasonDeadline, RetryAfter: wait}
 	}
-	if ask.Idempotent {
-		for _, s := range able {
-			if s.probing && s.own == 0 {
-				return chosen(s, WhyProbe)
+	if request.Idempotent {
+		for _, s := range endpoints {
+			if s.probing && s.inFlight == 0 {
+				return newChoice(s, RuleProbe)
 			}
 		}
 	}
-	return r.pick(now, ask, proven(able))
+	return r.pick(now, request, withoutProbing(endpoints))
 }
 
-// proven leaves out endpoints that are being tried out, unless there is no other.
-func proven(able []*state) []*state {
-	if !slices.ContainsFunc(able, func(s *state) bool { return s.probing }) {
-		return able
+// withoutProbing leaves out endpoints that are being probed, unless there is no other.
+func withoutProbing(endpoints []*endpointState) []*endpointState {
+	if !slices.ContainsFunc(endpoints, func(s *endpointState) bool { return s.probing }) {
+		return endpoints
 	}
-	rest := slices.DeleteFunc(slices.Clone(able), func(s *state) bool { return s.probing })
+	rest := slices.DeleteFunc(slices.Clone(endpoints), func(s *endpointState) bool { return s.probing })
 	if len(rest) == 0 {
-		return able
+		return endpoints
 	}
 	return rest
 }
 
-func chosen(s *state, why string) Choice {
-	return Choice{Endpoint: s.Name, Address: s.Address, Why: why}
+func newChoice(s *endpointState, rule string) Choice {
+	return Choice{Endpoint: s.Name, Address: s.Address, Rule: rule}
 }
 
-func (r *Router) able(now clock.Millis, ask Ask) []*state {
-	pool := r.pools[ask.Service]
-	able := make([]*state, 0, len(pool))
+// eligible returns the usable endpoints that the request allows.
+func (r *Router) eligible(now clock.Millis, request Request) []*endpointState {
+	pool := r.pools[request.Service]
+	endpoints := make([]*endpointState, 0, len(pool))
 	for _, s := range pool {
-		if s.usable(now) && ask.allows(s) {
-			able = append(able, s)
+		if s.usable(now) && request.allows(s) {
+			endpoints = append(endpoints, s)
 		}
 	}
-	return able
+	return endpoints
 }
 
-func (a Ask) allows(s *state) bool {
-	if slices.Contains(a.Tried, s.Name) {
+func (q Request) allows(s *endpointState) bool {
+	if slices.Contains(q.Tried, s.Name) {
 		return false
 	}
-	return len(a.DataCentres) == 0 || slices.Contains(a.DataCentres, s.DataCentre)
+	return len(q.DataCentres) == 0 || slices.Contains(q.DataCentres, s.DataCentre)
 }
 
-// lastResort takes an ejected endpoint when there is no other: our evidence may
-// be wrong, and a refusal would help the caller less. One that leaves is never taken.
-func (r *Router) lastResort(now clock.Millis, ask Ask) Choice {
-	var best *state
-	for _, s := range r.pools[ask.Service] {
-		if s.Leaving || s.load.Leaving || !ask.allows(s) || s.own > 0 || now >= s.ejectedUntil {
+// lastResort selects an ejected endpoint when there is no other: the gateway's evidence
+// may be wrong, and a refusal would help the caller less. It never selects a draining one.
+func (r *Router) lastResort(now clock.Millis, request Request) Choice {
+	var best *endpointState
+	for _, s := range r.pools[request.Service] {
+		if s.Draining || s.load.Draining || !request.allows(s) || s.inFlight > 0 || now >= s.ejectedUntil {
 			continue
 		}
 		if best == nil || s.ejectedUntil < best.ejectedUntil {
 			best = s
 		}
 	}
-	if best == nil || !ask.Idempotent {
-		return Choice{Reason: ReasonNone, Retry: noneRetry}
+	if best == nil || !request.Idempotent {
+		return Choice{Reason: ReasonNoEndpoint, RetryAfter: noEndpointRetry}
 	}
-	return chosen(best, WhyLast)
+	return newChoice(best, RuleAllEjected)
 }
 
-// allFull is true when every endpoint refused a moment ago: asking again now
-// would only add to the overload.
-func allFull(now clock.Millis, able []*state) (retry clock.Millis, full bool) {
-	for _, s := range able {
+// allFull reports whether every endpoint refused a request shortly before: sending another
+// request would only add to the overload. It returns the time until the first one may be retried.
+func allFull(now clock.Millis, endpoints []*endpointState) (retry clock.Millis, full bool) {
+	for _, s := range endpoints {
 		if now >= s.fullUntil {
 			return 0, false
 		}
@@ -154,11 +155,13 @@
 	return retry, true
 }
 
-func leastWait(now clock.Millis, able []*state) clock.Millis {
+// minWait returns the shortest wait that any of the endpoints reported. An endpoint
+// without a recent report counts as having no wait.
+func minWait(now clock.Millis, endpoints []*endpointState) clock.Millis {
 	least := clock.Millis(-1)
-	for _, s := range able {
+	for _, s := range endpoints {
 		wait := clock.Millis(0)
-		if s.loadAt > 0 && now-s.loadAt < fresh {
+		if s.loadAt > 0 && now-s.loadAt < maxLoadAge {
 			wait = s.load.Wait
 		}
 		if least < 0 || wait < least {
@@ -168,88 +171,92 @@
 	return least
 }
 
-// ratio is the estimated load as a part of what the endpoint can do, with one more request.
-func (r *Router) ratio(now clock.Millis, s *state) float64 {
-	ratio := float64(s.online()+1) / s.capacity(now, r.config.SlowStart)
+// loadRatio returns the endpoint's estimated load including one more request, as a share of its capacity.
+func (r *Router) loadRatio(now clock.Millis, s *endpointState) float64 {
+	ratio := float64(s.onlineRequests()+1) / s.capacity(now, r.config.SlowStart)
 	if now < s.fullUntil {
 		return max(ratio, 1) + 1
 	}
 	return ratio
 }
 
-func (r *Router) cost(now clock.Millis, s *state) float64 {
-	return r.ratio(now, s) + float64(s.Near)/nearUnit
+// cost combines the endpoint's load ratio and its latency.
+func (r *Router) cost(now clock.Millis, s *endpointState) float64 {
+	return r.loadRatio(now, s) + float64(s.LatencyUS)/latencyPerLoad
 }
 
-func (r *Router) pick(now clock.Millis, ask Ask, able []*state) Choice {
+func (r *Router) pick(now clock.Millis, request Request, endpoints []*endpointState) Choice {
 	switch r.config.Policy {
 	case PolicyRandom:
-		return chosen(able[r.config.Random.IntN(len(able))], WhyPolicy)
-	case PolicyLeast:
-		return chosen(slices.MinFunc(able, func(a, b *state) int { return cmp.Compare(r.cost(now, a), r.cost(now, b)) }), WhyPolicy)
-	case PolicyTwo:
-		return chosen(r.two(now, able), WhyPolicy)
+		return newChoice(endpoints[r.config.Random.IntN(len(endpoints))], RuleBaseline)
+	case PolicyLeastLoaded:
+		return newChoice(slices.MinFunc(endpoints, func(a, b *endpointState) int {
+			return cmp.Compare(r.cost(now, a), r.cost(now, b))
+		}), RuleBaseline)
+	case PolicyTwoChoices:
+		return newChoice(r.pickOfTwo(now, endpoints), RuleBaseline)
 	case PolicyAffinity:
-		first, _ := preferred(able, ask.Prefix)
-		return chosen(first, WhyPolicy)
+		first, _ := preferred(endpoints, request.Prefix)
+		return newChoice(first, RuleBaseline)
 	default:
-		return r.ours(now, ask, able)
+		return r.pickDefault(now, request, endpoints)
 	}
 }
 
-// ours keeps a prompt's prefix where its cache is while that endpoint is not
-// loaded above the rest, then takes the better of two random ones: the least
-// loaded of all by stale reports would be everybody's choice at once.
-func (r *Router) ours(now clock.Millis, ask Ask, able []*state) Choice {
-	near := nearest(able)
-	if ask.Prefix != 0 {
-		limit := r.limit(now, near)
-		first, second := preferred(near, ask.Prefix)
-		if r.ratio(now, first) <= limit {
-			return chosen(first, WhyAffinity)
+// pickDefault sends a prompt's prefix to the endpoint that has it cached while that
+// endpoint's load is near the mean. Otherwise it uses the better of two random endpoints: with
+// stale reports, all gateways would select the least loaded endpoint at the same time.
+func (r *Router) pickDefault(now clock.Millis, request Request, endpoints []*endpointState) Choice {
+	near := nearest(endpoints)
+	if request.Prefix != 0 {
+		limit := r.affinityLimit(now, near)
+		first, second := preferred(near, request.Prefix)
+		if r.loadRatio(now, first) <= limit {
+			return newChoice(first, RuleAffinity)
 		}
-		if second != nil && r.ratio(now, second) <= limit {
-			return chosen(second, WhySecond)
+		if second != nil && r.loadRatio(now, second) <= limit {
+			return newChoice(second, RuleSecondAffinity)
 		}
 	}
-	best := r.two(now, near)
-	if len(near) == len(able) || r.ratio(now, best) <= 1 {
-		return chosen(best, WhyTwo)
+	best := r.pickOfTwo(now, near)
+	if len(near) == len(endpoints) || r.loadRatio(now, best) <= 1 {
+		return newChoice(best, RuleTwoChoices)
 	}
-	far := r.two(now, able)
-	if r.cost(now, far) < r.cost(now, best) {
-		return chosen(far, WhyFar)
+	remote := r.pickOfTwo(now, endpoints)
+	if r.cost(now, remote) < r.cost(now, best) {
+		return newChoice(remote, RuleRemote)
 	}
-	return chosen(best, WhyTwo)
+	return newChoice(best, RuleTwoChoices)
 }
 
-// limit is the load up to which a preferred endpoint is kept. A full one is
-// never kept: waiting costs more than a cold cache.
-func (r *Router) limit(now clock.Millis, group []*state) float64 {
+// affinityLimit returns the load up to which a preferred endpoint is used. A full endpoint
+// is never preferred: waiting costs more than a cold cache.
+func (r *Router) affinityLimit(now clock.Millis, group []*endpointState) float64 {
 	online, capacity := 1.0, 0.0
 	for _, s := range group {
-		online += float64(s.online())
+		online += float64(s.onlineRequests())
 		capacity += s.capacity(now, r.config.SlowStart)
 	}
-	return min(max(r.config.Bound*online/capacity, halfFull), 1)
+	return min(max(r.config.LoadBound*online/capacity, minAffinityLoad), 1)
 }
 
-func nearest(able []*state) []*state {
-	least := able[0].Near
-	for _, s := range able {
-		least = min(least, s.Near)
+// nearest returns the endpoints within maxExtraLatency of the nearest one.
+func nearest(endpoints []*endpointState) []*endpointState {
+	least := endpoints[0].LatencyUS
+	for _, s := range endpoints {
+		least = min(least, s.LatencyUS)
 	}
-	near := make([]*state, 0, len(able))
-	for _, s := range able {
-		if s.Near <= least+nearBand {
+	near := make([]*endpointState, 0, len(endpoints))
+	for _, s := range endpoints {
+		if s.LatencyUS <= least+maxExtraLatency {
 			near = append(near, s)
 		}
 	}
 	return near
 }
 
-// preferred returns the two highest by rendezvous hashing; second may be nil.
-func preferred(group []*state, prefix uint64) (first, second *state) {
+// preferred returns the two endpoints that rank highest for the prefix by rendezvous hashing; second may be nil.
+func preferred(group []*endpointState, prefix uint64) (first, second *endpointState) {
 	var firstScore, secondScore uint64
 	for _, s := range group {
 		score := mix(prefix, s.hash)
@@ -264,7 +271,8 @@
 	return first, second
 }
 
-func (r *Router) two(now clock.Millis, group []*state) *state {
+// pickOfTwo returns the cheaper of two random endpoints.
+func (r *Router) pickOfTwo(now clock.Millis, group []*endpointState) *endpointState {
 	a := group[r.config.Random.IntN(len(group))]
 	if len(group) == 1 {
 		return a
@@ -279,10 +287,10 @@
 	return a
 }
 
-// Short says whether no usable endpoint of the service has a free slot.
-func (r *Router) Short(now clock.Millis, service string) bool {
+// Saturated reports whether no usable endpoint of the service has a free slot.
+func (r *Router) Saturated(now clock.Millis, service string) bool {
 	for _, s := range r.pools[service] {
-		if s.usable(now) && r.ratio(now, s) <= 1 {
+		if s.usable(now) && r.loadRatio(now, s) <= 1 {
 			return false
 		}
 	}
--- a/gateway/pkg/route/endpoint.go
+++ b/gateway/pkg/route/endpoint.go
@@ -4,108 +4,111 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// Endpoint is one back end as the configuration describes it.
+// Endpoint describes an endpoint as the configuration has it.
 type Endpoint struct {
 	Name        string
 	Address     string
 	DataCentre  string
 	Incarnation uint64
 	Slots       int
-	Leaving     bool
-	// Near is the usual one-way time from this gateway, microseconds.
-	Near uint32
+	Draining    bool
+	// LatencyUS is the usual one-way latency from this gateway, in microseconds.
+	LatencyUS uint32
 }
 
-// Load is what a sidecar last said of its endpoint.
+// Load is the load that a sidecar last reported for its endpoint.
 type Load struct {
 	Running int
 	Queued  int
 	Slots   int
 	Foreign int
-	// Wait expected for a new online request, a span.
-	Wait    clock.Millis
-	Leaving bool
-	Healthy bool
+	// Wait is the expected wait of a new online request.
+	Wait     clock.Millis
+	Draining bool
+	Healthy  bool
 }
 
-// Outcome says how an attempt at an endpoint ended.
+// Outcome classifies how an attempt at an endpoint ended.
 type Outcome uint8
 
 // Outcomes of attempts.
 const (
-	// OutcomeWhole is a whole answer.
-	OutcomeWhole Outcome = iota + 1
-	// OutcomeRefused is a refusal that says not run.
+	// OutcomeComplete is a complete answer.
+	OutcomeComplete Outcome = iota + 1
+	// OutcomeRefused is a refusal of a request that was not run.
 	OutcomeRefused
-	// OutcomeFailed is an answer that broke, stalled or made no sense.
+	// OutcomeFailed is an answer that broke off, stalled or was malformed.
 	OutcomeFailed
-	// OutcomeDead is an endpoint that can't be reached at all.
-	OutcomeDead
-	// OutcomeNeutral says nothing of the endpoint: the caller left or ran out of time.
+	// OutcomeUnreachable is an endpoint that can't be reached or does not answer at all.
+	OutcomeUnreachable
+	// OutcomeNeutral tells nothing about the endpoint: the caller left, or the deadline passed.
 	OutcomeNeutral
 )
 
-// state is what this gateway knows of one endpoint.
-type state struct {
+// endpointState holds what this gateway knows about one endpoint.
+type endpointState struct {
 	Endpoint
 	hash uint64
 
-	// own requests under way, and how many there were when the load was told.
-	own      int
-	ownThen  int
-	load     Load
-	loadAt   clock.Millis
-	nextPoll clock.Millis
-	// fullUntil holds after a refusal, whatever the endpoint says of its load.
+	// inFlight counts this gateway's requests at the endpoint; inFlightAtLoad is the count
+	// when the load was last reported.
+	inFlight       int
+	inFlightAtLoad int
+	load           Load
+	loadAt         clock.Millis
+	nextPoll       clock.Millis
+	// fullUntil is set after a refusal and applies whatever load the endpoint reports.
 	fullUntil clock.Millis
 
-	// failures of requests and silent polls, each in a row.
-	failures  int
-	silent    int
-	ejections int
-	// ejectedUntil is the end of the present ejection; probing follows it.
+	// failures counts consecutive failed requests, missedPolls consecutive polls without an answer.
+	failures    int
+	missedPolls int
+	ejections   int
+	// ejectedUntil is the end of the current ejection. The endpoint is probed after it.
 	ejectedUntil clock.Millis
 	probing      bool
-	// unreachable ejections end with the first answered poll.
+	// unreachable is true for an ejection that ends with the first answered poll.
 	unreachable bool
 	returnedAt  clock.Millis
 
-	// first is the moving mean of the time to the first piece, milliseconds.
-	first   float64
-	samples int
+	// firstChunkMean is the moving mean of the time to the first chunk, in milliseconds.
+	firstChunkMean float64
+	samples        int
 }
 
-// slots the endpoint runs at once; the sidecar's word goes before the configuration's.
-func (s *state) slots() int {
+// slots returns the endpoint's slot count; the sidecar's value takes precedence over the configured one.
+func (s *endpointState) slots() int {
 	if s.load.Slots > 0 {
 		return s.load.Slots
 	}
 	return max(s.Slots, 1)
 }
 
-// online estimates the online requests at the endpoint now: what it said, and
-// what we sent and ended since. Never less than our own, which we know.
-func (s *state) online() int {
-	told := s.load.Running + s.load.Queued + s.own - s.ownThen
-	return max(told, s.own)
+// onlineRequests estimates the number of online requests at the endpoint: the reported count,
+// corrected by the requests that this gateway has sent and ended since. It is never less than
+// the gateway's own requests in flight, which are known exactly.
+func (s *endpointState) onlineRequests() int {
+	reported := s.load.Running + s.load.Queued + s.inFlight - s.inFlightAtLoad
+	return max(reported, s.inFlight)
 }
 
-// startShare is the part of its capacity that a returning endpoint gets at first.
-const startShare = 0.1
+// slowStartShare is the share of its capacity that a returning endpoint starts with.
+const slowStartShare = 0.1
 
-// capacity in requests: less what others use, and less while it warms up.
-func (s *state) capacity(now, slowStart clock.Millis) float64 {
+// capacity returns the number of requests the endpoint can run: its slots less foreign work,
+// reduced during slow start.
+func (s *endpointState) capacity(now, slowStart clock.Millis) float64 {
 	c := float64(max(s.slots()-s.load.Foreign, 1))
 	if s.returnedAt == 0 || now >= s.returnedAt+slowStart {
 		return c
 	}
 	warm := float64(now-s.returnedAt) / float64(slowStart)
-	return c * max(startShare, warm)
+	return c * max(slowStartShare, warm)
 }
 
-// usable says whether new work may go there at all.
-func (s *state) usable(now clock.Millis) bool {
-	if s.Leaving || s.load.Leaving || now < s.ejectedUntil {
+// usable reports whether the endpoint may receive new requests.
+func (s *endpointState) usable(now clock.Millis) bool {
+	if s.Draining || s.load.Draining || now < s.ejectedUntil {
 		return false
 	}
 	return s.loadAt == 0 || s.load.Healthy
--- a/gateway/pkg/route/health.go
+++ b/gateway/pkg/route/health.go
@@ -7,55 +7,57 @@
 )
 
 const (
-	// fullMost bounds how long a refusal counts as "full": long enough that we
-	// don't ask again at once, short enough that a slot that frees is not wasted.
-	fullMost clock.Millis = 100
-	// firstWeight is the weight of a new sample in the moving mean of first pieces.
-	firstWeight = 0.2
-	// samplesLeast is how many first pieces an outlier verdict needs.
-	samplesLeast = 10
-	// outlierLeast is the time above the peers' median, milliseconds, below which nothing is an outlier.
-	outlierLeast = 50
-	// outlierPart is the most of a pool, as one of so many, that may be ejected as outliers.
-	outlierPart = 3
+	// maxFullDuration bounds how long an endpoint counts as full after a refusal: long enough not
+	// to retry at once, short enough that a slot that becomes free is not wasted.
+	maxFullDuration clock.Millis = 100
+	// sampleWeight is the weight of a new sample in the moving mean of the time to the first chunk.
+	sampleWeight = 0.2
+	// minSamples is the number of samples needed to judge whether an endpoint is an outlier.
+	minSamples = 10
+	// minOutlierGap is how far above the peers' median an outlier's mean must be, in milliseconds.
+	minOutlierGap = 50
+	// outlierDivisor limits outlier ejection: at most one in outlierDivisor endpoints of a pool may be ejected.
+	outlierDivisor = 3
 )
 
-// Sent tells that a request went to the endpoint.
-func (r *Router) Sent(endpoint string) {
+// RecordSent records that a request was sent to the endpoint.
+func (r *Router) RecordSent(endpoint string) {
 	if s, found := r.states[endpoint]; found {
-		s.own++
+		s.inFlight++
 	}
 }
 
-// Ended tells how an attempt ended; first is the span to its first piece, 0 when
-// there was none. It returns the reason when the endpoint is ejected for it.
-func (r *Router) Ended(now clock.Millis, endpoint string, outcome Outcome, first, retry clock.Millis) (ejected string) {
+// RecordEnd records how an attempt ended; first is the time to its first chunk, 0 when
+// there was none. It returns the ejection reason if the endpoint is ejected for it.
+func (r *Router) RecordEnd(
+	now clock.Millis, endpoint string, outcome Outcome, first, retry clock.Millis,
+) (ejected string) {
 	s, found := r.states[endpoint]
 	if !found {
 		return ""
 	}
-	s.own = max(s.own-1, 0)
+	s.inFlight = max(s.inFlight-1, 0)
 	switch outcome {
-	case OutcomeWhole:
+	case OutcomeComplete:
 		s.failures = 0
 		if s.probing {
-			s.back(now)
+			s.reinstate(now)
 		}
-		return r.sample(now, s, first)
+		return r.recordFirstChunk(now, s, first)
 	case OutcomeRefused:
-		s.fullUntil = now + min(max(retry, 1), fullMost)
+		s.fullUntil = now + min(max(retry, 1), maxFullDuration)
 		if s.probing {
-			s.back(now)
+			s.reinstate(now)
 		}
 	case OutcomeFailed:
 		s.failures++
-		if s.probing || s.failures >= r.config.Failures {
+		if s.probing || s.failures >= r.config.MaxFailures {
 			return r.eject(now, s, EjectedFailures)
 		}
-	case OutcomeDead:
+	case OutcomeUnreachable:
 		s.failures++
 		s.unreachable = true
-		return r.eject(now, s, EjectedDead)
+		return r.eject(now, s, EjectedUnreachable)
 	case OutcomeNeutral:
 	}
 	return ""
@@ -63,29 +65,30 @@
 
 // Reasons for ejections.
 const (
-	EjectedFailures = "failures"
-	EjectedDead     = "unreachable"
-	EjectedSlow     = "slow"
-	EjectedSilent   = "silent"
+	EjectedFailures     = "failures"
+	EjectedUnreachable  = "unreachable"
+	EjectedSlow         = "slow"
+	EjectedUnresponsive = "silent"
 )
 
-// eject keeps work away for a while, longer each time; then one request tries it out.
-func (r *Router) eject(now clock.Millis, s *state, reason string) string {
+// eject excludes the endpoint for a duration that doubles each time; afterwards one request probes it.
+func (r *Router) eject(now clock.Millis, s *endpointState, reason string) string {
 	if now < s.ejectedUntil {
 		return ""
 	}
-	span := min(r.config.Eject<<min(s.ejections, 20), r.config.EjectMost)
-	// Gateways that ejected together would otherwise come back together.
-	span += clock.Millis(r.config.Random.Int64N(int64(span)/4 + 1))
+	duration := min(r.config.MinEjection<<min(s.ejections, 20), r.config.MaxEjection)
+	// Jitter: gateways that ejected the endpoint together would otherwise all return to it together.
+	duration += clock.Millis(r.config.Random.Int64N(int64(duration)/4 + 1))
 	s.ejections++
-	s.ejectedUntil = now + span
+	s.ejectedUntil = now + duration
 	s.probing = true
 	s.failures = 0
-	s.first, s.samples = 0, 0
+	s.firstChunkMean, s.samples = 0, 0
 	return reason
 }
 
-func (s *state) back(now clock.Millis) {
+// reinstate ends the ejection and begins the slow start.
+func (s *endpointState) reinstate(now clock.Millis) {
 	s.probing = false
 	s.unreachable = false
 	s.ejectedUntil = 0
@@ -93,89 +96,92 @@
 	s.failures = 0
 }
 
-// sample takes a time to the first piece, and ejects an endpoint whose engine
-// answers, but far later than its peers: one that says it is idle and is not.
-func (r *Router) sample(now clock.Millis, s *state, first clock.Millis) string {
+// recordFirstChunk records a time to the first chunk. It ejects an endpoint that answers far
+// later than its peers, for example one that reports itself idle while it is busy.
+func (r *Router) recordFirstChunk(now clock.Millis, s *endpointState, first clock.Millis) string {
 	if first <= 0 {
 		return ""
 	}
 	s.samples++
 	if s.samples == 1 {
-		s.first = float64(first)
+		s.firstChunkMean = float64(first)
 	}
-	s.first += firstWeight * (float64(first) - s.first)
-	if s.samples > samplesLeast*10 && s.ejections > 0 {
-		s.ejections, s.samples = 0, samplesLeast
+	s.firstChunkMean += sampleWeight * (float64(first) - s.firstChunkMean)
+	if s.samples > minSamples*10 && s.ejections > 0 {
+		s.ejections, s.samples = 0, minSamples
 	}
-	if r.config.Outlier == 0 || s.samples < samplesLeast {
+	if r.config.OutlierFactor == 0 || s.samples < minSamples {
 		return ""
 	}
 	median, enough := r.peersMedian(now, s)
-	if !enough || s.first < median*r.config.Outlier || s.first < median+outlierLeast {
+	if !enough || s.firstChunkMean < median*r.config.OutlierFactor || s.firstChunkMean < median+minOutlierGap {
 		return ""
 	}
 	return r.eject(now, s, EjectedSlow)
 }
 
-func (r *Router) peersMedian(now clock.Millis, s *state) (median float64, enough bool) {
-	var pool []*state
+// peersMedian returns the median of the peers' times to the first chunk; enough is false when too
+// few peers have samples or too many endpoints of the pool are ejected.
+func (r *Router) peersMedian(now clock.Millis, s *endpointState) (median float64, enough bool) {
+	var pool []*endpointState
 	for _, p := range r.pools {
 		if slices.Contains(p, s) {
 			pool = p
 		}
 	}
 	var means []float64
-	away := 0
+	ejected := 0
 	for _, p := range pool {
 		if now < p.ejectedUntil {
-			away++
+			ejected++
 		}
-		if p != s && p.samples >= samplesLeast {
-			means = append(means, p.first)
+		if p != s && p.samples >= minSamples {
+			means = append(means, p.firstChunkMean)
 		}
 	}
-	// If many are slow, the fleet is; ejecting would take its rest away.
-	if len(means) < 2 || (away+1)*outlierPart > len(pool) {
+	// If many endpoints are slow, the whole fleet is; ejections would remove the remaining capacity.
+	if len(means) < 2 || (ejected+1)*outlierDivisor > len(pool) {
 		return 0, false
 	}
 	slices.Sort(means)
 	return means[len(means)/2], true
 }
 
-// Reported takes a load that an endpoint told, on a frame or when asked.
-func (r *Router) Reported(now clock.Millis, endpoint string, load Load) {
+// RecordLoad records a load that an endpoint reported in a frame or in answer to a poll.
+func (r *Router) RecordLoad(now clock.Millis, endpoint string, load Load) {
 	s, found := r.states[endpoint]
 	if !found {
 		return
 	}
 	s.load = load
 	s.loadAt = now
-	s.ownThen = s.own
-	// Never sooner than Due put it: the answer to a poll would undo its span.
-	s.nextPoll = max(s.nextPoll, now+r.config.Report)
+	s.inFlightAtLoad = s.inFlight
+	// Never earlier than DuePolls scheduled it: the answer to a poll would undo the stretched interval.
+	s.nextPoll = max(s.nextPoll, now+r.config.PollInterval)
 }
 
-// Polled takes the outcome of asking for a load. An answer brings back an
-// endpoint that was only out of reach; silence counts as a failure.
-func (r *Router) Polled(now clock.Millis, endpoint string, load *Load) (ejected string) {
+// RecordPoll records the result of a poll; load is nil when there was no answer. An answer
+// reinstates an endpoint that was ejected as unreachable. It returns the ejection reason if the
+// endpoint is ejected for missed polls.
+func (r *Router) RecordPoll(now clock.Millis, endpoint string, load *Load) (ejected string) {
 	s, found := r.states[endpoint]
 	if !found {
 		return ""
 	}
 	if load != nil {
-		s.silent = 0
+		s.missedPolls = 0
 		if s.unreachable && s.probing {
-			s.back(now)
+			s.reinstate(now)
 		}
-		r.Reported(now, endpoint, *load)
+		r.RecordLoad(now, endpoint, *load)
 		return ""
 	}
-	s.silent++
-	// Whether it is gone has to be known soon, however long its service's span is.
-	s.nextPoll = now + r.config.Report
-	if s.silent >= r.config.Failures {
+	s.missedPolls++
+	// Repeat the poll soon, however long the service's poll interval is, to detect a lost endpoint quickly.
+	s.nextPoll = now + r.config.PollInterval
+	if s.missedPolls >= r.config.MaxFailures {
 		s.unreachable = true
-		return r.eject(now, s, EjectedSilent)
+		return r.eject(now, s, EjectedUnresponsive)
 	}
 	return ""
 }
--- a/gateway/pkg/route/policy_bench_test.go
+++ b/gateway/pkg/route/policy_bench_test.go
@@ -10,42 +10,42 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// Constants of the bench's world. They are round numbers near the stand-in
-// engine's; only ratios between policies in one run mean anything.
+// Parameters of the simulation. They are round numbers close to the stand-in engine's; only
+// ratios between policies in one run are meaningful.
 const (
-	benchSlots    = 8
-	benchService  = 400 // mean time of a request in its slot, milliseconds
-	benchCold     = 150 // added when the prompt's prefix is not cached
-	benchPrefixes = 200
-	benchCache    = 24 // prefixes that an endpoint keeps
-	benchGateways = 4
-	benchRequests = 20_000
-	benchUse      = 0.8
+	benchSlots       = 8
+	benchServiceTime = 400 // mean time of a request in its slot, in milliseconds
+	benchColdPenalty = 150 // milliseconds added when the prompt's prefix is not cached
+	benchPrefixes    = 200
+	benchCacheSize   = 24 // prefixes that an endpoint caches
+	benchGateways    = 4
+	benchRequests    = 20_000
+	benchUtilization = 0.8
 )
 
 type benchCase struct {
-	endpoints int
-	report    clock.Millis
-	// slow makes the first endpoint four times slower; lies makes it say it is idle as well.
-	slow, lies bool
+	endpoints    int
+	pollInterval clock.Millis
+	// slow makes the first endpoint four times slower; reportsIdle also makes it report itself as idle.
+	slow, reportsIdle bool
 }
 
-// benchEndpoint is an engine with slots, a queue and a small cache of prefixes.
+// benchEndpoint simulates an engine with slots, a queue and a small prefix cache.
 type benchEndpoint struct {
-	running int
-	queue   []*benchRequest
-	cache   []uint64
-	pace    float64
-	lies    bool
+	running     int
+	queue       []*benchRequest
+	cache       []uint64
+	slowdown    float64
+	reportsIdle bool
 }
 
 type benchRequest struct {
-	gateway  int
-	endpoint string
-	prefix   uint64
-	arrived  clock.Millis
-	first    clock.Millis
-	work     float64
+	gateway      int
+	endpoint     string
+	prefix       uint64
+	arrivedAt    clock.Millis
+	firstChunkAt clock.Millis
+	work         float64
 }
 
 type benchEvent struct {
@@ -69,111 +69,111 @@
 	return last
 }
 
-type benchWorld struct {
-	random    *rand.Rand
-	events    benchQueue
-	routers   []*Router
-	endpoints map[string]*benchEndpoint
-	order     int
-	firsts    []clock.Millis
-	warm      int
+type benchSimulation struct {
+	random          *rand.Rand
+	events          benchQueue
+	routers         []*Router
+	endpoints       map[string]*benchEndpoint
+	order           int
+	firstChunkTimes []clock.Millis
+	cacheHits       int
 }
 
-func (w *benchWorld) push(e benchEvent) {
-	w.order++
-	e.order = w.order
-	heap.Push(&w.events, e)
+func (s *benchSimulation) push(e benchEvent) {
+	s.order++
+	e.order = s.order
+	heap.Push(&s.events, e)
 }
 
 func (e *benchEndpoint) load() Load {
-	if e.lies {
+	if e.reportsIdle {
 		return Load{Slots: benchSlots, Healthy: true}
 	}
 	return Load{Slots: benchSlots, Healthy: true, Running: e.running, Queued: len(e.queue)}
 }
 
-// begin takes the next request into a free slot.
-func (w *benchWorld) begin(now clock.Millis, name string) {
-	e := w.endpoints[name]
+// startQueued starts queued requests while the endpoint has free slots.
+func (s *benchSimulation) startQueued(now clock.Millis, name string) {
+	e := s.endpoints[name]
 	for e.running < benchSlots && len(e.queue) > 0 {
 		r := e.queue[0]
 		e.queue = e.queue[1:]
 		e.running++
-		cold := benchCold * e.pace
+		coldPenalty := benchColdPenalty * e.slowdown
 		if at := slices.Index(e.cache, r.prefix); at >= 0 {
 			e.cache = slices.Delete(e.cache, at, at+1)
-			cold = 0
-			w.warm++
+			coldPenalty = 0
+			s.cacheHits++
 		}
 		e.cache = append(e.cache, r.prefix)
-		if len(e.cache) > benchCache {
+		if len(e.cache) > benchCacheSize {
 			e.cache = e.cache[1:]
 		}
-		r.first = now + clock.Millis(cold+30*e.pace)
-		w.push(benchEvent{at: now + clock.Millis(cold+r.work*e.pace) + 1, request: r, done: true})
+		r.firstChunkAt = now + clock.Millis(coldPenalty+30*e.slowdown)
+		s.push(benchEvent{at: now + clock.Millis(coldPenalty+r.work*e.slowdown) + 1, request: r, done: true})
 	}
 }
 
-func (w *benchWorld) arrive(now clock.Millis, r *benchRequest) {
-	router := w.routers[r.gateway]
-	for _, name := range router.Due(now) {
-		load := w.endpoints[name].load()
-		router.Polled(now, name, &load)
+func (s *benchSimulation) arrive(now clock.Millis, r *benchRequest) {
+	router := s.routers[r.gateway]
+	for _, name := range router.DuePolls(now) {
+		load := s.endpoints[name].load()
+		router.RecordPoll(now, name, &load)
 	}
-	choice := router.Choose(now, Ask{Service: service, Budget: 1 << 40, Idempotent: true, Prefix: r.prefix})
+	choice := router.Choose(now, Request{Service: service, Budget: 1 << 40, Idempotent: true, Prefix: r.prefix})
 	r.endpoint = choice.Endpoint
-	router.Sent(r.endpoint)
-	w.endpoints[r.endpoint].queue = append(w.endpoints[r.endpoint].queue, r)
-	w.begin(now, r.endpoint)
+	router.RecordSent(r.endpoint)
+	s.endpoints[r.endpoint].queue = append(s.endpoints[r.endpoint].queue, r)
+	s.startQueued(now, r.endpoint)
 }
 
-func (w *benchWorld) end(now clock.Millis, r *benchRequest) {
-	e := w.endpoints[r.endpoint]
+func (s *benchSimulation) end(now clock.Millis, r *benchRequest) {
+	e := s.endpoints[r.endpoint]
 	e.running--
-	w.firsts = append(w.firsts, r.first-r.arrived)
-	w.routers[r.gateway].Ended(now, r.endpoint, OutcomeWhole, r.first-r.arrived, 0)
-	w.routers[r.gateway].Reported(now, r.endpoint, e.load())
-	w.begin(now, r.endpoint)
+	s.firstChunkTimes = append(s.firstChunkTimes, r.firstChunkAt-r.arrivedAt)
+	s.routers[r.gateway].RecordEnd(now, r.endpoint, OutcomeComplete, r.firstChunkAt-r.arrivedAt, 0)
+	s.routers[r.gateway].RecordLoad(now, r.endpoint, e.load())
+	s.startQueued(now, r.endpoint)
 }
 
-func runPolicy(policy Policy, c benchCase, seed uint64) *benchWorld {
-	w := &benchWorld{random: rand.New(rand.NewPCG(seed, 1)), endpoints: map[string]*benchEndpoint{}}
-	list := fleet(c.endpoints)
+func runPolicy(policy Policy, c benchCase, seed uint64) *benchSimulation {
+	s := &benchSimulation{random: rand.New(rand.NewPCG(seed, 1)), endpoints: map[string]*benchEndpoint{}}
+	list := newEndpoints(c.endpoints)
 	for i, e := range list {
-		w.endpoints[e.Name] = &benchEndpoint{pace: 1, lies: c.lies && i == 0}
-		if (c.slow || c.lies) && i == 0 {
-			w.endpoints[e.Name].pace = 4
+		s.endpoints[e.Name] = &benchEndpoint{slowdown: 1, reportsIdle: c.reportsIdle && i == 0}
+		if (c.slow || c.reportsIdle) && i == 0 {
+			s.endpoints[e.Name].slowdown = 4
 		}
 	}
 	for g := range benchGateways {
 		r := newRouter(policy)
 		r.config.Random = rand.New(rand.NewPCG(seed, uint64(g+2)))
-		r.config.Report = c.report
+		r.config.PollInterval = c.pollInterval
 		r.SetEndpoints(service, list)
-		w.routers = append(w.routers, r)
+		s.routers = append(s.routers, r)
 	}
-	gap := float64(benchService+benchCold/2) / (benchUse * float64(c.endpoints*benchSlots))
+	gap := float64(benchServiceTime+benchColdPenalty/2) / (benchUtilization * float64(c.endpoints*benchSlots))
 	at := 1_000.0
 	for range benchRequests {
-		at += w.random.ExpFloat64() * gap
-		prefix := uint64(min(w.random.ExpFloat64()/4, 1)*benchPrefixes) + 1
-		w.push(benchEvent{at: clock.Millis(at), request: &benchRequest{
-			gateway: w.random.IntN(benchGateways), prefix: prefix * 7_919, arrived: clock.Millis(at), work: w.random.ExpFloat64() * benchService,
+		at += s.random.ExpFloat64() * gap
+		prefix := uint64(min(s.random.ExpFloat64()/4, 1)*benchPrefixes) + 1
+		s.push(benchEvent{at: clock.Millis(at), request: &benchRequest{
+			gateway: s.random.IntN(benchGateways), prefix: prefix * 7_919, arrivedAt: clock.Millis(at), work: s.random.ExpFloat64() * benchServiceTime,
 		}})
 	}
-	for w.events.Len() > 0 {
-		e := heap.Pop(&w.events).(benchEvent)
+	for s.events.Len() > 0 {
+		e := heap.Pop(&s.events).(benchEvent)
 		if e.done {
-			w.end(e.at, e.request)
+			s.end(e.at, e.request)
 		} else {
-			w.arrive(e.at, e.request)
+			s.arrive(e.at, e.request)
 		}
 	}
-	slices.Sort(w.firsts)
-	return w
+	slices.Sort(s.firstChunkTimes)
+	return s
 }
 
-// BenchmarkPolicies compares ours with the baselines in one world, in virtual time.
+// BenchmarkPolicies compares the default policy with the baselines in a simulation in virtual time.
 func BenchmarkPolicies(b *testing.B) {
 	cases := []benchCase{
 		{4, 500, false, false},
@@ -185,14 +185,14 @@
 		{12, 500, true, true},
 	}
 	for _, c := range cases {
-		for _, policy := range []Policy{PolicyRandom, PolicyLeast, PolicyTwo, PolicyAffinity, PolicyOurs} {
-			b.Run(fmt.Sprintf("n=%d/report=%d/slow=%v/lies=%v/%s", c.endpoints, c.report, c.slow, c.lies, policy), func(b *testing.B) {
+		for _, policy := range []Policy{PolicyRandom, PolicyLeastLoaded, PolicyTwoChoices, PolicyAffinity, PolicyDefault} {
+			b.Run(fmt.Sprintf("n=%d/report=%d/slow=%v/lies=%v/%s", c.endpoints, c.pollInterval, c.slow, c.reportsIdle, policy), func(b *testing.B) {
 				var p50, p99, warm float64
 				for i := range b.N {
-					w := runPolicy(policy, c, uint64(i+1))
-					p50 += float64(w.firsts[len(w.firsts)/2])
-					p99 += float64(w.firsts[len(w.firsts)*99/100])
-					warm += float64(w.warm) / benchRequests
+					s := runPolicy(policy, c, uint64(i+1))
+					p50 += float64(s.firstChunkTimes[len(s.firstChunkTimes)/2])
+					p99 += float64(s.firstChunkTimes[len(s.firstChunkTimes)*99/100])
+					warm += float64(s.cacheHits) / benchRequests
 				}
 				b.ReportMetric(p50/float64(b.N), "p50-ms")
 				b.ReportMetric(p99/float64(b.N), "p99-ms")
@@ -202,15 +202,15 @@
 	}
 }
 
-// BenchmarkChoose is the cost of one choice in a subset of the usual size.
+// BenchmarkChoose measures the cost of one choice in a subset of the usual size.
 func BenchmarkChoose(b *testing.B) {
-	r := newRouter(PolicyOurs)
-	r.SetEndpoints(service, fleet(40))
-	a := ask()
+	r := newRouter(PolicyDefault)
+	r.SetEndpoints(service, newEndpoints(40))
+	request := newRequest()
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		a.Prefix = uint64(i + 1)
-		r.Choose(1_000, a)
+		request.Prefix = uint64(i + 1)
+		r.Choose(1_000, request)
 	}
 }
--- a/gateway/pkg/route/reports.go
+++ b/gateway/pkg/route/reports.go
@@ -7,50 +7,51 @@
 )
 
 const (
-	// idleAfter is how long after its last request a service counts as idle here, a span.
+	// idleAfter is the time after its last request at this gateway from which a service counts as idle.
 	idleAfter clock.Millis = 10_000
-	// idleFactor stretches the age of reports of an idle service's endpoints.
-	idleFactor = 10
-	second     = 1_000
+	// idleFactor is the factor by which the poll interval of an idle service is longer.
+	idleFactor      = 10
+	millisPerSecond = 1_000
 )
 
-// wanted notes a request for a service. The first one after an idle time makes
-// its endpoints' reports due soon: they are old by then.
-func (r *Router) wanted(now clock.Millis, service string) {
-	last, before := r.asked[service]
-	r.asked[service] = now
-	if before && now-last < idleAfter {
+// recordRequest records a request for a service. The first request after an idle time makes
+// the polls of its endpoints due soon, because their load reports are old by then.
+func (r *Router) recordRequest(now clock.Millis, service string) {
+	last, found := r.requestedAt[service]
+	r.requestedAt[service] = now
+	if found && now-last < idleAfter {
 		return
 	}
 	for _, s := range r.pools[service] {
-		s.nextPoll = min(s.nextPoll, now+r.jitter(r.config.Report))
+		s.nextPoll = min(s.nextPoll, now+r.jitter(r.config.PollInterval))
 	}
 }
 
+// idle reports whether the service had no request at this gateway for idleAfter.
 func (r *Router) idle(now clock.Millis, service string) bool {
-	last, before := r.asked[service]
-	return !before || now-last >= idleAfter
+	last, found := r.requestedAt[service]
+	return !found || now-last >= idleAfter
 }
 
-// Due returns the endpoints whose load is too old and marks them as asked. The
-// spread keeps many gateways from asking one endpoint in the same moment.
+// DuePolls returns the endpoints whose load report is too old and schedules their next polls.
+// Jitter keeps many gateways from polling one endpoint at the same time.
 //
-// What a gateway spends on reports would grow with services times endpoints: 14
-// services of 40 endpoints asked twice a second are 1,120 calls. So idle
-// services are asked seldom, and all spans are stretched together to keep
-// Reports. That is enough because loads also come with every answer, and a
-// choice between two stays good with reports that are seconds old.
-func (r *Router) Due(now clock.Millis) []string {
-	stretch := r.stretch(now)
+// The number of polls would grow with services times endpoints: 14 services of 40 endpoints
+// polled twice a second are 1,120 calls a second. So idle services are polled less often, and
+// all intervals are stretched together to stay below MaxPollRate. That is enough because
+// loads also come with every answer, and a choice between two random endpoints stays good with
+// reports that are seconds old.
+func (r *Router) DuePolls(now clock.Millis) []string {
+	factor := r.intervalFactor(now)
 	var due []string
-	// In the services' order, so that the same history draws the same spreads.
+	// Iterate in a fixed order, so that the same history draws the same jitter.
 	for _, service := range r.Services() {
-		span := clock.Millis(float64(r.span(now, service)) * stretch)
+		interval := clock.Millis(float64(r.pollInterval(now, service)) * factor)
 		for _, s := range r.pools[service] {
 			if now < s.nextPoll {
 				continue
 			}
-			s.nextPoll = now + span + r.jitter(span)/2
+			s.nextPoll = now + interval + r.jitter(interval)/2
 			due = append(due, s.Name)
 		}
 	}
@@ -58,22 +59,24 @@
 	return due
 }
 
-func (r *Router) span(now clock.Millis, service string) clock.Millis {
+// pollInterval returns the service's poll interval before stretching.
+func (r *Router) pollInterval(now clock.Millis, service string) clock.Millis {
 	if r.idle(now, service) {
-		return r.config.Report * idleFactor
+		return r.config.PollInterval * idleFactor
 	}
-	return r.config.Report
+	return r.config.PollInterval
 }
 
-// stretch is the factor by which spans grow so that no more than Reports are due in a second.
-func (r *Router) stretch(now clock.Millis) float64 {
+// intervalFactor returns the factor that stretches poll intervals so that at most MaxPollRate
+// polls are due in a second.
+func (r *Router) intervalFactor(now clock.Millis) float64 {
 	rate := 0.0
 	for service, pool := range r.pools {
-		rate += float64(len(pool)) * second / float64(r.span(now, service))
+		rate += float64(len(pool)) * millisPerSecond / float64(r.pollInterval(now, service))
 	}
-	return max(1, rate/float64(r.config.Reports))
+	return max(1, rate/float64(r.config.MaxPollRate))
 }
 
-func (r *Router) jitter(span clock.Millis) clock.Millis {
-	return clock.Millis(r.config.Random.Int64N(int64(span) + 1))
+func (r *Router) jitter(interval clock.Millis) clock.Millis {
+	return clock.Millis(r.config.Random.Int64N(int64(interval) + 1))
 }
--- a/gateway/pkg/route/router.go
+++ b/gateway/pkg/route/router.go
@@ -1,6 +1,6 @@
-// Package route decides which endpoint gets a request. It knows endpoints from
-// what they say of themselves, which is stale, and from what became of the
-// requests sent there, which is not. It is a plain state machine.
+// Package route decides which endpoint gets a request. It uses the loads that endpoints report,
+// which may be stale, and the outcomes of the gateway's own requests, which are current. The
+// router is a state machine without I/O.
 package route
 
 import (
@@ -13,65 +13,69 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// Policy names a way of choosing.
+// Policy names a way to select endpoints.
 type Policy string
 
-// Policies; all but the first are baselines to measure against.
+// Policies. All but PolicyDefault are baselines for comparisons.
 const (
-	PolicyOurs     Policy = "ours"
-	PolicyRandom   Policy = "random"
-	PolicyLeast    Policy = "least"
-	PolicyTwo      Policy = "two"
-	PolicyAffinity Policy = "affinity"
+	PolicyDefault     Policy = "ours"
+	PolicyRandom      Policy = "random"
+	PolicyLeastLoaded Policy = "least"
+	PolicyTwoChoices  Policy = "two"
+	PolicyAffinity    Policy = "affinity"
 )
 
 // Config describes a router.
 type Config struct {
 	Gateway string
 	Policy  Policy
-	// Subset is the most endpoints of a service that are used.
-	Subset int
-	// Bound is the load above the mean up to which a prompt's preferred endpoint is kept.
-	Bound float64
-	// Failures in a row that eject.
-	Failures int
-	// Eject is the first ejection, EjectMost the longest, spans.
-	Eject     clock.Millis
-	EjectMost clock.Millis
-	// Outlier ejects above this factor of the peers' median time to the first piece; 0 is off.
-	Outlier float64
-	// SlowStart is the span over which a returning endpoint gets its full share.
+	// SubsetSize is the maximum number of endpoints of a service that the gateway uses.
+	SubsetSize int
+	// LoadBound is the multiple of the mean load up to which a prompt's preferred endpoint is used.
+	LoadBound float64
+	// MaxFailures is the number of consecutive failures that eject an endpoint.
+	MaxFailures int
+	// MinEjection is the duration of the first ejection; it doubles up to MaxEjection.
+	MinEjection clock.Millis
+	MaxEjection clock.Millis
+	// OutlierFactor is the multiple of the peers' median time to the first chunk from which an
+	// endpoint is ejected; 0 disables it.
+	OutlierFactor float64
+	// SlowStart is the time over which a returning endpoint ramps up to its full share.
 	SlowStart clock.Millis
-	// Report is the age of a load at which it is asked for again, a span.
-	Report clock.Millis
-	// Reports is the most loads asked for in a second, over all services.
-	Reports int
-	Random  *rand.Rand
+	// PollInterval is the age of a load report at which the endpoint is polled.
+	PollInterval clock.Millis
+	// MaxPollRate is the maximum number of polls a second over all services.
+	MaxPollRate int
+	Random      *rand.Rand
 }
 
-// Router holds the endpoints that one gateway uses. It is not safe for concurrent use.
+// Router holds the state of the endpoints that one gateway uses. It is not safe for concurrent use.
 type Router struct {
 	config Config
-	states map[string]*state
-	pools  map[string][]*state
-	// asked is when a service was last asked for, for its reports.
-	asked map[string]clock.Millis
+	states map[string]*endpointState
+	pools  map[string][]*endpointState
+	// requestedAt is the time of the last request for each service.
+	requestedAt map[string]clock.Millis
 }
 
-// New makes a router without endpoints.
+// New returns a router without endpoints.
 func New(config Config) *Router {
-	return &Router{config: config, states: map[string]*state{}, pools: map[string][]*state{}, asked: map[string]clock.Millis{}}
+	return &Router{
+		config: config, states: map[string]*endpointState{}, pools: map[string][]*endpointState{},
+		requestedAt: map[string]clock.Millis{},
+	}
 }
 
-// SetEndpoints replaces the endpoints of one service. What is known of one that
-// stays is kept, unless it is a new process.
+// SetEndpoints replaces the endpoints of one service. An endpoint that stays retains its
+// state, unless its incarnation or address changed.
 func (r *Router) SetEndpoints(service string, endpoints []Endpoint) {
 	before := r.pools[service]
-	var pool []*state
-	for _, e := range Subset(r.config.Gateway, endpoints, r.config.Subset) {
+	var pool []*endpointState
+	for _, e := range Subset(r.config.Gateway, endpoints, r.config.SubsetSize) {
 		s, found := r.states[e.Name]
 		if !found || s.Incarnation != e.Incarnation || s.Address != e.Address {
-			s = &state{hash: xxhash.Sum64String(e.Name)}
+			s = &endpointState{hash: xxhash.Sum64String(e.Name)}
 			r.states[e.Name] = s
 		}
 		s.Endpoint = e
@@ -85,7 +89,7 @@
 	}
 }
 
-// Services returns the services that have a pool, by name.
+// Services returns the names of the services that have a pool, sorted.
 func (r *Router) Services() []string {
 	var names []string
 	for name := range r.pools {
@@ -95,7 +99,7 @@
 	return names
 }
 
-// Address is where an endpoint's sidecar listens; false when it is not used.
+// Address returns the address of an endpoint's sidecar, and false when this gateway does not use the endpoint.
 func (r *Router) Address(endpoint string) (string, bool) {
 	s, found := r.states[endpoint]
 	if !found {
@@ -104,7 +108,7 @@
 	return s.Address, true
 }
 
-// Addresses of all endpoints that are used.
+// Addresses returns the sidecar addresses of all endpoints that this gateway uses.
 func (r *Router) Addresses() map[string]bool {
 	used := make(map[string]bool, len(r.states))
 	for _, s := range r.states {
@@ -113,32 +117,32 @@
 	return used
 }
 
-// Subset picks the endpoints that one gateway uses, of each data centre its
-// part. Every gateway and every endpoint of a large fleet would otherwise hold
-// a connection and exchange reports. Rendezvous hashing spreads the choices
-// evenly, and one endpoint's coming or going moves only the gateways it has.
+// Subset selects the endpoints that one gateway uses, from each data centre in proportion to its
+// endpoints. Otherwise every gateway of a large fleet would have a connection to every endpoint
+// and poll it. Rendezvous hashing spreads the selection evenly, and an endpoint that is added
+// or removed affects only the gateways that use it.
 func Subset(gateway string, endpoints []Endpoint, size int) []Endpoint {
 	if len(endpoints) <= size {
 		return endpoints
 	}
 	salt := xxhash.Sum64String(gateway)
-	centres := map[string][]Endpoint{}
+	byDataCentre := map[string][]Endpoint{}
 	for _, e := range endpoints {
-		centres[e.DataCentre] = append(centres[e.DataCentre], e)
+		byDataCentre[e.DataCentre] = append(byDataCentre[e.DataCentre], e)
 	}
-	var chosen []Endpoint
-	for _, group := range centres {
+	var selected []Endpoint
+	for _, group := range byDataCentre {
 		share := (size*len(group) + len(endpoints) - 1) / len(endpoints)
 		slices.SortFunc(group, func(a, b Endpoint) int {
 			return compare(mix(salt, xxhash.Sum64String(b.Name)), mix(salt, xxhash.Sum64String(a.Name)))
 		})
-		chosen = append(chosen, group[:min(share, len(group))]...)
+		selected = append(selected, group[:min(share, len(group))]...)
 	}
-	slices.SortFunc(chosen, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
-	return chosen
+	slices.SortFunc(selected, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
+	return selected
 }
 
-// mix joins two hashes into one that is spread evenly.
+// mix combines two hashes into an evenly distributed one.
 func mix(a, b uint64) uint64 {
 	x := a ^ (b * 0x9e3779b97f4a7c15)
 	x ^= x >> 30
--- a/gateway/pkg/route/router_test.go
+++ b/gateway/pkg/route/router_test.go
@@ -15,8 +15,8 @@
 
 func testConfig() Config {
 	return Config{
-		Gateway: "g1", Policy: PolicyOurs, Subset: 40, Bound: 1.25, Failures: 3, Eject: 1_000, EjectMost: 60_000,
-		Outlier: 4, SlowStart: 10_000, Report: 500, Reports: 100, Random: rand.New(rand.NewPCG(1, 2)),
+		Gateway: "g1", Policy: PolicyDefault, SubsetSize: 40, LoadBound: 1.25, MaxFailures: 3, MinEjection: 1_000, MaxEjection: 60_000,
+		OutlierFactor: 4, SlowStart: 10_000, PollInterval: 500, MaxPollRate: 100, Random: rand.New(rand.NewPCG(1, 2)),
 	}
 }
 
@@ -26,7 +26,7 @@
 	return New(config)
 }
 
-func fleet(count int) []Endpoint {
+func newEndpoints(count int) []Endpoint {
 	var list []Endpoint
 	for i := range count {
 		list = append(list, Endpoint{
@@ -36,236 +36,236 @@
 	return list
 }
 
-func ask() Ask {
-	return Ask{Service: service, Budget: 60_000, Idempotent: true}
+func newRequest() Request {
+	return Request{Service: service, Budget: 60_000, Idempotent: true}
 }
 
-func idle() Load {
+func idleLoad() Load {
 	return Load{Slots: 8, Healthy: true}
 }
 
-// What the endpoints say and do comes in any order. Whoever is chosen must be in
-// the service's pool, allowed by the contract, not tried before and not leaving;
-// and one that is ejected is chosen only when no other may be.
-func TestRapidChoices(t *testing.T) {
+// Endpoints report loads, end attempts and miss polls in any order. A selected endpoint must be
+// in the service's pool, not tried before and not draining. An ejected endpoint is selected only
+// as a last resort.
+func TestRapidChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		policies := []Policy{PolicyOurs, PolicyRandom, PolicyLeast, PolicyTwo, PolicyAffinity}
+		policies := []Policy{PolicyDefault, PolicyRandom, PolicyLeastLoaded, PolicyTwoChoices, PolicyAffinity}
 		r := newRouter(rapid.SampledFrom(policies).Draw(t, "policy"))
-		endpoints := fleet(rapid.IntRange(1, 5).Draw(t, "endpoints"))
+		endpoints := newEndpoints(rapid.IntRange(1, 5).Draw(t, "endpoints"))
 		r.SetEndpoints(service, endpoints)
 		now := clock.Millis(1_000)
-		leaving, own := map[string]bool{}, map[string]int{}
+		draining, sent := map[string]bool{}, map[string]int{}
 		name := rapid.Custom(func(t *rapid.T) string { return endpoints[rapid.IntRange(0, len(endpoints)-1).Draw(t, "i")].Name })
 		t.Repeat(map[string]func(*rapid.T){
 			"choose": func(t *rapid.T) {
-				a := ask()
-				a.Prefix = uint64(rapid.IntRange(0, 3).Draw(t, "prefix"))
-				a.Idempotent = rapid.Bool().Draw(t, "idempotent")
-				a.Tried = rapid.SliceOfN(name, 0, 2).Draw(t, "tried")
-				c := r.Choose(now, a)
+				request := newRequest()
+				request.Prefix = uint64(rapid.IntRange(0, 3).Draw(t, "prefix"))
+				request.Idempotent = rapid.Bool().Draw(t, "idempotent")
+				request.Tried = rapid.SliceOfN(name, 0, 2).Draw(t, "tried")
+				c := r.Choose(now, request)
 				if c.Endpoint == "" {
-					if c.Reason == "" || c.Retry <= 0 {
-						t.Fatalf("no reason or no time to come back: %+v", c)
+					if c.Reason == "" || c.RetryAfter <= 0 {
+						t.Fatalf("refused without a reason or a retry delay: %+v", c)
 					}
 					return
 				}
-				for _, tried := range a.Tried {
+				for _, tried := range request.Tried {
 					if tried == c.Endpoint {
-						t.Fatalf("%s was tried already", tried)
+						t.Fatalf("selected %s, which was already tried", tried)
 					}
 				}
-				if leaving[c.Endpoint] {
-					t.Fatalf("%s is leaving", c.Endpoint)
+				if draining[c.Endpoint] {
+					t.Fatalf("selected %s, which is draining", c.Endpoint)
 				}
-				if now < r.states[c.Endpoint].ejectedUntil && c.Why != WhyLast {
-					t.Fatalf("%s is ejected", c.Endpoint)
+				if now < r.states[c.Endpoint].ejectedUntil && c.Rule != RuleAllEjected {
+					t.Fatalf("selected %s, which is ejected", c.Endpoint)
 				}
-				r.Sent(c.Endpoint)
-				own[c.Endpoint]++
+				r.RecordSent(c.Endpoint)
+				sent[c.Endpoint]++
 			},
 			"ended": func(t *rapid.T) {
 				n := name.Draw(t, "endpoint")
-				if own[n] == 0 {
+				if sent[n] == 0 {
 					t.Skip()
 				}
-				own[n]--
-				outcome := Outcome(rapid.IntRange(int(OutcomeWhole), int(OutcomeNeutral)).Draw(t, "outcome"))
-				r.Ended(now, n, outcome, clock.Millis(rapid.IntRange(0, 500).Draw(t, "first")), 50)
-				if r.states[n].own != own[n] {
-					t.Fatalf("%s has %d under way, %d counted", n, own[n], r.states[n].own)
+				sent[n]--
+				outcome := Outcome(rapid.IntRange(int(OutcomeComplete), int(OutcomeNeutral)).Draw(t, "outcome"))
+				r.RecordEnd(now, n, outcome, clock.Millis(rapid.IntRange(0, 500).Draw(t, "first")), 50)
+				if r.states[n].inFlight != sent[n] {
+					t.Fatalf("%s has %d requests in flight, the router counts %d", n, sent[n], r.states[n].inFlight)
 				}
 			},
 			"reported": func(t *rapid.T) {
 				n := name.Draw(t, "endpoint")
-				l := idle()
+				l := idleLoad()
 				l.Queued = rapid.IntRange(0, 20).Draw(t, "queued")
-				l.Leaving = rapid.IntRange(0, 5).Draw(t, "leaving") == 0
-				leaving[n] = l.Leaving
-				r.Reported(now, n, l)
+				l.Draining = rapid.IntRange(0, 5).Draw(t, "leaving") == 0
+				draining[n] = l.Draining
+				r.RecordLoad(now, n, l)
 			},
-			"silent": func(t *rapid.T) { r.Polled(now, name.Draw(t, "endpoint"), nil) },
+			"silent": func(t *rapid.T) { r.RecordPoll(now, name.Draw(t, "endpoint"), nil) },
 			"time":   func(t *rapid.T) { now += clock.Millis(rapid.IntRange(1, 2_000).Draw(t, "span")) },
 		})
 	})
 }
 
-// An endpoint answers three requests with failures, then works again. Nothing
-// goes there while it is ejected; then one request tries it out; then it gets
-// little at first, since all gateways return to it in the same moment.
+// An endpoint fails three requests and then recovers. It gets no requests while it is ejected,
+// then one probe at a time, then a small share at first, because all gateways return to it at
+// about the same time.
 func TestEjectionProbeAndSlowStart(t *testing.T) {
-	r := newRouter(PolicyOurs)
-	r.SetEndpoints(service, fleet(4))
+	r := newRouter(PolicyDefault)
+	r.SetEndpoints(service, newEndpoints(4))
 	for range 3 {
-		r.Sent("e00")
-		r.Ended(1_000, "e00", OutcomeFailed, 0, 0)
+		r.RecordSent("e00")
+		r.RecordEnd(1_000, "e00", OutcomeFailed, 0, 0)
 	}
 	count := func(now clock.Millis) (chosen int) {
 		for range 200 {
-			c := r.Choose(now, ask())
-			r.Sent(c.Endpoint)
+			c := r.Choose(now, newRequest())
+			r.RecordSent(c.Endpoint)
 			if c.Endpoint == "e00" {
 				chosen++
 			}
-			r.Ended(now, c.Endpoint, OutcomeNeutral, 0, 0)
+			r.RecordEnd(now, c.Endpoint, OutcomeNeutral, 0, 0)
 		}
 		return chosen
 	}
 	require.Zero(t, count(1_900))
-	probe := r.Choose(2_300, ask())
-	require.Equal(t, Choice{Endpoint: "e00", Address: "127.0.0.1:1000", Why: WhyProbe}, probe)
-	r.Sent("e00")
-	busy := idle()
+	probe := r.Choose(2_300, newRequest())
+	require.Equal(t, Choice{Endpoint: "e00", Address: "127.0.0.1:1000", Rule: RuleProbe}, probe)
+	r.RecordSent("e00")
+	busy := idleLoad()
 	busy.Running = 4
 	for _, name := range []string{"e01", "e02", "e03"} {
-		r.Reported(2_300, name, busy)
+		r.RecordLoad(2_300, name, busy)
 	}
 	for range 100 {
-		require.NotEqual(t, "e00", r.Choose(2_300, ask()).Endpoint, "one request at a time tries it out")
+		require.NotEqual(t, "e00", r.Choose(2_300, newRequest()).Endpoint, "only one probe at a time")
 	}
-	r.Ended(2_400, "e00", OutcomeWhole, 30, 0)
+	r.RecordEnd(2_400, "e00", OutcomeComplete, 30, 0)
 	for _, name := range []string{"e01", "e02", "e03"} {
-		r.Reported(2_400, name, idle())
+		r.RecordLoad(2_400, name, idleLoad())
 	}
 	early, late := count(2_500), count(20_000)
 	require.Less(t, early, 10)
 	require.Greater(t, late, 25)
-	// A second failure right after is ejected for longer.
+	// Failures soon after the return eject the endpoint for longer.
 	for range 3 {
-		r.Sent("e00")
-		r.Ended(20_000, "e00", OutcomeFailed, 0, 0)
+		r.RecordSent("e00")
+		r.RecordEnd(20_000, "e00", OutcomeFailed, 0, 0)
 	}
 	require.Zero(t, count(21_900))
 }
 
-// One endpoint says it is idle and answers ten times later than the others. Its
-// reports would draw most of the work; its times give it away.
-func TestOutlierThatLiesIsEjected(t *testing.T) {
-	r := newRouter(PolicyOurs)
-	r.SetEndpoints(service, fleet(4))
+// One endpoint reports itself idle but answers ten times later than the others. Its reports
+// would attract most requests, so it must be ejected for its response times.
+func TestSlowOutlierIsEjected(t *testing.T) {
+	r := newRouter(PolicyDefault)
+	r.SetEndpoints(service, newEndpoints(4))
 	ejected := ""
 	for range 300 {
-		c := r.Choose(1_000, ask())
-		r.Sent(c.Endpoint)
-		r.Reported(1_000, c.Endpoint, idle())
+		c := r.Choose(1_000, newRequest())
+		r.RecordSent(c.Endpoint)
+		r.RecordLoad(1_000, c.Endpoint, idleLoad())
 		first := clock.Millis(60)
 		if c.Endpoint == "e02" {
 			first = 600
 		}
-		if reason := r.Ended(1_000, c.Endpoint, OutcomeWhole, first, 0); reason != "" {
+		if reason := r.RecordEnd(1_000, c.Endpoint, OutcomeComplete, first, 0); reason != "" {
 			ejected = c.Endpoint + " " + reason
 		}
 	}
 	require.Equal(t, "e02 slow", ejected)
 }
 
-// A frozen sidecar keeps its connections; only its silence shows. Three polls
-// without an answer eject it, and the first answered one brings it back.
-func TestSilentEndpointIsEjectedAndComesBack(t *testing.T) {
-	r := newRouter(PolicyOurs)
-	r.SetEndpoints(service, fleet(2))
-	require.Empty(t, r.Polled(1_000, "e00", nil))
-	require.Empty(t, r.Polled(1_500, "e00", nil))
-	require.Equal(t, EjectedSilent, r.Polled(2_000, "e00", nil))
+// A frozen sidecar keeps its connections open, so only missed polls reveal it. Three missed polls
+// eject it, and the first answered poll reinstates it.
+func TestUnresponsiveEndpointIsEjectedAndReturns(t *testing.T) {
+	r := newRouter(PolicyDefault)
+	r.SetEndpoints(service, newEndpoints(2))
+	require.Empty(t, r.RecordPoll(1_000, "e00", nil))
+	require.Empty(t, r.RecordPoll(1_500, "e00", nil))
+	require.Equal(t, EjectedUnresponsive, r.RecordPoll(2_000, "e00", nil))
 	for range 50 {
-		require.Equal(t, "e01", r.Choose(2_100, ask()).Endpoint)
+		require.Equal(t, "e01", r.Choose(2_100, newRequest()).Endpoint)
 	}
-	load := idle()
-	r.Polled(2_200, "e00", &load)
+	load := idleLoad()
+	r.RecordPoll(2_200, "e00", &load)
 	require.True(t, r.states["e00"].usable(2_200))
 	require.False(t, r.states["e00"].probing)
 }
 
-// A prompt's prefix stays at one endpoint while that one has room, goes to its
-// second while the first is full, and comes back.
-func TestPrefixStaysUntilItsEndpointIsFull(t *testing.T) {
-	r := newRouter(PolicyOurs)
-	r.SetEndpoints(service, fleet(6))
-	a := ask()
-	a.Prefix = 99
-	home := r.Choose(1_000, a)
-	require.Equal(t, WhyAffinity, home.Why)
+// A prompt's prefix stays at its preferred endpoint while that one has free slots, moves to the
+// second one while the first is full, and then returns.
+func TestPrefixMovesWhenItsEndpointIsFull(t *testing.T) {
+	r := newRouter(PolicyDefault)
+	r.SetEndpoints(service, newEndpoints(6))
+	request := newRequest()
+	request.Prefix = 99
+	first := r.Choose(1_000, request)
+	require.Equal(t, RuleAffinity, first.Rule)
 	for range 20 {
-		require.Equal(t, home, r.Choose(1_000, a))
+		require.Equal(t, first, r.Choose(1_000, request))
 	}
-	full := idle()
+	full := idleLoad()
 	full.Running, full.Queued = 8, 3
-	r.Reported(1_000, home.Endpoint, full)
-	second := r.Choose(1_000, a)
-	require.Equal(t, WhySecond, second.Why)
-	r.Reported(1_001, home.Endpoint, idle())
-	require.Equal(t, home, r.Choose(1_001, a))
+	r.RecordLoad(1_000, first.Endpoint, full)
+	second := r.Choose(1_000, request)
+	require.Equal(t, RuleSecondAffinity, second.Rule)
+	r.RecordLoad(1_001, first.Endpoint, idleLoad())
+	require.Equal(t, first, r.Choose(1_001, request))
 }
 
-// Everything is near in one data centre and far in another region. Work stays
-// near until the near ones are full.
-func TestNearOnesFirst(t *testing.T) {
-	r := newRouter(PolicyOurs)
-	endpoints := fleet(4)
-	endpoints[2].Near, endpoints[3].Near = 15_000, 15_000
+// Two endpoints are near and two are in another region. Requests go to the near ones until
+// those are full.
+func TestNearEndpointsArePreferred(t *testing.T) {
+	r := newRouter(PolicyDefault)
+	endpoints := newEndpoints(4)
+	endpoints[2].LatencyUS, endpoints[3].LatencyUS = 15_000, 15_000
 	r.SetEndpoints(service, endpoints)
 	for range 50 {
-		require.Contains(t, []string{"e00", "e01"}, r.Choose(1_000, ask()).Endpoint)
+		require.Contains(t, []string{"e00", "e01"}, r.Choose(1_000, newRequest()).Endpoint)
 	}
 	full := Load{Slots: 8, Healthy: true, Running: 8, Queued: 30}
-	r.Reported(1_000, "e00", full)
-	r.Reported(1_000, "e01", full)
-	require.Equal(t, WhyFar, r.Choose(1_000, ask()).Why)
+	r.RecordLoad(1_000, "e00", full)
+	r.RecordLoad(1_000, "e01", full)
+	require.Equal(t, RuleRemote, r.Choose(1_000, newRequest()).Rule)
 }
 
-// All endpoints refused a moment ago. Asking them again for every request that
-// comes would be load on top of the overload, so the answer is final and at once.
-func TestAllFullIsRefusedAtOnce(t *testing.T) {
-	r := newRouter(PolicyOurs)
-	r.SetEndpoints(service, fleet(2))
+// All endpoints have just refused a request. Sending every new request to them would add to the
+// overload, so Choose refuses at once until the retry delay has passed.
+func TestChooseRefusesWhenAllEndpointsAreFull(t *testing.T) {
+	r := newRouter(PolicyDefault)
+	r.SetEndpoints(service, newEndpoints(2))
 	for _, name := range []string{"e00", "e01"} {
-		r.Sent(name)
-		r.Ended(1_000, name, OutcomeRefused, 0, 5_000)
+		r.RecordSent(name)
+		r.RecordEnd(1_000, name, OutcomeRefused, 0, 5_000)
 	}
-	require.Equal(t, Choice{Reason: ReasonOverloaded, Retry: 50}, r.Choose(1_050, ask()))
-	require.NotEmpty(t, r.Choose(1_150, ask()).Endpoint)
+	require.Equal(t, Choice{Reason: ReasonOverloaded, RetryAfter: 50}, r.Choose(1_050, newRequest()))
+	require.NotEmpty(t, r.Choose(1_150, newRequest()).Endpoint)
 }
 
-// 380 gateways share 600 endpoints: each uses 40, every endpoint is used by
-// about as many gateways, and each data centre is in every subset.
-func TestSubsetsSpreadEvenly(t *testing.T) {
-	endpoints := fleet(600)
+// 380 gateways share 600 endpoints. Each gateway uses 40, every endpoint is used by a similar
+// number of gateways, and every subset covers all data centres.
+func TestSubsetSpreadsEndpointsEvenly(t *testing.T) {
+	endpoints := newEndpoints(600)
 	for i := range endpoints {
 		endpoints[i].Name = fmt.Sprint("e", i)
 		endpoints[i].DataCentre = fmt.Sprint("d", i%8)
 	}
-	users := map[string]int{}
+	gateways := map[string]int{}
 	for g := range 380 {
-		chosen := Subset(fmt.Sprint("g", g), endpoints, 40)
-		require.Len(t, chosen, 40)
-		centres := map[string]bool{}
-		for _, e := range chosen {
-			users[e.Name]++
-			centres[e.DataCentre] = true
+		selected := Subset(fmt.Sprint("g", g), endpoints, 40)
+		require.Len(t, selected, 40)
+		dataCentres := map[string]bool{}
+		for _, e := range selected {
+			gateways[e.Name]++
+			dataCentres[e.DataCentre] = true
 		}
-		require.Len(t, centres, 8)
+		require.Len(t, dataCentres, 8)
 	}
 	for _, e := range endpoints {
-		require.Greater(t, users[e.Name], 8)
-		require.Less(t, users[e.Name], 50)
+		require.Greater(t, gateways[e.Name], 8)
+		require.Less(t, gateways[e.Name], 50)
 	}
 }
