--- a/gateway/pkg/app/parts.go
+++ b/gateway/pkg/app/parts.go
@@ -93,7 +93,7 @@
 	r := settings.Retry
 	return online.New(online.Config{
 		Gateway: settings.Name, Clock: now, Directory: directory, Book: book, Metrics: m, Logger: logger,
-		Budget:   attempt.NewBudget(attempt.BudgetConfig{Ratio: r.Ratio, Burst: float64(r.Burst), Refused: float64(r.Refused)}),
+		Budget:   attempt.NewBudget(attempt.BudgetConfig{Ratio: r.Ratio, Burst: float64(r.Burst), RefusedBurst: float64(r.Refused)}),
 		Attempts: uint32(r.Attempts), Stall: clock.Millis(r.Stall), Held: settings.Limits.Answer,
 	})
 }
--- a/gateway/pkg/attempt/action.go
+++ b/gateway/pkg/attempt/action.go
@@ -2,68 +2,69 @@
 
 import "toucanhinge.example/common/pkg/clock"
 
-// ActionKind says what the runtime has to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// Actions that the machine asks for.
+// Actions that the machine requests.
 const (
-	// ActionChoose asks for an endpoint not yet tried (see Machine.Tried).
+	// ActionChoose requests an endpoint that was not tried yet (see Machine.Tried).
 	ActionChoose ActionKind = iota + 1
 	// ActionSend sends the attempt to the endpoint.
 	ActionSend
-	// ActionHead hands on the status and headers, to be written with the first data.
+	// ActionHead passes on the status and headers, to be written with the first data.
 	ActionHead
-	// ActionData hands one piece to the caller.
+	// ActionData passes one chunk to the caller.
 	ActionData
-	// ActionReset drops what was held back of a whole answer.
+	// ActionReset discards the buffered part of an answer.
 	ActionReset
-	// ActionFinish tells that the answer is whole.
+	// ActionFinish ends the request: the answer is complete.
 	ActionFinish
 	// ActionFail ends the request with an explicit error.
 	ActionFail
-	// ActionCancel tells the endpoint that nobody waits any more.
+	// ActionCancel cancels the attempt at its endpoint.
 	ActionCancel
-	// ActionRetried is for counters and records only: the reason of a retry.
+	// ActionRetried reports the reason of a retry, for counters and the event log only.
 	ActionRetried
-	// ActionDropped is for counters only: the reason a frame was dropped.
+	// ActionDropped reports the reason why a frame was dropped, for counters only.
 	ActionDropped
 )
 
-// Action is one thing to do; which fields count depends on the kind.
+// Action is one action for the runtime. Which fields are set depends on the kind.
 type Action struct {
 	Kind     ActionKind
 	Attempt  uint32
 	Endpoint string
-	// ResumeAfter is the last sequence number that we have of this endpoint's answer.
+	// ResumeAfter is the last sequence number received of this endpoint's answer; 0 starts the answer anew.
 	ResumeAfter uint64
-	// WithText asks to send the text so far along, since another endpoint began the answer.
-	WithText bool
-	Data     []byte
-	Status   int
-	Reason   string
-	Ran      Ran
-	Retry    clock.Millis
-	// Begun is true when part of the answer already reached the caller.
-	Begun bool
+	// WithText is true when the request must include the text so far, because another endpoint
+	// started the answer.
+	WithText   bool
+	Data       []byte
+	Status     int
+	Reason     string
+	Ran        Ran
+	RetryAfter clock.Millis
+	// Delivered is true when part of the answer was already delivered to the caller.
+	Delivered bool
 }
 
-// Reasons that the machine itself gives.
+// Reasons that the machine sets.
 const (
-	ReasonDeadline   = "deadline"
-	ReasonUnknown    = "unknown-outcome"
-	ReasonAlreadyRun = "already-run"
-	ReasonCut        = "answer-cut"
-	ReasonGone       = "caller-gone"
+	ReasonDeadline       = "deadline"
+	ReasonUnknownOutcome = "unknown-outcome"
+	ReasonAlreadyRun     = "already-run"
+	ReasonAnswerCut      = "answer-cut"
+	ReasonCallerGone     = "caller-gone"
 	// Reasons of broken attempts.
-	ReasonShort      = "short-answer"
-	ReasonMiscount   = "miscounted-answer"
-	ReasonGap        = "gap-in-answer"
-	ReasonFalse      = "false-refusal"
-	ReasonStatus     = "endpoint-status"
-	ReasonResume     = "resumed"
-	ReasonNoEndpoint = "no-endpoint"
+	ReasonShortAnswer      = "short-answer"
+	ReasonMiscountedAnswer = "miscounted-answer"
+	ReasonMissingFrame     = "gap-in-answer"
+	ReasonFalseRefusal     = "false-refusal"
+	ReasonErrorStatus      = "endpoint-status"
+	ReasonResumed          = "resumed"
+	ReasonNoEndpoint       = "no-endpoint"
 	// Reasons of dropped frames.
 	DropSuperseded = "superseded-frame"
-	DropDoubled    = "doubled-frame"
+	DropDuplicate  = "doubled-frame"
 	DropLate       = "late-frame"
 )
--- a/gateway/pkg/attempt/budget.go
+++ b/gateway/pkg/attempt/budget.go
@@ -1,60 +1,59 @@
 package attempt
 
-// Cause says why a retry is wanted.
+// Cause is the cause of a retry.
 type Cause uint8
 
 // Causes of retries.
 const (
-	// CauseRefused is a refusal that says not run: a sign of overload.
+	// CauseRefused is a refusal of a request that was not run: a sign of overload.
 	CauseRefused Cause = iota + 1
-	// CauseFailed is a failure of an endpoint or of the way to it.
+	// CauseFailed is a failure of an endpoint or of the connection to it.
 	CauseFailed
 )
 
-// refusedCost is what a retry after a refusal takes of the budget. In an
-// overload such a retry is mostly refused again, so it may make up half as much
-// of the load as retries after failures.
+// refusedCost is the cost of a retry after a refusal. During an overload such a retry is mostly
+// refused again, so these retries may add half as much load as retries after failures.
 const refusedCost = 2
 
 // BudgetConfig describes a retry budget.
 type BudgetConfig struct {
-	// Ratio is what each request earns, in retries.
+	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64
-	// Burst is the most retries saved up.
+	// Burst is the maximum number of retries that the budget accumulates.
 	Burst float64
-	// Refused is the part of the burst that refusals may spend.
-	Refused float64
+	// RefusedBurst is the part of the burst that retries after refusals may spend.
+	RefusedBurst float64
 }
 
-// Budget bounds the retries of one gateway to a share of its requests. Without
-// it each refusal of an overloaded fleet would bring more load, and the
-// overload would outlast its cause. It is not safe for concurrent use.
+// Budget limits the retries of one gateway to a share of its requests. Without it, each refusal
+// by an overloaded fleet would add load, and the overload would outlast its cause. It is not
+// safe for concurrent use.
 type Budget struct {
 	config BudgetConfig
-	level  float64
+	tokens float64
 }
 
-// NewBudget makes a budget that starts full.
+// NewBudget returns a full budget.
 func NewBudget(config BudgetConfig) *Budget {
-	return &Budget{config: config, level: config.Burst}
+	return &Budget{config: config, tokens: config.Burst}
 }
 
-// Earn notes one request.
+// Earn adds the retries that one request earns.
 func (b *Budget) Earn() {
-	b.level = min(b.level+b.config.Ratio, b.config.Burst)
+	b.tokens = min(b.tokens+b.config.Ratio, b.config.Burst)
 }
 
-// Spend takes one retry, or returns false. Refusals may not touch the part kept
-// for failures: an endpoint's death in the middle of an overload must still be
-// survived by the requests that it had.
+// Spend takes one retry from the budget and reports whether it is allowed. Refusals can't spend
+// the part reserved for failures: when an endpoint dies during an overload, its requests must
+// still be retried.
 func (b *Budget) Spend(cause Cause) bool {
-	cost, floor := 1.0, 0.0
+	cost, minLevel := 1.0, 0.0
 	if cause == CauseRefused {
-		cost, floor = refusedCost, b.config.Burst-b.config.Refused
+		cost, minLevel = refusedCost, b.config.Burst-b.config.RefusedBurst
 	}
-	if b.level-cost < floor {
+	if b.tokens-cost < minLevel {
 		return false
 	}
-	b.level -= cost
+	b.tokens -= cost
 	return true
 }
--- a/gateway/pkg/attempt/event.go
+++ b/gateway/pkg/attempt/event.go
@@ -1,57 +1,56 @@
-// Package attempt decides what becomes of one online request: when it is sent,
-// sent again, resumed, finished or given up. It is a plain state machine; the
-// runtime around it owns the connections.
+// Package attempt decides when one online request is sent, retried, resumed, finished or given
+// up. Machine is a state machine without I/O; the runtime around it owns the connections.
 package attempt
 
 import "toucanhinge.example/common/pkg/clock"
 
-// EventKind says what happened.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // Events that the runtime reports.
 const (
-	// EventStart opens the request; first of all events.
+	// EventStart starts the request. It is the first event.
 	EventStart EventKind = iota + 1
 	// EventChosen answers ActionChoose with an endpoint.
 	EventChosen
-	// EventNone answers ActionChoose when no endpoint can take the request.
-	EventNone
+	// EventNoEndpoint answers ActionChoose when no endpoint can take the request.
+	EventNoEndpoint
 	// EventFrame is one frame from an endpoint.
 	EventFrame
-	// EventBroken tells that an attempt's stream ended without its end frame.
+	// EventBroken reports that an attempt's stream ended without its end frame.
 	EventBroken
-	// EventPassed tells that pieces of a whole answer went to the caller before
-	// its end, because it outgrew what we hold back.
-	EventPassed
-	// EventTextLost tells that the text so far can't be handed to another
-	// endpoint: too long, or not only text.
+	// EventPartSent reports that part of a buffered answer was sent to the caller before its end,
+	// because the answer outgrew the buffer.
+	EventPartSent
+	// EventTextLost reports that the text so far can't be sent to another endpoint because it is
+	// too long or is not plain text only.
 	EventTextLost
-	// EventExpired tells that the caller's deadline has passed.
+	// EventExpired reports that the caller's deadline has passed.
 	EventExpired
-	// EventGone tells that the caller closed its connection.
-	EventGone
+	// EventCallerGone reports that the caller closed its connection.
+	EventCallerGone
 )
 
-// Event is one thing that happened; which fields count depends on the kind.
+// Event is one input of the machine. Which fields are set depends on the kind.
 type Event struct {
 	Kind EventKind
-	// Attempt that EventBroken speaks of.
+	// Attempt is the attempt of EventBroken.
 	Attempt uint32
-	// Endpoint that was chosen.
+	// Endpoint is the endpoint of EventChosen.
 	Endpoint string
-	// Reason of EventNone and EventBroken, machine-readable.
+	// Reason is the machine-readable reason of EventNoEndpoint and EventBroken.
 	Reason string
-	// Retry is when to come back, a span; 0 when unknown.
-	Retry clock.Millis
-	// Reached is false when the endpoint certainly got nothing of the attempt.
+	// RetryAfter is the retry delay for the caller; 0 when unknown.
+	RetryAfter clock.Millis
+	// Reached is false when the endpoint certainly received nothing of the attempt.
 	Reached bool
-	// Dead is true when the endpoint does not answer at all, so that asking it
-	// for the rest would only cost time.
-	Dead  bool
-	Frame Frame
+	// Unreachable is true when the endpoint does not answer at all, so that requesting the rest of
+	// the answer from it would only cost time.
+	Unreachable bool
+	Frame       Frame
 }
 
-// Part says what a frame carries.
+// Part is the kind of content that a frame carries.
 type Part uint8
 
 // Parts of an answer.
@@ -62,10 +61,10 @@
 	PartRefusal
 )
 
-// Ran says whether a request was run.
+// Ran records whether a request was run.
 type Ran uint8
 
-// Values of Ran. The zero value is taken as unknown.
+// Values of Ran. The zero value means unknown.
 const (
 	RanUnknown Ran = iota
 	RanNo
@@ -78,14 +77,15 @@
 	Attempt  uint32
 	Sequence uint64
 	Part     Part
-	// Data of PartData.
+	// Data is the content of PartData.
 	Data []byte
-	// Status of PartHead.
+	// Status is the HTTP status of PartHead.
 	Status int
-	// Frames of PartEnd: data frames in the whole answer.
-	Frames uint64
-	// Reason of PartRefusal, or the error of PartEnd; an empty error means whole.
-	Reason string
-	Ran    Ran
-	Retry  clock.Millis
+	// FrameCount is the number of data frames in the complete answer, sent with PartEnd.
+	FrameCount uint64
+	// Reason is the reason of PartRefusal or the error of PartEnd. An empty error means that the
+	// answer is complete.
+	Reason     string
+	Ran        Ran
+	RetryAfter clock.Millis
 }
--- a/gateway/pkg/attempt/machine.go
+++ b/gateway/pkg/attempt/machine.go
@@ -4,25 +4,25 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// window is how many frames may wait for an earlier one. Frames travel on one
-// ordered stream, so a gap is a fault near its source and fills at once or never.
-const window = 64
+// reorderWindow is the maximum number of frames held for an earlier one. Frames travel on one
+// ordered stream, so a gap is a fault near the source and is filled at once or never.
+const reorderWindow = 64
 
 // Config describes one request.
 type Config struct {
 	Request  string
 	Deadline clock.Millis
-	// Idempotent requests may be run again after an unknown outcome.
+	// Idempotent is true when the request may be run again after an unknown outcome.
 	Idempotent bool
-	// Held is true when the answer is kept back until it is whole.
-	Held bool
-	// Resumable answers go on after a break: streams of one text by a model.
+	// Buffered is true when the answer is buffered until it is complete.
+	Buffered bool
+	// Resumable is true when a broken answer can be resumed: a model's stream of a single text.
 	Resumable bool
 	// Model is true for a model service, whose status of 500 and above is a
 	// failure of the engine; a plain service's status is its answer.
 	Model bool
-	// Attempts is the most attempts, the first included.
-	Attempts uint32
+	// MaxAttempts is the maximum number of attempts, including the first.
+	MaxAttempts uint32
 	// Spend takes one retry from the gateway's budget.
 	Spend func(Cause) bool
 }
@@ -36,55 +36,55 @@
 	phaseEnded
 )
 
-// Machine is the state of one request. It is not safe for concurrent use.
+// Machine is the state machine of one request. It is not safe for concurrent use.
 type Machine struct {
 	config  Config
 	phase   phase
 	attempt uint32
-	// endpoint of the running attempt.
+	// endpoint is the endpoint of the running attempt.
 	endpoint string
-	// tried holds every endpoint that an attempt went to.
+	// tried lists the endpoints of all attempts.
 	tried []string
-	// next is the sequence number expected, in the numbering of this endpoint's answer.
+	// next is the expected sequence number in the numbering of this endpoint's answer.
 	next uint64
 	// received counts data frames of the running attempt.
 	received uint64
-	// seen is true once the running attempt sent a part of an answer.
-	seen bool
-	// begun is true once anything of the answer reached the caller.
-	begun bool
-	// reached is true once an attempt may have run, whatever later ones say.
-	reached bool
-	// resumed is true while the running attempt is a resume on its endpoint.
-	resumed  bool
-	textLost bool
-	held     []Frame
-	end      *Frame
-	// last refusal, told to the caller when no other try is left.
-	refusal Frame
+	// answerStarted is true once the running attempt has returned part of an answer.
+	answerStarted bool
+	// delivered is true once part of the answer was delivered to the caller.
+	delivered bool
+	// mayHaveRun is true once an attempt may have run, whatever later attempts report.
+	mayHaveRun bool
+	// resuming is true while the running attempt resumes the answer at the same endpoint.
+	resuming   bool
+	textLost   bool
+	outOfOrder []Frame
+	pendingEnd *Frame
+	// lastRefusal is returned to the caller when no further attempt is possible.
+	lastRefusal Frame
 }
 
-// New makes the machine of one request.
+// New returns the machine of one request.
 func New(config Config) *Machine {
 	return &Machine{config: config}
 }
 
-// Tried returns the endpoints that may not be chosen again.
+// Tried returns the endpoints that must not be chosen again.
 func (m *Machine) Tried() []string {
 	return m.tried
 }
 
-// Ended says whether the request is over.
+// Ended reports whether the request has ended.
 func (m *Machine) Ended() bool {
 	return m.phase == phaseEnded
 }
 
-// Reached says whether any attempt may have been run.
-func (m *Machine) Reached() bool {
-	return m.reached
+// MayHaveRun reports whether any attempt may have been run.
+func (m *Machine) MayHaveRun() bool {
+	return m.mayHaveRun
 }
 
-// Step takes one event and appends what is to be done to actions.
+// Step handles one event and appends the resulting actions to actions.
 func (m *Machine) Step(now clock.Millis, event Event, actions []Action) []Action {
 	if m.phase == phaseEnded {
 		if event.Kind == EventFrame {
@@ -97,76 +97,76 @@
 		m.phase = phaseChoosing
 		return append(actions, Action{Kind: ActionChoose})
 	case EventChosen:
-		return m.chosen(now, event, actions)
-	case EventNone:
-		return m.none(event, actions)
+		return m.handleChosen(now, event, actions)
+	case EventNoEndpoint:
+		return m.handleNoEndpoint(event, actions)
 	case EventFrame:
-		return m.frame(now, event.Frame, actions)
+		return m.handleFrame(now, event.Frame, actions)
 	case EventBroken:
 		if m.phase != phaseRunning || event.Attempt != m.attempt {
 			return actions
 		}
-		return m.broken(now, event, actions)
-	case EventPassed:
-		m.begun = true
+		return m.handleBroken(now, event, actions)
+	case EventPartSent:
+		m.delivered = true
 		return actions
 	case EventTextLost:
 		m.textLost = true
 		return actions
 	case EventExpired:
-		return m.expired(actions)
-	case EventGone:
-		return m.gone(actions)
+		return m.handleExpired(actions)
+	case EventCallerGone:
+		return m.handleCallerGone(actions)
 	}
 	return actions
 }
 
-func (m *Machine) chosen(now clock.Millis, event Event, actions []Action) []Action {
+func (m *Machine) handleChosen(now clock.Millis, event Event, actions []Action) []Action {
 	if m.phase != phaseChoosing {
 		return actions
 	}
-	// The process may have been frozen between the choice and now. Sending
-	// then would run a request that its caller has given up.
+	// The process may have been frozen since the endpoint was chosen. Sending after the deadline
+	// would run a request that the caller has given up.
 	if now >= m.config.Deadline {
-		return m.expired(actions)
+		return m.handleExpired(actions)
 	}
 	m.endpoint = event.Endpoint
 	m.tried = append(m.tried, event.Endpoint)
 	m.next = 1
-	return m.send(Action{WithText: m.begun}, actions)
+	return m.send(Action{WithText: m.delivered}, actions)
 }
 
 func (m *Machine) send(action Action, actions []Action) []Action {
 	m.phase = phaseRunning
 	m.attempt++
 	m.received = 0
-	m.seen = false
-	m.held = m.held[:0]
-	m.end = nil
-	m.resumed = action.ResumeAfter > 0
+	m.answerStarted = false
+	m.outOfOrder = m.outOfOrder[:0]
+	m.pendingEnd = nil
+	m.resuming = action.ResumeAfter > 0
 	action.Kind = ActionSend
 	action.Attempt = m.attempt
 	action.Endpoint = m.endpoint
 	return append(actions, action)
 }
 
-func (m *Machine) none(event Event, actions []Action) []Action {
+func (m *Machine) handleNoEndpoint(event Event, actions []Action) []Action {
 	if m.phase != phaseChoosing {
 		return actions
 	}
-	reason, retry := event.Reason, event.Retry
-	if m.refusal.Reason != "" {
-		reason, retry = m.refusal.Reason, m.refusal.Retry
+	reason, retry := event.Reason, event.RetryAfter
+	if m.lastRefusal.Reason != "" {
+		reason, retry = m.lastRefusal.Reason, m.lastRefusal.RetryAfter
 	}
 	return m.giveUp(reason, retry, actions)
 }
 
-// giveUp ends a request that no further attempt may be made for. It says "not
-// run" only when no attempt of it can have run.
+// giveUp ends a request that may not be retried. It reports "not run" only if no attempt can have
+// run.
 func (m *Machine) giveUp(reason string, retry clock.Millis, actions []Action) []Action {
-	fail := Action{Reason: reason, Ran: RanNo, Retry: retry}
-	if m.reached {
-		fail = Action{Reason: ReasonUnknown, Ran: RanUnknown}
+	fail := Action{Reason: reason, Ran: RanNo, RetryAfter: retry}
+	if m.mayHaveRun {
+		fail = Action{Reason: ReasonUnknownOutcome, Ran: RanUnknown}
 	}
 	return m.fail(fail, actions)
 }
@@ -174,36 +174,36 @@
 func (m *Machine) fail(action Action, actions []Action) []Action {
 	m.phase = phaseEnded
 	action.Kind = ActionFail
-	action.Begun = m.begun
-	if m.begun {
-		action.Reason = ReasonCut
+	action.Delivered = m.delivered
+	if m.delivered {
+		action.Reason = ReasonAnswerCut
 		action.Ran = RanYes
 	}
 	return append(actions, action)
 }
 
-func (m *Machine) expired(actions []Action) []Action {
+func (m *Machine) handleExpired(actions []Action) []Action {
 	ran := RanNo
 	if m.phase == phaseRunning {
-		actions = append(actions, m.cancel())
-		m.reached = true
+		actions = append(actions, m.cancelAction())
+		m.mayHaveRun = true
 	}
-	if m.reached {
+	if m.mayHaveRun {
 		ran = RanUnknown
 	}
 	m.phase = phaseEnded
-	return append(actions, Action{Kind: ActionFail, Reason: ReasonDeadline, Ran: ran, Begun: m.begun})
+	return append(actions, Action{Kind: ActionFail, Reason: ReasonDeadline, Ran: ran, Delivered: m.delivered})
 }
 
-func (m *Machine) gone(actions []Action) []Action {
+func (m *Machine) handleCallerGone(actions []Action) []Action {
 	if m.phase == phaseRunning {
-		m.reached = true
-		actions = append(actions, m.cancel())
+		m.mayHaveRun = true
+		actions = append(actions, m.cancelAction())
 	}
 	m.phase = phaseEnded
 	return actions
 }
 
-func (m *Machine) cancel() Action {
+func (m *Machine) cancelAction() Action {
 	return Action{Kind: ActionCancel, Attempt: m.attempt, Endpoint: m.endpoint}
 }
--- a/gateway/pkg/attempt/main_test.go
+++ b/gateway/pkg/attempt/main_test.go
@@ -6,10 +6,10 @@
 	"toucanhinge.example/common/pkg/seed"
 )
 
-// checks is how many histories each run of the suite goes through: enough that
-// every safeguard was seen to fail the suite when it was switched off.
-const checks = 3000
+// rapidChecks is the number of histories in each run of the suite. With 3000, disabling any one
+// safeguard made the suite fail.
+const rapidChecks = 3000
 
 func TestMain(m *testing.M) {
-	seed.Main(m, 1, seed.Length{Checks: checks})
+	seed.Main(m, 1, seed.Length{Checks: rapidChecks})
 }
--- a/gateway/pkg/caller/serve.go
+++ b/gateway/pkg/caller/serve.go
@@ -84,7 +84,7 @@
 		r.Run = runYes
 		return nil, r
 	default:
-		r := refuse(http.StatusConflict, attempt.ReasonUnknown, "a request with this id was given up; whether it was run is not known")
+		r := refuse(http.StatusConflict, attempt.ReasonUnknownOutcome, "a request with this id was given up; whether it was run is not known")
 		r.Run = runUnknown
 		return nil, r
 	}
@@ -108,7 +108,7 @@
 	outcome := ending.Reason
 	switch {
 	case ending.Gone:
-		outcome = attempt.ReasonGone
+		outcome = attempt.ReasonCallerGone
 	case ending.Whole:
 		outcome = "whole"
 	}
--- a/gateway/pkg/endpoint/stream.go
+++ b/gateway/pkg/endpoint/stream.go
@@ -158,14 +158,14 @@
 		frame.Data = part.Data
 	case *toucanhingev1.Frame_End:
 		frame.Part = attempt.PartEnd
-		frame.Frames = part.End.GetFrames()
+		frame.FrameCount = part.End.GetFrames()
 		frame.Reason = part.End.GetError()
 		frame.Ran = ranOf(part.End.GetRan())
 	case *toucanhingev1.Frame_Refusal:
 		frame.Part = attempt.PartRefusal
 		frame.Reason = part.Refusal.GetReason()
 		frame.Ran = ranOf(part.Refusal.GetRan())
-		frame.Retry = clock.Millis(part.Refusal.GetRetryMs())
+		frame.RetryAfter = clock.Millis(part.Refusal.GetRetryMs())
 	}
 	return frame
 }
--- a/gateway/pkg/older/forwarder.go
+++ b/gateway/pkg/older/forwarder.go
@@ -103,7 +103,7 @@
 
 // failed says what is known of a request that has no whole answer.
 func failed(ctx, limited context.Context, err error, begun bool) online.Ending {
-	ending := online.Ending{Reason: attempt.ReasonUnknown, Ran: attempt.RanUnknown, Reached: true, Begun: begun, Attempts: 1}
+	ending := online.Ending{Reason: attempt.ReasonUnknownOutcome, Ran: attempt.RanUnknown, Reached: true, Begun: begun, Attempts: 1}
 	var dial *net.OpError
 	switch {
 	case errors.As(err, &dial) && dial.Op == "dial":
@@ -113,7 +113,7 @@
 	case limited.Err() != nil:
 		ending.Reason = attempt.ReasonDeadline
 	case begun:
-		ending.Reason = attempt.ReasonCut
+		ending.Reason = attempt.ReasonAnswerCut
 	}
 	return ending
 }
--- a/gateway/pkg/online/answer.go
+++ b/gateway/pkg/online/answer.go
@@ -33,7 +33,7 @@
 	f.measure()
 	f.head(unknownLength)
 	if err := f.sink.Data(piece); err != nil {
-		return attempt.Event{Kind: attempt.EventGone}
+		return attempt.Event{Kind: attempt.EventCallerGone}
 	}
 	return attempt.Event{}
 }
@@ -47,10 +47,10 @@
 		return attempt.Event{}
 	}
 	f.passed = true
-	f.tell(attempt.EventPassed)
+	f.tell(attempt.EventPartSent)
 	f.head(unknownLength)
 	if err := f.sink.Data(f.held); err != nil {
-		return attempt.Event{Kind: attempt.EventGone}
+		return attempt.Event{Kind: attempt.EventCallerGone}
 	}
 	f.held = nil
 	return attempt.Event{}
@@ -103,8 +103,8 @@
 func (f *flight) fail(action attempt.Action) {
 	f.ending.Reason = action.Reason
 	f.ending.Ran = action.Ran
-	f.ending.Retry = action.Retry
-	f.ending.Begun = action.Begun
+	f.ending.Retry = action.RetryAfter
+	f.ending.Begun = action.Delivered
 	f.closeStream(f.outcome)
 	f.note("failed", action.Reason)
 }
--- a/gateway/pkg/online/flight.go
+++ b/gateway/pkg/online/flight.go
@@ -82,7 +82,7 @@
 	}
 	if f.machine.Ended() {
 		f.done = true
-		f.ending.Reached = f.machine.Reached()
+		f.ending.Reached = f.machine.MayHaveRun()
 	}
 	return next
 }
@@ -91,10 +91,10 @@
 // attempt because of it.
 func (f *flight) judge(event attempt.Event) {
 	switch {
-	case event.Kind == attempt.EventGone || event.Kind == attempt.EventExpired:
+	case event.Kind == attempt.EventCallerGone || event.Kind == attempt.EventExpired:
 		f.outcome = route.OutcomeNeutral
 	case event.Kind == attempt.EventFrame && event.Frame.Ran == attempt.RanNo && event.Frame.Reason != "":
-		f.outcome, f.retry = refusalOutcome(event.Frame.Reason), event.Frame.Retry
+		f.outcome, f.retry = refusalOutcome(event.Frame.Reason), event.Frame.RetryAfter
 		f.notRun = f.firstAt == 0
 	case event.Kind == attempt.EventFrame:
 		f.outcome, f.retry = route.OutcomeFailed, 0
@@ -166,7 +166,7 @@
 	f.choice = choice
 	if choice.Endpoint == "" {
 		f.note("no-choice", choice.Reason)
-		return attempt.Event{Kind: attempt.EventNone, Reason: choice.Reason, Retry: choice.RetryAfter}
+		return attempt.Event{Kind: attempt.EventNoEndpoint, Reason: choice.Reason, RetryAfter: choice.RetryAfter}
 	}
 	f.note("chosen", choice.Endpoint+" "+choice.Rule)
 	return attempt.Event{Kind: attempt.EventChosen, Endpoint: choice.Endpoint}
@@ -266,7 +266,7 @@
 func (f *flight) brokenBy(ctx context.Context, failure endpoint.Break) attempt.Event {
 	switch ctx.Err() {
 	case context.Canceled:
-		return attempt.Event{Kind: attempt.EventGone}
+		return attempt.Event{Kind: attempt.EventCallerGone}
 	case context.DeadlineExceeded:
 		return attempt.Event{Kind: attempt.EventExpired}
 	}
@@ -295,7 +295,7 @@
 	f.keepRun = false
 	return attempt.Event{
 		Kind: attempt.EventBroken, Attempt: f.attempt, Reason: failure.Reason,
-		Reached: failure.Reached, Dead: failure.Dead,
+		Reached: failure.Reached, Unreachable: failure.Dead,
 	}
 }
 
--- a/gateway/pkg/online/runner.go
+++ b/gateway/pkg/online/runner.go
@@ -65,14 +65,14 @@
 		sink:    sink,
 		arrived: r.config.Clock.Now(),
 		machine: attempt.New(attempt.Config{
-			Request:    request.ID,
-			Deadline:   request.Deadline,
-			Idempotent: request.Idempotent,
-			Held:       !request.Stream,
-			Resumable:  request.Stream && request.Text != nil,
-			Model:      request.Model,
-			Attempts:   r.config.Attempts,
-			Spend:      r.spend,
+			Request:     request.ID,
+			Deadline:    request.Deadline,
+			Idempotent:  request.Idempotent,
+			Buffered:    !request.Stream,
+			Resumable:   request.Stream && request.Text != nil,
+			Model:       request.Model,
+			MaxAttempts: r.config.Attempts,
+			Spend:       r.spend,
 		}),
 	}
 	defer f.close()
