--- a/gateway/pkg/app/parts.go
+++ b/gateway/pkg/app/parts.go
@@ -89,11 +89,11 @@
 
 func newRunner(
 	settings config.Settings, now clock.Clock, logger log.Logger, directory *endpoint.Directory, book *record.Log, m *online.Metrics,
-) *online.Runner {
+) *online.Executor {
 	r := settings.Retry
 	return online.New(online.Config{
-		Gateway: settings.Name, Clock: now, Directory: directory, Book: book, Metrics: m, Logger: logger,
-		Budget:   attempt.NewBudget(attempt.BudgetConfig{Ratio: r.Ratio, Burst: float64(r.Burst), RefusedBurst: float64(r.Refused)}),
-		Attempts: uint32(r.Attempts), Stall: clock.Millis(r.Stall), Held: settings.Limits.Answer,
+		Gateway: settings.Name, Clock: now, Directory: directory, Log: book, Metrics: m, Logger: logger,
+		Budget:      attempt.NewBudget(attempt.BudgetConfig{Ratio: r.Ratio, Burst: float64(r.Burst), RefusedBurst: float64(r.Refused)}),
+		MaxAttempts: uint32(r.Attempts), StallTimeout: clock.Millis(r.Stall), MaxBuffered: settings.Limits.Answer,
 	})
 }
--- a/gateway/pkg/caller/model.go
+++ b/gateway/pkg/caller/model.go
@@ -67,7 +67,7 @@
 		return nil, r
 	}
 	request := &online.Request{
-		ID: e.id, Caller: e.caller, Team: e.team.Name, Service: service.Name, Method: http.MethodPost, Body: body,
+		ID: e.id, CallerID: e.caller, Team: e.team.Name, Service: service.Name, Method: http.MethodPost, Body: body,
 		Headers:     []*toucanhingev1.Header{{Name: "Content-Type", Value: "application/json"}},
 		Deadline:    e.deadline(service, s.config.Limits.Deadline),
 		Idempotent:  e.idempotent == nil || *e.idempotent,
@@ -150,7 +150,7 @@
 		return
 	}
 	s.serve(c, e, &online.Request{
-		ID: e.id, Caller: e.caller, Team: e.team.Name, Service: service.Name,
+		ID: e.id, CallerID: e.caller, Team: e.team.Name, Service: service.Name,
 		Method: c.Request.Method, Path: plainPath(c), Headers: forwarded(c.Request.Header), Body: body,
 		Deadline:    e.deadline(service, s.config.Limits.Deadline),
 		Idempotent:  idempotent(e, c.Request.Method),
--- a/gateway/pkg/caller/refusal.go
+++ b/gateway/pkg/caller/refusal.go
@@ -126,8 +126,8 @@
 }
 
 // ended tells in HTTP's terms why a request has no whole answer.
-func ended(e online.Ending) *refusal {
-	r := &refusal{Reason: e.Reason, Run: runOf(e.Ran), Retry: e.Retry, Message: messages[e.Reason]}
+func ended(e online.Result) *refusal {
+	r := &refusal{Reason: e.Reason, Run: runOf(e.Ran), Retry: e.RetryAfter, Message: messages[e.Reason]}
 	if r.Message == "" {
 		r.Message = "the endpoint refused: " + e.Reason
 	}
--- a/gateway/pkg/caller/serve.go
+++ b/gateway/pkg/caller/serve.go
@@ -17,14 +17,14 @@
 // serve runs a checked request and answers it.
 func (s *Server) serve(c *gin.Context, e *entry, request *online.Request) {
 	if r := s.admit(e, request.Service); r != nil {
-		s.outcome(request, online.Ending{Reason: r.Reason})
+		s.outcome(request, online.Result{Reason: r.Reason})
 		s.refuse(c, r)
 		return
 	}
 	defer s.release(e, request.Service)
 	claim, r := s.claim(c, e, request)
 	if r != nil {
-		s.outcome(request, online.Ending{Reason: r.Reason})
+		s.outcome(request, online.Result{Reason: r.Reason})
 		s.refuse(c, r)
 		return
 	}
@@ -35,7 +35,7 @@
 	out.end(s, c, ending)
 }
 
-func (s *Server) run(c *gin.Context, e *entry, request *online.Request, out *answer) online.Ending {
+func (s *Server) run(c *gin.Context, e *entry, request *online.Request, out *answer) online.Result {
 	service, _ := e.fleet.Service(request.Service)
 	if olderWay(e, request, service.GetOlderPercent()) {
 		s.config.Book.Add(request.ID, "chosen", "older system at "+service.GetOlderUrl())
@@ -92,24 +92,24 @@
 
 // settle tells how a claimed request ended. What was certainly not run is freed
 // before the caller hears of it, so that its resend is not refused.
-func (s *Server) settle(c *gin.Context, claim *control.Claim, ending online.Ending) {
+func (s *Server) settle(c *gin.Context, claim *control.Claim, ending online.Result) {
 	switch {
 	case claim == nil:
-	case ending.Whole || ending.Ran == attempt.RanYes:
+	case ending.Complete || ending.Ran == attempt.RanYes:
 		s.config.Claims.Settle(*claim, toucanhingev1.ClaimState_CLAIM_STATE_RUN)
-	case ending.Reached:
+	case ending.MayHaveRun:
 		s.config.Claims.Settle(*claim, toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN)
 	default:
 		s.config.Claims.Free(c.Request.Context(), *claim)
 	}
 }
 
-func (s *Server) outcome(request *online.Request, ending online.Ending) {
+func (s *Server) outcome(request *online.Request, ending online.Result) {
 	outcome := ending.Reason
 	switch {
-	case ending.Gone:
+	case ending.CallerGone:
 		outcome = attempt.ReasonCallerGone
-	case ending.Whole:
+	case ending.Complete:
 		outcome = "whole"
 	}
 	s.config.Metrics.Requests.WithLabelValues(request.Service, outcome).Inc()
--- a/gateway/pkg/caller/server.go
+++ b/gateway/pkg/caller/server.go
@@ -32,7 +32,7 @@
 	Fleet       func() *world.Fleet
 	Ready       func() bool
 	Directory   *endpoint.Directory
-	Runner      *online.Runner
+	Runner      *online.Executor
 	Older       *older.Forwarder
 	Claims      *control.Claims
 	Jobs        *control.Jobs
--- a/gateway/pkg/online/answer.go
+++ b/gateway/pkg/online/answer.go
@@ -8,103 +8,106 @@
 	"toucanhinge.example/gateway/pkg/route"
 )
 
-// done is the last event of an OpenAI-style stream. The gateway writes its own,
-// after the end frame: only then is it known that nothing is missing.
-var done = []byte("[DONE]")
+// doneEvent is the last event of an OpenAI-style stream. The gateway writes its own after the end
+// frame, because only then is it known that the answer is complete.
+var doneEvent = []byte("[DONE]")
 
-// data hands one piece on, or holds it back when the answer is to be whole.
-func (f *flight) data(piece []byte) attempt.Event {
-	if !f.request.Stream && !f.passed {
-		return f.hold(piece)
+// writeData passes one chunk to the caller, or buffers it if the answer isn't streamed.
+func (e *exchange) writeData(chunk []byte) attempt.Event {
+	if !e.request.Stream && !e.partSent {
+		return e.bufferData(chunk)
 	}
-	if f.request.Stream && f.request.Model && bytes.Equal(piece, done) {
+	if e.request.Stream && e.request.Model && bytes.Equal(chunk, doneEvent) {
 		return attempt.Event{}
 	}
-	if f.request.Text != nil {
-		wasLost := f.request.Text.Lost()
-		piece = f.request.Text.Take(piece)
-		if f.request.Text.Lost() && !wasLost {
-			f.tell(attempt.EventTextLost)
+	if e.request.Text != nil {
+		wasLost := e.request.Text.Lost()
+		chunk = e.request.Text.Take(chunk)
+		if e.request.Text.Lost() && !wasLost {
+			e.notify(attempt.EventTextLost)
 		}
-		if piece == nil {
+		if chunk == nil {
 			return attempt.Event{}
 		}
 	}
-	f.measure()
-	f.head(unknownLength)
-	if err := f.sink.Data(piece); err != nil {
+	e.observeChunk()
+	e.writeHead(unknownLength)
+	if err := e.sink.Data(chunk); err != nil {
 		return attempt.Event{Kind: attempt.EventCallerGone}
 	}
 	return attempt.Event{}
 }
 
-func (f *flight) hold(piece []byte) attempt.Event {
-	if len(f.held) == 0 {
-		f.measure()
+// bufferData buffers one chunk. It starts to write to the caller when the answer outgrows the buffer.
+func (e *exchange) bufferData(chunk []byte) attempt.Event {
+	if len(e.buffer) == 0 {
+		e.observeChunk()
 	}
-	f.held = append(f.held, piece...)
-	if len(f.held) <= f.runner.config.Held {
+	e.buffer = append(e.buffer, chunk...)
+	if len(e.buffer) <= e.executor.config.MaxBuffered {
 		return attempt.Event{}
 	}
-	f.passed = true
-	f.tell(attempt.EventPartSent)
-	f.head(unknownLength)
-	if err := f.sink.Data(f.held); err != nil {
+	e.partSent = true
+	e.notify(attempt.EventPartSent)
+	e.writeHead(unknownLength)
+	if err := e.sink.Data(e.buffer); err != nil {
 		return attempt.Event{Kind: attempt.EventCallerGone}
 	}
-	f.held = nil
+	e.buffer = nil
 	return attempt.Event{}
 }
 
-func (f *flight) measure() {
+// observeChunk records the time to the first chunk or since the previous chunk.
+func (e *exchange) observeChunk() {
 	now := time.Now()
-	if f.lastAt.IsZero() {
-		waited := f.runner.config.Clock.Now() - f.arrived
-		f.runner.config.Metrics.First.WithLabelValues(f.request.Service).Observe(waited.Duration().Seconds())
+	if e.lastChunkAt.IsZero() {
+		waited := e.executor.config.Clock.Now() - e.arrivedAt
+		e.executor.config.Metrics.FirstChunk.WithLabelValues(e.request.Service).Observe(waited.Duration().Seconds())
 	} else {
-		if f.between == nil {
-			f.between = f.runner.config.Metrics.Between.WithLabelValues(f.request.Service)
+		if e.chunkInterval == nil {
+			e.chunkInterval = e.executor.config.Metrics.ChunkInterval.WithLabelValues(e.request.Service)
 		}
-		f.between.Observe(now.Sub(f.lastAt).Seconds())
+		e.chunkInterval.Observe(now.Sub(e.lastChunkAt).Seconds())
 	}
-	f.lastAt = now
+	e.lastChunkAt = now
 }
 
-// unknownLength tells the sink that the answer's length is not known yet.
+// unknownLength is the length passed to the sink while the answer's length is unknown.
 const unknownLength = -1
 
-func (f *flight) head(length int) {
-	if f.headOut {
+// writeHead writes the status and headers to the caller once.
+func (e *exchange) writeHead(length int) {
+	if e.headSent {
 		return
 	}
-	f.headOut = true
-	f.sink.Head(f.status, f.headers, length)
+	e.headSent = true
+	e.sink.Head(e.status, e.headers, length)
 }
 
-func (f *flight) finish() attempt.Event {
+func (e *exchange) finish() attempt.Event {
 	length := unknownLength
-	if !f.request.Stream && !f.passed {
-		length = len(f.held)
+	if !e.request.Stream && !e.partSent {
+		length = len(e.buffer)
 	}
-	f.head(length)
-	f.left = abandoned{}
-	f.ending.Whole = true
-	f.ending.Ran = attempt.RanYes
-	if len(f.held) > 0 {
-		if err := f.sink.Data(f.held); err != nil {
-			f.ending.Gone = true
+	e.writeHead(length)
+	e.abandoned = abandonedRun{}
+	e.result.Complete = true
+	e.result.Ran = attempt.RanYes
+	if len(e.buffer) > 0 {
+		if err := e.sink.Data(e.buffer); err != nil {
+			e.result.CallerGone = true
 		}
 	}
-	f.note("whole", f.choice.Endpoint)
-	f.closeStream(route.OutcomeComplete)
+	e.record("whole", e.choice.Endpoint)
+	e.closeStream(route.OutcomeComplete)
 	return attempt.Event{}
 }
 
-func (f *flight) fail(action attempt.Action) {
-	f.ending.Reason = action.Reason
-	f.ending.Ran = action.Ran
-	f.ending.Retry = action.RetryAfter
-	f.ending.Begun = action.Delivered
-	f.closeStream(f.outcome)
-	f.note("failed", action.Reason)
+func (e *exchange) fail(action attempt.Action) {
+	e.result.Reason = action.Reason
+	e.result.Ran = action.Ran
+	e.result.RetryAfter = action.RetryAfter
+	e.result.Delivered = action.Delivered
+	e.closeStream(e.outcome)
+	e.record("failed", action.Reason)
 }
--- a/gateway/pkg/online/metrics.go
+++ b/gateway/pkg/online/metrics.go
@@ -7,16 +7,16 @@
 	"toucanhinge.example/common/pkg/metrics"
 )
 
-// Metrics of online requests.
+// Metrics holds the metrics of online requests.
 type Metrics struct {
 	Set *metrics.Set
-	// Requests by service and outcome: whole, the reason of the failure, or caller-gone.
-	Requests *prometheus.CounterVec
-	Attempts prometheus.Counter
-	Dropped  *prometheus.CounterVec
-	First    *prometheus.HistogramVec
-	Between  *prometheus.HistogramVec
-	InFlight prometheus.Gauge
+	// Requests counts requests by service and outcome: whole, the reason of the failure, or caller-gone.
+	Requests      *prometheus.CounterVec
+	Attempts      prometheus.Counter
+	Dropped       *prometheus.CounterVec
+	FirstChunk    *prometheus.HistogramVec
+	ChunkInterval *prometheus.HistogramVec
+	InFlight      prometheus.Gauge
 }
 
 // NewMetrics registers the metrics.
@@ -31,18 +31,18 @@
 			Name: "toucanhinge_gateway_attempts_total", Help: "Attempts sent to endpoints.",
 		}),
 		Dropped: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "toucanhinge_gateway_dropped_frames_total", Help: "Frames that belong to no running attempt, by reason.",
+			Name: "toucanhinge_gateway_dropped_frames_total", Help: "Frames dropped because they belong to no running attempt, by reason.",
 		}, []string{"reason"}),
-		First: factory.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "toucanhinge_gateway_first_seconds", Help: "Time from a request's arrival to the first piece of its answer.",
+		FirstChunk: factory.NewHistogramVec(prometheus.HistogramOpts{
+			Name: "toucanhinge_gateway_first_seconds", Help: "Time from a request's arrival to the first chunk of its answer.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 1.6, 24),
 		}, []string{"service"}),
-		Between: factory.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "toucanhinge_gateway_between_seconds", Help: "Time between two pieces of a streamed answer.",
+		ChunkInterval: factory.NewHistogramVec(prometheus.HistogramOpts{
+			Name: "toucanhinge_gateway_between_seconds", Help: "Time between two chunks of a streamed answer.",
 			Buckets: prometheus.ExponentialBuckets(0.0005, 1.6, 22),
 		}, []string{"service"}),
 		InFlight: factory.NewGauge(prometheus.GaugeOpts{
-			Name: "toucanhinge_gateway_in_flight", Help: "Online requests under way.",
+			Name: "toucanhinge_gateway_in_flight", Help: "Online requests in flight.",
 		}),
 	}
 }
--- a/gateway/pkg/online/request.go
+++ b/gateway/pkg/online/request.go
@@ -1,5 +1,5 @@
-// Package online carries one request through its attempts: it runs the attempt
-// machine, asks the directory for endpoints and moves the frames to the caller.
+// Package online executes online requests: it runs the attempt machine, selects endpoints through
+// the directory and passes the frames to the caller.
 package online
 
 import (
@@ -9,54 +9,54 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Request is one checked request of a caller.
+// Request is one validated request of a caller.
 type Request struct {
-	// ID is unique in the fleet; Caller is the caller's own id, which may be empty.
-	ID      string
-	Caller  string
-	Team    string
-	Service string
-	Method  string
-	Path    string
-	Headers []*toucanhingev1.Header
-	Body    []byte
-	// Deadline is a point in time.
+	// ID is unique in the fleet. CallerID is the id set by the caller, which may be empty.
+	ID       string
+	CallerID string
+	Team     string
+	Service  string
+	Method   string
+	Path     string
+	Headers  []*toucanhingev1.Header
+	Body     []byte
+	// Deadline is the time at which the request expires.
 	Deadline   clock.Millis
 	Idempotent bool
 	// Stream is true when the caller wants server-sent events.
 	Stream bool
 	// Model is true for a model service.
 	Model bool
-	// DataCentres that the contract allows; empty means all.
+	// DataCentres lists the data centres that the contract allows; empty allows all.
 	DataCentres []string
 	// Prefix is the hash of the prompt's first bytes; 0 means none.
 	Prefix uint64
-	// Text keeps what is needed to resume; nil when the answer can't be.
+	// Text stores the text needed to resume the answer; nil when the answer can't be resumed.
 	Text *resume.Text
 }
 
-// Sink takes the answer for the caller.
+// Sink receives the answer for the caller.
 type Sink struct {
-	// Head takes status and headers before the first Data, and the length of the
-	// whole answer or a negative number when it isn't known yet.
+	// Head receives the status, the headers and the length of the complete answer before the first
+	// Data. The length is negative when it isn't known yet.
 	Head func(status int, headers []*toucanhingev1.Header, length int)
-	// Data takes one piece; an error means that the caller is gone.
+	// Data receives one chunk; an error means that the caller has disconnected.
 	Data func(data []byte) error
 }
 
-// Ending says how a request ended. When Whole is false and Gone too, the caller
-// is owed an explicit error.
-type Ending struct {
-	Whole bool
-	// Gone is true when the caller left.
-	Gone   bool
-	Reason string
-	Ran    attempt.Ran
-	// Retry is when to come back, a span; 0 when there is nothing to say.
-	Retry clock.Millis
-	// Begun is true when the caller has part of the answer.
-	Begun    bool
-	Attempts uint32
-	// Reached is true when it may have run.
-	Reached bool
+// Result describes how a request ended. If neither Complete nor CallerGone is true, the caller must
+// get an explicit error.
+type Result struct {
+	Complete bool
+	// CallerGone is true when the caller disconnected.
+	CallerGone bool
+	Reason     string
+	Ran        attempt.Ran
+	// RetryAfter is the retry delay for the caller; 0 when there is none.
+	RetryAfter clock.Millis
+	// Delivered is true when part of the answer was delivered to the caller.
+	Delivered bool
+	Attempts  uint32
+	// MayHaveRun is true when the request may have run.
+	MayHaveRun bool
 }
