--- a/gateway/pkg/caller/model.go
+++ b/gateway/pkg/caller/model.go
@@ -76,8 +76,8 @@
 		DataCentres: contract.GetDataCentres(),
 		Prefix:      s.prefixHash(service.Name, found[prompt]),
 	}
-	if request.Stream && request.Idempotent && resume.Able(found) {
-		request.Text = resume.NewText(resume.Config{Kind: kind, Limit: s.config.Limits.Text})
+	if request.Stream && request.Idempotent && resume.Resumable(found) {
+		request.Text = resume.NewText(resume.Config{Kind: kind, MaxBytes: s.config.Limits.Text})
 	}
 	return request, nil
 }
--- a/gateway/pkg/online/answer.go
+++ b/gateway/pkg/online/answer.go
@@ -22,7 +22,7 @@
 	}
 	if e.request.Text != nil {
 		wasLost := e.request.Text.Lost()
-		chunk = e.request.Text.Take(chunk)
+		chunk = e.request.Text.Process(chunk)
 		if e.request.Text.Lost() && !wasLost {
 			e.notify(attempt.EventTextLost)
 		}
--- a/gateway/pkg/online/exchange.go
+++ b/gateway/pkg/online/exchange.go
@@ -193,7 +193,7 @@
 			e.closeStream(route.OutcomeNeutral)
 			return attempt.Event{Kind: attempt.EventBroken, Attempt: action.Attempt, Reason: "not-resumable"}
 		}
-		e.request.Text.Move()
+		e.request.Text.SwitchEndpoint()
 		body = joined
 	}
 	now := e.executor.config.Clock.Now()
--- a/gateway/pkg/online/metrics.go
+++ b/gateway/pkg/online/metrics.go
@@ -31,7 +31,7 @@
 			Name: "toucanhinge_gateway_attempts_total", Help: "Attempts sent to endpoints.",
 		}),
 		Dropped: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "toucanhinge_gateway_dropped_frames_total", Help: "Frames dropped because they belong to no running attempt, by reason.",
+			Name: "toucanhinge_gateway_dropped_frames_total", Help: "Dropped frames of answers, by reason.",
 		}, []string{"reason"}),
 		FirstChunk: factory.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "toucanhinge_gateway_first_seconds", Help: "Time from a request's arrival to the first chunk of its answer.",
--- a/gateway/pkg/resume/text.go
+++ b/gateway/pkg/resume/text.go
@@ -1,15 +1,15 @@
-// Package resume keeps what is needed to go on with a model's streamed answer
-// on another endpoint: the text so far, taken from the pieces as they pass.
+// Package resume stores the data needed to continue a model's streamed answer on another endpoint:
+// the text so far, extracted from the chunks as they are passed to the caller.
 package resume
 
 import (
 	"bytes"
 )
 
-// Kind is the call whose answer is kept.
+// Kind is the kind of API call whose answer is stored.
 type Kind uint8
 
-// Kinds of calls.
+// Kinds of API calls.
 const (
 	KindChat Kind = iota + 1
 	KindCompletion
@@ -25,81 +25,81 @@
 	keyRole      = []byte(`"role"`)
 )
 
-// Config describes a text.
+// Config configures a Text.
 type Config struct {
 	Kind Kind
-	// Limit is the most bytes kept.
-	Limit int
+	// MaxBytes is the maximum number of bytes stored.
+	MaxBytes int
 }
 
-// Text is the text of one answer so far. It is kept as it stands in the JSON,
-// escapes and all, so that a piece costs a search and a copy but no decoding:
-// JSON strings put end to end are one JSON string.
+// Text is the text of one answer so far. It is stored as escaped JSON, so that a chunk costs a search
+// and a copy but no decoding: the contents of JSON strings can be concatenated.
 type Text struct {
 	config Config
 	raw    []byte
-	pieces int
+	chunks int
 	lost   bool
-	// id of the first endpoint's answer, and of the present one when it differs.
+	// id is the id of the first endpoint's answer.
 	id []byte
-	// moved is true once another endpoint went on with the answer.
-	moved bool
+	// switched is true once another endpoint continues the answer.
+	switched bool
 }
 
-// NewText makes an empty text.
+// NewText returns an empty text.
 func NewText(config Config) *Text {
 	return &Text{config: config}
 }
 
-// Lost says whether the text can't be handed to another endpoint: it grew too
-// long, holds more than plain text, or has come to its end.
+// Lost reports whether the answer can't be continued by another endpoint: the text is too long, the
+// answer contains more than plain text, or it is finished.
 func (t *Text) Lost() bool {
 	return t.lost
 }
 
-// Take notes one piece and returns it as the caller is to see it; nil when the
-// caller has it already.
-func (t *Text) Take(data []byte) []byte {
-	if t.moved {
-		data = t.keepID(data)
+// Process records one chunk and returns it as it must be sent to the caller. It returns nil for the
+// opening chunk of another endpoint, because the caller already received one from the first endpoint.
+func (t *Text) Process(data []byte) []byte {
+	if t.switched {
+		data = t.restoreID(data)
 	} else if t.id == nil {
-		t.id = bytes.Clone(member(data, keyID))
+		t.id = bytes.Clone(stringValue(data, keyID))
 	}
-	text, found := t.text(data)
-	if t.moved && (!found || len(text) == 0) && bytes.Contains(data, keyRole) && len(member(data, keyFinish)) == 0 {
+	text, found := t.extractText(data)
+	if t.switched && (!found || len(text) == 0) && bytes.Contains(data, keyRole) && len(stringValue(data, keyFinish)) == 0 {
 		return nil
 	}
-	t.note(data, text)
+	t.record(data, text)
 	return data
 }
 
-func (t *Text) text(data []byte) (text []byte, found bool) {
+// extractText returns the chunk's text as escaped JSON.
+func (t *Text) extractText(data []byte) (text []byte, found bool) {
 	key := keyContent
 	if t.config.Kind == KindCompletion {
 		key = keyText
 	}
-	return find(data, key)
+	return findString(data, key)
 }
 
-func (t *Text) note(data, text []byte) {
+func (t *Text) record(data, text []byte) {
 	if t.lost {
 		return
 	}
-	if special(data) || len(t.raw)+len(text) > t.config.Limit {
+	if preventsResume(data) || len(t.raw)+len(text) > t.config.MaxBytes {
 		t.lost = true
 		t.raw = nil
 		return
 	}
 	if len(text) > 0 {
 		t.raw = append(t.raw, text...)
-		t.pieces++
+		t.chunks++
 	}
 }
 
-// special finds what a plain text can't carry on: calls of tools, hidden
-// reasoning, and the end, after which another endpoint would add to the answer.
-func special(data []byte) bool {
-	if len(member(data, keyFinish)) > 0 || len(member(data, keyReasoning)) > 0 {
+// preventsResume reports whether a chunk contains content that can't be continued from plain text:
+// tool calls, hidden reasoning, or the finish reason, after which another endpoint would add text.
+func preventsResume(data []byte) bool {
+	if len(stringValue(data, keyFinish)) > 0 || len(stringValue(data, keyReasoning)) > 0 {
 		return true
 	}
 	at := bytes.Index(data, keyTools)
@@ -110,19 +110,19 @@
 	return !bytes.HasPrefix(value, []byte("null")) && !bytes.HasPrefix(value, []byte("[]"))
 }
 
-// Move tells that another endpoint goes on with the answer.
-func (t *Text) Move() {
-	t.moved = true
+// SwitchEndpoint records that another endpoint continues the answer.
+func (t *Text) SwitchEndpoint() {
+	t.switched = true
 }
 
-// keepID puts the first endpoint's id in the place of the present one: callers
-// join the pieces of an answer by it.
-func (t *Text) keepID(data []byte) []byte {
-	present, found := find(data, keyID)
-	if !found || t.id == nil || bytes.Equal(present, t.id) {
+// restoreID replaces the current endpoint's id by the first endpoint's, because callers join the
+// chunks of an answer by id.
+func (t *Text) restoreID(data []byte) []byte {
+	current, found := findString(data, keyID)
+	if !found || t.id == nil || bytes.Equal(current, t.id) {
 		return data
 	}
-	return bytes.Replace(data, quote(present), quote(t.id), 1)
+	return bytes.Replace(data, quote(current), quote(t.id), 1)
 }
 
 func quote(inside []byte) []byte {
@@ -132,16 +132,16 @@
 	return append(quoted, '"')
 }
 
-// member is find for a string that may be missing.
-func member(data, key []byte) []byte {
-	value, _ := find(data, key)
+// stringValue returns the result of findString, or nil if the string is missing.
+func stringValue(data, key []byte) []byte {
+	value, _ := findString(data, key)
 	return value
 }
 
-// find returns the inside of the string that follows a key. A quoted key can't
-// stand inside another string, since its quotes would be escaped there; it can
-// be a value, but then no colon follows. The first one with a string counts.
-func find(data, key []byte) (value []byte, found bool) {
+// findString returns the content of the string after a quoted key. A quoted key can't occur inside
+// another string, because its quotes would be escaped there. It can be a value, but then no
+// colon follows. The first occurrence with a string value is used.
+func findString(data, key []byte) (value []byte, found bool) {
 	for {
 		at := bytes.Index(data, key)
 		if at < 0 {
@@ -159,7 +159,7 @@
 	}
 }
 
-// afterColon skips the colon after a key, and blanks; nil when there is none.
+// afterColon skips the colon after a key and white space; it returns nil when there is no colon.
 func afterColon(data []byte) []byte {
 	data = bytes.TrimLeft(data, " \t\r\n")
 	if len(data) == 0 || data[0] != ':' {
@@ -168,6 +168,7 @@
 	return bytes.TrimLeft(data[1:], " \t\r\n")
 }
 
+// stringEnd returns the index of the closing quote, or -1.
 func stringEnd(data []byte) int {
 	for i := 0; i < len(data); i++ {
 		switch data[i] {
--- a/gateway/pkg/resume/text_test.go
+++ b/gateway/pkg/resume/text_test.go
@@ -10,29 +10,28 @@
 	"pgregory.net/rapid"
 )
 
-func chunk(id, text string, rest ...string) []byte {
+func newChunk(id, text string, rest ...string) []byte {
 	quoted, _ := json.Marshal(text)
 	return fmt.Appendf(nil, `{"id": %q, "choices":[{"index":0,"delta":{"content" : %s%s},"finish_reason":null}]}`, id, quoted, strings.Join(rest, ""))
 }
 
-// Texts hold quotes, backslashes, keys of JSON and half of what escapes need.
-// However they fall into pieces, the request that goes on elsewhere must decode
-// to exactly the text that the caller has.
-func TestRapidTextSurvivesItsPieces(t *testing.T) {
+// Texts contain quotes, backslashes, JSON keys and incomplete escapes, split into chunks in any way.
+// The request that resumes the answer must decode to exactly the text that the caller has.
+func TestRapidBodyContainsText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		texts := rapid.SliceOfN(rapid.OneOf(
 			rapid.String(),
 			rapid.SampledFrom([]string{`"content":"x"`, `\"`, `\`, `"`, `{"id":"y"}`, "\n", "é", "\u2028", `"finish_reason":"stop"`, `"tool_calls":[1]`}),
 		), 0, 8).Draw(t, "texts")
-		text := NewText(Config{Kind: KindChat, Limit: 1 << 20})
+		text := NewText(Config{Kind: KindChat, MaxBytes: 1 << 20})
 		for _, s := range texts {
-			data := chunk("a", s)
-			if got := text.Take(data); string(got) != string(data) {
-				t.Fatalf("changed %s to %s", data, got)
+			data := newChunk("a", s)
+			if got := text.Process(data); string(got) != string(data) {
+				t.Fatalf("Process changed %s to %s", data, got)
 			}
 		}
 		if text.Lost() {
-			t.Fatalf("lost %q", texts)
+			t.Fatalf("text lost after chunks %q", texts)
 		}
 		body, err := text.Body([]byte(`{"model":"m","messages":[{"role":"user","content":"q"}]}`))
 		if err != nil {
@@ -45,7 +44,7 @@
 		if err := json.Unmarshal(body, &read); err != nil {
 			t.Fatal(err)
 		}
-		// What JSON can't carry is replaced on the first way already.
+		// Characters that JSON can't represent are already replaced when the chunk is encoded.
 		var joined string
 		for _, s := range texts {
 			var one string
@@ -54,25 +53,25 @@
 			joined += one
 		}
 		if read.Messages[1].Content != joined || !read.Continue {
-			t.Fatalf("%q became %q", joined, read.Messages[1].Content)
+			t.Fatalf("text %q became %q in the resumed request", joined, read.Messages[1].Content)
 		}
 	})
 }
 
-func TestTextThatCannotBeCarriedOn(t *testing.T) {
+func TestTextIsLost(t *testing.T) {
 	scenarios := []struct {
 		name string
 		data []byte
 	}{
 		{"a tool call", []byte(`{"choices":[{"delta":{"content":null,"tool_calls":[{"index":0}]}}]}`)},
 		{"hidden reasoning", []byte(`{"choices":[{"delta":{"reasoning_content":"hm"}}]}`)},
-		{"its end", []byte(`{"choices":[{"delta":{},"finish_reason":"stop"}]}`)},
-		{"too long", chunk("a", strings.Repeat("x", 101))},
+		{"the finish reason", []byte(`{"choices":[{"delta":{},"finish_reason":"stop"}]}`)},
+		{"too long", newChunk("a", strings.Repeat("x", 101))},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			text := NewText(Config{Kind: KindChat, Limit: 100})
-			text.Take(s.data)
+			text := NewText(Config{Kind: KindChat, MaxBytes: 100})
+			text.Process(s.data)
 			require.True(t, text.Lost())
 			_, err := text.Body([]byte(`{}`))
 			require.ErrorIs(t, err, ErrNotResumable)
@@ -80,22 +79,22 @@
 	}
 }
 
-func TestCompletionGoesOn(t *testing.T) {
-	text := NewText(Config{Kind: KindCompletion, Limit: 100})
-	text.Take([]byte(`{"id":"a","choices":[{"text":"say \"hi\"","finish_reason":null}]}`))
+func TestBodyExtendsPrompt(t *testing.T) {
+	text := NewText(Config{Kind: KindCompletion, MaxBytes: 100})
+	text.Process([]byte(`{"id":"a","choices":[{"text":"say \"hi\"","finish_reason":null}]}`))
 	body, err := text.Body([]byte(`{"model":"m","prompt":"p: ","max_tokens":5}`))
 	require.NoError(t, err)
 	require.JSONEq(t, `{"model":"m","prompt":"p: say \"hi\"","max_tokens":4}`, string(body))
 	_, err = text.Body([]byte(`{"model":"m","prompt":"p","max_tokens":1}`))
-	require.ErrorIs(t, err, ErrNotResumable, "every token that was asked for is there; only the end is missing")
+	require.ErrorIs(t, err, ErrNotResumable, "all requested tokens were received; only the finish reason is missing")
 	_, err = text.Body([]byte(`{"model":"m","prompt":["p"]}`))
 	require.ErrorIs(t, err, ErrNotResumable)
 }
 
-func TestAbleNeedsOnePlainChoice(t *testing.T) {
+func TestResumable(t *testing.T) {
 	scenarios := []struct {
-		body string
-		able bool
+		body      string
+		resumable bool
 	}{
 		{`{}`, true},
 		{`{"n":1,"logprobs":false}`, true},
@@ -107,6 +106,6 @@
 	for _, s := range scenarios {
 		var body map[string]json.RawMessage
 		require.NoError(t, json.Unmarshal([]byte(s.body), &body))
-		require.Equal(t, s.able, Able(body), s.body)
+		require.Equal(t, s.resumable, Resumable(body), s.body)
 	}
 }
