--- a/gateway/pkg/app/parts.go
+++ b/gateway/pkg/app/parts.go
@@ -53,7 +53,7 @@
 			Older:     older.New(older.Config{Clock: now}),
 			Claims:    claims,
 			Jobs:      control.NewJobs(control.JobsConfig{Gateway: settings.Name, Client: client, Groups: watcher.Groups}),
-			Limiter:   limit.New(limit.Config{InFlight: settings.Limits.InFlight}),
+			Limiter:   limit.New(limit.Config{MaxInFlight: settings.Limits.InFlight}),
 			Book:      book, Metrics: online, Logger: logger,
 		}),
 	}
--- a/gateway/pkg/caller/entry.go
+++ b/gateway/pkg/caller/entry.go
@@ -161,11 +161,11 @@
 	short := s.config.Directory.Short(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict := s.config.Limiter.Admit(s.config.Clock.Now(), limit.Ask{
-		Team: e.team.Name, Service: service, Short: short,
-		Terms: limit.Terms{
+	verdict := s.config.Limiter.Admit(s.config.Clock.Now(), limit.Request{
+		Team: e.team.Name, Service: service, Saturated: short,
+		Limits: limit.Limits{
 			Rate: e.team.GetRate(), Burst: float64(e.team.GetBurst()),
-			InFlight: int(e.team.GetInFlight()), Weight: int(e.team.GetWeight()),
+			MaxInFlight: int(e.team.GetInFlight()), Weight: int(e.team.GetWeight()),
 		},
 	})
 	if verdict.Admitted {
@@ -173,10 +173,10 @@
 	}
 	s.config.Book.Add(e.id, "refused", verdict.Reason)
 	status := http.StatusTooManyRequests
-	if verdict.Reason == limit.ReasonFull {
+	if verdict.Reason == limit.ReasonGatewayFull {
 		status = http.StatusServiceUnavailable
 	}
-	return refuse(status, verdict.Reason, messages[verdict.Reason]).after(verdict.Retry)
+	return refuse(status, verdict.Reason, messages[verdict.Reason]).after(verdict.RetryAfter)
 }
 
 func (s *Server) release(e *entry, service string) {
--- a/gateway/pkg/caller/refusal.go
+++ b/gateway/pkg/caller/refusal.go
@@ -167,6 +167,6 @@
 	endpoint.ReasonUnreachable:   "no endpoint of the service could be reached",
 	limit.ReasonRate:             "the team's rate is used up",
 	limit.ReasonInFlight:         "the team has as many requests under way as it may",
-	limit.ReasonShare:            "the service is full and the team has its share of it",
-	limit.ReasonFull:             "this gateway has as many requests under way as it may",
+	limit.ReasonFairShare:        "the service is full and the team has its share of it",
+	limit.ReasonGatewayFull:      "this gateway has as many requests under way as it may",
 }
--- a/gateway/pkg/caller/server.go
+++ b/gateway/pkg/caller/server.go
@@ -119,7 +119,7 @@
 	defer s.open.Add(-1)
 	if s.open.Add(1) > int64(openFactor*s.config.Limits.InFlight+s.config.Limits.Uploads) {
 		c.Abort()
-		s.refuse(c, refuse(http.StatusServiceUnavailable, limit.ReasonFull, messages[limit.ReasonFull]).after(1_000))
+		s.refuse(c, refuse(http.StatusServiceUnavailable, limit.ReasonGatewayFull, messages[limit.ReasonGatewayFull]).after(1_000))
 		return
 	}
 	c.Next()
--- a/gateway/pkg/caller/upload.go
+++ b/gateway/pkg/caller/upload.go
@@ -66,7 +66,7 @@
 		return nil
 	}
 	s.uploads.Add(-1)
-	return refuse(http.StatusServiceUnavailable, limit.ReasonFull, "this gateway has as many batch transfers under way as it may").after(1_000)
+	return refuse(http.StatusServiceUnavailable, limit.ReasonGatewayFull, "this gateway has as many batch transfers under way as it may").after(1_000)
 }
 
 func (s *Server) uploadHeader(c *gin.Context, e *entry) (*toucanhingev1.UploadHeader, *refusal) {
--- a/gateway/pkg/limit/limiter_test.go
+++ b/gateway/pkg/limit/limiter_test.go
@@ -10,37 +10,37 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// start of one admitted request, for the oracle.
-type start struct {
+// admission is one admitted request in the oracle's history.
+type admission struct {
 	team    string
 	service string
 	at      clock.Millis
 }
 
-// oracle counts by going through the whole history each time.
+// oracle checks the limits against the complete history of admissions.
 type oracle struct {
-	terms   map[string]Terms
-	most    int
-	history []start
-	open    []start
+	limits      map[string]Limits
+	maxInFlight int
+	history     []admission
+	open        []admission
 }
 
 func (o *oracle) check(t *rapid.T, now clock.Millis) {
-	if len(o.open) > o.most {
-		t.Fatalf("%d under way, %d allowed", len(o.open), o.most)
+	if len(o.open) > o.maxInFlight {
+		t.Fatalf("%d requests in flight, %d allowed", len(o.open), o.maxInFlight)
 	}
-	for team, terms := range o.terms {
+	for team, limits := range o.limits {
 		open := 0
 		for _, s := range o.open {
 			if s.team == team {
 				open++
 			}
 		}
-		if terms.InFlight > 0 && open > terms.InFlight {
-			t.Fatalf("%s has %d under way, %d allowed", team, open, terms.InFlight)
+		if limits.MaxInFlight > 0 && open > limits.MaxInFlight {
+			t.Fatalf("%s has %d requests in flight, %d allowed", team, open, limits.MaxInFlight)
 		}
 		for i, from := range o.history {
-			if from.team != team || terms.Rate == 0 {
+			if from.team != team || limits.Rate == 0 {
 				continue
 			}
 			count := 0.0
@@ -49,43 +49,42 @@
 					count++
 				}
 			}
-			if allowed := max(terms.Burst, 1) + float64(now-from.at)/1_000*terms.Rate; count > allowed+1e-6 {
-				t.Fatalf("%s started %v since %d, %v allowed", team, count, from.at, allowed)
+			if allowed := max(limits.Burst, 1) + float64(now-from.at)/1_000*limits.Rate; count > allowed+1e-6 {
+				t.Fatalf("%s started %v requests since %d, %v allowed", team, count, from.at, allowed)
 			}
 		}
 	}
 }
 
-// Teams ask at any times for any services, with and without a shortage. No
-// team ever passes its rate over any stretch of time or its requests under way,
-// all together never pass the gateway's, and a rate's refusal says truly when to
-// come back.
+// Teams send requests at any time for any service, saturated or not. No team may exceed its rate over
+// any period or its limit of requests in flight, and all teams together may not exceed the
+// gateway's limit. A request refused for its rate must be admitted after the returned delay.
 func TestRapidLimiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &oracle{terms: map[string]Terms{}, most: rapid.IntRange(1, 12).Draw(t, "most")}
+		o := &oracle{limits: map[string]Limits{}, maxInFlight: rapid.IntRange(1, 12).Draw(t, "most")}
 		for _, team := range []string{"a", "b", "c"} {
-			o.terms[team] = Terms{
-				Rate:     rapid.SampledFrom([]float64{0, 0.5, 3, 50}).Draw(t, "rate"),
-				Burst:    float64(rapid.IntRange(1, 4).Draw(t, "burst")),
-				InFlight: rapid.IntRange(0, 5).Draw(t, "in flight"),
-				Weight:   rapid.IntRange(0, 3).Draw(t, "weight"),
+			o.limits[team] = Limits{
+				Rate:        rapid.SampledFrom([]float64{0, 0.5, 3, 50}).Draw(t, "rate"),
+				Burst:       float64(rapid.IntRange(1, 4).Draw(t, "burst")),
+				MaxInFlight: rapid.IntRange(0, 5).Draw(t, "in flight"),
+				Weight:      rapid.IntRange(0, 3).Draw(t, "weight"),
 			}
 		}
-		l := New(Config{InFlight: o.most})
+		l := New(Config{MaxInFlight: o.maxInFlight})
 		now := clock.Millis(1_000)
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) { o.check(t, now) },
 			"ask": func(t *rapid.T) {
-				s := start{team: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"), service: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "service"), at: now}
-				ask := Ask{Team: s.team, Service: s.service, Terms: o.terms[s.team], Short: rapid.Bool().Draw(t, "short")}
-				verdict := l.Admit(now, ask)
+				s := admission{team: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"), service: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "service"), at: now}
+				request := Request{Team: s.team, Service: s.service, Limits: o.limits[s.team], Saturated: rapid.Bool().Draw(t, "short")}
+				verdict := l.Admit(now, request)
 				if verdict.Reason == ReasonRate {
-					now += verdict.Retry
-					ask.Short = false
+					now += verdict.RetryAfter
+					request.Saturated = false
 					s.at = now
-					verdict = l.Admit(now, ask)
+					verdict = l.Admit(now, request)
 					if !verdict.Admitted {
-						t.Fatalf("told to come back, and refused: %s", verdict.Reason)
+						t.Fatalf("refused after the returned retry delay: %s", verdict.Reason)
 					}
 				}
 				if verdict.Admitted {
@@ -106,60 +105,59 @@
 	})
 }
 
-// One team resends as fast as it can and holds every slot of a full service; the
-// other sends little. As slots end, the greedy one must be refused until each
-// has its weight's part, while the other gets in at once. A service with room
-// refuses nobody for the sake of sharing.
-func TestShortServiceIsShared(t *testing.T) {
+// One team resends as fast as it can and holds every slot of a saturated service; another sends few
+// requests. As slots become free, the greedy team must be refused until both teams have their weighted
+// shares, while the other team is admitted at once. Without saturation, sharing refuses no request.
+func TestSaturatedServiceIsShared(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		weight int
-		parts  [2]int
+		shares [2]int
 	}{
 		{"equal weights", 1, [2]int{20, 20}},
-		{"the other weighs three", 3, [2]int{10, 30}},
+		{"the other team has weight three", 3, [2]int{10, 30}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			l := New(Config{InFlight: 1_000})
-			ask := func(team string, short bool) Verdict {
-				terms := Terms{Weight: 1}
+			l := New(Config{MaxInFlight: 1_000})
+			admit := func(team string, saturated bool) Verdict {
+				limits := Limits{Weight: 1}
 				if team == "other" {
-					terms.Weight = s.weight
+					limits.Weight = s.weight
 				}
-				return l.Admit(10, Ask{Team: team, Service: "x", Short: short, Terms: terms})
+				return l.Admit(10, Request{Team: team, Service: "x", Saturated: saturated, Limits: limits})
 			}
 			for range 40 {
-				require.True(t, ask("greedy", false).Admitted)
+				require.True(t, admit("greedy", false).Admitted)
 			}
 			counts := map[string]int{"greedy": 40}
-			require.True(t, ask("other", true).Admitted)
+			require.True(t, admit("other", true).Admitted)
 			counts["other"]++
-			// A tenth and one more than the exact part is left to rounding.
-			for counts["greedy"] > s.parts[0]+4 {
-				require.Equal(t, ReasonShare, ask("greedy", true).Reason, fmt.Sprint(counts))
+			// The share tolerance allows a tenth and one request above the exact share.
+			for counts["greedy"] > s.shares[0]+4 {
+				require.Equal(t, ReasonFairShare, admit("greedy", true).Reason, fmt.Sprint(counts))
 				l.Done(10, "greedy", "x")
 				counts["greedy"]--
-				require.True(t, ask("other", true).Admitted, fmt.Sprint(counts))
+				require.True(t, admit("other", true).Admitted, fmt.Sprint(counts))
 				counts["other"]++
 			}
-			for counts["greedy"] >= s.parts[0] {
+			for counts["greedy"] >= s.shares[0] {
 				l.Done(10, "greedy", "x")
 				counts["greedy"]--
 			}
-			require.True(t, ask("greedy", true).Admitted, "below its part it is let in")
+			require.True(t, admit("greedy", true).Admitted, "a team below its share is admitted")
 		})
 	}
 }
 
-func TestLimiterForgetsTeamsThatAreAway(t *testing.T) {
-	l := New(Config{InFlight: 10_000})
+func TestSweepRemovesInactiveTeams(t *testing.T) {
+	l := New(Config{MaxInFlight: 10_000})
 	for i := range 1_000 {
 		team := fmt.Sprint(i)
-		require.True(t, l.Admit(1, Ask{Team: team, Service: "x", Terms: Terms{Rate: 5}}).Admitted)
+		require.True(t, l.Admit(1, Request{Team: team, Service: "x", Limits: Limits{Rate: 5}}).Admitted)
 		l.Done(2, team, "x")
 	}
-	l.Admit(100_000, Ask{Team: "new", Service: "x"})
+	l.Admit(100_000, Request{Team: "new", Service: "x"})
 	require.Len(t, l.accounts, 1)
 	require.Len(t, l.shares["x"], 1)
 }
