--- a/gateway/pkg/app/parts.go
+++ b/gateway/pkg/app/parts.go
@@ -37,7 +37,7 @@
 	client := shared.New(shared.Config{Addresses: settings.Control, HTTP: web.NewClient(), Retried: set.Retried})
 	directory := newDirectory(settings, now, logger, set)
 	watcher := shared.NewWatcher(shared.WatcherConfig{
-		Client: client, Process: settings.Name, Logger: logger, Changed: directory.Changed,
+		Client: client, Process: settings.Name, Logger: logger, Changed: directory.SetFleet,
 	})
 	claims := control.NewClaims(control.ClaimsConfig{
 		Gateway: settings.Name, Client: client, Logger: logger, Wait: clock.Millis(settings.Retry.Claim),
--- a/gateway/pkg/caller/entry.go
+++ b/gateway/pkg/caller/entry.go
@@ -158,7 +158,7 @@
 
 // admit applies the team's limits. Each success must be followed by release.
 func (s *Server) admit(e *entry, service string) *refusal {
-	short := s.config.Directory.Short(service)
+	short := s.config.Directory.Saturated(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	verdict := s.config.Limiter.Admit(s.config.Clock.Now(), limit.Request{
--- a/gateway/pkg/endpoint/cancel.go
+++ b/gateway/pkg/endpoint/cancel.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// cancelsHeld bounds the cancels that wait; a sidecar ends a run by itself
-	// some time after its reader left, so one that is dropped only costs a slot
-	// for that long.
-	cancelsHeld   = 4_096
-	cancelWorkers = 8
+	// maxPendingCancels limits the cancels that wait to be sent. A dropped cancel only occupies a slot
+	// until the sidecar ends the run by itself, some time after its reader disconnected.
+	maxPendingCancels = 4_096
+	cancelWorkers     = 8
 )
 
-// cancelled is one attempt that nobody waits for.
-type cancelled struct {
+// pendingCancel is a cancel of one attempt that waits to be sent.
+type pendingCancel struct {
 	address string
 	request *toucanhingev1.CancelRequest
 }
 
-// Cancel tells a sidecar that nobody waits for an attempt any more. Closing the
-// stream doesn't: a sidecar keeps the run of a lost stream for its resume.
+// Cancel queues a cancel of an attempt for its sidecar. Closing the stream does not cancel the
+// attempt, because a sidecar continues the run of a lost stream so that it can be resumed.
 func (d *Directory) Cancel(address, request string, attempt uint32) {
-	d.cancels.Offer(cancelled{address: address, request: &toucanhingev1.CancelRequest{RequestId: request, Attempt: attempt}})
+	d.cancels.Offer(pendingCancel{
+		address: address, request: &toucanhingev1.CancelRequest{RequestId: request, Attempt: attempt},
+	})
 }
 
-// SendCancels sends them until the context ends.
+// SendCancels sends queued cancels until the context ends.
 func (d *Directory) SendCancels(ctx context.Context) {
 	var workers sync.WaitGroup
 	for range cancelWorkers {
@@ -48,9 +49,9 @@
 		case <-ctx.Done():
 			return
 		case c := <-d.cancels.Items():
-			tryCtx, cancel := context.WithTimeout(ctx, d.config.PollTimeout.Duration())
-			// A sidecar that can't be told ends the run by itself, later.
-			_, _ = d.Client(c.address).Cancel(tryCtx, connect.NewRequest(c.request))
+			callCtx, cancel := context.WithTimeout(ctx, d.config.PollTimeout.Duration())
+			// A sidecar that can't be reached ends the run by itself later.
+			_, _ = d.Client(c.address).Cancel(callCtx, connect.NewRequest(c.request))
 			cancel()
 		}
 	}
--- a/gateway/pkg/endpoint/directory.go
+++ b/gateway/pkg/endpoint/directory.go
@@ -1,5 +1,5 @@
-// Package endpoint speaks to the sidecars: it runs requests there, asks for
-// their load, and keeps the router told of what it learns.
+// Package endpoint is the client of the sidecars: it runs requests at them, polls their load and reports
+// loads and outcomes to the router.
 package endpoint
 
 import (
@@ -22,7 +22,7 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
-// Config describes a directory.
+// Config configures a Directory.
 type Config struct {
 	Gateway    string
 	DataCentre string
@@ -32,49 +32,49 @@
 	Logger     log.Logger
 	// Ejected counts ejections by reason.
 	Ejected *prometheus.CounterVec
-	// PollTimeout bounds the wait for a load, a span.
+	// PollTimeout limits the wait for a load report.
 	PollTimeout clock.Millis
 }
 
-// Directory guards the router and holds the connections to the sidecars.
+// Directory serializes access to the router and holds the clients of the sidecars.
 type Directory struct {
 	config  Config
 	mu      sync.Mutex
 	clients map[string]toucanhingev1connect.EndpointServiceClient
-	cancels *ring.Ring[cancelled]
-	// streams under way by the address of their endpoint.
+	cancels *ring.Ring[pendingCancel]
+	// streams holds the open streams by the address of their endpoint.
 	streams map[string]map[*Stream]struct{}
 }
 
-// New makes a directory without endpoints.
+// New returns a directory without endpoints.
 func New(config Config) *Directory {
 	return &Directory{
 		config: config, clients: map[string]toucanhingev1connect.EndpointServiceClient{},
 		streams: map[string]map[*Stream]struct{}{},
-		cancels: ring.New[cancelled](ring.Config{Size: cancelsHeld}),
+		cancels: ring.New[pendingCancel](ring.Config{Size: maxPendingCancels}),
 	}
 }
 
-// Changed puts a new configuration in force.
-func (d *Directory) Changed(fleet *world.Fleet) {
+// SetFleet applies a new configuration.
+func (d *Directory) SetFleet(fleet *world.Fleet) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	present := map[string]bool{}
 	for _, s := range fleet.Services() {
 		present[s.Name] = true
-		d.config.Router.SetEndpoints(s.Name, d.endpoints(fleet, s.Name))
+		d.config.Router.SetEndpoints(s.Name, d.routeEndpoints(fleet, s.Name))
 	}
 	for _, name := range d.config.Router.Services() {
 		if !present[name] {
 			d.config.Router.SetEndpoints(name, nil)
 		}
 	}
-	d.forget()
+	d.removeUnusedClients()
 }
 
-// forget drops the calls to addresses that no endpoint has any more; over a
-// year of restarts they would pile up.
-func (d *Directory) forget() {
+// removeUnusedClients removes the clients of addresses that no endpoint has any more. They would
+// accumulate over a year of restarts.
+func (d *Directory) removeUnusedClients() {
 	used := d.config.Router.Addresses()
 	for address := range d.clients {
 		if !used[address] {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (d *Directory) endpoints(fleet *world.Fleet, service string) []route.Endpoint {
+func (d *Directory) routeEndpoints(fleet *world.Fleet, service string) []route.Endpoint {
 	var list []route.Endpoint
 	for _, e := range fleet.Endpoints(service) {
 		list = append(list, route.Endpoint{
@@ -94,52 +94,52 @@
 	return list
 }
 
-// Choose asks the router and counts the choice as sent.
-func (d *Directory) Choose(ask route.Request) route.Choice {
+// Choose selects an endpoint through the router and records that the request is sent to it.
+func (d *Directory) Choose(request route.Request) route.Choice {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	choice := d.config.Router.Choose(d.config.Clock.Now(), ask)
+	choice := d.config.Router.Choose(d.config.Clock.Now(), request)
 	if choice.Endpoint != "" {
 		d.config.Router.RecordSent(choice.Endpoint)
 	}
 	return choice
 }
 
-// Sent counts another request to an endpoint that was chosen before. It returns
-// the endpoint's address, false when it is no longer used.
-func (d *Directory) Sent(endpoint string) (address string, found bool) {
+// RecordSent records another attempt at an endpoint that was selected before. It returns the
+// endpoint's address, and false when the endpoint is no longer used.
+func (d *Directory) RecordSent(endpoint string) (address string, found bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.config.Router.RecordSent(endpoint)
 	return d.config.Router.Address(endpoint)
 }
 
-// Short says whether no endpoint of the service has a free slot.
-func (d *Directory) Short(service string) bool {
+// Saturated reports whether no endpoint of the service has a free slot.
+func (d *Directory) Saturated(service string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.config.Router.Saturated(d.config.Clock.Now(), service)
 }
 
-// Ended tells what became of an attempt.
-func (d *Directory) Ended(endpoint string, outcome route.Outcome, first, retry clock.Millis) {
+// RecordEnd records the outcome of an attempt.
+func (d *Directory) RecordEnd(endpoint string, outcome route.Outcome, first, retry clock.Millis) {
 	d.mu.Lock()
 	reason := d.config.Router.RecordEnd(d.config.Clock.Now(), endpoint, outcome, first, retry)
 	d.mu.Unlock()
-	d.ejected(endpoint, reason)
+	d.reportEjection(endpoint, reason)
 }
 
-// Reported takes a load that came with a frame.
-func (d *Directory) Reported(endpoint string, load *toucanhingev1.Load) {
+// RecordLoad records a load that was received with a frame.
+func (d *Directory) RecordLoad(endpoint string, load *toucanhingev1.Load) {
 	if load == nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.config.Router.RecordLoad(d.config.Clock.Now(), endpoint, loadOf(load))
+	d.config.Router.RecordLoad(d.config.Clock.Now(), endpoint, newLoad(load))
 }
 
-func loadOf(load *toucanhingev1.Load) route.Load {
+func newLoad(load *toucanhingev1.Load) route.Load {
 	return route.Load{
 		Running: int(load.GetRunning()), Queued: int(load.GetQueued()), Slots: int(load.GetSlots()),
 		Foreign: int(load.GetForeign()), Wait: clock.Millis(load.GetWaitMs()),
@@ -147,7 +147,8 @@
 	}
 }
 
-func (d *Directory) ejected(endpoint, reason string) {
+// reportEjection counts and logs an ejection; an empty reason means that there was none.
+func (d *Directory) reportEjection(endpoint, reason string) {
 	if reason == "" {
 		return
 	}
@@ -155,16 +156,16 @@
 	level.Warn(d.config.Logger).Log(logs.KeyEvent, "endpoint-ejected", "endpoint", endpoint, "reason", reason)
 }
 
-// Client returns the calls to the sidecar at an address.
+// Client returns the client of the sidecar at an address.
 func (d *Directory) Client(address string) toucanhingev1connect.EndpointServiceClient {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c, found := d.clients[address]; found {
 		return c
 	}
-	// A sidecar would otherwise compress every token by itself: more bytes, and time.
-	plain := connect.WithAcceptCompression("gzip", nil, nil)
-	c := toucanhingev1connect.NewEndpointServiceClient(d.config.HTTP, "http://"+address, plain)
+	// Otherwise the sidecar would compress every token separately, which takes more bytes and time.
+	uncompressed := connect.WithAcceptCompression("gzip", nil, nil)
+	c := toucanhingev1connect.NewEndpointServiceClient(d.config.HTTP, "http://"+address, uncompressed)
 	d.clients[address] = c
 	return c
 }
@@ -174,9 +175,8 @@
 	pollWorkers = 64
 )
 
-// Poll asks endpoints for their load when it is too old, until the context
-// ends. Loads that come with answers put the question off, so a busy endpoint
-// is hardly asked.
+// Poll requests load reports from endpoints whose load is too old, until the context ends. Loads that
+// come with answers delay the next poll, so a busy endpoint is rarely polled.
 func (d *Directory) Poll(ctx context.Context) {
 	ticker := time.NewTicker(pollTick)
 	defer ticker.Stop()
@@ -187,51 +187,51 @@
 			return
 		case <-ticker.C:
 		}
-		for _, name := range d.due() {
+		for _, name := range d.duePolls() {
 			select {
 			case workers <- struct{}{}:
 				go func() {
-					d.ask(ctx, name)
+					d.pollEndpoint(ctx, name)
 					<-workers
 				}()
 			default:
-				// All are waiting for silent endpoints; this one's turn comes again.
+				// All workers wait for unresponsive endpoints; the endpoint is polled again later.
 			}
 		}
 	}
 }
 
-func (d *Directory) due() []string {
+func (d *Directory) duePolls() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.config.Router.DuePolls(d.config.Clock.Now())
 }
 
-func (d *Directory) ask(ctx context.Context, endpoint string) {
+func (d *Directory) pollEndpoint(ctx context.Context, endpoint string) {
 	d.mu.Lock()
 	address, found := d.config.Router.Address(endpoint)
 	d.mu.Unlock()
 	if !found {
 		return
 	}
-	tryCtx, cancel := context.WithTimeout(ctx, d.config.PollTimeout.Duration())
+	callCtx, cancel := context.WithTimeout(ctx, d.config.PollTimeout.Duration())
 	defer cancel()
 	request := connect.NewRequest(&toucanhingev1.ReportRequest{Gateway: d.config.Gateway})
-	reply, err := d.Client(address).Report(tryCtx, request)
+	reply, err := d.Client(address).Report(callCtx, request)
 	if ctx.Err() != nil {
 		return
 	}
 	var load *route.Load
-	// Another process may have taken over the address.
+	// Another process may now use the address.
 	if err == nil && reply.Msg.GetEndpoint() == endpoint && reply.Msg.GetLoad() != nil {
-		told := loadOf(reply.Msg.GetLoad())
-		load = &told
+		reported := newLoad(reply.Msg.GetLoad())
+		load = &reported
 	}
 	d.mu.Lock()
 	reason := d.config.Router.RecordPoll(d.config.Clock.Now(), endpoint, load)
 	d.mu.Unlock()
 	if reason == route.EjectedUnresponsive {
-		d.giveUp(address)
+		d.cancelIdleStreams(address)
 	}
-	d.ejected(endpoint, reason)
+	d.reportEjection(endpoint, reason)
 }
--- a/gateway/pkg/endpoint/stream.go
+++ b/gateway/pkg/endpoint/stream.go
@@ -14,63 +14,64 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Reasons of a stream that ended without its end frame.
+// Reasons why a stream ended without its end frame.
 const (
-	ReasonUnreachable = "unreachable"
-	ReasonSilent      = "silent"
-	ReasonStalled     = "stalled"
-	ReasonCut         = "stream-cut"
-	ReasonError       = "sidecar-error"
+	ReasonUnreachable  = "unreachable"
+	ReasonUnresponsive = "silent"
+	ReasonStalled      = "stalled"
+	ReasonStreamCut    = "stream-cut"
+	ReasonSidecarError = "sidecar-error"
 )
 
-// silence before a break that marks the endpoint as dead rather than its
-// answer as cut: connection pings found nobody there.
-const silence clock.Millis = 2_000
+// unresponsiveAfter is the idle time from which a failed stream counts as an unresponsive endpoint and
+// not only as a cut answer: the failure then comes from unanswered connection pings.
+const unresponsiveAfter clock.Millis = 2_000
 
-// Break says how a stream ended before its end frame.
-type Break struct {
+// Failure describes how a stream ended before its end frame.
+type Failure struct {
 	Reason string
-	// Reached is false when the sidecar certainly got nothing.
+	// Reached is false when the sidecar certainly did not receive the request.
 	Reached bool
-	// Dead is true when the endpoint does not answer at all.
-	Dead bool
-	Err  error
+	// Unreachable is true when the endpoint does not answer at all.
+	Unreachable bool
+	Err         error
 }
 
-// Stream is one attempt's frames. It belongs to one goroutine.
+// Stream receives the frames of one attempt. It is used by one goroutine.
 type Stream struct {
 	clock  clock.Clock
 	frames *connect.ServerStreamForClient[toucanhingev1.Frame]
 	cancel context.CancelFunc
-	// stall ends a stream whose next frame is late; heard is when the last one came.
-	stall   *time.Timer
-	stalled context.Context
-	heard   atomic.Int64
-	// silent is set when the endpoint turned out to answer nobody.
-	silent atomic.Bool
-	// leave takes the stream out of the directory's list.
-	leave func()
+	// timer cancels the stream when the next frame is late; timedOut is done once it has fired.
+	// lastFrameAt is the time of the last frame, or of opening the stream.
+	timer       *time.Timer
+	timedOut    context.Context
+	lastFrameAt atomic.Int64
+	// unresponsive is set when the stream was cancelled because its endpoint answers no polls.
+	unresponsive atomic.Bool
+	// untrack removes the stream from the directory's open streams.
+	untrack func()
 }
 
-// Open sends the request; limit is the longest wait for the first frame, a
-// span, 0 for none. The address must come from the router.
+// Open sends the request. timeout limits the wait for the first frame; 0 means no limit. The address
+// must come from the router.
 func (d *Directory) Open(
-	ctx context.Context, address string, request *toucanhingev1.RunRequest, limit clock.Millis,
-) (*Stream, *Break) {
+	ctx context.Context, address string, request *toucanhingev1.RunRequest, timeout clock.Millis,
+) (*Stream, *Failure) {
 	ctx, cancel := context.WithCancel(ctx)
-	s := &Stream{clock: d.config.Clock, cancel: cancel, leave: func() {}}
-	s.hear()
-	// A call that may not be repeated waits on: its endpoint may yet answer.
+	s := &Stream{clock: d.config.Clock, cancel: cancel, untrack: func() {}}
+	s.recordFrame()
+	// A request that must not be retried keeps waiting, because its endpoint may still answer.
 	if request.GetIdempotent() {
-		s.leave = d.enlist(address, s)
+		s.untrack = d.trackStream(address, s)
 	}
-	// The call below may wait as long as the sidecar sends nothing.
-	if limit > 0 {
-		s.Limit(limit)
+	// The call below may block as long as the sidecar sends nothing.
+	if timeout > 0 {
+		s.SetTimeout(timeout)
 	}
 	frames, err := d.Client(address).Run(ctx, connect.NewRequest(request))
 	if err != nil {
-		failure := s.judge(err)
+		failure := s.newFailure(err)
 		s.stop()
 		return nil, failure
 	}
@@ -78,76 +79,77 @@
 	return s, nil
 }
 
-// Limit sets the longest wait for the next frame, a span; it starts anew with each call.
-func (s *Stream) Limit(wait clock.Millis) {
-	if s.stall == nil {
-		ctx, mark := context.WithCancel(context.Background())
-		s.stalled = ctx
-		s.stall = time.AfterFunc(wait.Duration(), func() {
-			mark()
+// SetTimeout sets the maximum wait for the next frame; each call restarts it.
+func (s *Stream) SetTimeout(timeout clock.Millis) {
+	if s.timer == nil {
+		ctx, expire := context.WithCancel(context.Background())
+		s.timedOut = ctx
+		s.timer = time.AfterFunc(timeout.Duration(), func() {
+			expire()
 			s.cancel()
 		})
 		return
 	}
-	s.stall.Reset(wait.Duration())
+	s.timer.Reset(timeout.Duration())
 }
 
-// Next waits for a frame; the break is nil when there is one.
-func (s *Stream) Next() (*toucanhingev1.Frame, *Break) {
+// Next waits for a frame. The failure is nil if a frame was received.
+func (s *Stream) Next() (*toucanhingev1.Frame, *Failure) {
 	if s.frames.Receive() {
-		s.hear()
+		s.recordFrame()
 		return s.frames.Msg(), nil
 	}
 	err := s.frames.Err()
 	if err == nil {
 		err = errors.New("the stream ended without an end frame")
 	}
-	return nil, s.judge(err)
+	return nil, s.newFailure(err)
 }
 
-// Close drops the stream; the sidecar learns by it that nobody reads any more.
+// Close closes the stream, which shows the sidecar that the gateway no longer reads it.
 func (s *Stream) Close() {
 	s.stop()
 	_ = s.frames.Close()
 }
 
-func (s *Stream) hear() {
-	s.heard.Store(int64(s.clock.Now()))
+func (s *Stream) recordFrame() {
+	s.lastFrameAt.Store(int64(s.clock.Now()))
 }
 
-// quiet is how long nothing came, a span.
-func (s *Stream) quiet() clock.Millis {
-	return s.clock.Now() - clock.Millis(s.heard.Load())
+// idleTime returns the time since the last frame.
+func (s *Stream) idleTime() clock.Millis {
+	return s.clock.Now() - clock.Millis(s.lastFrameAt.Load())
 }
 
 func (s *Stream) stop() {
-	s.leave()
-	if s.stall != nil {
-		s.stall.Stop()
+	s.untrack()
+	if s.timer != nil {
+		s.timer.Stop()
 	}
 	s.cancel()
 }
 
-func (s *Stream) judge(err error) *Break {
-	var dial *net.OpError
+// newFailure classifies the error that ended the stream.
+func (s *Stream) newFailure(err error) *Failure {
+	var opErr *net.OpError
 	switch {
-	case s.stalled != nil && s.stalled.Err() != nil:
-		return &Break{Reason: ReasonStalled, Reached: true, Dead: true, Err: err}
-	case s.silent.Load():
-		return &Break{Reason: ReasonSilent, Reached: true, Dead: true, Err: err}
-	case errors.As(err, &dial) && dial.Op == "dial":
-		return &Break{Reason: ReasonUnreachable, Dead: true, Err: err}
+	case s.timedOut != nil && s.timedOut.Err() != nil:
+		return &Failure{Reason: ReasonStalled, Reached: true, Unreachable: true, Err: err}
+	case s.unresponsive.Load():
+		return &Failure{Reason: ReasonUnresponsive, Reached: true, Unreachable: true, Err: err}
+	case errors.As(err, &opErr) && opErr.Op == "dial":
+		return &Failure{Reason: ReasonUnreachable, Unreachable: true, Err: err}
 	case connect.IsWireError(err):
-		return &Break{Reason: ReasonError, Reached: true, Err: err}
-	case s.quiet() >= silence:
-		return &Break{Reason: ReasonSilent, Reached: true, Dead: true, Err: err}
+		return &Failure{Reason: ReasonSidecarError, Reached: true, Err: err}
+	case s.idleTime() >= unresponsiveAfter:
+		return &Failure{Reason: ReasonUnresponsive, Reached: true, Unreachable: true, Err: err}
 	default:
-		return &Break{Reason: ReasonCut, Reached: true, Err: err}
+		return &Failure{Reason: ReasonStreamCut, Reached: true, Err: err}
 	}
 }
 
-// FrameOf turns a frame into what decisions are made on.
-func FrameOf(f *toucanhingev1.Frame) attempt.Frame {
+// NewFrame converts a frame from a sidecar for the attempt machine.
+func NewFrame(f *toucanhingev1.Frame) attempt.Frame {
 	frame := attempt.Frame{Request: f.GetRequestId(), Attempt: f.GetAttempt(), Sequence: f.GetSequence()}
 	switch part := f.GetPart().(type) {
 	case *toucanhingev1.Frame_Head:
@@ -160,17 +162,18 @@
 		frame.Part = attempt.PartEnd
 		frame.FrameCount = part.End.GetFrames()
 		frame.Reason = part.End.GetError()
-		frame.Ran = ranOf(part.End.GetRan())
+		frame.Ran = newRan(part.End.GetRan())
 	case *toucanhingev1.Frame_Refusal:
 		frame.Part = attempt.PartRefusal
 		frame.Reason = part.Refusal.GetReason()
-		frame.Ran = ranOf(part.Refusal.GetRan())
+		frame.Ran = newRan(part.Refusal.GetRan())
 		frame.RetryAfter = clock.Millis(part.Refusal.GetRetryMs())
 	}
 	return frame
 }
 
-func ranOf(ran toucanhingev1.Ran) attempt.Ran {
+// newRan converts a Ran value from a sidecar. Unspecified values become RanUnknown.
+func newRan(ran toucanhingev1.Ran) attempt.Ran {
 	switch ran {
 	case toucanhingev1.Ran_RAN_NO:
 		return attempt.RanNo
--- a/gateway/pkg/online/exchange.go
+++ b/gateway/pkg/online/exchange.go
@@ -177,10 +177,10 @@
 		e.keepRun = true
 		e.closeStream(e.outcome)
 		e.keepRun = false
-		address, found := e.executor.config.Directory.Sent(action.Endpoint)
+		address, found := e.executor.config.Directory.RecordSent(action.Endpoint)
 		if !found {
 			e.attempt = action.Attempt
-			return e.breakAttempt(endpoint.Break{Reason: endpoint.ReasonUnreachable, Dead: true})
+			return e.breakAttempt(endpoint.Failure{Reason: endpoint.ReasonUnreachable, Unreachable: true})
 		}
 		e.choice.Endpoint, e.choice.Address = action.Endpoint, address
 	}
@@ -198,14 +198,14 @@
 	}
 	now := e.executor.config.Clock.Now()
 	e.sentAt, e.firstChunkAt = now, 0
-	limit := clock.Millis(0)
+	timeout := clock.Millis(0)
 	if action.ResumeAfter > 0 {
-		limit = resumeTimeout
+		timeout = resumeTimeout
 	}
 	e.open = true
 	e.result.Attempts++
 	e.executor.config.Metrics.Attempts.Inc()
-	stream, failure := e.executor.config.Directory.Open(ctx, e.choice.Address, e.newRunRequest(action, body, now), limit)
+	stream, failure := e.executor.config.Directory.Open(ctx, e.choice.Address, e.newRunRequest(action, body, now), timeout)
 	if failure != nil {
 		e.stream = nil
 		return e.handleStreamFailure(ctx, *failure)
@@ -230,7 +230,7 @@
 		return e.handleStreamFailure(ctx, *failure)
 	}
 	now := e.executor.config.Clock.Now()
-	event := attempt.Event{Kind: attempt.EventFrame, Frame: endpoint.FrameOf(frame)}
+	event := attempt.Event{Kind: attempt.EventFrame, Frame: endpoint.NewFrame(frame)}
 	switch event.Frame.Part {
 	case attempt.PartHead:
 		e.abandoned = abandonedRun{}
@@ -242,7 +242,7 @@
 			e.firstChunkAt = now
 		}
 		if e.request.Stream {
-			e.stream.Limit(e.executor.config.StallTimeout)
+			e.stream.SetTimeout(e.executor.config.StallTimeout)
 		}
 	default:
 		// The last frame's load no longer includes this request, so it is reported after the
@@ -251,7 +251,7 @@
 		return event
 	}
 	if load := frame.GetLoad(); load != nil {
-		e.executor.config.Directory.Reported(e.choice.Endpoint, load)
+		e.executor.config.Directory.RecordLoad(e.choice.Endpoint, load)
 	}
 	return event
 }
@@ -264,7 +264,7 @@
 
 // handleStreamFailure distinguishes a disconnected caller and an expired deadline from a failure of the
 // endpoint.
-func (e *exchange) handleStreamFailure(ctx context.Context, failure endpoint.Break) attempt.Event {
+func (e *exchange) handleStreamFailure(ctx context.Context, failure endpoint.Failure) attempt.Event {
 	switch ctx.Err() {
 	case context.Canceled:
 		return attempt.Event{Kind: attempt.EventCallerGone}
@@ -280,23 +280,23 @@
 	return e.breakAttempt(failure)
 }
 
-func (e *exchange) breakAttempt(failure endpoint.Break) attempt.Event {
+func (e *exchange) breakAttempt(failure endpoint.Failure) attempt.Event {
 	// The machine may request the rest from this endpoint, so the run isn't cancelled until the
 	// machine decides otherwise.
 	e.abandoned = abandonedRun{}
-	if failure.Reached && !failure.Dead {
+	if failure.Reached && !failure.Unreachable {
 		e.abandoned = abandonedRun{address: e.choice.Address, attempt: e.attempt}
 	}
 	e.keepRun = true
 	outcome := route.OutcomeFailed
-	if failure.Dead {
+	if failure.Unreachable {
 		outcome = route.OutcomeUnreachable
 	}
 	e.closeStream(outcome)
 	e.keepRun = false
 	return attempt.Event{
 		Kind: attempt.EventBroken, Attempt: e.attempt, Reason: failure.Reason,
-		Reached: failure.Reached, Unreachable: failure.Dead,
+		Reached: failure.Reached, Unreachable: failure.Unreachable,
 	}
 }
 
@@ -334,8 +334,8 @@
 	if outcome == 0 {
 		outcome = route.OutcomeNeutral
 	}
-	e.executor.config.Directory.Ended(e.choice.Endpoint, outcome, first, e.retry)
-	e.executor.config.Directory.Reported(e.choice.Endpoint, e.load)
+	e.executor.config.Directory.RecordEnd(e.choice.Endpoint, outcome, first, e.retry)
+	e.executor.config.Directory.RecordLoad(e.choice.Endpoint, e.load)
 	e.outcome, e.retry, e.load = 0, 0, nil
 	e.choice.Endpoint = ""
 }
--- a/gateway/pkg/route/endpoint.go
+++ b/gateway/pkg/route/endpoint.go
@@ -41,7 +41,7 @@
 	OutcomeFailed
 	// OutcomeUnreachable is an endpoint that can't be reached or does not answer at all.
 	OutcomeUnreachable
-	// OutcomeNeutral tells nothing about the endpoint: the caller left, or the deadline passed.
+	// OutcomeNeutral is no evidence about the endpoint: the caller left, or the deadline passed.
 	OutcomeNeutral
 )
 
