--- a/gateway/pkg/older/forwarder.go
+++ b/gateway/pkg/older/forwarder.go
@@ -1,5 +1,5 @@
-// Package older speaks to the older serving system, which takes a share of a
-// service's requests until it is switched off.
+// Package older forwards requests to the legacy serving system, which handles a share of a service's
+// requests until it is switched off.
 package older
 
 import (
@@ -20,28 +20,28 @@
 )
 
 const (
-	dialTimeout = 2 * time.Second
-	pieceBytes  = 32 << 10
+	dialTimeout     = 2 * time.Second
+	copyBufferBytes = 32 << 10
 )
 
-// Reasons of a request that the older system did not answer.
+// Reasons why the legacy system did not answer a request.
 const (
 	ReasonUnreachable = "older-unreachable"
 )
 
-// Config describes a forwarder.
+// Config configures a Forwarder.
 type Config struct {
 	Clock clock.Clock
 }
 
-// Forwarder sends requests to the older system, each exactly once: it neither
-// retries nor falls back, since what was sent there may have been run there.
+// Forwarder sends each request to the legacy system exactly once. It neither retries nor falls back,
+// because the legacy system may have run a request that it did not answer.
 type Forwarder struct {
 	config Config
 	client *http.Client
 }
 
-// New makes a forwarder.
+// New returns a forwarder.
 func New(config Config) *Forwarder {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Forwarder{
@@ -49,9 +49,9 @@
 		client: &http.Client{
 			Transport: &http.Transport{
 				DialContext: dialer.DialContext,
-				// Go's client sends a request again by itself when a reused
-				// connection turns out to be closed. On a fresh connection it
-				// never does, and the older system is on its way out anyway.
+				// Go's HTTP client resends a request by itself if a reused connection turns out to be
+				// closed, but never on a new connection. The cost of new connections is acceptable
+				// because the legacy system will be switched off.
 				DisableKeepAlives:  true,
 				DisableCompression: true,
 			},
@@ -60,7 +60,7 @@
 	}
 }
 
-// Forward sends the request and passes the answer on as it comes.
+// Forward sends the request and passes the answer to the sink as it arrives.
 func (f *Forwarder) Forward(ctx context.Context, base string, request *online.Request, sink online.Sink) online.Result {
 	now := f.config.Clock.Now()
 	if now >= request.Deadline {
@@ -76,46 +76,49 @@
 	for _, h := range request.Headers {
 		out.Header.Add(h.GetName(), h.GetValue())
 	}
-	reply, err := f.client.Do(out)
+	response, err := f.client.Do(out)
 	if err != nil {
-		return failed(ctx, limited, err, false)
+		return failureResult(ctx, limited, err, false)
 	}
-	defer func() { _ = reply.Body.Close() }()
-	sink.Head(reply.StatusCode, headers(reply.Header), int(reply.ContentLength))
-	return f.pass(ctx, limited, reply.Body, sink)
+	defer func() { _ = response.Body.Close() }()
+	sink.Head(response.StatusCode, headers(response.Header), int(response.ContentLength))
+	return f.copyBody(ctx, limited, response.Body, sink)
 }
 
-func (f *Forwarder) pass(ctx, limited context.Context, body io.Reader, sink online.Sink) online.Result {
-	piece := make([]byte, pieceBytes)
+// copyBody passes the body to the sink until it ends or the caller disconnects.
+func (f *Forwarder) copyBody(ctx, limited context.Context, body io.Reader, sink online.Sink) online.Result {
+	buffer := make([]byte, copyBufferBytes)
 	for {
-		n, err := body.Read(piece)
-		if n > 0 && sink.Data(piece[:n]) != nil {
+		n, err := body.Read(buffer)
+		if n > 0 && sink.Data(buffer[:n]) != nil {
 			return online.Result{CallerGone: true, MayHaveRun: true, Attempts: 1}
 		}
 		if errors.Is(err, io.EOF) {
 			return online.Result{Complete: true, Ran: attempt.RanYes, MayHaveRun: true, Attempts: 1}
 		}
 		if err != nil {
-			return failed(ctx, limited, err, true)
+			return failureResult(ctx, limited, err, true)
 		}
 	}
 }
 
-// failed says what is known of a request that has no whole answer.
-func failed(ctx, limited context.Context, err error, begun bool) online.Result {
-	ending := online.Result{Reason: attempt.ReasonUnknownOutcome, Ran: attempt.RanUnknown, MayHaveRun: true, Delivered: begun, Attempts: 1}
-	var dial *net.OpError
+// failureResult returns the result of a request without a complete answer.
+func failureResult(ctx, limited context.Context, err error, delivered bool) online.Result {
+	result := online.Result{
+		Reason: attempt.ReasonUnknownOutcome, Ran: attempt.RanUnknown, MayHaveRun: true, Delivered: delivered, Attempts: 1,
+	}
+	var opErr *net.OpError
 	switch {
-	case errors.As(err, &dial) && dial.Op == "dial":
-		ending.Reason, ending.Ran, ending.MayHaveRun = ReasonUnreachable, attempt.RanNo, false
+	case errors.As(err, &opErr) && opErr.Op == "dial":
+		result.Reason, result.Ran, result.MayHaveRun = ReasonUnreachable, attempt.RanNo, false
 	case ctx.Err() != nil:
-		ending.CallerGone = true
+		result.CallerGone = true
 	case limited.Err() != nil:
-		ending.Reason = attempt.ReasonDeadline
-	case begun:
-		ending.Reason = attempt.ReasonAnswerCut
+		result.Reason = attempt.ReasonDeadline
+	case delivered:
+		result.Reason = attempt.ReasonAnswerCut
 	}
-	return ending
+	return result
 }
 
 func headers(header http.Header) []*toucanhingev1.Header {
