--- a/gateway/pkg/app/endpoint_faults_test.go
+++ b/gateway/pkg/app/endpoint_faults_test.go
@@ -199,7 +199,7 @@
 			return idle()
 		}
 	}
-	g := startGateway(t, func(s *config.Settings) { s.Retry.Stall = 3_600_000 }, a, b)
+	g := startGateway(t, func(s *config.Settings) { s.Retry.StallTimeout = 3_600_000 }, a, b)
 	text, whole := g.send(http.MethodPost, chatPath, streamBody).text()
 	require.Equal(t, "aba", text)
 	require.True(t, whole)
--- a/gateway/pkg/app/parts.go
+++ b/gateway/pkg/app/parts.go
@@ -40,21 +40,21 @@
 		Client: client, Process: settings.Name, Logger: logger, Changed: directory.SetFleet,
 	})
 	claims := control.NewClaims(control.ClaimsConfig{
-		Gateway: settings.Name, Client: client, Logger: logger, Wait: clock.Millis(settings.Retry.Claim),
+		Gateway: settings.Name, Client: client, Logger: logger, Timeout: clock.Millis(settings.Retry.ClaimTimeout),
 	})
 	online := online.NewMetrics(set)
 	return &parts{
 		client: client, watcher: watcher, directory: directory, claims: claims,
 		server: caller.New(caller.Config{
-			Gateway: settings.Name, Limits: settings.Limits, PrefixBytes: settings.Route.Prefix,
+			Gateway: settings.Name, Limits: settings.Limits, PrefixBytes: settings.Route.PrefixBytes,
 			Clock: now, Fleet: watcher.Fleet, Ready: func() bool { return started(watcher) },
 			Directory: directory,
 			Runner:    newRunner(settings, now, logger, directory, book, online),
-			Older:     older.New(older.Config{Clock: now}),
+			Legacy:     older.New(older.Config{Clock: now}),
 			Claims:    claims,
 			Jobs:      control.NewJobs(control.JobsConfig{Gateway: settings.Name, Client: client, Groups: watcher.Groups}),
-			Limiter:   limit.New(limit.Config{MaxInFlight: settings.Limits.InFlight}),
-			Book:      book, Metrics: online, Logger: logger,
+			Limiter:   limit.New(limit.Config{MaxInFlight: settings.Limits.MaxInFlight}),
+			DecisionLog:      book, Metrics: online, Logger: logger,
 		}),
 	}
 }
@@ -80,9 +80,9 @@
 			Name: "toucanhinge_gateway_ejected_total", Help: "Endpoints taken out of use, by reason.",
 		}, []string{"reason"}),
 		Router: route.New(route.Config{
-			Gateway: settings.Name, Policy: route.Policy(r.Policy), SubsetSize: r.Subset, LoadBound: r.Bound,
-			MaxFailures: r.Failures, MinEjection: clock.Millis(r.Eject), MaxEjection: clock.Millis(r.EjectMost),
-			OutlierFactor: r.Outlier, SlowStart: clock.Millis(r.SlowStart), PollInterval: clock.Millis(r.Report), MaxPollRate: r.Reports, Random: random,
+			Gateway: settings.Name, Policy: route.Policy(r.Policy), SubsetSize: r.SubsetSize, LoadBound: r.LoadBound,
+			MaxFailures: r.ConsecutiveFailures, MinEjection: clock.Millis(r.BaseEjectionTime), MaxEjection: clock.Millis(r.MaxEjectionTime),
+			OutlierFactor: r.OutlierFactor, SlowStart: clock.Millis(r.SlowStartWindow), PollInterval: clock.Millis(r.ReportInterval), MaxPollRate: r.MaxReportsPerSecond, Random: random,
 		}),
 	})
 }
@@ -93,7 +93,7 @@
 	r := settings.Retry
 	return online.New(online.Config{
 		Gateway: settings.Name, Clock: now, Directory: directory, Log: book, Metrics: m, Logger: logger,
-		Budget:      attempt.NewBudget(attempt.BudgetConfig{Ratio: r.Ratio, Burst: float64(r.Burst), RefusedBurst: float64(r.Refused)}),
-		MaxAttempts: uint32(r.Attempts), StallTimeout: clock.Millis(r.Stall), MaxBuffered: settings.Limits.Answer,
+		Budget:      attempt.NewBudget(attempt.BudgetConfig{Ratio: r.Ratio, Burst: float64(r.Burst), RefusedBurst: float64(r.RefusedBurst)}),
+		MaxAttempts: uint32(r.MaxAttempts), StallTimeout: clock.Millis(r.StallTimeout), MaxBuffered: settings.Limits.ResponseBufferBytes,
 	})
 }
--- a/gateway/pkg/caller/answer.go
+++ b/gateway/pkg/caller/answer.go
@@ -45,7 +45,7 @@
 	return &answer{
 		writer:  c.Writer,
 		control: http.NewResponseController(c.Writer),
-		reader:  clock.Millis(s.config.Limits.Reader).Duration(),
+		reader:  clock.Millis(s.config.Limits.ReaderTimeout).Duration(),
 		method:  c.Request.Method,
 		stream:  stream,
 	}
--- a/gateway/pkg/caller/entry.go
+++ b/gateway/pkg/caller/entry.go
@@ -75,12 +75,12 @@
 	if r := e.authenticate(c.GetHeader(headerKey)); r != nil {
 		return nil, r
 	}
-	if r := e.headers(c, clock.Millis(s.config.Limits.LongDeadline)); r != nil {
+	if r := e.headers(c, clock.Millis(s.config.Limits.MaxDeadline)); r != nil {
 		return nil, r
 	}
-	s.config.Book.Add(e.id, "arrived", e.team.Name+" "+c.Request.Method+" "+c.Request.URL.Path)
+	s.config.DecisionLog.Add(e.id, "arrived", e.team.Name+" "+c.Request.Method+" "+c.Request.URL.Path)
 	if e.caller != "" {
-		s.config.Book.Add(e.caller, "known-as", e.id)
+		s.config.DecisionLog.Add(e.caller, "known-as", e.id)
 	}
 	return e, nil
 }
@@ -171,7 +171,7 @@
 	if verdict.Admitted {
 		return nil
 	}
-	s.config.Book.Add(e.id, "refused", verdict.Reason)
+	s.config.DecisionLog.Add(e.id, "refused", verdict.Reason)
 	status := http.StatusTooManyRequests
 	if verdict.Reason == limit.ReasonGatewayFull {
 		status = http.StatusServiceUnavailable
--- a/gateway/pkg/caller/refusal.go
+++ b/gateway/pkg/caller/refusal.go
@@ -59,8 +59,8 @@
 	Reason  string
 	Message string
 	Run     string
-	// Retry is a span; 0 leaves it out.
-	Retry clock.Millis
+	// RetryAfter is a span; 0 leaves it out.
+	RetryAfter clock.Millis
 }
 
 type refusalBody struct {
@@ -80,7 +80,7 @@
 }
 
 func (r *refusal) after(span clock.Millis) *refusal {
-	r.Retry = span
+	r.RetryAfter = span
 	return r
 }
 
@@ -107,7 +107,7 @@
 
 func (r *refusal) json() []byte {
 	text, err := json.Marshal(refusalBody{Error: refusalError{
-		Type: r.kind(), Reason: r.Reason, Message: r.Message, Run: r.Run, RetryMS: int64(r.Retry),
+		Type: r.kind(), Reason: r.Reason, Message: r.Message, Run: r.Run, RetryMS: int64(r.RetryAfter),
 	}})
 	if err != nil {
 		// A struct of strings and a number always encodes.
@@ -118,8 +118,8 @@
 
 // write sends the refusal as the whole answer.
 func (r *refusal) write(c *gin.Context) {
-	if r.Retry > 0 {
-		seconds := (r.Retry + 999) / 1_000
+	if r.RetryAfter > 0 {
+		seconds := (r.RetryAfter + 999) / 1_000
 		c.Header("Retry-After", strconv.FormatInt(int64(seconds), 10))
 	}
 	c.Data(r.Status, "application/json", r.json())
@@ -127,7 +127,7 @@
 
 // ended tells in HTTP's terms why a request has no whole answer.
 func ended(e online.Result) *refusal {
-	r := &refusal{Reason: e.Reason, Run: runOf(e.Ran), Retry: e.RetryAfter, Message: messages[e.Reason]}
+	r := &refusal{Reason: e.Reason, Run: runOf(e.Ran), RetryAfter: e.RetryAfter, Message: messages[e.Reason]}
 	if r.Message == "" {
 		r.Message = "the endpoint refused: " + e.Reason
 	}
@@ -140,7 +140,7 @@
 		r.Status = http.StatusBadGateway
 	default:
 		r.Status = http.StatusServiceUnavailable
-		r.Retry = max(r.Retry, 1)
+		r.RetryAfter = max(r.RetryAfter, 1)
 	}
 	return r
 }
--- a/gateway/pkg/caller/serve.go
+++ b/gateway/pkg/caller/serve.go
@@ -38,8 +38,8 @@
 func (s *Server) run(c *gin.Context, e *entry, request *online.Request, out *answer) online.Result {
 	service, _ := e.fleet.Service(request.Service)
 	if olderWay(e, request, service.GetOlderPercent()) {
-		s.config.Book.Add(request.ID, "chosen", "older system at "+service.GetOlderUrl())
-		return s.config.Older.Forward(c.Request.Context(), service.GetOlderUrl(), request, out.raw())
+		s.config.DecisionLog.Add(request.ID, "chosen", "older system at "+service.GetOlderUrl())
+		return s.config.Legacy.Forward(c.Request.Context(), service.GetOlderUrl(), request, out.raw())
 	}
 	return s.config.Runner.Run(c.Request.Context(), request, out.sink())
 }
@@ -71,7 +71,7 @@
 		return nil, refuse(http.StatusServiceUnavailable, reasonNoClaim,
 			"the right to run the request once could not be had; it was not run").after(2_000)
 	}
-	s.config.Book.Add(e.id, "claim", state.String())
+	s.config.DecisionLog.Add(e.id, "claim", state.String())
 	switch state {
 	case toucanhingev1.ClaimState_CLAIM_STATE_GRANTED:
 		return &claim, nil
@@ -100,7 +100,7 @@
 	case ending.MayHaveRun:
 		s.config.Claims.Settle(*claim, toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN)
 	default:
-		s.config.Claims.Free(c.Request.Context(), *claim)
+		s.config.Claims.Release(c.Request.Context(), *claim)
 	}
 }
 
--- a/gateway/pkg/core/board_test.go
+++ b/gateway/pkg/core/board_test.go
@@ -9,9 +9,9 @@
 )
 
 // board passes on what a follower hears.
-func board() *news.Board {
+func board() *news.Publisher {
 	return news.New(news.Config{
 		Boot: clock.System(), Registerer: prometheus.NewRegistry(),
-		Uses: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
+		Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
 	})
 }
--- a/gateway/pkg/core/confirmed_test.go
+++ b/gateway/pkg/core/confirmed_test.go
@@ -36,10 +36,10 @@
 	c := &confirmations{}
 	taken := &tables{}
 	f := New(Config{
-		Board: board(), Name: "g", Core: control.New(control.Config{Addresses: []string{core.address}, NewHTTP: web.NewClient, AttemptTimeout: time.Second, FindLeader: control.QueryLeader}),
-		Logger: log.NewNopLogger(), Table: taken.take, Fleet: func(*toucanhingev1.FleetView) {}, Seeds: func() []string { return nil },
-		Uses: func([]*toucanhingev1.TeamUse, clock.Millis) {},
-		Boot: now, Confirm: true, Heard: func(asked clock.Millis) {
+		Publisher: board(), Name: "g", Core: control.New(control.Config{Addresses: []string{core.address}, NewHTTP: web.NewClient, AttemptTimeout: time.Second, FindLeader: control.QueryLeader}),
+		Logger: log.NewNopLogger(), OnTable: taken.take, OnFleet: func(*toucanhingev1.FleetView) {}, Seeds: func() []string { return nil },
+		OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) {},
+		Boot: now, Confirm: true, OnFreshness: func(asked clock.Millis) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.points, c.tables = append(c.points, asked), append(c.tables, taken.last())
--- a/gateway/pkg/core/fleet_differences_test.go
+++ b/gateway/pkg/core/fleet_differences_test.go
@@ -19,9 +19,9 @@
 	var seen []*toucanhingev1.FleetView
 	used := 0
 	f := New(Config{
-		Board: board(), Name: "g", Core: control.New(control.Config{Addresses: []string{"127.0.0.1:9"}, NewHTTP: web.NewClient, FindLeader: control.QueryLeader}),
-		Logger: log.NewNopLogger(), Fleet: func(v *toucanhingev1.FleetView) { seen = append(seen, v) },
-		Uses: func([]*toucanhingev1.TeamUse, clock.Millis) { used++ },
+		Publisher: board(), Name: "g", Core: control.New(control.Config{Addresses: []string{"127.0.0.1:9"}, NewHTTP: web.NewClient, FindLeader: control.QueryLeader}),
+		Logger: log.NewNopLogger(), OnFleet: func(v *toucanhingev1.FleetView) { seen = append(seen, v) },
+		OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) { used++ },
 	})
 	tell := func(v *toucanhingev1.FleetView) bool { return f.take(&toucanhingev1.AttendResponse{Fleet: v}) }
 	runner := func(id string, slots uint32) *toucanhingev1.Runner {
--- a/gateway/pkg/core/follower.go
+++ b/gateway/pkg/core/follower.go
@@ -52,25 +52,25 @@
 	// Core calls the leader, wherever it is.
 	Core   *control.Client
 	Logger log.Logger
-	// Board passes on to other gateways what is heard here.
-	Board *news.Board
-	// Table and Fleet take over what is new.
-	Table func(*routing.Table)
-	Fleet func(*toucanhingev1.FleetView)
-	// Uses takes over what the teams have used of their quotas, once, with the span of which
+	// Publisher passes on to other gateways what is heard here.
+	Publisher *news.Publisher
+	// OnTable and Fleet take over what is new.
+	OnTable func(*routing.Table)
+	OnFleet func(*toucanhingev1.FleetView)
+	// OnUsage takes over what the teams have used of their quotas, once, with the span of which
 	// that is known.
-	Uses func(uses []*toucanhingev1.TeamUse, known clock.Millis)
+	OnUsage func(uses []*toucanhingev1.TeamUse, known clock.Millis)
 	// Boot goes on while the machine is suspended. Heard is told that all that the leader knew
 	// at a point of it is taken over; with Confirm, all that was acknowledged before.
 	Boot    clock.Clock
-	Heard   func(point clock.Millis)
+	OnFreshness   func(point clock.Millis)
 	Confirm bool
 	// Seeds lists addresses to fall back on when no known VM of the core answers.
 	Seeds func() []string
 }
 
-// Follower follows the core.
-type Follower struct {
+// Subscriber follows the core.
+type Subscriber struct {
 	config   Config
 	version  uint64
 	fleet    fleetview.Cache
@@ -89,15 +89,15 @@
 }
 
 // New makes a follower.
-func New(config Config) *Follower {
-	return &Follower{
+func New(config Config) *Subscriber {
+	return &Subscriber{
 		config:   config,
 		upstream: newUpstream(fanout.Gateway{Address: config.DigestAddress, DataCentre: config.DataCentre}),
 	}
 }
 
 // Run follows until the context ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Subscriber) Run(ctx context.Context) {
 	defer f.relays.close()
 	for ctx.Err() == nil {
 		gateway, insists := f.upstream.next(f.config.Boot.Now())
@@ -115,7 +115,7 @@
 }
 
 // askGateway hears from another gateway, or passes it over for a while.
-func (f *Follower) askGateway(parent context.Context, gateway string) {
+func (f *Subscriber) askGateway(parent context.Context, gateway string) {
 	ctx, cancel := context.WithTimeout(parent, answerTime)
 	defer cancel()
 	answer, err := f.ask(ctx, gateway, f.relays.client(gateway).Attend, relayWaitTime, false)
@@ -138,7 +138,7 @@
 var errBehind = errors.New("the gateway's news are too far behind")
 
 // askLeader hears from the leader, and returns how long to pause before the next call.
-func (f *Follower) askLeader(ctx context.Context, insists bool) (pause time.Duration) {
+func (f *Subscriber) askLeader(ctx context.Context, insists bool) (pause time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, attendTime)
 	defer cancel()
 	answer, err := control.Call(ctx, f.config.Core, group, "attend", func(ctx context.Context, leader *control.Replica) (*toucanhingev1.AttendResponse, error) {
@@ -172,7 +172,7 @@
 // attend is a call for news, of the leader or of another gateway.
 type attend func(context.Context, *connect.Request[toucanhingev1.AttendRequest]) (*connect.Response[toucanhingev1.AttendResponse], error)
 
-func (f *Follower) ask(ctx context.Context, address string, call attend, wait time.Duration, insists bool) (*toucanhingev1.AttendResponse, error) {
+func (f *Subscriber) ask(ctx context.Context, address string, call attend, wait time.Duration, insists bool) (*toucanhingev1.AttendResponse, error) {
 	// Each try asks anew: an answer confirms what was acknowledged before its own question.
 	f.asked = f.config.Boot.Now()
 	first := address != f.told
@@ -184,7 +184,7 @@
 		Name: f.config.Name, DigestAddress: f.config.DigestAddress, DataCentre: f.config.DataCentre, HaveVersion: f.version, HaveFleet: f.fleet.Revision(),
 		ReadsDifferences: true, WaitMs: uint32(wait.Milliseconds()), Confirm: f.config.Confirm, Insists: insists, HasParents: f.upstream.hasParents(),
 		Knows:  uint32(f.knows),
-		Passed: f.config.Board.Attendances(first),
+		Passed: f.config.Publisher.Subscribers(first),
 	}
 	f.told = ""
 	answer, err := call(ctx, connect.NewRequest(request))
@@ -196,19 +196,19 @@
 }
 
 // hear notes up to when all that the leader knew is here.
-func (f *Follower) hear(answer *toucanhingev1.AttendResponse) {
+func (f *Subscriber) hear(answer *toucanhingev1.AttendResponse) {
 	f.upstream.heard()
 	f.heardAt = f.config.Boot.Now()
 	if answer.GetConfirmed() != f.config.Confirm {
 		return
 	}
 	point := f.asked - clock.Millis(answer.GetBehindMs())
-	f.config.Heard(point)
-	f.config.Board.Heard(point)
+	f.config.OnFreshness(point)
+	f.config.Publisher.SetFreshness(point)
 }
 
 // take takes over what is new; ok is false if it can't be read.
-func (f *Follower) take(answer *toucanhingev1.AttendResponse) (ok bool) {
+func (f *Subscriber) take(answer *toucanhingev1.AttendResponse) (ok bool) {
 	if wire := answer.GetTable(); wire.GetVersion() > f.version {
 		table, err := routing.New(wire)
 		if err != nil {
@@ -216,8 +216,8 @@
 			return false
 		}
 		f.version = table.Version
-		f.config.Table(table)
-		f.config.Board.SetTable(table)
+		f.config.OnTable(table)
+		f.config.Publisher.SetTable(table)
 	}
 	if told := answer.GetFleet(); told != nil {
 		return f.takeFleet(told, answer)
@@ -225,7 +225,7 @@
 	return true
 }
 
-func (f *Follower) takeFleet(told *toucanhingev1.FleetView, answer *toucanhingev1.AttendResponse) (ok bool) {
+func (f *Subscriber) takeFleet(told *toucanhingev1.FleetView, answer *toucanhingev1.AttendResponse) (ok bool) {
 	if told.GetRevision() <= f.fleet.Revision() {
 		// An earlier leader, or a gateway that hears one, doesn't know yet that there is another.
 		return true
@@ -238,13 +238,13 @@
 	}
 	if !f.begun {
 		f.begun = true
-		f.config.Uses(answer.GetUses(), clock.Millis(answer.GetUsesKnownMs()))
+		f.config.OnUsage(answer.GetUses(), clock.Millis(answer.GetUsesKnownMs()))
 	}
 	level.Info(f.config.Logger).Log(logs.KeyEvent, "fleet-taken", "revision", fleet.GetRevision(), "since", told.GetSince(),
 		"runners", len(fleet.GetRunners()), "leaving", leaving(fleet), "cores", len(fleet.GetCoreAddresses()), "daemons", len(fleet.GetDigestPeers()))
 	f.config.Core.SetAddresses(fleet.GetCoreAddresses())
-	f.config.Fleet(fleet)
-	f.config.Board.SetFleet(fleet)
+	f.config.OnFleet(fleet)
+	f.config.Publisher.SetFleet(fleet)
 	gateways := gatewaysOf(fleet)
 	f.knows = len(gateways)
 	f.upstream.setTree(fanout.New(gateways))
--- a/gateway/pkg/core/follower_test.go
+++ b/gateway/pkg/core/follower_test.go
@@ -122,9 +122,9 @@
 	t.Helper()
 	taken := &tables{}
 	f := New(Config{
-		Name: "g", Board: board(), Core: control.New(control.Config{Addresses: known, NewHTTP: web.NewClient, AttemptTimeout: time.Second, FindLeader: control.QueryLeader}),
-		Logger: log.NewNopLogger(), Table: taken.take, Fleet: func(*toucanhingev1.FleetView) {}, Seeds: seeds,
-		Boot: clock.System(), Heard: func(clock.Millis) {}, Uses: func([]*toucanhingev1.TeamUse, clock.Millis) {},
+		Name: "g", Publisher: board(), Core: control.New(control.Config{Addresses: known, NewHTTP: web.NewClient, AttemptTimeout: time.Second, FindLeader: control.QueryLeader}),
+		Logger: log.NewNopLogger(), OnTable: taken.take, OnFleet: func(*toucanhingev1.FleetView) {}, Seeds: seeds,
+		Boot: clock.System(), OnFreshness: func(clock.Millis) {}, OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/gateway/pkg/forward/crash_test.go
+++ b/gateway/pkg/forward/crash_test.go
@@ -133,10 +133,10 @@
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		require.NoError(f.t, err)
-		entry, refusal := server.Enter("q", "team", r.RequestURI, "")
+		entry, refusal := server.Authorize("q", "team", r.RequestURI, "")
 		require.Nil(f.t, refusal)
 		server.Serve(r.Context(), w, entry, Request{
-			ID: r.Header.Get("Id"), Method: r.Method, Target: r.RequestURI, Host: "team", Body: body, Patience: 5_000,
+			ID: r.Header.Get("Id"), Method: r.Method, Target: r.RequestURI, Host: "team", Body: body, Timeout: 5_000,
 			Arrived: server.config.Clock.Now(),
 		})
 	}))
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -49,7 +49,7 @@
 	server  *Server
 	w       http.ResponseWriter
 	route   routing.Route
-	entry   Entry
+	entry   Authorization
 	request Request
 	service string
 	ends    clock.Millis
@@ -271,7 +271,7 @@
 // connection: its beginning has gone out, and it must not look whole.
 func (e *exchange) report() {
 	if e.ran == 0 {
-		e.server.GiveBack(e.entry)
+		e.server.ReleaseQuota(e.entry)
 	}
 	e.server.metrics.requests.WithLabelValues(e.outcome).Inc()
 	now := e.now()
--- a/gateway/pkg/forward/keys.go
+++ b/gateway/pkg/forward/keys.go
@@ -20,8 +20,8 @@
 	staleSpread = 400 * time.Millisecond
 )
 
-// Entry is what a request is let in for.
-type Entry struct {
+// Authorization is what a request is let in for.
+type Authorization struct {
 	Route routing.Route
 	// Team holds the caller's key; without a name if no team does.
 	Team routing.Team
@@ -35,20 +35,20 @@
 	counted clock.Millis
 }
 
-// Enter finds a request's route, and the team by whose key it is let in.
-func (s *Server) Enter(id, host, target, key string) (Entry, *Refusal) {
+// Authorize finds a request's route, and the team by whose key it is let in.
+func (s *Server) Authorize(id, host, target, key string) (Authorization, *Refusal) {
 	// Asked before the table is looked at: between the two, a frozen gateway may learn of a
 	// newer table, and never of an older one.
-	fresh := s.config.Keys.Valid(s.config.Boot.Now())
+	fresh := s.config.KeyLease.Valid(s.config.Boot.Now())
 	table := s.table.Load()
 	if table == nil {
-		return Entry{}, &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNoTable, RetryAfter: tableRetry + spread(tableSpread)}
+		return Authorization{}, &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNoTable, RetryAfter: tableRetry + spread(tableSpread)}
 	}
 	route, found := table.Match(host, routing.PathOf(target))
 	if !found {
-		return Entry{}, &Refusal{Status: http.StatusNotFound, Reason: ReasonNoRoute}
+		return Authorization{}, &Refusal{Status: http.StatusNotFound, Reason: ReasonNoRoute}
 	}
-	entry := Entry{Route: route, Keyed: table.Keyed()}
+	entry := Authorization{Route: route, Keyed: table.Keyed()}
 	if !entry.Keyed {
 		return entry, nil
 	}
@@ -68,10 +68,10 @@
 	}
 }
 
-// Caller is the hash of a key in a call about a job, and why the call is refused. The core
+// AuthorizeJobCaller is the hash of a key in a call about a job, and why the call is refused. The core
 // judges the key in the order of its log; what is certainly nobody's isn't passed on to it.
-func (s *Server) Caller(id, key string) ([]byte, *Refusal) {
-	fresh := s.config.Keys.Valid(s.config.Boot.Now())
+func (s *Server) AuthorizeJobCaller(id, key string) ([]byte, *Refusal) {
+	fresh := s.config.KeyLease.Valid(s.config.Boot.Now())
 	table := s.table.Load()
 	hash := apikey.Bytes(key)
 	if table == nil || !fresh {
@@ -87,13 +87,13 @@
 // are valid, and will for a while, or needs none.
 func (s *Server) KeysFresh() bool {
 	table := s.table.Load()
-	return table == nil || !table.Keyed() || !s.config.Keys.Short(s.config.Boot.Now())
+	return table == nil || !table.Keyed() || !s.config.KeyLease.ExpiresSoon(s.config.Boot.Now())
 }
 
 func (s *Server) stale(id string, table *routing.Table) *Refusal {
 	level.Warn(s.config.Logger).Log(logs.KeyEvent, "key-unconfirmed", logs.KeyRequest, id, "version", table.Version,
-		"confirmed-ms-ago", s.config.Keys.Age(s.config.Boot.Now()))
-	return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStale, RetryAfter: staleRetry + spread(staleSpread)}
+		"confirmed-ms-ago", s.config.KeyLease.Age(s.config.Boot.Now()))
+	return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonKeyUnconfirmed, RetryAfter: staleRetry + spread(staleSpread)}
 }
 
 // denied refuses a caller without a valid key. Neither the key nor its hash is logged.
@@ -103,7 +103,7 @@
 		reason = ReasonNoKey
 	}
 	level.Warn(s.config.Logger).Log(logs.KeyEvent, "key-denied", logs.KeyRequest, id, "reason", reason, "version", table.Version,
-		"confirmed-ms-ago", s.config.Keys.Age(s.config.Boot.Now()))
+		"confirmed-ms-ago", s.config.KeyLease.Age(s.config.Boot.Now()))
 	return &Refusal{Status: http.StatusUnauthorized, Reason: reason}
 }
 
--- a/gateway/pkg/forward/keys_test.go
+++ b/gateway/pkg/forward/keys_test.go
@@ -27,7 +27,7 @@
 func newKeyFixture() *keyFixture {
 	f := &keyFixture{now: 100_000, keys: lease.New(5_000)}
 	f.server = New(Config{
-		Clock: clock.System(), Boot: clock.FromFunc(func() clock.Millis { return f.now }), Keys: f.keys,
+		Clock: clock.System(), Boot: clock.FromFunc(func() clock.Millis { return f.now }), KeyLease: f.keys,
 		Logger: log.NewJSONLogger(&f.log), Registerer: prometheus.NewRegistry(),
 	})
 	return f
@@ -91,7 +91,7 @@
 			f := newKeyFixture()
 			f.set(t, 1, true, team("a", "one-of-a", "two-of-a"), team("b", "one-of-b"))
 			f.now += c.age
-			entry, refusal := f.server.Enter("q", "team", c.path, c.key)
+			entry, refusal := f.server.Authorize("q", "team", c.path, c.key)
 			if c.status != 0 {
 				require.NotNil(t, refusal)
 				require.Equal(t, c.status, refusal.Status)
@@ -114,7 +114,7 @@
 	f := newKeyFixture()
 	f.set(t, 1, false)
 	f.now += 60_000
-	entry, refusal := f.server.Enter("q", "team", "/keyed/x", "any")
+	entry, refusal := f.server.Authorize("q", "team", "/keyed/x", "any")
 	require.Nil(t, refusal)
 	require.False(t, entry.Keyed)
 	require.Empty(t, entry.Key)
@@ -124,7 +124,7 @@
 func TestWithoutAnyTeamNobodyIsLetIn(t *testing.T) {
 	f := newKeyFixture()
 	f.set(t, 1, true)
-	_, refusal := f.server.Enter("q", "team", "/keyed/x", "any")
+	_, refusal := f.server.Authorize("q", "team", "/keyed/x", "any")
 	require.Equal(t, http.StatusUnauthorized, refusal.Status)
 }
 
@@ -138,15 +138,15 @@
 	require.True(t, f.server.KeysFresh())
 	f.now += 10_000
 	for _, key := range []string{"one-of-a", "one-of-b"} {
-		_, refusal := f.server.Enter("q", "team", "/keyed/x", key)
+		_, refusal := f.server.Authorize("q", "team", "/keyed/x", key)
 		require.Equal(t, http.StatusServiceUnavailable, refusal.Status)
-		require.Equal(t, ReasonStale, refusal.Reason)
+		require.Equal(t, ReasonKeyUnconfirmed, refusal.Reason)
 	}
 	require.False(t, f.server.KeysFresh(), "the balancer is told")
 	f.set(t, 2, true, team("a"), team("b", "one-of-b", "two-of-b"))
-	_, refusal := f.server.Enter("q", "team", "/keyed/x", "one-of-a")
+	_, refusal := f.server.Authorize("q", "team", "/keyed/x", "one-of-a")
 	require.Equal(t, http.StatusUnauthorized, refusal.Status)
-	entry, refusal := f.server.Enter("q", "team", "/keyed/x", "two-of-b")
+	entry, refusal := f.server.Authorize("q", "team", "/keyed/x", "two-of-b")
 	require.Nil(t, refusal)
 	require.Equal(t, "b", entry.Team.GetName())
 }
@@ -167,7 +167,7 @@
 			f := newKeyFixture()
 			f.set(t, 1, true, team("a", "one-of-a"))
 			f.now += c.age
-			key, refusal := f.server.Caller("job", c.key)
+			key, refusal := f.server.AuthorizeJobCaller("job", c.key)
 			if c.status != 0 {
 				require.Equal(t, c.status, refusal.Status)
 				return
--- a/gateway/pkg/forward/quota.go
+++ b/gateway/pkg/forward/quota.go
@@ -16,9 +16,9 @@
 // some 20 ms, 60 where data centres tell one another sums.
 const mostQuotaWait clock.Millis = 100
 
-// Count counts a request for its team's quota, or refuses it. One that isn't served afterwards
+// AcquireQuota counts a request for its team's quota, or refuses it. One that isn't served afterwards
 // must be given back.
-func (s *Server) Count(ctx context.Context, id string, entry *Entry) *Refusal {
+func (s *Server) AcquireQuota(ctx context.Context, id string, entry *Authorization) *Refusal {
 	if !entry.Keyed || entry.Route.GetOpen() || entry.Route.Batch() || !entry.Team.Limited() || !s.config.Exchange.HasQuota() {
 		return nil
 	}
@@ -37,8 +37,8 @@
 	}
 }
 
-// GiveBack takes a request back that was counted for its team's quota and never ran.
-func (s *Server) GiveBack(entry Entry) {
+// ReleaseQuota takes a request back that was counted for its team's quota and never ran.
+func (s *Server) ReleaseQuota(entry Authorization) {
 	if entry.counted > 0 {
 		s.config.Exchange.ReleaseQuota(entry.counted, entry.Team.GetName())
 	}
--- a/gateway/pkg/forward/request.go
+++ b/gateway/pkg/forward/request.go
@@ -22,8 +22,8 @@
 	Header  http.Header
 	Body    []byte
 	Chunked bool
-	// Patience is how long the caller waits in all, a span; 0 means unknown.
-	Patience clock.Millis
+	// Timeout is how long the caller waits in all, a span; 0 means unknown.
+	Timeout clock.Millis
 	// Resume says that a stream is to go on after the event After.
 	Resume bool
 	After  uint64
@@ -55,8 +55,8 @@
 	// ReasonNoKey and ReasonUnknownKey say that no team's key came with the request.
 	ReasonNoKey      = "no-key"
 	ReasonUnknownKey = "unknown-key"
-	// ReasonStale says that this gateway can't tell whether the key is still valid.
-	ReasonStale = "key-unconfirmed"
+	// ReasonKeyUnconfirmed says that this gateway can't tell whether the key is still valid.
+	ReasonKeyUnconfirmed = "key-unconfirmed"
 	// ReasonTeamQuota says that the team's requests are beyond its rate.
 	ReasonTeamQuota = "team-quota-used-up"
 )
--- a/gateway/pkg/forward/server.go
+++ b/gateway/pkg/forward/server.go
@@ -35,7 +35,7 @@
 	// Boot goes on while the machine is suspended. Keys says by it whether what is known of
 	// callers' keys may be believed; nil if it always may.
 	Boot       clock.Clock
-	Keys       *lease.Lease
+	KeyLease       *lease.Lease
 	Logger     log.Logger
 	Registerer prometheus.Registerer
 }
@@ -76,8 +76,8 @@
 
 // New makes a server without routes.
 func New(config Config) *Server {
-	if config.Keys == nil {
-		config.Boot, config.Keys = config.Clock, lease.New(0)
+	if config.KeyLease == nil {
+		config.Boot, config.KeyLease = config.Clock, lease.New(0)
 	}
 	factory := promauto.With(config.Registerer)
 	factory.NewGaugeFunc(prometheus.GaugeOpts{
@@ -173,8 +173,8 @@
 // gateway that said so before would refuse what another one could serve.
 func (s *Server) Ready() bool { return s.table.Load() != nil && s.fleetKnown.Load() }
 
-// Leave makes every answer from now on the last of its connection.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// Drain makes every answer from now on the last of its connection.
+func (s *Server) Drain() { s.leaving.Store(true) }
 
 // tableRetry is when a gateway that has just started knows its routes at the
 // latest, in most cases: after 50 ms if the core runs, after a second if all
@@ -187,16 +187,16 @@
 )
 
 // Serve answers a request that was let in.
-func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, entry Entry, request Request) {
+func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, entry Authorization, request Request) {
 	route := entry.Route
 	limit := route.TimeLimit()
-	if request.Patience > 0 {
-		limit = min(limit, request.Patience)
+	if request.Timeout > 0 {
+		limit = min(limit, request.Timeout)
 	}
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add((limit - (s.config.Clock.Now() - request.Arrived)).Duration()))
 	defer cancel()
 	s.mu.Lock()
-	returned := s.patience.IsRetry(route.Name, request.Patience)
+	returned := s.patience.IsRetry(route.Name, request.Timeout)
 	s.mu.Unlock()
 	e := &exchange{
 		returned: returned,
--- a/gateway/pkg/forward/server_test.go
+++ b/gateway/pkg/forward/server_test.go
@@ -100,7 +100,7 @@
 }
 
 func (f *fixture) handle(w http.ResponseWriter, r *http.Request) {
-	entry, refusal := f.server.Enter("q", "team", r.RequestURI, "")
+	entry, refusal := f.server.Authorize("q", "team", r.RequestURI, "")
 	if refusal != nil {
 		f.server.Refuse(w, *refusal)
 		return
@@ -110,7 +110,7 @@
 		patience = 0
 	}
 	f.server.Serve(r.Context(), w, entry, Request{
-		ID: "q", Method: r.Method, Target: r.RequestURI, Host: "team", Arrived: f.server.config.Clock.Now(), Patience: patience,
+		ID: "q", Method: r.Method, Target: r.RequestURI, Host: "team", Arrived: f.server.config.Clock.Now(), Timeout: patience,
 	})
 }
 
@@ -330,7 +330,7 @@
 
 func TestAGatewayThatKnowsNothingSaysSo(t *testing.T) {
 	s := New(Config{Clock: clock.System(), Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry()})
-	_, refusal := s.Enter("q", "team", "/once/", "")
+	_, refusal := s.Authorize("q", "team", "/once/", "")
 	require.Equal(t, http.StatusServiceUnavailable, refusal.Status, "a 404 would say that the route doesn't exist")
 	require.False(t, s.Ready())
 	table, err := routing.New(&toucanhingev1.RoutingTable{Version: 5})
@@ -355,7 +355,7 @@
 
 func TestALeavingGatewayEndsItsConnections(t *testing.T) {
 	f := start(t, reply{text: "answer"}, reply{text: "answer"})
-	f.server.Leave()
+	f.server.Drain()
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, f.url+"/once/", nil)
 	require.NoError(t, err)
 	response, err := f.client.Do(request)
--- a/gateway/pkg/jobs/service.go
+++ b/gateway/pkg/jobs/service.go
@@ -37,7 +37,7 @@
 	ReasonQuota       = "quota-used-up"
 	ReasonUnknownJob  = "unknown-job"
 	ReasonUnreachable = "core-unreachable"
-	ReasonUnknown     = "outcome-unknown"
+	ReasonOutcomeUnknown     = "outcome-unknown"
 )
 
 // Config describes the service.
@@ -92,7 +92,7 @@
 func submitted(outcome toucanhingev1.SubmitOutcome, err error) Outcome {
 	switch {
 	case err != nil:
-		return Outcome{Refusal: &forward.Refusal{Status: http.StatusBadGateway, Reason: ReasonUnknown}}
+		return Outcome{Refusal: &forward.Refusal{Status: http.StatusBadGateway, Reason: ReasonOutcomeUnknown}}
 	case outcome == toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_ACCEPTED:
 		return Outcome{Status: http.StatusAccepted}
 	case outcome == toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_UNKNOWN_KEY:
--- a/gateway/pkg/jobs/service_test.go
+++ b/gateway/pkg/jobs/service_test.go
@@ -108,8 +108,8 @@
 		{"its route is gone at the core", outcome(toucanhingev1.SubmitOutcome_SUBMIT_OUTCOME_NO_ROUTE), http.StatusServiceUnavailable, "no-route", true},
 		{"the leader vanishes while it logs", func() (*toucanhingev1.SubmitJobResponse, error) {
 			return nil, connect.NewError(connect.CodeUnavailable, errors.New("the outcome isn't known"))
-		}, http.StatusBadGateway, ReasonUnknown, false},
-		{"no leader", func() (*toucanhingev1.SubmitJobResponse, error) { return nil, control.NotLeader("") }, http.StatusBadGateway, ReasonUnknown, false},
+		}, http.StatusBadGateway, ReasonOutcomeUnknown, false},
+		{"no leader", func() (*toucanhingev1.SubmitJobResponse, error) { return nil, control.NotLeader("") }, http.StatusBadGateway, ReasonOutcomeUnknown, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o := submit(serve(t, &fakeCore{submit: c.submit}), 400)
--- a/gateway/pkg/lease/lease.go
+++ b/gateway/pkg/lease/lease.go
@@ -54,8 +54,8 @@
 // Valid says whether what is known here may be believed.
 func (l *Lease) Valid(now clock.Millis) bool { return l.within(now, l.span) }
 
-// Short says that the lease holds no more, or not for much longer.
-func (l *Lease) Short(now clock.Millis) bool {
+// ExpiresSoon says that the lease holds no more, or not for much longer.
+func (l *Lease) ExpiresSoon(now clock.Millis) bool {
 	return !l.within(now, clock.Millis(warnPart*float64(l.span)))
 }
 
--- a/gateway/pkg/lease/lease_test.go
+++ b/gateway/pkg/lease/lease_test.go
@@ -17,12 +17,12 @@
 func TestALeaseHoldsFromItsQuestion(t *testing.T) {
 	l := New(bound)
 	require.False(t, l.Valid(10_000), "nothing was confirmed yet")
-	require.True(t, l.Short(10_000))
+	require.True(t, l.ExpiresSoon(10_000))
 	require.Equal(t, clock.Millis(-1), l.Age(10_000))
 	l.Confirm(10_000)
 	require.True(t, l.Valid(10_000))
-	require.False(t, l.Short(11_799))
-	require.True(t, l.Short(11_800))
+	require.False(t, l.ExpiresSoon(11_799))
+	require.True(t, l.ExpiresSoon(11_800))
 	require.True(t, l.Valid(14_499))
 	require.False(t, l.Valid(14_500))
 	l.Confirm(12_000)
@@ -37,7 +37,7 @@
 	require.True(t, l.Valid(1))
 	l.Confirm(3)
 	require.True(t, l.Valid(1_000_000))
-	require.False(t, l.Short(1_000_000))
+	require.False(t, l.ExpiresSoon(1_000_000))
 }
 
 // world is a core with leaders that come and go, and a gateway, all as far as keys matter.
--- a/gateway/pkg/news/board.go
+++ b/gateway/pkg/news/board.go
@@ -25,14 +25,14 @@
 	Boot clock.Clock
 	// Confirm says that points are heard only if a majority confirmed them.
 	Confirm bool
-	// Uses lists what teams have used of their quotas, and for how long a span that is known.
-	Uses func() (uses []*toucanhingev1.TeamUse, known clock.Millis)
+	// Usage lists what teams have used of their quotas, and for how long a span that is known.
+	Usage func() (uses []*toucanhingev1.TeamUse, known clock.Millis)
 	// Registerer takes the counters.
 	Registerer prometheus.Registerer
 }
 
-// Board holds what this gateway heard last, for the gateways that hear it from here.
-type Board struct {
+// Publisher holds what this gateway heard last, for the gateways that hear it from here.
+type Publisher struct {
 	config Config
 	// pulse fires when news came, or the word that there are none.
 	pulse    *signal.Signal
@@ -53,8 +53,8 @@
 }
 
 // New makes a board that holds nothing.
-func New(config Config) *Board {
-	return &Board{
+func New(config Config) *Publisher {
+	return &Publisher{
 		config: config, pulse: signal.New(),
 		answered: promauto.With(config.Registerer).NewCounterVec(prometheus.CounterOpts{
 			Name: "toucanhinge_news_calls_total", Help: "Calls of other gateways for the news of the core, by outcome.",
@@ -63,14 +63,14 @@
 }
 
 // SetTable takes over a routing table.
-func (b *Board) SetTable(t *routing.Table) {
+func (b *Publisher) SetTable(t *routing.Table) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.table = t
 }
 
 // SetFleet takes over a view of the fleet, which must not be changed any more.
-func (b *Board) SetFleet(v *toucanhingev1.FleetView) {
+func (b *Publisher) SetFleet(v *toucanhingev1.FleetView) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fleet = v
@@ -79,33 +79,33 @@
 	}
 }
 
-// Heard notes that all that the leader knew at a point, by the boot clock, is here, and tells
+// SetFreshness notes that all that the leader knew at a point, by the boot clock, is here, and tells
 // the gateways that wait.
-func (b *Board) Heard(point clock.Millis) {
+func (b *Publisher) SetFreshness(point clock.Millis) {
 	b.mu.Lock()
 	b.point = max(b.point, point)
 	b.mu.Unlock()
 	b.pulse.Fire()
 }
 
-// Leave sends the gateways that hear from here elsewhere.
-func (b *Board) Leave() {
+// Drain sends the gateways that hear from here elsewhere.
+func (b *Publisher) Drain() {
 	b.mu.Lock()
 	b.leaving = true
 	b.mu.Unlock()
 	b.pulse.Fire()
 }
 
-// Attendances lists the gateways that hear from here and must be passed on now; all of them if
+// Subscribers lists the gateways that hear from here and must be passed on now; all of them if
 // whoever is told may know of none.
-func (b *Board) Attendances(all bool) []*toucanhingev1.Attendance {
+func (b *Publisher) Subscribers(all bool) []*toucanhingev1.Attendance {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.attendances.pass(b.config.Boot.Now(), all)
 }
 
 // note takes up who is there by a call that came in at a moment.
-func (b *Board) note(arrived clock.Millis, m *toucanhingev1.AttendRequest) {
+func (b *Publisher) note(arrived clock.Millis, m *toucanhingev1.AttendRequest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.attendances.note(m.GetName(), m.GetDigestAddress(), arrived, m.GetHaveFleet() != 0)
@@ -116,7 +116,7 @@
 
 // answer is what a call is told now, and whether it holds anything new; nil if nothing can be
 // told.
-func (b *Board) answer(arrived clock.Millis, m *toucanhingev1.AttendRequest) (answer *toucanhingev1.AttendResponse, news bool) {
+func (b *Publisher) answer(arrived clock.Millis, m *toucanhingev1.AttendRequest) (answer *toucanhingev1.AttendResponse, news bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.leaving || b.point == 0 || b.fleet == nil {
@@ -129,14 +129,14 @@
 		answer.Table = b.table.WithoutDocument()
 	}
 	if answer.Fleet != nil && m.GetHaveFleet() == 0 {
-		uses, known := b.config.Uses()
+		uses, known := b.config.Usage()
 		answer.Uses, answer.UsesKnownMs = uses, uint32(known)
 	}
 	return answer, answer.Table != nil || answer.Fleet != nil
 }
 
 // view is what a gateway that holds a revision lacks, nil if that is nothing.
-func (b *Board) view(have uint64) *toucanhingev1.FleetView {
+func (b *Publisher) view(have uint64) *toucanhingev1.FleetView {
 	if have >= b.fleet.GetRevision() {
 		return nil
 	}
--- a/gateway/pkg/news/board_test.go
+++ b/gateway/pkg/news/board_test.go
@@ -15,21 +15,21 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-func boardAt(t *testing.T, confirm bool) *Board {
+func boardAt(t *testing.T, confirm bool) *Publisher {
 	t.Helper()
 	return New(Config{
 		Boot: clock.System(), Confirm: confirm, Registerer: prometheus.NewRegistry(),
-		Uses: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return []*toucanhingev1.TeamUse{{Team: 7}}, 5 },
+		Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return []*toucanhingev1.TeamUse{{Team: 7}}, 5 },
 	})
 }
 
 // filled holds a table and a fleet.
-func filled(t *testing.T, confirm bool) *Board {
+func filled(t *testing.T, confirm bool) *Publisher {
 	t.Helper()
 	b := boardAt(t, confirm)
 	b.SetTable(tableOf(t, 3))
 	b.SetFleet(fleetOf(10, "a", "b"))
-	b.Heard(clock.System().Now())
+	b.SetFreshness(clock.System().Now())
 	return b
 }
 
@@ -48,7 +48,7 @@
 	return v
 }
 
-func ask(b *Board, m *toucanhingev1.AttendRequest) (*toucanhingev1.AttendResponse, error) {
+func ask(b *Publisher, m *toucanhingev1.AttendRequest) (*toucanhingev1.AttendResponse, error) {
 	if m.GetName() == "" {
 		m.Name, m.DigestAddress = "g", "10.0.0.1:1"
 	}
@@ -81,7 +81,7 @@
 func TestTheFleetIsPassedOnBeforeThereIsATable(t *testing.T) {
 	b := boardAt(t, false)
 	b.SetFleet(fleetOf(10, "a"))
-	b.Heard(clock.System().Now())
+	b.SetFreshness(clock.System().Now())
 	answer, err := ask(b, &toucanhingev1.AttendRequest{})
 	require.NoError(t, err)
 	require.Nil(t, answer.GetTable())
@@ -109,7 +109,7 @@
 		done <- answer
 	}()
 	require.Never(t, func() bool { return len(done) > 0 }, 50*time.Millisecond, 5*time.Millisecond)
-	b.Heard(clock.System().Now())
+	b.SetFreshness(clock.System().Now())
 	select {
 	case answer := <-done:
 		require.Zero(t, answer.GetBehindMs(), "it was asked for after the call came in")
@@ -143,13 +143,13 @@
 func TestWhoHasNothingOrLeavesSendsOthersElsewhere(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		board func() *Board
+		board func() *Publisher
 		most  time.Duration
 	}{
-		{"nothing heard yet", func() *Board { return boardAt(t, false) }, 200 * time.Millisecond},
-		{"leaving", func() *Board {
+		{"nothing heard yet", func() *Publisher { return boardAt(t, false) }, 200 * time.Millisecond},
+		{"leaving", func() *Publisher {
 			b := filled(t, false)
-			b.Leave()
+			b.Drain()
 			return b
 		}, 10 * time.Millisecond},
 	} {
@@ -171,7 +171,7 @@
 		done <- err
 	}()
 	time.Sleep(30 * time.Millisecond)
-	b.Leave()
+	b.Drain()
 	select {
 	case err := <-done:
 		require.Equal(t, connect.CodeUnavailable, connect.CodeOf(err))
--- a/gateway/pkg/news/server.go
+++ b/gateway/pkg/news/server.go
@@ -31,12 +31,12 @@
 	errCrowded = errors.New("enough gateways hear from this one")
 )
 
-var _ toucanhingev1connect.NewsServiceHandler = (*Board)(nil)
+var _ toucanhingev1connect.NewsServiceHandler = (*Publisher)(nil)
 
 // Attend answers with what the caller doesn't hold yet, at once if there is any. Else it waits
 // until this gateway hears from its own parent, so that all of a data centre hear at the
 // same moment that there is nothing new.
-func (b *Board) Attend(ctx context.Context, r *connect.Request[toucanhingev1.AttendRequest]) (*connect.Response[toucanhingev1.AttendResponse], error) {
+func (b *Publisher) Attend(ctx context.Context, r *connect.Request[toucanhingev1.AttendRequest]) (*connect.Response[toucanhingev1.AttendResponse], error) {
 	arrived := b.config.Boot.Now()
 	if !b.enter() {
 		b.answered.WithLabelValues(outcomeRefused).Inc()
@@ -70,14 +70,14 @@
 }
 
 // left says whether this gateway is leaving.
-func (b *Board) left() bool {
+func (b *Publisher) left() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.leaving
 }
 
 // enter takes a place among those who wait; exit gives it back.
-func (b *Board) enter() bool {
+func (b *Publisher) enter() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.waiting >= mostWaiting {
@@ -87,7 +87,7 @@
 	return true
 }
 
-func (b *Board) exit() {
+func (b *Publisher) exit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.waiting--
--- a/lab/pkg/leadload/gateways.go
+++ b/lab/pkg/leadload/gateways.go
@@ -92,14 +92,14 @@
 	mux.Handle(toucanhingev1connect.NewCarryServiceHandler(carried))
 	board := news.New(news.Config{
 		Boot: clock.Boot(), Registerer: prometheus.NewRegistry(),
-		Uses: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
+		Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
 	})
 	mux.Handle(toucanhingev1connect.NewNewsServiceHandler(board))
 	follower := core.New(core.Config{
-		Board: board, Boot: clock.Boot(), Heard: func(clock.Millis) {}, Uses: func([]*toucanhingev1.TeamUse, clock.Millis) {},
+		Publisher: board, Boot: clock.Boot(), OnFreshness: func(clock.Millis) {}, OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) {},
 		Name: fmt.Sprintf("gateway-%d", i), DigestAddress: server.Address(), DataCentre: dataCentre(i), Core: newClient(g.Addresses),
-		Logger: log.NewNopLogger(), Table: func(*routing.Table) {},
-		Fleet: func(f *toucanhingev1.FleetView) { x.SetPeers(digest.PeersOf(f)) },
+		Logger: log.NewNopLogger(), OnTable: func(*routing.Table) {},
+		OnFleet: func(f *toucanhingev1.FleetView) { x.SetPeers(digest.PeersOf(f)) },
 		Seeds: func() []string { return g.Addresses },
 	})
 	go func() { _ = server.Serve() }()
--- a/lab/pkg/newsfleet/gateway.go
+++ b/lab/pkg/newsfleet/gateway.go
@@ -81,13 +81,13 @@
 	g.table.Store(nil)
 	g.fleet.Store(nil)
 	board := news.New(news.Config{
-		Boot: clock.Boot(), Registerer: g.registry, Uses: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
+		Boot: clock.Boot(), Registerer: g.registry, Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
 	})
 	mux.Handle(toucanhingev1connect.NewNewsServiceHandler(board))
 	follower := core.New(core.Config{
-		Name: g.name, DigestAddress: g.address, DataCentre: g.dataCentre, Core: newClient(g.cores), Logger: log.NewNopLogger(), Board: board,
-		Table: func(t *routing.Table) { g.table.Store(t) }, Fleet: func(v *toucanhingev1.FleetView) { g.fleet.Store(v) },
-		Uses: func([]*toucanhingev1.TeamUse, clock.Millis) {}, Boot: clock.Boot(), Heard: func(clock.Millis) {},
+		Name: g.name, DigestAddress: g.address, DataCentre: g.dataCentre, Core: newClient(g.cores), Logger: log.NewNopLogger(), Publisher: board,
+		OnTable: func(t *routing.Table) { g.table.Store(t) }, OnFleet: func(v *toucanhingev1.FleetView) { g.fleet.Store(v) },
+		OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) {}, Boot: clock.Boot(), OnFreshness: func(clock.Millis) {},
 		Seeds: func() []string { return g.cores },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
