--- a/gateway/pkg/app/components.go
+++ b/gateway/pkg/app/components.go
@@ -39,7 +39,7 @@
 	client := commoncontrol.New(commoncontrol.Config{Addresses: settings.Control, HTTP: web.NewClient(), Retried: set.Retried})
 	directory := newDirectory(settings, now, logger, set)
 	watcher := commoncontrol.NewWatcher(commoncontrol.WatcherConfig{
-		Client: client, Process: settings.Name, Logger: logger, Changed: directory.Changed,
+		Client: client, Process: settings.Name, Logger: logger, Changed: directory.SetFleet,
 	})
 	claims := control.NewClaims(control.ClaimsConfig{
 		Gateway: settings.Name, Client: client, Logger: logger, Timeout: clock.Millis(settings.Retry.ClaimTimeout),
@@ -55,7 +55,7 @@
 			Legacy:      older.New(older.Config{Clock: now}),
 			Claims:      claims,
 			Jobs:        control.NewJobs(control.JobsConfig{Gateway: settings.Name, Client: client, Groups: watcher.Groups}),
-			Limiter:     limit.New(limit.Config{InFlight: settings.Limits.MaxInFlight}),
+			Limiter:     limit.New(limit.Config{MaxInFlight: settings.Limits.MaxInFlight}),
 			DecisionLog: decisionLog, Metrics: onlineMetrics, Logger: logger,
 		}),
 	}
@@ -81,10 +81,10 @@
 			Name: "toucanhinge_gateway_ejected_total", Help: "Endpoints ejected, by reason.",
 		}, []string{"reason"}),
 		Router: route.New(route.Config{
-			Gateway: settings.Name, Policy: route.Policy(r.Policy), Subset: r.SubsetSize, Bound: r.LoadBound,
-			Failures: r.ConsecutiveFailures, Eject: clock.Millis(r.BaseEjectionTime), EjectMost: clock.Millis(r.MaxEjectionTime),
-			Outlier: r.OutlierFactor, SlowStart: clock.Millis(r.SlowStartWindow),
-			Report: clock.Millis(r.ReportInterval), Reports: r.MaxReportsPerSecond, Random: random,
+			Gateway: settings.Name, Policy: route.Policy(r.Policy), SubsetSize: r.SubsetSize, LoadBound: r.LoadBound,
+			MaxFailures: r.ConsecutiveFailures, MinEjection: clock.Millis(r.BaseEjectionTime), MaxEjection: clock.Millis(r.MaxEjectionTime),
+			OutlierFactor: r.OutlierFactor, SlowStart: clock.Millis(r.SlowStartWindow),
+			PollInterval: clock.Millis(r.ReportInterval), MaxPollRate: r.MaxReportsPerSecond, Random: random,
 		}),
 	})
 }
@@ -92,13 +92,13 @@
 func newRunner(
 	settings config.Settings, now clock.Clock, logger log.Logger, directory *endpoint.Directory,
 	decisionLog *record.Log, m *online.Metrics,
-) *online.Runner {
+) *online.Executor {
 	r := settings.Retry
 	return online.New(online.Config{
-		Gateway: settings.Name, Clock: now, Directory: directory, Book: decisionLog, Metrics: m, Logger: logger,
+		Gateway: settings.Name, Clock: now, Directory: directory, Log: decisionLog, Metrics: m, Logger: logger,
 		Budget: attempt.NewBudget(attempt.BudgetConfig{
-			Ratio: r.Ratio, Burst: float64(r.Burst), Refused: float64(r.RefusedBurst),
+			Ratio: r.Ratio, Burst: float64(r.Burst), RefusedBurst: float64(r.RefusedBurst),
 		}),
-		Attempts: uint32(r.MaxAttempts), Stall: clock.Millis(r.StallTimeout), Held: settings.Limits.ResponseBufferBytes,
+		MaxAttempts: uint32(r.MaxAttempts), StallTimeout: clock.Millis(r.StallTimeout), MaxBuffered: settings.Limits.ResponseBufferBytes,
 	})
 }
--- a/gateway/pkg/app/endpoint_faults_test.go
+++ b/gateway/pkg/app/endpoint_faults_test.go
@@ -304,7 +304,7 @@
 		return &toucanhingev1.Load{Running: 8, Queued: 90, Slots: 8, Healthy: true, WaitMs: 30_000}
 	}
 	g := startGateway(t, nil, sidecar)
-	require.Eventually(t, func() bool { return g.components.directory.Short(service) }, testTimeout, pollInterval)
+	require.Eventually(t, func() bool { return g.components.directory.Saturated(service) }, testTimeout, pollInterval)
 	r := g.send(http.MethodPost, chatPath, streamBody, "X-Deadline-Ms", "1000")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.Equal(t, "deadline", r.refusal(t).Error.Reason)
--- a/gateway/pkg/caller/batch_upload.go
+++ b/gateway/pkg/caller/batch_upload.go
@@ -66,7 +66,7 @@
 		return nil
 	}
 	s.transfers.Add(-1)
-	return newRefusal(http.StatusServiceUnavailable, limit.ReasonFull,
+	return newRefusal(http.StatusServiceUnavailable, limit.ReasonGatewayFull,
 		"this gateway has as many batch transfers under way as it may").withRetryAfter(1_000)
 }
 
--- a/gateway/pkg/caller/online.go
+++ b/gateway/pkg/caller/online.go
@@ -67,7 +67,7 @@
 		return nil, r
 	}
 	request := &online.Request{
-		ID: info.id, Caller: info.callerID, Team: info.team.Name, Service: service.Name, Method: http.MethodPost, Body: body,
+		ID: info.id, CallerID: info.callerID, Team: info.team.Name, Service: service.Name, Method: http.MethodPost, Body: body,
 		Headers:     []*toucanhingev1.Header{{Name: "Content-Type", Value: "application/json"}},
 		Deadline:    info.deadline(service, s.config.Limits.DefaultDeadline),
 		Idempotent:  info.idempotent == nil || *info.idempotent,
@@ -76,8 +76,8 @@
 		DataCentres: contract.GetDataCentres(),
 		Prefix:      s.prefixHash(service.Name, parsed[promptField]),
 	}
-	if request.Stream && request.Idempotent && resume.Able(parsed) {
-		request.Text = resume.NewText(resume.Config{Kind: kind, Limit: s.config.Limits.ResumeTextBytes})
+	if request.Stream && request.Idempotent && resume.Resumable(parsed) {
+		request.Text = resume.NewText(resume.Config{Kind: kind, MaxBytes: s.config.Limits.ResumeTextBytes})
 	}
 	return request, nil
 }
@@ -151,7 +151,7 @@
 		return
 	}
 	s.serve(c, info, &online.Request{
-		ID: info.id, Caller: info.callerID, Team: info.team.Name, Service: service.Name,
+		ID: info.id, CallerID: info.callerID, Team: info.team.Name, Service: service.Name,
 		Method: c.Request.Method, Path: plainPath(c), Headers: forwardedHeaders(c.Request.Header), Body: body,
 		Deadline:    info.deadline(service, s.config.Limits.DefaultDeadline),
 		Idempotent:  isIdempotent(info, c.Request.Method),
--- a/gateway/pkg/caller/refusal.go
+++ b/gateway/pkg/caller/refusal.go
@@ -126,8 +126,8 @@
 }
 
 // endingRefusal returns the refusal for a request that ended without a complete response.
-func endingRefusal(e online.Ending) *refusal {
-	r := &refusal{Reason: e.Reason, Run: runValue(e.Ran), RetryAfter: e.Retry, Message: reasonMessages[e.Reason]}
+func endingRefusal(e online.Result) *refusal {
+	r := &refusal{Reason: e.Reason, Run: runValue(e.Ran), RetryAfter: e.RetryAfter, Message: reasonMessages[e.Reason]}
 	if r.Message == "" {
 		r.Message = "the endpoint refused: " + e.Reason
 	}
@@ -159,14 +159,14 @@
 // reasonMessages maps refusal reasons to messages for callers.
 var reasonMessages = map[string]string{
 	attempt.ReasonDeadline:     "the deadline passed, or can't be kept",
-	attempt.ReasonUnknown:      "the connection to the endpoint broke; whether the request was run is not known",
+	attempt.ReasonUnknownOutcome:      "the connection to the endpoint broke; whether the request was run is not known",
 	attempt.ReasonAlreadyRun:   "a request with this id was run already",
-	attempt.ReasonCut:          "the answer broke off and could not be resumed; what was sent is not whole",
-	route.ReasonNone:           "no endpoint of the service can take the request",
+	attempt.ReasonAnswerCut:          "the answer broke off and could not be resumed; what was sent is not whole",
+	route.ReasonNoEndpoint:           "no endpoint of the service can take the request",
 	route.ReasonOverloaded:     "every endpoint of the service is full",
 	endpoint.ReasonUnreachable: "no endpoint of the service could be reached",
 	limit.ReasonRate:           "the team's rate is used up",
 	limit.ReasonInFlight:       "the team has as many requests under way as it may",
-	limit.ReasonShare:          "the service is full and the team has its share of it",
-	limit.ReasonFull:           "this gateway has as many requests under way as it may",
+	limit.ReasonFairShare:          "the service is full and the team has its share of it",
+	limit.ReasonGatewayFull:           "this gateway has as many requests under way as it may",
 }
--- a/gateway/pkg/caller/request_info.go
+++ b/gateway/pkg/caller/request_info.go
@@ -162,14 +162,14 @@
 
 // admit applies the limits of the team. Each success must be followed by a call to release.
 func (s *Server) admit(info *requestInfo, service string) *refusal {
-	short := s.config.Directory.Short(service)
+	short := s.config.Directory.Saturated(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict := s.config.Limiter.Admit(s.config.Clock.Now(), limit.Ask{
-		Team: info.team.Name, Service: service, Short: short,
-		Terms: limit.Terms{
+	verdict := s.config.Limiter.Admit(s.config.Clock.Now(), limit.Request{
+		Team: info.team.Name, Service: service, Saturated: short,
+		Limits: limit.Limits{
 			Rate: info.team.GetRate(), Burst: float64(info.team.GetBurst()),
-			InFlight: int(info.team.GetInFlight()), Weight: int(info.team.GetWeight()),
+			MaxInFlight: int(info.team.GetInFlight()), Weight: int(info.team.GetWeight()),
 		},
 	})
 	if verdict.Admitted {
@@ -177,10 +177,10 @@
 	}
 	s.config.DecisionLog.Add(info.id, "refused", verdict.Reason)
 	status := http.StatusTooManyRequests
-	if verdict.Reason == limit.ReasonFull {
+	if verdict.Reason == limit.ReasonGatewayFull {
 		status = http.StatusServiceUnavailable
 	}
-	return newRefusal(status, verdict.Reason, reasonMessages[verdict.Reason]).withRetryAfter(verdict.Retry)
+	return newRefusal(status, verdict.Reason, reasonMessages[verdict.Reason]).withRetryAfter(verdict.RetryAfter)
 }
 
 func (s *Server) release(info *requestInfo, service string) {
--- a/gateway/pkg/caller/response.go
+++ b/gateway/pkg/caller/response.go
@@ -122,10 +122,10 @@
 
 // finish ends the response with the last event, with an explicit error, or by aborting the connection if
 // nothing else can show the caller that the response is incomplete.
-func (r *response) finish(s *Server, c *gin.Context, e online.Ending) {
+func (r *response) finish(s *Server, c *gin.Context, e online.Result) {
 	switch {
-	case e.Gone:
-	case e.Whole:
+	case e.CallerGone:
+	case e.Complete:
 		if r.sendsEvents {
 			_, _ = r.writer.Write(doneEvent)
 			r.writer.Flush()
--- a/gateway/pkg/caller/serve.go
+++ b/gateway/pkg/caller/serve.go
@@ -17,14 +17,14 @@
 // serve runs a validated request and writes the response.
 func (s *Server) serve(c *gin.Context, info *requestInfo, request *online.Request) {
 	if r := s.admit(info, request.Service); r != nil {
-		s.recordOutcome(request, online.Ending{Reason: r.Reason})
+		s.recordOutcome(request, online.Result{Reason: r.Reason})
 		s.refuse(c, r)
 		return
 	}
 	defer s.release(info, request.Service)
 	claim, r := s.claim(c, info, request)
 	if r != nil {
-		s.recordOutcome(request, online.Ending{Reason: r.Reason})
+		s.recordOutcome(request, online.Result{Reason: r.Reason})
 		s.refuse(c, r)
 		return
 	}
@@ -35,7 +35,7 @@
 	resp.finish(s, c, ending)
 }
 
-func (s *Server) run(c *gin.Context, info *requestInfo, request *online.Request, resp *response) online.Ending {
+func (s *Server) run(c *gin.Context, info *requestInfo, request *online.Request, resp *response) online.Result {
 	service, _ := info.fleet.Service(request.Service)
 	if usesLegacy(info, request, service.GetOlderPercent()) {
 		s.config.DecisionLog.Add(request.ID, "chosen", "older system at "+service.GetOlderUrl())
@@ -84,7 +84,7 @@
 		r.Run = runYes
 		return nil, r
 	default:
-		r := newRefusal(http.StatusConflict, attempt.ReasonUnknown,
+		r := newRefusal(http.StatusConflict, attempt.ReasonUnknownOutcome,
 			"a request with this id was given up; whether it was run is not known")
 		r.Run = runUnknown
 		return nil, r
@@ -93,24 +93,24 @@
 
 // settle reports to control how a claimed request ended. The claim of a request that was certainly not run is
 // released before the caller gets its response, so that a resend is not refused.
-func (s *Server) settle(c *gin.Context, claim *control.Claim, ending online.Ending) {
+func (s *Server) settle(c *gin.Context, claim *control.Claim, ending online.Result) {
 	switch {
 	case claim == nil:
-	case ending.Whole || ending.Ran == attempt.RanYes:
+	case ending.Complete || ending.Ran == attempt.RanYes:
 		s.config.Claims.Settle(*claim, toucanhingev1.ClaimState_CLAIM_STATE_RUN)
-	case ending.Reached:
+	case ending.MayHaveRun:
 		s.config.Claims.Settle(*claim, toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN)
 	default:
 		s.config.Claims.Release(c.Request.Context(), *claim)
 	}
 }
 
-func (s *Server) recordOutcome(request *online.Request, ending online.Ending) {
+func (s *Server) recordOutcome(request *online.Request, ending online.Result) {
 	outcome := ending.Reason
 	switch {
-	case ending.Gone:
-		outcome = attempt.ReasonGone
-	case ending.Whole:
+	case ending.CallerGone:
+		outcome = attempt.ReasonCallerGone
+	case ending.Complete:
 		outcome = "whole"
 	}
 	s.config.Metrics.Requests.WithLabelValues(request.Service, outcome).Inc()
--- a/gateway/pkg/caller/server.go
+++ b/gateway/pkg/caller/server.go
@@ -32,7 +32,7 @@
 	Fleet       func() *world.Fleet
 	Ready       func() bool
 	Directory   *endpoint.Directory
-	Runner      *online.Runner
+	Runner      *online.Executor
 	Legacy      *older.Forwarder
 	Claims      *control.Claims
 	Jobs        *control.Jobs
@@ -120,8 +120,8 @@
 	defer s.openRequests.Add(-1)
 	if s.openRequests.Add(1) > int64(openRequestsFactor*s.config.Limits.MaxInFlight+s.config.Limits.MaxTransfers) {
 		c.Abort()
-		s.refuse(c, newRefusal(http.StatusServiceUnavailable, limit.ReasonFull,
-			reasonMessages[limit.ReasonFull]).withRetryAfter(1_000))
+		s.refuse(c, newRefusal(http.StatusServiceUnavailable, limit.ReasonGatewayFull,
+			reasonMessages[limit.ReasonGatewayFull]).withRetryAfter(1_000))
 		return
 	}
 	c.Next()
