--- a/sidecar/pkg/admit/action.go
+++ b/sidecar/pkg/admit/action.go
@@ -2,22 +2,24 @@
 
 import "toucanhinge.example/common/pkg/clock"
 
-// Verb says what the runtime is to do.
+// Verb is the kind of an Action.
 type Verb int
 
 // Verbs.
 const (
 	// Start sends the request or item to the engine.
 	Start Verb = iota + 1
-	// Refuse answers an online request that never started: it was not run.
+	// Refuse rejects an online request that was not started and never will be.
 	Refuse
-	// Stop ends a started online request or batch item; Finished must follow.
+	// Stop ends a started online request or batch item. The caller must answer
+	// with Finished.
 	Stop
-	// Suspend takes a batch item out of its slot; Suspended or Finished must follow.
+	// Suspend removes a batch item from its slot. The caller must answer with
+	// Suspended or Finished.
 	Suspend
-	// Resume lets a suspended batch item go on.
+	// Resume continues a suspended batch item.
 	Resume
-	// Return hands a batch item back to control; it holds no slot.
+	// Return gives a batch item that holds no slot back to control.
 	Return
 )
 
@@ -36,11 +38,12 @@
 	ReasonWithdrawn Reason = "withdrawn"
 )
 
-// Action is one thing for the runtime to do.
+// Action is an output of Machine.Step, to be executed by its caller.
 type Action struct {
 	Verb   Verb
 	ID     ID
 	Reason Reason
-	// Retry is when to come back after a refusal.
-	Retry clock.Millis
+	// RetryAfter is how long the caller of a refused request should wait before a
+	// retry.
+	RetryAfter clock.Millis
 }
--- a/sidecar/pkg/admit/burst.go
+++ b/sidecar/pkg/admit/burst.go
@@ -6,31 +6,31 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// burst remembers the largest recent burst of arrivals as a decayed maximum.
+// burst tracks the largest recent burst of arrivals as a decaying maximum.
 type burst struct {
-	window   clock.Millis
-	halfLife clock.Millis
-	started  clock.Millis
-	count    int
-	peak     float64
-	peakAt   clock.Millis
+	window      clock.Millis
+	halfLife    clock.Millis
+	windowStart clock.Millis
+	count       int
+	peak        float64
+	peakAt      clock.Millis
 }
 
-func (b *burst) arrive(now clock.Millis) {
-	if now-b.started >= b.window {
-		b.started = now
+func (b *burst) record(now clock.Millis) {
+	if now-b.windowStart >= b.window {
+		b.windowStart = now
 		b.count = 0
 	}
 	b.count++
-	present := b.decayed(now)
-	if float64(b.count) > present {
-		present = float64(b.count)
+	current := b.decayed(now)
+	if float64(b.count) > current {
+		current = float64(b.count)
 	}
-	b.peak = present
+	b.peak = current
 	b.peakAt = now
 }
 
-// decayed is the remembered burst now.
+// decayed returns the peak after decay up to now.
 func (b *burst) decayed(now clock.Millis) float64 {
 	if b.peak == 0 || b.halfLife <= 0 {
 		return b.peak
--- a/sidecar/pkg/admit/config.go
+++ b/sidecar/pkg/admit/config.go
@@ -1,9 +1,10 @@
-// Package admit decides what the engine of one endpoint runs. An engine runs
-// whatever it gets, knows no priorities and queues beyond its slots first in,
-// first out; so it never gets more than it runs at once, online requests go
-// first, and batch items take what is left and yield at once.
+// Package admit decides which requests and batch items the engine of one endpoint
+// runs. An engine knows no priorities and queues requests beyond its slots first
+// in, first out. So the machine never sends the engine more than it has slots:
+// online requests go first, and batch items use the remaining slots and yield them
+// as soon as online requests need them.
 //
-// The machine is pure: Step takes the time and one event and returns actions.
+// Machine does no I/O: Step takes the time and an event and returns actions.
 package admit
 
 import "toucanhinge.example/common/pkg/clock"
@@ -11,35 +12,37 @@
 // Policy selects how online and batch share the engine.
 type Policy string
 
-// Policies. Naive and Fixed are the baselines that ours is measured against.
+// Policies. Naive and Fixed are baselines that Yield is compared with.
 const (
-	// Naive gives the engine everything at once.
+	// Naive sends everything to the engine immediately.
 	Naive Policy = "naive"
-	// Fixed splits the slots for good.
+	// Fixed reserves a fixed number of slots for batch.
 	Fixed Policy = "fixed"
-	// Yield lets batch fill what online leaves, and yield at once.
+	// Yield lets batch use the slots that online requests leave free, and suspends
+	// batch items when online requests need their slots.
 	Yield Policy = "yield"
 )
 
-// Config describes a machine.
+// Config configures a Machine.
 type Config struct {
 	Policy Policy
 	// Slots is how many requests the engine runs at once.
 	Slots int
-	// Floor is the least number of slots that we use however much load of
-	// others the engine reports; it keeps a wrong report from stopping us.
-	Floor int
-	// Queue is the most online requests that wait.
-	Queue int
-	// BatchSlots is the most slots that batch may hold; under Fixed, what it owns.
+	// MinSlots is the number of slots used regardless of foreign load, so that a
+	// wrong report of the engine can't stop all work.
+	MinSlots int
+	// QueueLimit is the maximum number of queued online requests.
+	QueueLimit int
+	// BatchSlots is the maximum number of slots held by batch items. Under Fixed
+	// these slots are reserved for batch.
 	BatchSlots int
-	// PrefillTokens is the most batch prompt tokens in prefill at once; one
-	// item may always go.
-	PrefillTokens int
-	// Weight is the trade-off until Weigh says otherwise, 0 to 100.
-	Weight int
-	// BurstWindow is the span in which arrivals count as one burst.
+	// MaxPrefillTokens is the maximum number of batch prompt tokens in prefill at
+	// the same time. A single item may exceed it.
+	MaxPrefillTokens int
+	// BatchWeight is the initial trade-off, 0 to 100, see SetBatchWeight.
+	BatchWeight int
+	// BurstWindow is the interval in which arrivals count as one burst.
 	BurstWindow clock.Millis
-	// BurstHalfLife is how fast a past burst is forgotten.
+	// BurstHalfLife is the time after which a past burst counts half.
 	BurstHalfLife clock.Millis
 }
--- a/sidecar/pkg/admit/event.go
+++ b/sidecar/pkg/admit/event.go
@@ -2,85 +2,91 @@
 
 import "toucanhinge.example/common/pkg/clock"
 
-// ID names one online request or batch item within this process; never reused.
+// ID identifies an online request or batch item within this process. IDs are not
+// reused.
 type ID uint64
 
-// Event is one thing that happened. Its kinds are the types below.
+// Event is an input of Machine.Step.
 type Event interface{ event() }
 
 // Arrive is a new online request.
 type Arrive struct {
 	ID   ID
 	Team string
-	// Weight is the team's share against others; 0 means 1.
+	// Weight is the team's weight in fair queueing; 0 means 1.
 	Weight int
-	// Deadline is when the answer is of no use any more.
+	// Deadline is the time after which the answer is useless to the caller.
 	Deadline clock.Millis
 }
 
-// Cancel says that nobody waits for an online request any more.
+// Cancel means that the caller of an online request has gone away.
 type Cancel struct{ ID ID }
 
-// FirstToken says that a request's or item's prefill is done.
+// FirstToken means that the prefill of a request or item is done.
 type FirstToken struct{ ID ID }
 
-// Finished frees the slot of an online request or a batch item, however it ended.
+// Finished releases the slot of an online request or batch item, whatever its
+// outcome.
 type Finished struct {
 	ID ID
-	// Sound is true when the answer was whole, so that its time counts as a
-	// measure of the service rate.
-	Sound bool
+	// Complete is true if the answer was complete. Only complete answers
+	// contribute to the measured service time.
+	Complete bool
 }
 
-// Offer is a leased batch item that may start from now on.
+// Offer adds a leased batch item that may start at any time.
 type Offer struct {
 	ID ID
-	// Prefill is the estimated number of prompt tokens.
-	Prefill int
+	// PrefillTokens is the estimated number of prompt tokens.
+	PrefillTokens int
 }
 
-// Withdraw takes a batch item back: its lease was lost or its job cancelled.
+// Withdraw removes a batch item whose lease was lost or whose job was cancelled.
 type Withdraw struct{ ID ID }
 
-// Suspended confirms that a batch item left its slot.
+// Suspended confirms that a batch item has released its slot.
 type Suspended struct{ ID ID }
 
-// Lost reports tokens of a suspended item that must be computed again after all.
-type Lost struct{ Tokens int }
+// TokensLost reports how many tokens of a suspended item have to be computed again
+// because the engine could not resume it.
+type TokensLost struct{ Count int }
 
-// Foreign is the share of the engine that others use, worked out from its report.
-type Foreign struct{ Slots int }
+// ForeignLoad reports the estimated number of engine slots used by requests that
+// did not come through this sidecar, see ForeignEstimator.
+type ForeignLoad struct{ Slots int }
 
-// Gate opens or closes the endpoint for new work: the engine does not answer,
-// or loads weights.
+// Gate opens or closes the endpoint for new work. It is closed while the engine
+// does not answer or loads weights.
 type Gate struct {
 	Open   bool
 	Reason Reason
 }
 
-// Leave refuses new work for good and hands back batch items.
-type Leave struct{}
+// Drain refuses all new work until the process ends and returns batch items to
+// control.
+type Drain struct{}
 
-// DrainEnd gives up on what still waits at the end of the drain time.
+// DrainEnd refuses the requests that are still queued when the drain time is over.
 type DrainEnd struct{}
 
-// Weigh sets the service's trade-off: 0 favours online latency most, 100 batch throughput.
-type Weigh struct{ Weight int }
+// SetBatchWeight sets the service's trade-off between online latency (0) and batch
+// throughput (100).
+type SetBatchWeight struct{ Weight int }
 
-// Tick lets time pass.
+// Tick only advances the time.
 type Tick struct{}
 
-func (Arrive) event()     {}
-func (Cancel) event()     {}
-func (FirstToken) event() {}
-func (Finished) event()   {}
-func (Offer) event()      {}
-func (Withdraw) event()   {}
-func (Suspended) event()  {}
-func (Lost) event()       {}
-func (Foreign) event()    {}
-func (Gate) event()       {}
-func (Leave) event()      {}
-func (DrainEnd) event()   {}
-func (Weigh) event()      {}
-func (Tick) event()       {}
+func (Arrive) event()         {}
+func (Cancel) event()         {}
+func (FirstToken) event()     {}
+func (Finished) event()       {}
+func (Offer) event()          {}
+func (Withdraw) event()       {}
+func (Suspended) event()      {}
+func (TokensLost) event()     {}
+func (ForeignLoad) event()    {}
+func (Gate) event()           {}
+func (Drain) event()          {}
+func (DrainEnd) event()       {}
+func (SetBatchWeight) event() {}
+func (Tick) event()           {}
--- a/sidecar/pkg/admit/foreign.go
+++ b/sidecar/pkg/admit/foreign.go
@@ -3,23 +3,25 @@
 import "toucanhinge.example/common/pkg/clock"
 
 const (
-	// reportSlack allows for the way between our count and the engine's.
-	reportSlack = clock.Millis(30)
-	// ownKept is how long our own counts are remembered; no report lags more.
-	ownKept = clock.Millis(10_000)
-	// foreignKept is how long the highest estimate holds.
-	foreignKept = clock.Millis(1_000)
-	// ownMost bounds the memory of counts.
-	ownMost = 8_192
+	// reportTolerance covers the delay between a change of the sidecar's own
+	// count and the matching change of the engine's count.
+	reportTolerance = clock.Millis(30)
+	// ownCountRetention is how long the sidecar's own counts are stored. Engine
+	// reports lag by less than this.
+	ownCountRetention = clock.Millis(10_000)
+	// estimateRetention is how long an estimate counts towards the maximum.
+	estimateRetention = clock.Millis(1_000)
+	// maxOwnCounts bounds the memory used by stored counts.
+	maxOwnCounts = 8_192
 )
 
-// ForeignEstimator works out from the engine's lagging report how many slots
-// others use. What we have in flight ourselves we know better than any report,
-// so we take off the most that we had at the moment the report speaks of; what
-// is left is surely not ours. As our starts and ends near that moment hide
-// load of others, the highest estimate of the last second counts.
+// ForeignEstimator estimates how many engine slots are used by requests that did
+// not come through this sidecar. It subtracts from the engine's lagging report the
+// highest number of own requests in flight around the time of the report; the
+// remainder is foreign load. Own starts and ends near that time hide foreign load,
+// so the highest estimate of the last second is used.
 type ForeignEstimator struct {
-	own       []sample
+	ownCounts []sample
 	estimates []sample
 }
 
@@ -28,36 +30,38 @@
 	count int
 }
 
-// Own notes how many requests we have at the engine from now on.
-func (f *ForeignEstimator) Own(now clock.Millis, count int) {
-	if n := len(f.own); n > 0 && f.own[n-1].count == count {
+// RecordOwn records the number of own requests at the engine from now on.
+func (f *ForeignEstimator) RecordOwn(now clock.Millis, count int) {
+	if n := len(f.ownCounts); n > 0 && f.ownCounts[n-1].count == count {
 		return
 	}
-	f.own = append(f.own, sample{at: now, count: count})
+	f.ownCounts = append(f.ownCounts, sample{at: now, count: count})
 	drop := 0
-	for drop < len(f.own)-1 && (now-f.own[drop+1].at > ownKept || len(f.own)-drop > ownMost) {
+	for drop < len(f.ownCounts)-1 &&
+		(now-f.ownCounts[drop+1].at > ownCountRetention || len(f.ownCounts)-drop > maxOwnCounts) {
 		drop++
 	}
-	f.own = f.own[drop:]
+	f.ownCounts = f.ownCounts[drop:]
 }
 
-// Report takes the engine's report of what it runs and queues as of a moment,
-// and returns the slots that others use.
-func (f *ForeignEstimator) Report(now, asOf clock.Millis, inFlight int) int {
-	from, to := asOf-reportSlack, asOf+reportSlack
-	if asOf > now || now-asOf > ownKept {
-		// The engine's clock is another one: all we know is what we had lately.
-		from, to = now-ownKept, now
+// Estimate returns the number of slots used by foreign requests, given the number
+// of requests that the engine reports as running or queued at asOf.
+func (f *ForeignEstimator) Estimate(now, asOf clock.Millis, inFlight int) int {
+	from, to := asOf-reportTolerance, asOf+reportTolerance
+	if asOf > now || now-asOf > ownCountRetention {
+		// The engine's clock differs from the sidecar's, so asOf is unusable: use the
+		// whole history of own counts.
+		from, to = now-ownCountRetention, now
 	}
-	estimate := max(inFlight-f.most(from, to), 0)
-	kept := f.estimates[:0]
+	estimate := max(inFlight-f.maxOwnCount(from, to), 0)
+	recent := f.estimates[:0]
 	for _, e := range f.estimates {
-		if now-e.at < foreignKept {
-			kept = append(kept, e)
+		if now-e.at < estimateRetention {
+			recent = append(recent, e)
 		}
 	}
-	kept = append(kept, sample{at: now, count: estimate})
-	f.estimates = kept
+	recent = append(recent, sample{at: now, count: estimate})
+	f.estimates = recent
 	highest := 0
 	for _, e := range f.estimates {
 		highest = max(highest, e.count)
@@ -65,13 +69,13 @@
 	return highest
 }
 
-// most is the highest count that held at any moment of the span.
-func (f *ForeignEstimator) most(from, to clock.Millis) int {
+// maxOwnCount returns the highest own count between from and to.
+func (f *ForeignEstimator) maxOwnCount(from, to clock.Millis) int {
 	highest := 0
-	for i, s := range f.own {
+	for i, s := range f.ownCounts {
 		until := to + 1
-		if i+1 < len(f.own) {
-			until = f.own[i+1].at
+		if i+1 < len(f.ownCounts) {
+			until = f.ownCounts[i+1].at
 		}
 		if s.at <= to && until >= from {
 			highest = max(highest, s.count)
--- a/sidecar/pkg/admit/item.go
+++ b/sidecar/pkg/admit/item.go
@@ -6,9 +6,9 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// slowYield is the time of a yield, milliseconds, from which on the whole of the
-// recent burst is kept free. It is about one step of an engine.
-const slowYield = 10
+// fullHeadroomYieldTime is the yield time in milliseconds from which on headroom is
+// left for the whole recent burst. It is about one step of an engine.
+const fullHeadroomYieldTime = 10
 
 type itemState int
 
@@ -20,35 +20,35 @@
 	itemStopping
 )
 
-// item is a batch item that this process has leased.
+// item is a batch item leased by this process.
 type item struct {
-	id      ID
-	state   itemState
-	prefill int
-	// prefilling is true until its first token.
+	id            ID
+	state         itemState
+	prefillTokens int
+	// prefilling is true from the start of the item until its first token.
 	prefilling bool
-	// asked is when it was told to suspend.
-	asked clock.Millis
+	// suspendRequestedAt is when the last Suspend was sent.
+	suspendRequestedAt clock.Millis
 }
 
 func (m *Machine) offer(e Offer) {
 	if _, known := m.items[e.ID]; known {
 		return
 	}
-	if m.leaving || m.closed != "" {
-		m.act(Return, e.ID, m.shutReason(), 0)
+	if m.draining || m.closeReason != "" {
+		m.emit(Return, e.ID, m.refusalReason(), 0)
 		return
 	}
-	i := &item{id: e.ID, state: itemWaiting, prefill: e.Prefill}
+	i := &item{id: e.ID, state: itemWaiting, prefillTokens: e.PrefillTokens}
 	m.items[e.ID] = i
-	m.waiting = append(m.waiting, i)
+	m.waitingItems = append(m.waitingItems, i)
 }
 
-func (m *Machine) shutReason() Reason {
-	if m.leaving {
+func (m *Machine) refusalReason() Reason {
+	if m.draining {
 		return ReasonLeaving
 	}
-	return m.closed
+	return m.closeReason
 }
 
 func (m *Machine) firstToken(id ID) {
@@ -64,29 +64,29 @@
 func (m *Machine) endPrefill(i *item) {
 	if i.prefilling {
 		i.prefilling = false
-		m.prefill -= i.prefill
+		m.prefillTokens -= i.prefillTokens
 	}
 }
 
-// forget drops an item that ended, wherever it stood.
-func (m *Machine) forget(i *item) {
+// dropItem removes an ended item from all lists and releases its slot, if any.
+func (m *Machine) dropItem(i *item) {
 	delete(m.items, i.id)
-	m.leaveSlot(i)
-	m.waiting = without(m.waiting, i)
-	m.halted = without(m.halted, i)
+	m.releaseSlot(i)
+	m.waitingItems = removeFrom(m.waitingItems, i)
+	m.suspendedItems = removeFrom(m.suspendedItems, i)
 }
 
-func (m *Machine) leaveSlot(i *item) {
+func (m *Machine) releaseSlot(i *item) {
 	m.endPrefill(i)
 	if i.state == itemSuspending {
-		m.suspending--
+		m.suspendingCount--
 	}
-	m.holding = without(m.holding, i)
+	m.activeItems = removeFrom(m.activeItems, i)
 }
 
-func without(list []*item, gone *item) []*item {
+func removeFrom(list []*item, target *item) []*item {
 	for n, i := range list {
-		if i == gone {
+		if i == target {
 			return append(list[:n], list[n+1:]...)
 		}
 	}
@@ -101,59 +101,59 @@
 	m.stopItem(i, ReasonWithdrawn)
 }
 
-// stopItem ends an item that holds a slot, or hands it back when it holds none.
+// stopItem stops an item that holds a slot, or returns one that holds none.
 func (m *Machine) stopItem(i *item, reason Reason) {
 	switch i.state {
 	case itemRunning, itemSuspending:
 		if i.state == itemSuspending {
-			m.suspending--
+			m.suspendingCount--
 		}
 		i.state = itemStopping
-		m.act(Stop, i.id, reason, 0)
+		m.emit(Stop, i.id, reason, 0)
 	case itemWaiting, itemSuspended:
-		m.forget(i)
-		m.act(Return, i.id, reason, 0)
+		m.dropItem(i)
+		m.emit(Return, i.id, reason, 0)
 	case itemStopping:
 	}
 }
 
 func (m *Machine) returnItems() {
-	reason := m.shutReason()
-	held := make([]*item, 0, len(m.items))
-	held = append(held, m.waiting...)
-	held = append(held, m.halted...)
-	held = append(held, m.holding...)
-	for _, i := range held {
+	reason := m.refusalReason()
+	items := make([]*item, 0, len(m.items))
+	items = append(items, m.waitingItems...)
+	items = append(items, m.suspendedItems...)
+	items = append(items, m.activeItems...)
+	for _, i := range items {
 		m.stopItem(i, reason)
 	}
 }
 
-func (m *Machine) suspended(now clock.Millis, e Suspended) {
+func (m *Machine) confirmSuspended(now clock.Millis, e Suspended) {
 	i, found := m.items[e.ID]
 	if !found || (i.state != itemSuspending && i.state != itemStopping) {
 		return
 	}
 	if i.state == itemStopping {
-		m.forget(i)
-		m.act(Return, i.id, ReasonWithdrawn, 0)
+		m.dropItem(i)
+		m.emit(Return, i.id, ReasonWithdrawn, 0)
 		return
 	}
-	m.yield = smoothed(m.yield, float64(now-i.asked))
-	m.leaveSlot(i)
+	m.yieldTime = ewma(m.yieldTime, float64(now-i.suspendRequestedAt))
+	m.releaseSlot(i)
 	i.state = itemSuspended
-	m.halted = append(m.halted, i)
+	m.suspendedItems = append(m.suspendedItems, i)
 }
 
-// yieldSlots takes batch items out of the slots that online requests wait for,
-// or that others now use. The newest go first: the older ones are nearer to
-// their end, and a stream in its prefill has the least to lose.
+// yieldSlots suspends batch items if online requests wait for their slots or foreign
+// load now uses them. The newest items are suspended first: older items are closer
+// to their end, and an item in prefill loses the least work.
 func (m *Machine) yieldSlots(now clock.Millis) {
 	if m.config.Policy != Yield {
 		return
 	}
-	excess := m.used() - m.suspending + m.queue.len() - m.capacity()
-	for n := len(m.holding) - 1; n >= 0 && excess > 0; n-- {
-		i := m.holding[n]
+	excess := m.used() - m.suspendingCount + m.queue.len() - m.capacity()
+	for n := len(m.activeItems) - 1; n >= 0 && excess > 0; n-- {
+		i := m.activeItems[n]
 		if i.state == itemStopping {
 			excess--
 			continue
@@ -162,83 +162,85 @@
 			continue
 		}
 		i.state = itemSuspending
-		i.asked = now
-		m.suspending++
+		i.suspendRequestedAt = now
+		m.suspendingCount++
 		excess--
 		m.stats.Yields++
-		m.act(Suspend, i.id, "", 0)
+		m.emit(Suspend, i.id, "", 0)
 	}
 }
 
-// fillSlots gives batch what online leaves; a request that waits means that
-// nothing is left, and a closed or leaving endpoint holds no items. Suspended items go first: they
-// hold KV cache, and their lease has run longest.
+// fillSlots starts batch items in the slots that online requests leave free. A
+// queued request means that there is no free slot, and a closed or draining endpoint
+// has no items. Suspended items are resumed first: they hold KV cache, and their
+// leases are the oldest.
 func (m *Machine) fillSlots(now clock.Millis) {
-	room := m.batchRoom(now)
-	for ; room > 0 && len(m.halted) > 0; room-- {
-		i := m.halted[0]
-		m.halted = m.halted[1:]
+	free := m.freeBatchSlots(now)
+	for ; free > 0 && len(m.suspendedItems) > 0; free-- {
+		i := m.suspendedItems[0]
+		m.suspendedItems = m.suspendedItems[1:]
 		i.state = itemRunning
-		m.holding = append(m.holding, i)
-		m.act(Resume, i.id, "", 0)
+		m.activeItems = append(m.activeItems, i)
+		m.emit(Resume, i.id, "", 0)
 	}
-	for ; room > 0 && len(m.waiting) > 0; room-- {
-		i := m.waiting[0]
+	for ; free > 0 && len(m.waitingItems) > 0; free-- {
+		i := m.waitingItems[0]
 		if !m.prefillFits(i) {
 			return
 		}
-		m.waiting = m.waiting[1:]
-		m.prefill += i.prefill
+		m.waitingItems = m.waitingItems[1:]
+		m.prefillTokens += i.prefillTokens
 		i.prefilling = true
 		i.state = itemRunning
-		m.holding = append(m.holding, i)
+		m.activeItems = append(m.activeItems, i)
 		m.stats.ItemsStarted++
-		m.act(Start, i.id, "", 0)
+		m.emit(Start, i.id, "", 0)
 	}
 }
 
-// batchRoom is how many more items may take a slot now.
-func (m *Machine) batchRoom(now clock.Millis) int {
+// freeBatchSlots returns how many more batch items may start now.
+func (m *Machine) freeBatchSlots(now clock.Millis) int {
 	switch m.config.Policy {
 	case Naive:
-		return len(m.waiting) + len(m.halted)
+		return len(m.waitingItems) + len(m.suspendedItems)
 	case Fixed:
-		return min(m.config.BatchSlots-len(m.holding), m.capacity()-m.used())
+		return min(m.config.BatchSlots-len(m.activeItems), m.capacity()-m.used())
 	}
 	free := m.capacity() - m.used() - m.Headroom(now)
-	return min(free, m.config.BatchSlots-len(m.holding))
+	return min(free, m.config.BatchSlots-len(m.activeItems))
 }
 
-// Headroom is how many slots batch leaves free, so that a burst like the recent
-// ones finds slots without waiting for a yield. As far as yields are quick, it is
-// of no use and only costs batch, so it grows with the measured time of a yield.
-// It gates only the start of items: suspending one to restore the headroom would
-// make every arrival a yield.
+// Headroom returns how many slots batch leaves free, so that a burst like the recent
+// ones finds free slots without waiting for yields. Quick yields make headroom
+// useless and it only costs batch throughput, so it grows with the measured yield
+// time. It limits only the start of items: suspending items to restore the headroom
+// would turn every arrival into a yield.
 func (m *Machine) Headroom(now clock.Millis) int {
-	cost := min(m.yield/slowYield, 1)
-	wanted := m.bursts.decayed(now) * cost * float64(100-m.weight) / 100
-	return max(min(int(math.Round(wanted)), m.capacity()-1), 0)
+	cost := min(m.yieldTime/fullHeadroomYieldTime, 1)
+	slots := m.bursts.decayed(now) * cost * float64(100-m.batchWeight) / 100
+	return max(min(int(math.Round(slots)), m.capacity()-1), 0)
 }
 
-// prefillFits bounds the prompt tokens of batch that are in prefill at once:
-// they lengthen every step that online streams share. One item may always go,
-// or a long one could never run. While an online prompt is in prefill none goes,
-// as its first token would wait for both; weight 100 does without.
+// prefillFits reports whether the prefill budget allows i to start. The budget bounds
+// the batch prompt tokens in prefill, because they lengthen every engine step that
+// online streams share. A single item may exceed the budget, or a long item could
+// never run. While an online prompt is in prefill no item starts, because it would
+// delay the first token of the online request; batch weight 100 ignores that.
 func (m *Machine) prefillFits(i *item) bool {
 	if m.config.Policy != Yield {
 		return true
 	}
-	if m.weight < 100 && m.onlinePrefill() {
+	if m.batchWeight < 100 && m.hasOnlinePrefill() {
 		return false
 	}
-	budget := m.config.PrefillTokens
+	budget := m.config.MaxPrefillTokens
 	if len(m.online) > 0 {
-		budget = budget * m.weight / 100
+		budget = budget * m.batchWeight / 100
 	}
-	return m.prefill == 0 || m.prefill+i.prefill <= budget
+	return m.prefillTokens == 0 || m.prefillTokens+i.prefillTokens <= budget
 }
 
-func (m *Machine) onlinePrefill() bool {
+func (m *Machine) hasOnlinePrefill() bool {
 	for _, r := range m.online {
 		if r.prefilling {
 			return true
--- a/sidecar/pkg/admit/machine.go
+++ b/sidecar/pkg/admit/machine.go
@@ -6,64 +6,65 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// leastRetry is the shortest wait that a refusal asks for.
-const leastRetry = clock.Millis(50)
+// minRetryAfter is the shortest RetryAfter of a refusal.
+const minRetryAfter = clock.Millis(50)
 
-// newestWeight is the weight of the newest measure in a running mean.
-const newestWeight = 0.1
+// smoothingFactor is the weight of the newest sample in a moving average.
+const smoothingFactor = 0.1
 
-// Machine is the decision machine of one endpoint.
+// Machine is the admission state machine of one endpoint.
 type Machine struct {
-	config  Config
-	queue   queue
-	online  map[ID]*request
-	items   map[ID]*item
-	waiting []*item
-	halted  []*item
-	holding []*item
-	// suspending counts items of holding that are on their way out.
-	suspending int
-	prefill    int
-	foreign    int
-	weight     int
-	closed     Reason
-	leaving    bool
-	bursts     burst
-	// service is the measured time of an online answer in its slot, milliseconds.
-	service float64
-	// yield is the measured time from a suspension to its confirmation, milliseconds.
-	yield   float64
-	stats   Stats
-	stepped clock.Millis
-	actions []Action
+	config         Config
+	queue          queue
+	online         map[ID]*request
+	items          map[ID]*item
+	waitingItems   []*item
+	suspendedItems []*item
+	activeItems    []*item
+	// suspendingCount is the number of active items in itemSuspending.
+	suspendingCount int
+	prefillTokens   int
+	foreignSlots    int
+	batchWeight     int
+	closeReason     Reason
+	draining        bool
+	bursts          burst
+	// serviceTime is the average time that an online request holds its slot, in
+	// milliseconds.
+	serviceTime float64
+	// yieldTime is the average time from Suspend to Suspended, in milliseconds.
+	yieldTime float64
+	stats     Stats
+	lastStep  clock.Millis
+	actions   []Action
 }
 
-// request is an online request in its slot.
+// request is an online request that holds a slot.
 type request struct {
-	started  clock.Millis
-	stopping bool
-	// prefilling is true until its first token.
+	startedAt clock.Millis
+	stopping  bool
+	// prefilling is true until the first token of the answer.
 	prefilling bool
 }
 
-// New makes a machine with an open gate.
+// New creates a Machine with an open gate.
 func New(config Config) *Machine {
 	return &Machine{
-		config: config,
-		queue:  newQueue(config.Queue),
-		online: map[ID]*request{},
-		items:  map[ID]*item{},
-		weight: config.Weight,
-		bursts: burst{window: config.BurstWindow, halfLife: config.BurstHalfLife},
+		config:      config,
+		queue:       newQueue(config.QueueLimit),
+		online:      map[ID]*request{},
+		items:       map[ID]*item{},
+		batchWeight: config.BatchWeight,
+		bursts:      burst{window: config.BurstWindow, halfLife: config.BurstHalfLife},
 	}
 }
 
-// Step takes one event and returns what to do, in order. The slice is reused
-// by the next step.
+// Step applies an event and returns the resulting actions in order. The slice is
+// reused by the next call.
 func (m *Machine) Step(now clock.Millis, event Event) []Action {
-	m.account(now)
+	m.addSlotTime(now)
 	m.actions = m.actions[:0]
-	m.take(now, event)
+	m.apply(now, event)
 	m.expire(now)
 	m.startOnline(now)
 	m.yieldSlots(now)
@@ -71,7 +72,7 @@
 	return m.actions
 }
 
-func (m *Machine) take(now clock.Millis, event Event) {
+func (m *Machine) apply(now clock.Millis, event Event) {
 	switch e := event.(type) {
 	case Arrive:
 		m.arrive(now, e)
@@ -86,38 +87,38 @@
 	case Withdraw:
 		m.withdraw(e.ID)
 	case Suspended:
-		m.suspended(now, e)
-	case Lost:
-		m.stats.TokensLost += uint64(max(e.Tokens, 0))
-	case Foreign:
-		m.foreign = max(0, e.Slots)
+		m.confirmSuspended(now, e)
+	case TokensLost:
+		m.stats.TokensLost += uint64(max(e.Count, 0))
+	case ForeignLoad:
+		m.foreignSlots = max(0, e.Slots)
 	case Gate:
-		m.gate(e)
-	case Leave:
-		m.leaving = true
+		m.setGate(e)
+	case Drain:
+		m.draining = true
 		m.returnItems()
 	case DrainEnd:
 		m.refuseQueue(ReasonLeaving)
-	case Weigh:
-		m.weight = min(max(e.Weight, 0), 100)
+	case SetBatchWeight:
+		m.batchWeight = min(max(e.Weight, 0), 100)
 	}
 }
 
-func (m *Machine) act(verb Verb, id ID, reason Reason, retry clock.Millis) {
-	m.actions = append(m.actions, Action{Verb: verb, ID: id, Reason: reason, Retry: retry})
+func (m *Machine) emit(verb Verb, id ID, reason Reason, retry clock.Millis) {
+	m.actions = append(m.actions, Action{Verb: verb, ID: id, Reason: reason, RetryAfter: retry})
 }
 
 func (m *Machine) refuse(id ID, reason Reason, retry clock.Millis) {
 	m.stats.Refused++
-	m.act(Refuse, id, reason, max(retry, leastRetry))
+	m.emit(Refuse, id, reason, max(retry, minRetryAfter))
 }
 
-// capacity is how many slots are ours now.
+// capacity returns how many slots this sidecar may use now.
 func (m *Machine) capacity() int {
-	return max(m.config.Slots-m.foreign, min(m.config.Floor, m.config.Slots))
+	return max(m.config.Slots-m.foreignSlots, min(m.config.MinSlots, m.config.Slots))
 }
 
-// onlineCapacity is how many of them online may use.
+// onlineCapacity returns how many slots online requests may use.
 func (m *Machine) onlineCapacity() int {
 	if m.config.Policy == Fixed {
 		return max(m.capacity()-m.config.BatchSlots, 1)
@@ -126,61 +127,62 @@
 }
 
 func (m *Machine) used() int {
-	return len(m.online) + len(m.holding)
+	return len(m.online) + len(m.activeItems)
 }
 
 func (m *Machine) arrive(now clock.Millis, e Arrive) {
-	if _, running := m.online[e.ID]; running || m.queue.has(e.ID) {
+	if _, running := m.online[e.ID]; running || m.queue.contains(e.ID) {
 		m.refuse(e.ID, ReasonDuplicate, 0)
 		return
 	}
-	if m.leaving {
+	if m.draining {
 		m.refuse(e.ID, ReasonLeaving, 0)
 		return
 	}
-	if m.closed != "" {
-		m.refuse(e.ID, m.closed, 0)
+	if m.closeReason != "" {
+		m.refuse(e.ID, m.closeReason, 0)
 		return
 	}
-	m.bursts.arrive(now)
-	if now >= e.Deadline || m.late(now, e) {
-		m.refuse(e.ID, ReasonDeadline, m.Wait())
+	m.bursts.record(now)
+	if now >= e.Deadline || m.cannotMeetDeadline(now, e) {
+		m.refuse(e.ID, ReasonDeadline, m.ExpectedWait())
 		return
 	}
-	evicted, taken := m.queue.add(waiter{Arrive: e, since: now})
-	if !taken {
-		m.refuse(e.ID, ReasonQueueFull, m.Wait())
+	evicted, added := m.queue.add(waiter{Arrive: e, enqueuedAt: now})
+	if !added {
+		m.refuse(e.ID, ReasonQueueFull, m.ExpectedWait())
 		return
 	}
 	if evicted != 0 {
-		m.refuse(evicted, ReasonQueueFull, m.Wait())
+		m.refuse(evicted, ReasonQueueFull, m.ExpectedWait())
 	}
 }
 
-// late says that a request which has to wait can't be answered in time. One
-// that finds a free slot is never late: were it refused because of a measured
-// service time that has grown too long, nothing would run any more and the
-// measure could never come down again.
-func (m *Machine) late(now clock.Millis, e Arrive) bool {
+// cannotMeetDeadline reports whether a request that has to wait would miss its
+// deadline. A request that finds a free slot always runs: if a measured service time
+// that is too long refused it, no request would run any more and the measured time
+// could never decrease again.
+func (m *Machine) cannotMeetDeadline(now clock.Millis, e Arrive) bool {
 	if m.config.Policy == Naive || len(m.online)+m.queue.len() < m.onlineCapacity() {
 		return false
 	}
-	ahead := m.queue.before(e.Deadline)
-	return now+m.waitBehind(ahead)+clock.Millis(m.service) > e.Deadline
+	ahead := m.queue.countBefore(e.Deadline)
+	return now+m.queueWait(ahead)+clock.Millis(m.serviceTime) > e.Deadline
 }
 
-// waitBehind is the expected wait with so many requests ahead in the queue.
-func (m *Machine) waitBehind(ahead int) clock.Millis {
+// queueWait returns the expected wait with the given number of requests ahead in the
+// queue.
+func (m *Machine) queueWait(ahead int) clock.Millis {
 	rate := float64(max(m.onlineCapacity(), 1))
-	return clock.Millis(math.Ceil(m.service * float64(ahead+1) / rate))
+	return clock.Millis(math.Ceil(m.serviceTime * float64(ahead+1) / rate))
 }
 
-// Wait is the expected wait of a new online request.
-func (m *Machine) Wait() clock.Millis {
+// ExpectedWait returns the expected wait of a new online request.
+func (m *Machine) ExpectedWait() clock.Millis {
 	if len(m.online)+m.queue.len() < m.onlineCapacity() {
 		return 0
 	}
-	return m.waitBehind(m.queue.len())
+	return m.queueWait(m.queue.len())
 }
 
 func (m *Machine) cancel(id ID) {
@@ -191,33 +193,33 @@
 	r, running := m.online[id]
 	if running && !r.stopping {
 		r.stopping = true
-		m.act(Stop, id, ReasonCancelled, 0)
+		m.emit(Stop, id, ReasonCancelled, 0)
 	}
 }
 
 func (m *Machine) finish(now clock.Millis, e Finished) {
 	if r, online := m.online[e.ID]; online {
 		delete(m.online, e.ID)
-		if e.Sound {
-			m.service = smoothed(m.service, float64(now-r.started))
+		if e.Complete {
+			m.serviceTime = ewma(m.serviceTime, float64(now-r.startedAt))
 		}
 		return
 	}
 	if i, found := m.items[e.ID]; found {
-		m.forget(i)
+		m.dropItem(i)
 	}
 }
 
-// smoothed takes a new measure into a running mean.
-func smoothed(mean, measure float64) float64 {
+// ewma adds a sample to an exponentially weighted moving average.
+func ewma(mean, sample float64) float64 {
 	if mean == 0 {
-		return measure
+		return sample
 	}
-	return mean + newestWeight*(measure-mean)
+	return mean + smoothingFactor*(sample-mean)
 }
 
-// expire refuses what can't be in time any more, so that its caller hears at
-// once and no slot is spent on it.
+// expire refuses queued requests whose deadline has passed, so that their callers
+// get a prompt answer and no slot is wasted on them.
 func (m *Machine) expire(now clock.Millis) {
 	for {
 		first, found := m.queue.first()
@@ -225,33 +227,34 @@
 			return
 		}
 		m.queue.remove(first.ID)
-		m.refuse(first.ID, ReasonDeadline, m.Wait())
+		m.refuse(first.ID, ReasonDeadline, m.ExpectedWait())
 	}
 }
 
 func (m *Machine) startOnline(now clock.Millis) {
-	if m.closed != "" {
+	if m.closeReason != "" {
 		return
 	}
-	for m.queue.len() > 0 && m.onlineMayStart() {
-		w := m.queue.next(m.fair())
-		if m.hopeless(now, w) {
-			m.refuse(w.ID, ReasonDeadline, m.Wait())
+	for m.queue.len() > 0 && m.canStartOnline() {
+		w := m.queue.pop(m.needsFairness())
+		if m.tooLateToStart(now, w) {
+			m.refuse(w.ID, ReasonDeadline, m.ExpectedWait())
 			continue
 		}
-		m.online[w.ID] = &request{started: now, prefilling: true}
+		m.online[w.ID] = &request{startedAt: now, prefilling: true}
 		m.stats.Started++
-		m.act(Start, w.ID, "", 0)
+		m.emit(Start, w.ID, "", 0)
 	}
 }
 
-// hopeless says that a request that has waited can't be answered in time even
-// if it starts now. One that did not wait always starts, see late.
-func (m *Machine) hopeless(now clock.Millis, w waiter) bool {
-	return w.since < now && m.config.Policy != Naive && now+clock.Millis(m.service/2) >= w.Deadline
+// tooLateToStart reports whether a request that has waited would miss its deadline
+// even if it started now. A request that did not wait always starts, see
+// cannotMeetDeadline.
+func (m *Machine) tooLateToStart(now clock.Millis, w waiter) bool {
+	return w.enqueuedAt < now && m.config.Policy != Naive && now+clock.Millis(m.serviceTime/2) >= w.Deadline
 }
 
-func (m *Machine) onlineMayStart() bool {
+func (m *Machine) canStartOnline() bool {
 	switch m.config.Policy {
 	case Naive:
 		return true
@@ -262,18 +265,19 @@
 	}
 }
 
-// fair says whether the queue is long enough that teams must be kept from
-// crowding each other out; below that, strictly the earliest deadline goes first.
-func (m *Machine) fair() bool {
+// needsFairness reports whether the queue is long enough to need fair queueing, which
+// keeps one team from starving the others. Shorter queues are served strictly by
+// earliest deadline.
+func (m *Machine) needsFairness() bool {
 	return m.queue.len() > m.onlineCapacity()
 }
 
-func (m *Machine) gate(e Gate) {
+func (m *Machine) setGate(e Gate) {
 	if e.Open {
-		m.closed = ""
+		m.closeReason = ""
 		return
 	}
-	m.closed = e.Reason
+	m.closeReason = e.Reason
 	m.refuseQueue(e.Reason)
 	m.returnItems()
 }
--- a/sidecar/pkg/admit/oracle_test.go
+++ b/sidecar/pkg/admit/oracle_test.go
@@ -9,63 +9,64 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// oracle holds, in the plainest way, what the engine and the callers see.
+// oracle is a simple model of the state seen by the engine and the callers. It checks
+// the actions of a Machine against this state.
 type oracle struct {
-	t       *rapid.T
-	m       *Machine
-	now     clock.Millis
-	next    ID
-	slots   int
-	floor   int
-	foreign int
-	closed  bool
-	leaving bool
-	// queued, running and ended online requests.
-	queued  map[ID]Arrive
-	running map[ID]bool
-	ended   map[ID]bool
-	items   map[ID]itemState
-	stopped map[ID]bool
+	t            *rapid.T
+	machine      *Machine
+	now          clock.Millis
+	lastID       ID
+	slots        int
+	minSlots     int
+	foreignSlots int
+	closed       bool
+	draining     bool
+	// Online requests by state.
+	queued        map[ID]Arrive
+	running       map[ID]bool
+	ended         map[ID]bool
+	items         map[ID]itemState
+	stopRequested map[ID]bool
 }
 
 func newOracle(t *rapid.T) *oracle {
 	slots := rapid.IntRange(1, 6).Draw(t, "slots")
 	o := &oracle{
-		t: t, slots: slots, floor: rapid.IntRange(0, slots).Draw(t, "floor"), now: 1_000,
-		queued: map[ID]Arrive{}, running: map[ID]bool{}, ended: map[ID]bool{}, items: map[ID]itemState{}, stopped: map[ID]bool{},
+		t: t, slots: slots, minSlots: rapid.IntRange(0, slots).Draw(t, "floor"), now: 1_000,
+		queued: map[ID]Arrive{}, running: map[ID]bool{}, ended: map[ID]bool{}, items: map[ID]itemState{}, stopRequested: map[ID]bool{},
 	}
-	o.m = New(Config{
-		Policy: Yield, Slots: slots, Floor: o.floor, Queue: rapid.IntRange(1, 8).Draw(t, "queue"),
-		BatchSlots: slots, PrefillTokens: 100, Weight: rapid.IntRange(0, 100).Draw(t, "weight"),
+	o.machine = New(Config{
+		Policy: Yield, Slots: slots, MinSlots: o.minSlots, QueueLimit: rapid.IntRange(1, 8).Draw(t, "queue"),
+		BatchSlots: slots, MaxPrefillTokens: 100, BatchWeight: rapid.IntRange(0, 100).Draw(t, "weight"),
 		BurstWindow: 50, BurstHalfLife: 500,
 	})
 	return o
 }
 
 func (o *oracle) capacity() int {
-	return max(o.slots-o.foreign, o.floor)
+	return max(o.slots-o.foreignSlots, o.minSlots)
 }
 
-func (o *oracle) holding() (all, staying int) {
+func (o *oracle) activeItems() (all, remaining int) {
 	for _, s := range o.items {
 		switch s {
 		case itemRunning:
-			all, staying = all+1, staying+1
+			all, remaining = all+1, remaining+1
 		case itemSuspending, itemStopping:
 			all++
 		case itemWaiting, itemSuspended:
 		}
 	}
-	return all, staying
+	return all, remaining
 }
 
 func (o *oracle) used() int {
-	all, _ := o.holding()
+	all, _ := o.activeItems()
 	return len(o.running) + all
 }
 
 func (o *oracle) step(e Event) {
-	for _, a := range o.m.Step(o.now, e) {
+	for _, a := range o.machine.Step(o.now, e) {
 		o.apply(a)
 	}
 	o.check()
@@ -79,34 +80,34 @@
 	arrive, queued := o.queued[a.ID]
 	switch a.Verb {
 	case Start:
-		o.need(queued, "%d started that does not wait", a.ID)
-		o.need(o.now < arrive.Deadline, "%d started after its deadline", a.ID)
-		o.need(!o.closed, "%d started while closed", a.ID)
+		o.requiref(queued, "request %d started without being queued", a.ID)
+		o.requiref(o.now < arrive.Deadline, "request %d started after its deadline", a.ID)
+		o.requiref(!o.closed, "request %d started while the gate is closed", a.ID)
 		o.checkOrder(arrive)
 		delete(o.queued, a.ID)
 		o.running[a.ID] = true
-		o.need(o.used() <= o.capacity(), "%d on %d slots after an online start", o.used(), o.capacity())
+		o.requiref(o.used() <= o.capacity(), "%d in use of %d slots after an online start", o.used(), o.capacity())
 	case Refuse:
-		o.need(queued, "%d refused as not run, but it was started or ended", a.ID)
-		o.need(a.Retry > 0 && a.Reason != "", "a refusal without reason or time")
+		o.requiref(queued, "request %d refused after it was started or ended", a.ID)
+		o.requiref(a.RetryAfter > 0 && a.Reason != "", "refusal without reason or retry time")
 		delete(o.queued, a.ID)
 		o.ended[a.ID] = true
 	case Stop:
-		o.need(o.running[a.ID], "%d stopped that does not run", a.ID)
+		o.requiref(o.running[a.ID], "request %d stopped without running", a.ID)
 	default:
-		o.need(false, "verb %d for an online request", a.Verb)
+		o.requiref(false, "unexpected verb %d for an online request", a.Verb)
 	}
 }
 
-// checkOrder compares with all that wait: the earliest deadline goes first, and
-// with a long queue the earliest of its team.
+// checkOrder checks that the started request has the earliest deadline of the queue,
+// or of its team if the queue is long.
 func (o *oracle) checkOrder(started Arrive) {
 	long := len(o.queued) > o.capacity()
 	for _, other := range o.queued {
 		if long && other.Team != started.Team {
 			continue
 		}
-		o.need(started.Deadline <= other.Deadline, "%d started before %d, which is due earlier", started.ID, other.ID)
+		o.requiref(started.Deadline <= other.Deadline, "request %d started before %d, which has an earlier deadline", started.ID, other.ID)
 	}
 }
 
@@ -118,44 +119,45 @@
 		if a.Verb == Resume {
 			want = itemSuspended
 		}
-		o.need(state == want, "verb %d for an item in state %d", a.Verb, state)
-		o.need(!o.closed && !o.leaving, "an item started while closed or leaving")
-		o.need(len(o.queued) == 0, "an item started while online requests wait")
+		o.requiref(state == want, "verb %d for an item in state %d", a.Verb, state)
+		o.requiref(!o.closed && !o.draining, "item started while closed or draining")
+		o.requiref(len(o.queued) == 0, "item started while online requests are queued")
 		o.items[a.ID] = itemRunning
-		o.need(o.used() <= o.capacity(), "%d on %d slots after a batch start", o.used(), o.capacity())
+		o.requiref(o.used() <= o.capacity(), "%d in use of %d slots after a batch start", o.used(), o.capacity())
 	case Suspend:
-		o.need(state == itemRunning, "an item in state %d suspended", state)
+		o.requiref(state == itemRunning, "item suspended in state %d", state)
 		o.items[a.ID] = itemSuspending
 	case Stop:
-		o.need(state == itemRunning || state == itemSuspending, "an item in state %d stopped", state)
+		o.requiref(state == itemRunning || state == itemSuspending, "item stopped in state %d", state)
 		o.items[a.ID] = itemStopping
-		o.stopped[a.ID] = true
+		o.stopRequested[a.ID] = true
 	case Return:
-		o.need(state == itemWaiting || state == itemSuspended || o.stopped[a.ID], "an item in state %d returned", state)
+		o.requiref(state == itemWaiting || state == itemSuspended || o.stopRequested[a.ID], "item returned in state %d", state)
 		delete(o.items, a.ID)
 	default:
-		o.need(false, "verb %d for an item", a.Verb)
+		o.requiref(false, "unexpected verb %d for an item", a.Verb)
 	}
 }
 
-// check holds after every step.
+// check verifies the invariants after a step.
 func (o *oracle) check() {
-	all, staying := o.holding()
+	all, remaining := o.activeItems()
 	free := max(o.capacity()-len(o.running)-all, 0)
 	if !o.closed {
-		o.need(len(o.queued) == 0 || free == 0, "%d wait beside %d free slots", len(o.queued), free)
+		o.requiref(len(o.queued) == 0 || free == 0, "%d requests queued with %d free slots", len(o.queued), free)
 	}
-	leaving := all - staying
-	o.need(staying == 0 || free+leaving >= len(o.queued), "%d wait, %d items leave, %d items stay", len(o.queued), leaving, staying)
-	over := len(o.running) + staying - o.capacity()
-	o.need(staying == 0 || over <= 0, "items stay on slots that others use")
-	o.need(!o.leaving || staying == 0, "items stay while leaving")
-	s := o.m.Snapshot(o.now)
-	o.need(s.Online == len(o.running) && s.Queued == len(o.queued) && s.Batch == all,
-		"the machine counts %d/%d/%d, the oracle %d/%d/%d", s.Online, s.Queued, s.Batch, len(o.running), len(o.queued), all)
+	yielding := all - remaining
+	o.requiref(remaining == 0 || free+yielding >= len(o.queued),
+		"%d requests queued, %d items yielding, %d items still running", len(o.queued), yielding, remaining)
+	over := len(o.running) + remaining - o.capacity()
+	o.requiref(remaining == 0 || over <= 0, "items still run on slots used by foreign load")
+	o.requiref(!o.draining || remaining == 0, "items still run while draining")
+	s := o.machine.Snapshot(o.now)
+	o.requiref(s.Online == len(o.running) && s.Queued == len(o.queued) && s.Batch == all,
+		"online/queued/batch: machine %d/%d/%d, oracle %d/%d/%d", s.Online, s.Queued, s.Batch, len(o.running), len(o.queued), all)
 }
 
-func (o *oracle) need(holds bool, format string, args ...any) {
+func (o *oracle) requiref(holds bool, format string, args ...any) {
 	if !holds {
 		o.t.Fatalf("%s", fmt.Sprintf(format, args...))
 	}
@@ -165,25 +167,24 @@
 	if len(from) == 0 {
 		return 0, false
 	}
-	least, most := ID(1<<60), ID(0)
+	lowest, highest := ID(1<<60), ID(0)
 	for id := range from {
-		least, most = min(least, id), max(most, id)
+		lowest, highest = min(lowest, id), max(highest, id)
 	}
-	wanted := ID(rapid.Uint64Range(uint64(least), uint64(most)).Draw(t, name))
-	for ; wanted <= most; wanted++ {
-		if _, found := from[wanted]; found {
-			return wanted, true
+	picked := ID(rapid.Uint64Range(uint64(lowest), uint64(highest)).Draw(t, name))
+	for ; picked <= highest; picked++ {
+		if _, found := from[picked]; found {
+			return picked, true
 		}
 	}
-	return most, true
+	return highest, true
 }
 
-// Requests and items come, end, are cancelled, withdrawn and suspended in any
-// order; load of others comes and goes; the engine falls silent; the process
-// leaves. After every step no more runs than the engine has slots for us, no
-// online request waits while batch stays in a slot it could have, and what was
-// refused as not run was never started. At the end every request got exactly
-// one decision, and batch fills an idle engine.
+// Requests and items arrive, end, are cancelled, withdrawn and suspended in random
+// order, foreign load changes, the engine stops answering and the process drains.
+// After every step the slots in use don't exceed the capacity, no online request
+// waits for a slot that a batch item keeps, and a refused request was never started.
+// At the end every request got exactly one decision, and batch fills an idle engine.
 func TestRapidAdmission(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOracle(t)
@@ -194,11 +195,11 @@
 			"finish":    o.finish,
 			"item":      o.endItem,
 			"withdraw":  o.withdraw,
-			"token":     o.token,
-			"foreign":   o.setForeign,
-			"gate":      o.gate,
-			"leave":     o.leave,
-			"time":      o.pass,
+			"token":     o.firstToken,
+			"foreign":   o.setForeignSlots,
+			"gate":      o.setGate,
+			"leave":     o.drain,
+			"time":      o.advanceTime,
 			"duplicate": o.duplicate,
 		})
 		o.finishAll()
@@ -206,26 +207,26 @@
 }
 
 func (o *oracle) arrive(t *rapid.T) {
-	o.next++
+	o.lastID++
 	a := Arrive{
-		ID: o.next, Team: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"),
+		ID: o.lastID, Team: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"),
 		Weight: rapid.IntRange(0, 3).Draw(t, "share"), Deadline: o.now + clock.Millis(rapid.IntRange(-5, 2_000).Draw(t, "budget")),
 	}
 	o.queued[a.ID] = a
 	o.step(a)
-	if o.leaving || o.closed {
-		o.need(o.ended[a.ID], "taken in while closed or leaving")
+	if o.draining || o.closed {
+		o.requiref(o.ended[a.ID], "request accepted while closed or draining")
 	}
 }
 
-// duplicate hands in a request again that waits or runs; the first must go on.
+// duplicate submits a running request again. The first one must keep running.
 func (o *oracle) duplicate(t *rapid.T) {
 	id, found := pick(t, o.running, "again")
 	if !found {
-		t.Skip("nothing runs")
+		t.Skip("no running request")
 	}
-	actions := append([]Action(nil), o.m.Step(o.now, Arrive{ID: id, Deadline: o.now + 100})...)
-	o.need(len(actions) > 0 && actions[0].Verb == Refuse && actions[0].Reason == ReasonDuplicate, "a duplicate was not refused")
+	actions := append([]Action(nil), o.machine.Step(o.now, Arrive{ID: id, Deadline: o.now + 100})...)
+	o.requiref(len(actions) > 0 && actions[0].Verb == Refuse && actions[0].Reason == ReasonDuplicate, "duplicate request was not refused")
 	for _, a := range actions[1:] {
 		o.apply(a)
 	}
@@ -233,15 +234,15 @@
 }
 
 func (o *oracle) offer(t *rapid.T) {
-	o.next++
-	o.items[o.next] = itemWaiting
-	o.step(Offer{ID: o.next, Prefill: rapid.IntRange(1, 150).Draw(t, "prefill")})
+	o.lastID++
+	o.items[o.lastID] = itemWaiting
+	o.step(Offer{ID: o.lastID, PrefillTokens: rapid.IntRange(1, 150).Draw(t, "prefill")})
 }
 
 func (o *oracle) cancel(t *rapid.T) {
 	if id, found := pick(t, o.queued, "queued"); found {
 		o.step(Cancel{ID: id})
-		o.need(o.ended[id], "a cancelled request still waits")
+		o.requiref(o.ended[id], "cancelled request is still queued")
 		return
 	}
 	if id, found := pick(t, o.running, "running"); found {
@@ -252,11 +253,11 @@
 func (o *oracle) finish(t *rapid.T) {
 	id, found := pick(t, o.running, "running")
 	if !found {
-		t.Skip("nothing runs")
+		t.Skip("no running request")
 	}
 	delete(o.running, id)
 	o.ended[id] = true
-	o.step(Finished{ID: id, Sound: rapid.Bool().Draw(t, "sound")})
+	o.step(Finished{ID: id, Complete: rapid.Bool().Draw(t, "sound")})
 }
 
 func (o *oracle) endItem(t *rapid.T) {
@@ -266,9 +267,9 @@
 	}
 	switch o.items[id] {
 	case itemWaiting:
-		t.Skip("holds no slot")
+		t.Skip("item holds no slot")
 	case itemSuspended:
-		// Its last token was on the way when the engine confirmed.
+		// The last token was in flight when the engine confirmed the suspension.
 	case itemSuspending:
 		if rapid.Bool().Draw(t, "suspended") {
 			o.items[id] = itemSuspended
@@ -278,7 +279,7 @@
 	case itemRunning, itemStopping:
 	}
 	delete(o.items, id)
-	o.step(Finished{ID: id, Sound: true})
+	o.step(Finished{ID: id, Complete: true})
 }
 
 func (o *oracle) withdraw(t *rapid.T) {
@@ -287,10 +288,10 @@
 		t.Skip("no item")
 	}
 	o.step(Withdraw{ID: id})
-	o.need(o.items[id] == 0 || o.items[id] == itemStopping, "a withdrawn item goes on")
+	o.requiref(o.items[id] == 0 || o.items[id] == itemStopping, "withdrawn item keeps running")
 }
 
-func (o *oracle) token(t *rapid.T) {
+func (o *oracle) firstToken(t *rapid.T) {
 	if id, found := pick(t, o.running, "running"); found {
 		o.step(FirstToken{ID: id})
 	}
@@ -299,42 +300,44 @@
 	}
 }
 
-func (o *oracle) setForeign(t *rapid.T) {
-	o.foreign = rapid.IntRange(0, o.slots+2).Draw(t, "foreign")
-	o.step(Foreign{Slots: o.foreign})
+func (o *oracle) setForeignSlots(t *rapid.T) {
+	o.foreignSlots = rapid.IntRange(0, o.slots+2).Draw(t, "foreign")
+	o.step(ForeignLoad{Slots: o.foreignSlots})
 }
 
-func (o *oracle) gate(t *rapid.T) {
+func (o *oracle) setGate(t *rapid.T) {
 	o.closed = rapid.IntRange(0, 2).Draw(t, "closed") == 0
 	o.step(Gate{Open: !o.closed, Reason: ReasonUnhealthy})
-	o.need(!o.closed || len(o.queued) == 0, "requests wait for a closed endpoint")
+	o.requiref(!o.closed || len(o.queued) == 0, "requests queued at a closed endpoint")
 }
 
-func (o *oracle) leave(t *rapid.T) {
+func (o *oracle) drain(t *rapid.T) {
 	if rapid.IntRange(0, 20).Draw(t, "leave") > 0 {
-		t.Skip("stays")
+		t.Skip("no drain")
 	}
-	o.leaving = true
-	o.step(Leave{})
+	o.draining = true
+	o.step(Drain{})
 }
 
-func (o *oracle) pass(t *rapid.T) {
+func (o *oracle) advanceTime(t *rapid.T) {
 	o.now += clock.Millis(rapid.IntRange(0, 300).Draw(t, "passed"))
 	o.step(Tick{})
 	for _, a := range o.queued {
-		o.need(o.now < a.Deadline, "%d waits past its deadline", a.ID)
+		o.requiref(o.now < a.Deadline, "request %d queued past its deadline", a.ID)
 	}
 }
 
-// finishAll lets everything that runs end; then nothing may be left over.
+// finishAll ends all running requests and items and checks that no request is left
+// undecided.
 func (o *oracle) finishAll() {
-	o.foreign, o.closed = 0, false
-	o.step(Foreign{})
+	o.foreignSlots, o.closed = 0, false
+	o.step(ForeignLoad{})
 	o.step(Gate{Open: true})
 	for o.finishOne() {
 	}
-	o.need(len(o.queued) == 0, "%d requests got no decision", len(o.queued))
-	// Long after the last arrival nothing holds batch back but the slots.
+	o.requiref(len(o.queued) == 0, "%d requests without a decision", len(o.queued))
+	// Long after the last arrival there is no headroom any more, so only the number
+	// of slots limits batch.
 	o.now += 60_000
 	for id, s := range o.items {
 		if s == itemRunning {
@@ -342,12 +345,12 @@
 		}
 	}
 	o.step(Tick{})
-	o.checkFill()
+	o.checkBatchFillsSlots()
 }
 
-// finishOne ends one that runs or is on its way out.
+// finishOne ends one running online request or one suspending or stopping item.
 func (o *oracle) finishOne() bool {
-	for id := ID(1); id <= o.next; id++ {
+	for id := ID(1); id <= o.lastID; id++ {
 		s := o.items[id]
 		if !o.running[id] && s != itemSuspending && s != itemStopping {
 			continue
@@ -355,17 +358,17 @@
 		o.ended[id] = o.running[id]
 		delete(o.running, id)
 		delete(o.items, id)
-		o.step(Finished{ID: id, Sound: true})
+		o.step(Finished{ID: id, Complete: true})
 		return true
 	}
 	return false
 }
 
-func (o *oracle) checkFill() {
-	all, _ := o.holding()
+func (o *oracle) checkBatchFillsSlots() {
+	all, _ := o.activeItems()
 	for id, s := range o.items {
 		if s == itemWaiting || s == itemSuspended {
-			o.need(all == o.slots || o.m.prefill > 0, "item %d waits beside free slots", id)
+			o.requiref(all == o.slots || o.machine.prefillTokens > 0, "item %d waits although slots are free", id)
 		}
 	}
 }
--- a/sidecar/pkg/admit/queue.go
+++ b/sidecar/pkg/admit/queue.go
@@ -6,41 +6,41 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// waiter is an online request that waits for a slot.
+// waiter is a queued online request.
 type waiter struct {
 	Arrive
-	since clock.Millis
+	enqueuedAt clock.Millis
 }
 
-func (w waiter) share() float64 {
+func (w waiter) effectiveWeight() float64 {
 	return float64(max(w.Weight, 1))
 }
 
-// queue holds what waits, earliest deadline first, bounded. It also remembers
-// how much each team was served, so that teams can be treated fairly.
+// queue is a bounded queue of online requests, ordered by deadline. It also tracks
+// how much service each team has received, for fair queueing between teams.
 type queue struct {
-	most    int
+	limit   int
 	waiters []waiter
 	teams   map[string]*team
-	// served is the service level of the team served last; a team that comes
-	// back starts from there, so that it can't save up a claim while idle.
-	served float64
+	// lastServiceLevel is the service level of the team served last. A returning
+	// team starts at this level, so that it gains no credit while idle.
+	lastServiceLevel float64
 }
 
 type team struct {
-	queued int
-	level  float64
+	queued       int
+	serviceLevel float64
 }
 
-func newQueue(most int) queue {
-	return queue{most: most, teams: map[string]*team{}}
+func newQueue(limit int) queue {
+	return queue{limit: limit, teams: map[string]*team{}}
 }
 
 func (q *queue) len() int {
 	return len(q.waiters)
 }
 
-func (q *queue) has(id ID) bool {
+func (q *queue) contains(id ID) bool {
 	return q.find(id) >= 0
 }
 
@@ -53,48 +53,50 @@
 	return -1
 }
 
-// before counts those that are to be served before a new one with this deadline.
-func (q *queue) before(deadline clock.Millis) int {
+// countBefore returns the number of queued requests that are served before a new
+// request with the given deadline.
+func (q *queue) countBefore(deadline clock.Millis) int {
 	return sort.Search(len(q.waiters), func(i int) bool { return q.waiters[i].Deadline > deadline })
 }
 
-// add takes a request in. When the queue is full, a team that has less than its
-// share displaces the last request of the team that has most; evicted is 0 when
-// none was.
-func (q *queue) add(w waiter) (evicted ID, taken bool) {
-	if len(q.waiters) >= q.most {
-		i := q.displaced(w)
+// add enqueues a request. If the queue is full, a request of a team below its
+// share evicts the last request of the team with the largest share. evicted is 0
+// if no request was evicted.
+func (q *queue) add(w waiter) (evicted ID, added bool) {
+	if len(q.waiters) >= q.limit {
+		i := q.evictionCandidate(w)
 		if i < 0 {
 			return 0, false
 		}
 		evicted = q.waiters[i].ID
-		q.take(i)
+		q.removeAt(i)
 	}
-	at := q.before(w.Deadline)
+	at := q.countBefore(w.Deadline)
 	q.waiters = append(q.waiters, waiter{})
 	copy(q.waiters[at+1:], q.waiters[at:])
 	q.waiters[at] = w
-	d := q.teams[w.Team]
-	if d == nil {
-		d = &team{level: q.served}
-		q.teams[w.Team] = d
+	t := q.teams[w.Team]
+	if t == nil {
+		t = &team{serviceLevel: q.lastServiceLevel}
+		q.teams[w.Team] = t
 	}
-	d.queued++
+	t.queued++
 	return evicted, true
 }
 
-// displaced finds the request that has to make room for w, or -1.
-func (q *queue) displaced(w waiter) int {
-	mine := 1.0
-	if d := q.teams[w.Team]; d != nil {
-		mine += float64(d.queued)
+// evictionCandidate returns the index of the request to evict in favour of w, or
+// -1.
+func (q *queue) evictionCandidate(w waiter) int {
+	own := 1.0
+	if t := q.teams[w.Team]; t != nil {
+		own += float64(t.queued)
 	}
-	found, most := -1, mine/w.share()
+	found, largest := -1, own/w.effectiveWeight()
 	for i := range q.waiters {
 		other := q.waiters[i]
-		share := float64(q.teams[other.Team].queued) / other.share()
-		if other.Team != w.Team && (share > most || (found >= 0 && share == most)) {
-			found, most = i, share
+		share := float64(q.teams[other.Team].queued) / other.effectiveWeight()
+		if other.Team != w.Team && (share > largest || (found >= 0 && share == largest)) {
+			found, largest = i, share
 		}
 	}
 	return found
@@ -107,27 +109,28 @@
 	return q.waiters[0], true
 }
 
-// next takes the one to serve: the earliest deadline, or if fair is set the
-// earliest deadline of the team served least for its weight.
-func (q *queue) next(fair bool) waiter {
+// pop removes and returns the next request to serve: the one with the earliest
+// deadline, or if fair is set the one with the earliest deadline of the team that
+// has received the least service relative to its weight.
+func (q *queue) pop(fair bool) waiter {
 	at := 0
 	if fair {
 		at = q.leastServed()
 	}
 	w := q.waiters[at]
-	d := q.teams[w.Team]
-	d.level = max(d.level, q.served) + 1/w.share()
+	t := q.teams[w.Team]
+	t.serviceLevel = max(t.serviceLevel, q.lastServiceLevel) + 1/w.effectiveWeight()
 	if fair {
-		q.served = max(q.served, d.level-1/w.share())
+		q.lastServiceLevel = max(q.lastServiceLevel, t.serviceLevel-1/w.effectiveWeight())
 	}
-	q.take(at)
+	q.removeAt(at)
 	return w
 }
 
 func (q *queue) leastServed() int {
 	found := 0
 	for i := range q.waiters {
-		if q.teams[q.waiters[i].Team].level < q.teams[q.waiters[found].Team].level {
+		if q.teams[q.waiters[i].Team].serviceLevel < q.teams[q.waiters[found].Team].serviceLevel {
 			found = i
 		}
 	}
@@ -139,16 +142,16 @@
 	if i < 0 {
 		return false
 	}
-	q.take(i)
+	q.removeAt(i)
 	return true
 }
 
-func (q *queue) take(i int) {
+func (q *queue) removeAt(i int) {
 	name := q.waiters[i].Team
 	q.waiters = append(q.waiters[:i], q.waiters[i+1:]...)
-	d := q.teams[name]
-	d.queued--
-	if d.queued == 0 && d.level <= q.served {
+	t := q.teams[name]
+	t.queued--
+	if t.queued == 0 && t.serviceLevel <= q.lastServiceLevel {
 		delete(q.teams, name)
 	}
 }
--- a/sidecar/pkg/app/leaver.go
+++ b/sidecar/pkg/app/leaver.go
@@ -68,7 +68,7 @@
 		close(v.leaves)
 		v.status.NotReady("leaving")
 		v.puller.Open(false)
-		v.dispatcher.Tell(admit.Leave{})
+		v.dispatcher.Tell(admit.Drain{})
 		v.beat()
 		go v.drain()
 	})
--- a/sidecar/pkg/app/parts.go
+++ b/sidecar/pkg/app/parts.go
@@ -71,8 +71,8 @@
 
 func newDispatcher(s config.Settings, c clock.Clock, set *metrics.Set) *dispatch.Dispatcher {
 	machine := admit.New(admit.Config{
-		Policy: admit.Policy(s.Batch.Policy), Slots: s.Engine.Slots, Floor: s.Engine.Floor,
-		Queue: s.Online.Queue, BatchSlots: s.Batch.Slots, PrefillTokens: s.Batch.PrefillTokens, Weight: s.Batch.Weight,
+		Policy: admit.Policy(s.Batch.Policy), Slots: s.Engine.Slots, MinSlots: s.Engine.Floor,
+		QueueLimit: s.Online.Queue, BatchSlots: s.Batch.Slots, MaxPrefillTokens: s.Batch.PrefillTokens, BatchWeight: s.Batch.Weight,
 		BurstWindow: clock.Millis(s.Batch.BurstWindow), BurstHalfLife: clock.Millis(s.Batch.BurstHalfLife),
 	})
 	return dispatch.New(dispatch.Config{
@@ -94,7 +94,7 @@
 	p := probe.New(probe.Config{
 		Clock: c, Logger: l, Period: clock.Millis(s.Engine.Poll).Duration(), Failed: s.Engine.Failed,
 		Poll:    poll,
-		Foreign: func(slots int) { d.Tell(admit.Foreign{Slots: slots}) },
+		Foreign: func(slots int) { d.Tell(admit.ForeignLoad{Slots: slots}) },
 		Health:  g.setHealthy,
 	})
 	d.Watch(p.Own)
@@ -123,8 +123,8 @@
 
 func loadOf(s admit.Snapshot, slots int) *toucanhingev1.Load {
 	return &toucanhingev1.Load{
-		Running: uint32(s.Online), Queued: uint32(s.Queued), Slots: uint32(slots), Foreign: uint32(s.Foreign),
-		Batch: uint32(s.Batch), WaitMs: uint32(s.Wait), Leaving: s.Leaving, Healthy: s.Closed == "",
+		Running: uint32(s.Online), Queued: uint32(s.Queued), Slots: uint32(slots), Foreign: uint32(s.ForeignSlots),
+		Batch: uint32(s.Batch), WaitMs: uint32(s.ExpectedWait), Leaving: s.Draining, Healthy: s.CloseReason == "",
 	}
 }
 
--- a/sidecar/pkg/work/item.go
+++ b/sidecar/pkg/work/item.go
@@ -67,7 +67,7 @@
 		outcome, suspended := r.turn(resume)
 		if !suspended {
 			r.puller.ended(r, outcome)
-			r.puller.config.Dispatcher.Tell(admit.Finished{ID: r.id, Sound: outcome.outcome == toucanhingev1.Outcome_OUTCOME_DONE})
+			r.puller.config.Dispatcher.Tell(admit.Finished{ID: r.id, Complete: outcome.outcome == toucanhingev1.Outcome_OUTCOME_DONE})
 			return
 		}
 		if a := <-r.verdicts; a.Verb != admit.Resume {
@@ -146,7 +146,7 @@
 		if err == nil || ctx.Err() != nil || !errors.As(err, &status) {
 			return err
 		}
-		r.puller.config.Dispatcher.Tell(admit.Lost{Tokens: int(r.taken.Load())})
+		r.puller.config.Dispatcher.Tell(admit.TokensLost{Count: int(r.taken.Load())})
 	}
 	return r.start(ctx)
 }
--- a/sidecar/pkg/work/item_test.go
+++ b/sidecar/pkg/work/item_test.go
@@ -206,7 +206,7 @@
 		url = engines.URL
 	}
 	ticking := clock.FromFunc(func() clock.Millis { return f.now() })
-	machine := admit.New(admit.Config{Policy: admit.Yield, Slots: 1, Floor: 1, Queue: 2, BatchSlots: 1, PrefillTokens: 999, Weight: 100, BurstHalfLife: 1})
+	machine := admit.New(admit.Config{Policy: admit.Yield, Slots: 1, MinSlots: 1, QueueLimit: 2, BatchSlots: 1, MaxPrefillTokens: 999, BatchWeight: 100, BurstHalfLife: 1})
 	f.dispatcher = dispatch.New(dispatch.Config{Clock: ticking, Machine: machine, Ring: ring.Config{Size: 64}})
 	f.puller = New(Config{
 		Clock: ticking, Logger: log.NewNopLogger(), Dispatcher: f.dispatcher, Engine: engine.New(engine.Config{URL: url}),
@@ -287,7 +287,7 @@
 			f.eventually(func() bool { posts, _, _ := f.model.counts(); return posts == 1 && f.dispatcher.Snapshot().Batch == 1 })
 			f.eventually(func() bool { return f.pieces() == 2 })
 			release := f.online()
-			require.Equal(t, 1, f.dispatcher.Snapshot().Halted)
+			require.Equal(t, 1, f.dispatcher.Snapshot().Suspended)
 			close(f.model.gate)
 			release()
 			completion := f.first()
@@ -411,7 +411,7 @@
 				return cancels == 1 && f.puller.Held() == 0
 			})
 			release()
-			f.eventually(func() bool { s := f.dispatcher.Snapshot(); return s.Batch+s.Halted+s.Online == 0 })
+			f.eventually(func() bool { s := f.dispatcher.Snapshot(); return s.Batch+s.Suspended+s.Online == 0 })
 			_, resumes, _ := f.model.counts()
 			require.Zero(t, resumes)
 			require.Empty(t, f.leaser.completions())
--- a/sidecar/pkg/work/puller.go
+++ b/sidecar/pkg/work/puller.go
@@ -241,7 +241,7 @@
 		return
 	}
 	r.request = request
-	p.config.Dispatcher.Offer(admit.Offer{ID: r.id, Prefill: request.prefill}, r.deliver)
+	p.config.Dispatcher.Offer(admit.Offer{ID: r.id, PrefillTokens: request.prefill}, r.deliver)
 }
 
 // lost stops an item whose lease no longer holds: another process may run it
