--- a/sidecar/pkg/app/app.go
+++ b/sidecar/pkg/app/app.go
@@ -171,7 +171,7 @@
 	case <-ctx.Done():
 		return
 	}
-	p.config.Orders.Tell(order.Started{})
+	p.config.Orders.Submit(order.ConfigConfirmed{})
 	p.config.Watching.tellOrder()
 	p.config.Puller.Groups(p.config.Watching.watcher.Groups())
 	if p.config.Leaver.leaving() {
--- a/sidecar/pkg/app/parts.go
+++ b/sidecar/pkg/app/parts.go
@@ -145,13 +145,13 @@
 
 func newOrders(s config.Settings, c clock.Clock, l log.Logger, e *engine.Client, d *dispatch.Dispatcher, g *gate, n *notes) *order.Runner {
 	return order.NewRunner(order.RunnerConfig{
-		Clock: c, Logger: l, Machine: order.New(order.Config{Poll: orderPoll, Recheck: clock.Millis(s.Engine.Recheck)}),
+		Clock: c, Logger: l, Machine: order.New(order.Config{PollInterval: orderPoll, RecheckInterval: clock.Millis(s.Engine.Recheck)}),
 		Read: e.Held, Send: e.Send, Gate: g.setOpen,
 		Idle: func() bool {
 			snapshot := d.Snapshot()
 			return snapshot.Online == 0 && snapshot.Queued == 0 && snapshot.Batch == 0
 		},
-		Noted: n.order,
+		RecordEvent: n.order,
 	})
 }
 
--- a/sidecar/pkg/app/watching.go
+++ b/sidecar/pkg/app/watching.go
@@ -53,8 +53,8 @@
 	if !found || !takesOrders(w.settings) {
 		return
 	}
-	if wanted, known := order.Of(e); known {
-		w.orders.Tell(order.Order{Wanted: wanted})
+	if wanted, known := order.DesiredFromEntry(e); known {
+		w.orders.Submit(order.Update{Desired: wanted})
 	}
 }
 
--- a/sidecar/pkg/order/machine.go
+++ b/sidecar/pkg/order/machine.go
@@ -1,10 +1,10 @@
-// Package order carries out the orders of the durable state at one engine: load
-// a model, an adapter or a version, or change the role. The number of an order
-// is the version of its entry and only grows.
+// Package order executes the orders of the durable state at one engine: load a
+// model, an adapter or a version, or change the role. The fence of an order is the
+// version of its configuration entry and only grows.
 //
-// Some engines refuse an order with an old number, others ignore the number.
-// The latter are protected here: one order at a time, never an older number
-// than one we know of, and reading back after every doubt.
+// Some engines refuse an order with an old fence, others ignore the fence. For the
+// latter, this package sends one order at a time, never sends a fence below the
+// highest known one, and reads the engine's state after every uncertain result.
 package order
 
 import (
@@ -12,7 +12,7 @@
 	"toucanhinge.example/sidecar/pkg/engine"
 )
 
-// Kinds of orders as engines write them.
+// Kinds of orders in the engine's API.
 const (
 	KindModel   = "load_model"
 	KindAdapter = "load_adapter"
@@ -20,148 +20,153 @@
 	KindRole    = "set_role"
 )
 
-// Wanted is an order of the durable state.
-type Wanted struct {
+// Desired is an order from the durable state.
+type Desired struct {
 	engine.Order
-	// NotBefore keeps the weight store's rate.
+	// NotBefore is the earliest time to send the order. It limits the load rate of
+	// the weight store.
 	NotBefore clock.Millis
 }
 
-// Event is one thing that happened. Its kinds are the types below.
+// Event is an input of Machine.Step.
 type Event interface{ event() }
 
-// Order tells the newest order for this endpoint.
-type Order struct{ Wanted Wanted }
+// Update brings the newest order for this endpoint.
+type Update struct{ Desired Desired }
 
-// Started tells that the configuration is at least as new as what a quorum had
-// accepted when this process started. Before, an older order could look like
-// the newest: a restarted process knows of no numbers but the engine's, and
-// not every engine tells them.
-type Started struct{}
+// ConfigConfirmed means that the configuration is at least as new as the one that a
+// quorum had accepted when this process started. Before that, an older order could
+// look like the newest one: a restarted process knows only the engine's fence, and
+// not every engine reports it.
+type ConfigConfirmed struct{}
 
-// Held is what the engine says it is; Failed when it did not say.
-type Held struct {
-	Held   engine.Held
+// ReadResult is the state reported by the engine. Failed means that the read failed.
+type ReadResult struct {
+	State  engine.Held
 	Failed bool
 }
 
-// Sent is the engine's answer to an order.
-type Sent struct {
+// SendResult is the engine's answer to an order.
+type SendResult struct {
 	Fence uint64
-	// Current is the number that the engine holds, when it refused.
+	// Current is the fence held by the engine if it refused the order.
 	Current uint64
 	Refused bool
-	// Failed means that the answer was lost: it may have been carried out.
+	// Failed means that the answer was lost. The engine may have executed the order.
 	Failed bool
 }
 
-// Drained tells that nothing of ours runs at the engine.
+// Drained means that no work of this sidecar runs at the engine.
 type Drained struct{}
 
-// Tick lets time pass.
+// Tick only advances the time.
 type Tick struct{}
 
-func (Order) event()   {}
-func (Started) event() {}
-func (Held) event()    {}
-func (Sent) event()    {}
-func (Drained) event() {}
-func (Tick) event()    {}
+func (Update) event()          {}
+func (ConfigConfirmed) event() {}
+func (ReadResult) event()      {}
+func (SendResult) event()      {}
+func (Drained) event()         {}
+func (Tick) event()            {}
 
-// Verb says what the runtime is to do.
+// Verb is the kind of an Action.
 type Verb int
 
 // Verbs.
 const (
-	// Close keeps new work away; Drained follows once nothing runs.
+	// Close closes the endpoint for new work. The caller must send Drained once no
+	// work runs.
 	Close Verb = iota + 1
-	// Open lets work in again.
+	// Open opens the endpoint for new work.
 	Open
-	// Read asks the engine what it is; Held follows.
+	// Read reads the engine's state. The caller must answer with ReadResult.
 	Read
-	// Send gives the engine the order; Sent follows.
+	// Send sends the order to the engine. The caller must answer with SendResult.
 	Send
 )
 
-// Action is one thing for the runtime to do.
+// Action is an output of Machine.Step, to be executed by its caller.
 type Action struct {
 	Verb  Verb
 	Order engine.Order
 }
 
-// Config describes a machine.
+// Config configures a Machine.
 type Config struct {
-	// Poll is how long to wait between two readings of an engine that loads or
-	// did not answer.
-	Poll clock.Millis
-	// Recheck is how often a resting engine is read: one that restarted has
-	// forgotten its orders.
-	Recheck clock.Millis
+	// PollInterval is the interval between reads of an engine that loads or did not
+	// answer.
+	PollInterval clock.Millis
+	// RecheckInterval is the interval between reads of an idle engine. A restarted
+	// engine has lost the effect of its orders.
+	RecheckInterval clock.Millis
 }
 
 type phase int
 
 const (
-	// resting has nothing to do until pollAt or recheckAt.
-	resting phase = iota
-	// reading waits for the engine's answer.
+	// idle waits until pollAt or recheckAt, or for an event.
+	idle phase = iota
+	// reading waits for the result of a read.
 	reading
-	// draining waits until nothing runs.
+	// draining waits until no work runs at the engine.
 	draining
 	// sending waits for the engine's answer to an order.
 	sending
 )
 
-// Machine decides. It is pure.
+// Machine is the state machine that decides when to send orders to one engine. It
+// does no I/O.
 type Machine struct {
-	config Config
-	phase  phase
-	wanted Wanted
-	// highest is the highest number known to exist for this engine; nothing
-	// below is ever sent.
-	highest uint64
-	// acked is the number of the last order that the engine took.
-	acked uint64
-	held  engine.Held
-	// pollAt is when to read again; 0 means when there is a reason.
+	config  Config
+	phase   phase
+	desired Desired
+	// highestFence is the highest fence known for this engine. Orders with a lower
+	// fence are never sent.
+	highestFence uint64
+	// ackedFence is the fence of the last order that the engine accepted.
+	ackedFence  uint64
+	engineState engine.Held
+	// pollAt is when to read an engine that loads or did not answer; 0 if no such
+	// read is scheduled.
 	pollAt clock.Millis
-	// recheckAt is when a resting engine is read again.
+	// recheckAt is when to read an idle engine again.
 	recheckAt clock.Millis
 	closed    bool
-	// started is false until no older order can look like the newest.
-	started bool
-	// known is false until the engine was read once.
-	known bool
+	// configConfirmed is true once an older order can't look like the newest any
+	// more, see ConfigConfirmed.
+	configConfirmed bool
+	// stateKnown is true after the first successful read.
+	stateKnown bool
 }
 
-// New makes a machine that reads the engine on its first tick. It starts closed:
-// an engine that loads must get no work.
+// New creates a Machine that reads the engine on its first tick. It starts closed,
+// because an engine that loads must get no work.
 func New(config Config) *Machine {
 	return &Machine{config: config, closed: true}
 }
 
-// Fence is the number of the order that the engine holds, as last read.
+// Fence returns the fence of the engine's order, as last read or accepted.
 func (m *Machine) Fence() uint64 {
-	return max(m.held.Fence, m.acked)
+	return max(m.engineState.Fence, m.ackedFence)
 }
 
-// Step takes one event and returns what to do.
+// Step applies an event and returns the resulting actions.
 func (m *Machine) Step(now clock.Millis, event Event) []Action {
 	switch e := event.(type) {
-	case Order:
-		if e.Wanted.Fence > m.wanted.Fence {
-			m.wanted = e.Wanted
+	case Update:
+		if e.Desired.Fence > m.desired.Fence {
+			m.desired = e.Desired
 		}
 		return m.decide(now)
-	case Started:
-		m.started = true
+	case ConfigConfirmed:
+		m.configConfirmed = true
 		return m.decide(now)
-	case Held:
-		return m.heard(now, e)
-	case Sent:
-		return m.sent(now, e)
+	case ReadResult:
+		return m.applyRead(now, e)
+	case SendResult:
+		return m.applySend(now, e)
 	case Drained:
-		return m.drained(now)
+		return m.applyDrained(now)
 	default:
 		return m.tick(now)
 	}
@@ -173,7 +178,7 @@
 }
 
 func (m *Machine) tick(now clock.Millis) []Action {
-	if m.phase != resting {
+	if m.phase != idle {
 		return nil
 	}
 	if (m.pollAt > 0 && now >= m.pollAt) || now >= m.recheckAt {
@@ -182,76 +187,78 @@
 	return m.decide(now)
 }
 
-func (m *Machine) heard(now clock.Millis, e Held) []Action {
+func (m *Machine) applyRead(now clock.Millis, e ReadResult) []Action {
 	if m.phase != reading {
 		return nil
 	}
-	m.phase = resting
+	m.phase = idle
 	if e.Failed {
-		m.pollAt = now + m.config.Poll
+		m.pollAt = now + m.config.PollInterval
 		return nil
 	}
 	m.pollAt = 0
-	m.known = true
-	m.recheckAt = now + m.config.Recheck
-	m.held = e.Held
-	m.highest = max(m.highest, e.Held.Fence)
+	m.stateKnown = true
+	m.recheckAt = now + m.config.RecheckInterval
+	m.engineState = e.State
+	m.highestFence = max(m.highestFence, e.State.Fence)
 	return m.decide(now)
 }
 
-// decide is called at rest, when what the engine holds is known.
+// decide returns the next actions if the machine is idle and knows the engine's
+// state.
 func (m *Machine) decide(now clock.Millis) []Action {
-	if m.phase != resting || m.pollAt > 0 || !m.known {
+	if m.phase != idle || m.pollAt > 0 || !m.stateKnown {
 		return nil
 	}
-	if m.held.Loading {
-		m.pollAt = now + m.config.Poll
+	if m.engineState.Loading {
+		m.pollAt = now + m.config.PollInterval
 		return m.close()
 	}
-	if !m.due() {
+	if !m.needsSend() {
 		return m.open()
 	}
-	if now < m.wanted.NotBefore {
+	if now < m.desired.NotBefore {
 		return m.open()
 	}
-	if m.wanted.Kind == KindRole {
+	if m.desired.Kind == KindRole {
 		return m.send()
 	}
 	m.phase = draining
 	return m.close()
 }
 
-// due says whether the wanted order is still to be given. An engine that lost
-// its state gets the same number again, which is not older; an engine that does
-// not tell numbers is judged by what it is.
-func (m *Machine) due() bool {
-	if !m.started || m.wanted.Fence == 0 || m.wanted.Fence < m.highest || m.held.Fence >= m.wanted.Fence {
+// needsSend reports whether the desired order has to be sent. An engine that lost its
+// state gets the order again with the same fence, which is not older. An engine that
+// does not report fences is compared by its state.
+func (m *Machine) needsSend() bool {
+	if !m.configConfirmed || m.desired.Fence == 0 ||
+		m.desired.Fence < m.highestFence || m.engineState.Fence >= m.desired.Fence {
 		return false
 	}
-	return m.acked != m.wanted.Fence || !fulfils(m.held, m.wanted.Order)
+	return m.ackedFence != m.desired.Fence || !satisfies(m.engineState, m.desired.Order)
 }
 
-// fulfils says whether an engine is what an order asks for.
-func fulfils(h engine.Held, o engine.Order) bool {
+// satisfies reports whether the engine's state is the one that the order sets.
+func satisfies(s engine.Held, o engine.Order) bool {
 	switch o.Kind {
 	case KindModel:
-		return h.Model == o.Model && (o.Version == "" || h.Version == o.Version)
+		return s.Model == o.Model && (o.Version == "" || s.Version == o.Version)
 	case KindAdapter:
-		return h.Adapter == o.Adapter
+		return s.Adapter == o.Adapter
 	case KindVersion:
-		return h.Version == o.Version
+		return s.Version == o.Version
 	default:
-		return h.Role == o.Role
+		return s.Role == o.Role
 	}
 }
 
-func (m *Machine) drained(now clock.Millis) []Action {
+func (m *Machine) applyDrained(now clock.Millis) []Action {
 	if m.phase != draining {
 		return nil
 	}
-	// A newer order may have come while we drained.
-	if !m.due() || now < m.wanted.NotBefore {
-		m.phase = resting
+	// A newer order may have arrived during the drain.
+	if !m.needsSend() || now < m.desired.NotBefore {
+		m.phase = idle
 		return m.decide(now)
 	}
 	return m.send()
@@ -259,25 +266,25 @@
 
 func (m *Machine) send() []Action {
 	m.phase = sending
-	m.highest = max(m.highest, m.wanted.Fence)
-	return []Action{{Verb: Send, Order: m.wanted.Order}}
+	m.highestFence = max(m.highestFence, m.desired.Fence)
+	return []Action{{Verb: Send, Order: m.desired.Order}}
 }
 
-// sent always reads back: an engine that took an order may still be loading,
-// and after a lost answer only the engine knows.
-func (m *Machine) sent(now clock.Millis, e Sent) []Action {
+// applySend always leads to a read: an engine that accepted an order may still be
+// loading, and after a lost answer only the engine knows its state.
+func (m *Machine) applySend(now clock.Millis, e SendResult) []Action {
 	if m.phase != sending {
 		return nil
 	}
 	if e.Failed {
-		m.phase = resting
-		m.pollAt = now + m.config.Poll
+		m.phase = idle
+		m.pollAt = now + m.config.PollInterval
 		return nil
 	}
 	if e.Refused {
-		m.highest = max(m.highest, e.Current)
+		m.highestFence = max(m.highestFence, e.Current)
 	} else {
-		m.acked = max(m.acked, e.Fence)
+		m.ackedFence = max(m.ackedFence, e.Fence)
 	}
 	return m.read()
 }
--- a/sidecar/pkg/order/machine_test.go
+++ b/sidecar/pkg/order/machine_test.go
@@ -10,311 +10,312 @@
 	"toucanhinge.example/sidecar/pkg/engine"
 )
 
-// fakeEngine is an engine as seen from outside: it may check numbers or not,
-// tell them or not, and lose its state.
+// fakeEngine is an engine that may or may not check fences and can lose its state.
 type fakeEngine struct {
-	checks bool
-	held   engine.Held
-	// highest is the highest number that ever reached it.
-	highest uint64
+	checksFence bool
+	state       engine.Held
+	// highestFence is the highest fence that reached the engine.
+	highestFence uint64
+	// reverts counts older orders applied after newer ones.
 	reverts int
 }
 
-func (e *fakeEngine) take(o engine.Order) (refused bool) {
-	if e.checks && o.Fence < e.held.Fence {
+func (e *fakeEngine) apply(o engine.Order) (refused bool) {
+	if e.checksFence && o.Fence < e.state.Fence {
 		return true
 	}
-	if o.Fence < e.highest {
+	if o.Fence < e.highestFence {
 		e.reverts++
 	}
-	e.highest = max(e.highest, o.Fence)
-	e.held = engine.Held{Fence: o.Fence, Model: o.Model, Loading: true}
+	e.highestFence = max(e.highestFence, o.Fence)
+	e.state = engine.Held{Fence: o.Fence, Model: o.Model, Loading: true}
 	return false
 }
 
-// world is what the fuzz drives: one machine, one engine, calls that may be
-// lost, and a durable state whose numbers only grow.
-type world struct {
-	t       *rapid.T
-	m       *Machine
-	engine  fakeEngine
-	now     clock.Millis
-	number  uint64
-	model   string
-	pending []Action
-	closed  bool
-	running int
-	started bool
+// simulation is a machine and an engine, with calls that may be lost and a durable
+// state whose fences only grow.
+type simulation struct {
+	t               *rapid.T
+	machine         *Machine
+	engine          fakeEngine
+	now             clock.Millis
+	lastFence       uint64
+	model           string
+	pending         []Action
+	closed          bool
+	running         int
+	configConfirmed bool
 }
 
-func order(number uint64, model string) Order {
-	return Order{Wanted: Wanted{Order: engine.Order{Fence: number, Kind: KindModel, Model: model}}}
+func newOrderUpdate(fence uint64, model string) Update {
+	return Update{Desired: Desired{Order: engine.Order{Fence: fence, Kind: KindModel, Model: model}}}
 }
 
-func (w *world) step(e Event) {
-	for _, a := range w.m.Step(w.now, e) {
-		w.act(a)
+func (s *simulation) step(e Event) {
+	for _, a := range s.machine.Step(s.now, e) {
+		s.act(a)
 	}
 }
 
-func (w *world) act(a Action) {
+func (s *simulation) act(a Action) {
 	switch a.Verb {
 	case Close:
-		w.closed = true
+		s.closed = true
 	case Open:
-		w.closed = false
-		if w.engine.held.Loading && len(w.pending) == 0 {
-			w.t.Fatal("opened while the engine loads")
+		s.closed = false
+		if s.engine.state.Loading && len(s.pending) == 0 {
+			s.t.Fatal("opened while the engine loads")
 		}
 	case Read, Send:
-		if len(w.pending) > 0 {
-			w.t.Fatal("two calls to the engine at once")
+		if len(s.pending) > 0 {
+			s.t.Fatal("two concurrent calls to the engine")
 		}
-		if a.Verb == Send && (w.running > 0 || !w.closed) {
-			w.t.Fatalf("an order sent with %d running, closed %v", w.running, w.closed)
+		if a.Verb == Send && (s.running > 0 || !s.closed) {
+			s.t.Fatalf("order sent with %d requests running, closed: %v", s.running, s.closed)
 		}
-		if a.Verb == Send && !w.started {
-			w.t.Fatal("an order sent before the newest is known")
+		if a.Verb == Send && !s.configConfirmed {
+			s.t.Fatal("order sent before the configuration is confirmed")
 		}
-		w.pending = append(w.pending, a)
+		s.pending = append(s.pending, a)
 	}
 }
 
-// answer carries out the call under way; the way there or back may fail.
-func (w *world) answer(t *rapid.T) {
-	if len(w.pending) == 0 {
-		t.Skip("no call")
+// completeCall executes the pending call. The request or the answer may be lost.
+func (s *simulation) completeCall(t *rapid.T) {
+	if len(s.pending) == 0 {
+		t.Skip("no pending call")
 	}
-	a := w.pending[0]
-	w.pending = nil
-	lostThere := rapid.IntRange(0, 4).Draw(t, "there") == 0
-	lostBack := rapid.IntRange(0, 4).Draw(t, "back") == 0
+	a := s.pending[0]
+	s.pending = nil
+	requestLost := rapid.IntRange(0, 4).Draw(t, "there") == 0
+	answerLost := rapid.IntRange(0, 4).Draw(t, "back") == 0
 	if a.Verb == Read {
-		w.step(Held{Held: w.engine.held, Failed: lostThere || lostBack})
+		s.step(ReadResult{State: s.engine.state, Failed: requestLost || answerLost})
 		return
 	}
-	sent := Sent{Fence: a.Order.Fence, Failed: lostThere || lostBack}
-	if !lostThere {
-		sent.Refused = w.engine.take(a.Order)
-		sent.Current = w.engine.held.Fence
+	result := SendResult{Fence: a.Order.Fence, Failed: requestLost || answerLost}
+	if !requestLost {
+		result.Refused = s.engine.apply(a.Order)
+		result.Current = s.engine.state.Fence
 	}
-	w.step(sent)
+	s.step(result)
 }
 
-func (w *world) restart(_ *rapid.T) {
-	w.m = New(Config{Poll: 100, Recheck: 1_000})
-	w.pending = nil
-	w.closed = true
-	w.started = false
-	w.running = 0
+func (s *simulation) restartSidecar(_ *rapid.T) {
+	s.machine = New(Config{PollInterval: 100, RecheckInterval: 1_000})
+	s.pending = nil
+	s.closed = true
+	s.configConfirmed = false
+	s.running = 0
 }
 
-// Orders come and are doubled and delivered old; calls are lost on the way there
-// or back; the engine finishes loading or restarts; our process restarts. The
-// engine, whether it checks numbers or not, never gets an older order after a
-// newer one, never two calls at once, and none while work runs. When all is
-// calm it ends up being what the newest order says, open for work.
+// Orders arrive, stale orders are delivered, requests and answers of engine calls are
+// lost, the engine finishes loading or restarts, and the sidecar restarts. The engine,
+// whether it checks fences or not, never gets an older order after a newer one, two
+// concurrent calls, or an order while work runs. Without further faults it reaches
+// the state set by the newest order, with the endpoint open for work.
 func TestRapidOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: 1_000}
-		w.engine.checks = rapid.Bool().Draw(t, "checks")
-		w.restart(t)
+		s := &simulation{t: t, now: 1_000}
+		s.engine.checksFence = rapid.Bool().Draw(t, "checks")
+		s.restartSidecar(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"order":   w.newOrder,
-			"old":     w.oldOrder,
-			"start":   func(*rapid.T) { w.start() },
-			"answer":  w.answer,
-			"tick":    w.tick,
-			"work":    w.work,
-			"loaded":  func(*rapid.T) { w.engine.held.Loading = false },
-			"lost":    w.loseState,
-			"restart": w.restart,
-			"":        func(t *rapid.T) { require.Zero(t, w.engine.reverts, "an older order after a newer one") },
+			"order":   s.newOrder,
+			"old":     s.oldOrder,
+			"start":   func(*rapid.T) { s.confirmConfig() },
+			"answer":  s.completeCall,
+			"tick":    s.tick,
+			"work":    s.changeRunning,
+			"loaded":  func(*rapid.T) { s.engine.state.Loading = false },
+			"lost":    s.restartEngine,
+			"restart": s.restartSidecar,
+			"":        func(t *rapid.T) { require.Zero(t, s.engine.reverts, "older order after a newer one") },
 		})
-		w.settle()
+		s.settle()
 	})
 }
 
-func (w *world) newOrder(t *rapid.T) {
-	w.number += uint64(rapid.IntRange(1, 3).Draw(t, "grows"))
-	w.model = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "model")
-	if w.started {
-		w.step(order(w.number, w.model))
+func (s *simulation) newOrder(t *rapid.T) {
+	s.lastFence += uint64(rapid.IntRange(1, 3).Draw(t, "grows"))
+	s.model = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "model")
+	if s.configConfirmed {
+		s.step(newOrderUpdate(s.lastFence, s.model))
 	}
 }
 
-// oldOrder is a stale replica or a late delivery.
-func (w *world) oldOrder(t *rapid.T) {
-	if w.number == 0 {
-		t.Skip("none yet")
+// oldOrder delivers an order with an old fence, as a stale replica or a late delivery
+// does.
+func (s *simulation) oldOrder(t *rapid.T) {
+	if s.lastFence == 0 {
+		t.Skip("no order yet")
 	}
-	w.step(order(rapid.Uint64Range(1, w.number).Draw(t, "old")/2, "stale"))
+	s.step(newOrderUpdate(rapid.Uint64Range(1, s.lastFence).Draw(t, "old")/2, "stale"))
 }
 
-// start brings the quorum-confirmed configuration.
-func (w *world) start() {
-	if w.started {
+// confirmConfig delivers the configuration confirmed by a quorum.
+func (s *simulation) confirmConfig() {
+	if s.configConfirmed {
 		return
 	}
-	w.started = true
-	w.step(order(w.number, w.model))
-	w.step(Started{})
+	s.configConfirmed = true
+	s.step(newOrderUpdate(s.lastFence, s.model))
+	s.step(ConfigConfirmed{})
 }
 
-func (w *world) tick(t *rapid.T) {
-	w.now += clock.Millis(rapid.IntRange(1, 500).Draw(t, "passed"))
-	if w.closed && w.running == 0 {
-		w.step(Drained{})
+func (s *simulation) tick(t *rapid.T) {
+	s.now += clock.Millis(rapid.IntRange(1, 500).Draw(t, "passed"))
+	if s.closed && s.running == 0 {
+		s.step(Drained{})
 	}
-	w.step(Tick{})
+	s.step(Tick{})
 }
 
-func (w *world) work(*rapid.T) {
-	if !w.closed {
-		w.running++
+func (s *simulation) changeRunning(*rapid.T) {
+	if !s.closed {
+		s.running++
 		return
 	}
-	w.running = max(w.running-1, 0)
+	s.running = max(s.running-1, 0)
 }
 
-// loseState is an engine that restarted: it has forgotten its orders.
-func (w *world) loseState(*rapid.T) {
-	w.engine.held = engine.Held{}
-	w.engine.highest = 0
+// restartEngine makes the engine lose its state.
+func (s *simulation) restartEngine(*rapid.T) {
+	s.engine.state = engine.Held{}
+	s.engine.highestFence = 0
 }
 
-func (w *world) settle() {
-	w.start()
-	w.running = 0
+func (s *simulation) settle() {
+	s.confirmConfig()
+	s.running = 0
 	for range 200 {
-		w.now += 600
-		w.engine.held.Loading = false
-		if len(w.pending) > 0 {
-			a := w.pending[0]
-			w.pending = nil
+		s.now += 600
+		s.engine.state.Loading = false
+		if len(s.pending) > 0 {
+			a := s.pending[0]
+			s.pending = nil
 			if a.Verb == Read {
-				w.step(Held{Held: w.engine.held})
+				s.step(ReadResult{State: s.engine.state})
 			} else {
-				refused := w.engine.take(a.Order)
-				w.step(Sent{Fence: a.Order.Fence, Refused: refused, Current: w.engine.held.Fence})
+				refused := s.engine.apply(a.Order)
+				s.step(SendResult{Fence: a.Order.Fence, Refused: refused, Current: s.engine.state.Fence})
 			}
 		}
-		if w.closed {
-			w.step(Drained{})
+		if s.closed {
+			s.step(Drained{})
 		}
-		w.step(Tick{})
+		s.step(Tick{})
 	}
-	require.False(w.t, w.closed, "the endpoint stays closed")
-	if w.number > 0 {
-		require.Equal(w.t, w.model, w.engine.held.Model)
-		require.Equal(w.t, w.number, w.engine.held.Fence)
+	require.False(s.t, s.closed, "endpoint still closed")
+	if s.lastFence > 0 {
+		require.Equal(s.t, s.model, s.engine.state.Model)
+		require.Equal(s.t, s.lastFence, s.engine.state.Fence)
 	}
 }
 
-// quiet makes a machine that has read an engine without orders.
-func quiet(t *testing.T) *Machine {
+// newIdleMachine creates a Machine that has read an engine without orders.
+func newIdleMachine(t *testing.T) *Machine {
 	t.Helper()
-	m := New(Config{Poll: 100, Recheck: 1_000})
+	m := New(Config{PollInterval: 100, RecheckInterval: 1_000})
 	require.Equal(t, []Action{{Verb: Read}}, m.Step(0, Tick{}))
-	require.Equal(t, []Action{{Verb: Open}}, m.Step(0, Held{}))
-	require.Empty(t, m.Step(0, Started{}))
+	require.Equal(t, []Action{{Verb: Open}}, m.Step(0, ReadResult{}))
+	require.Empty(t, m.Step(0, ConfigConfirmed{}))
 	return m
 }
 
-// The answer to an order is lost. The engine may or may not have taken it, so it
-// is read before anything else is sent; it has not, so the same number goes out
-// again.
-func TestLostAnswerIsReadBack(t *testing.T) {
-	m := quiet(t)
-	require.Equal(t, []Action{{Verb: Close}}, m.Step(1, order(5, "a")))
+// The answer to an order is lost. The engine may or may not have executed the order,
+// so its state is read before the next send. It has not executed the order, so the
+// order is sent again with the same fence.
+func TestLostAnswerReadsEngineBeforeResend(t *testing.T) {
+	m := newIdleMachine(t)
+	require.Equal(t, []Action{{Verb: Close}}, m.Step(1, newOrderUpdate(5, "a")))
 	require.Equal(t, Send, m.Step(2, Drained{})[0].Verb)
-	require.Empty(t, m.Step(3, Sent{Fence: 5, Failed: true}))
+	require.Empty(t, m.Step(3, SendResult{Fence: 5, Failed: true}))
 	require.Empty(t, m.Step(50, Tick{}))
 	require.Equal(t, []Action{{Verb: Read}}, m.Step(103, Tick{}))
-	require.Empty(t, m.Step(104, Held{}))
+	require.Empty(t, m.Step(104, ReadResult{}))
 	require.Equal(t, uint64(5), m.Step(105, Drained{})[0].Order.Fence)
 }
 
-// Another sidecar's order with a higher number reached the engine before ours.
-// The engine refuses ours; we take its number as known and wait for the
-// configuration to bring the newer order.
+// Another sidecar's order with a higher fence reached the engine first, so the engine
+// refuses this order. The machine records the engine's fence and waits for the newer
+// order from the configuration.
 func TestRefusedOrderIsNotRepeated(t *testing.T) {
-	m := quiet(t)
-	m.Step(1, order(5, "a"))
+	m := newIdleMachine(t)
+	m.Step(1, newOrderUpdate(5, "a"))
 	m.Step(2, Drained{})
-	require.Equal(t, []Action{{Verb: Read}}, m.Step(3, Sent{Fence: 5, Refused: true, Current: 9}))
-	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, Held{Held: engine.Held{Fence: 9, Model: "z"}}))
+	require.Equal(t, []Action{{Verb: Read}}, m.Step(3, SendResult{Fence: 5, Refused: true, Current: 9}))
+	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, ReadResult{State: engine.Held{Fence: 9, Model: "z"}}))
 	require.Equal(t, uint64(9), m.Fence())
-	require.Empty(t, m.Step(5, order(8, "b")))
+	require.Empty(t, m.Step(5, newOrderUpdate(8, "b")))
 }
 
-func TestNotBefore(t *testing.T) {
-	m := quiet(t)
-	o := order(5, "a")
-	o.Wanted.NotBefore = 500
+func TestOrderWaitsForNotBefore(t *testing.T) {
+	m := newIdleMachine(t)
+	o := newOrderUpdate(5, "a")
+	o.Desired.NotBefore = 500
 	require.Empty(t, m.Step(1, o))
 	require.Empty(t, m.Step(499, Tick{}))
 	require.Equal(t, []Action{{Verb: Close}}, m.Step(500, Tick{}))
 }
 
-// A change of role needs no weights, so the work that runs goes on.
-func TestRoleNeedsNoDrain(t *testing.T) {
-	m := quiet(t)
-	o := Order{Wanted: Wanted{Order: engine.Order{Fence: 5, Kind: KindRole, Role: "prefill"}}}
+// A change of role loads no weights, so running work continues.
+func TestRoleChangeNeedsNoDrain(t *testing.T) {
+	m := newIdleMachine(t)
+	o := Update{Desired: Desired{Order: engine.Order{Fence: 5, Kind: KindRole, Role: "prefill"}}}
 	require.Equal(t, Send, m.Step(1, o)[0].Verb)
 }
 
-// An engine that tells no numbers is done when it is what the order asked for;
-// without that it would load the same weights for ever.
-func TestEngineWithoutNumbers(t *testing.T) {
-	m := quiet(t)
-	m.Step(1, order(5, "a"))
+// An engine that reports no fences has executed an order if its state is the desired
+// one. Without this rule it would load the same weights again and again.
+func TestEngineWithoutFences(t *testing.T) {
+	m := newIdleMachine(t)
+	m.Step(1, newOrderUpdate(5, "a"))
 	m.Step(2, Drained{})
-	m.Step(3, Sent{Fence: 5})
-	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, Held{Held: engine.Held{Model: "a"}}))
+	m.Step(3, SendResult{Fence: 5})
+	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, ReadResult{State: engine.Held{Model: "a"}}))
 }
 
-// A process died with an order under way; the engine, which was frozen, takes it
-// after the next process has given a newer one, and ignores numbers. The next
-// reading shows it, and the newer order is given again.
-func TestLateOrderOfADeadProcessIsMended(t *testing.T) {
-	m := quiet(t)
-	m.Step(1, order(6, "new"))
+// A process died with an order in flight. The engine was frozen, ignores fences and
+// executes that order after a newer order of the next process. The next recheck finds
+// the old state, and the newer order is sent again.
+func TestRecheckRepairsLateOrderOfDeadProcess(t *testing.T) {
+	m := newIdleMachine(t)
+	m.Step(1, newOrderUpdate(6, "new"))
 	m.Step(2, Drained{})
-	m.Step(3, Sent{Fence: 6})
-	m.Step(4, Held{Held: engine.Held{Fence: 6, Model: "new"}})
+	m.Step(3, SendResult{Fence: 6})
+	m.Step(4, ReadResult{State: engine.Held{Fence: 6, Model: "new"}})
 	require.Equal(t, []Action{{Verb: Read}}, m.Step(1_100, Tick{}))
-	require.Equal(t, []Action{{Verb: Close}}, m.Step(1_101, Held{Held: engine.Held{Fence: 5, Model: "old"}}))
+	require.Equal(t, []Action{{Verb: Close}}, m.Step(1_101, ReadResult{State: engine.Held{Fence: 5, Model: "old"}}))
 	require.Equal(t, uint64(6), m.Step(1_102, Drained{})[0].Order.Fence)
 }
 
-// A higher number is known from the engine, then the engine restarts and knows
-// none. The order that we have is older, so it is not given: the newer one is on
-// its way through the configuration.
-func TestNothingBelowAKnownNumber(t *testing.T) {
+// The machine learned a higher fence from the engine, then the engine restarts without
+// a fence. The machine's own order is older, so it is not sent: the newer order will
+// arrive with the configuration.
+func TestNoOrderBelowKnownFence(t *testing.T) {
 	scenarios := []struct {
 		name  string
 		learn func(*Machine)
 	}{
-		{"by reading", func(m *Machine) {
+		{"from a read", func(m *Machine) {
 			m.Step(1_100, Tick{})
-			m.Step(1_101, Held{Held: engine.Held{Fence: 9, Model: "z"}})
+			m.Step(1_101, ReadResult{State: engine.Held{Fence: 9, Model: "z"}})
 		}},
-		{"by a refusal", func(m *Machine) {
-			m.Step(1, order(4, "a"))
+		{"from a refusal", func(m *Machine) {
+			m.Step(1, newOrderUpdate(4, "a"))
 			m.Step(2, Drained{})
-			m.Step(3, Sent{Fence: 4, Refused: true, Current: 9})
-			m.Step(4, Held{})
+			m.Step(3, SendResult{Fence: 4, Refused: true, Current: 9})
+			m.Step(4, ReadResult{})
 		}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			m := quiet(t)
+			m := newIdleMachine(t)
 			s.learn(m)
-			require.Empty(t, m.Step(1_200, order(5, "a")), "an order below a known number")
+			require.Empty(t, m.Step(1_200, newOrderUpdate(5, "a")), "order below the known fence")
 			m.Step(2_200, Tick{})
-			require.Empty(t, m.Step(2_201, Held{}), "an order below a known number")
-			require.Equal(t, []Action{{Verb: Close}}, m.Step(2_202, order(10, "b")))
+			require.Empty(t, m.Step(2_201, ReadResult{}), "order below the known fence")
+			require.Equal(t, []Action{{Verb: Close}}, m.Step(2_202, newOrderUpdate(10, "b")))
 		})
 	}
 }
--- a/sidecar/pkg/order/runner.go
+++ b/sidecar/pkg/order/runner.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	tickPeriod = 50 * time.Millisecond
-	eventRing  = 64
+	tickInterval  = 50 * time.Millisecond
+	eventRingSize = 64
 )
 
-// RunnerConfig describes a runner.
+// RunnerConfig configures a Runner.
 type RunnerConfig struct {
 	Clock   clock.Clock
 	Logger  log.Logger
 	Machine *Machine
 	// Read and Send call the engine.
 	Read func(context.Context) (engine.Held, error)
-	Send func(context.Context, engine.Order) (held uint64, refused bool, err error)
+	Send func(context.Context, engine.Order) (current uint64, refused bool, err error)
 	// Gate opens and closes the endpoint for new work.
 	Gate func(open bool)
-	// Idle says that nothing of ours runs at the engine.
+	// Idle reports whether no work of this sidecar runs at the engine.
 	Idle func() bool
-	// Noted is told what happened to an order, for records and counters.
-	Noted func(fence uint64, event, detail string)
+	// RecordEvent records the result of an order in records and counters.
+	RecordEvent func(fence uint64, event, detail string)
 }
 
-// Runner is the runtime of a machine.
+// Runner executes the actions of a Machine.
 type Runner struct {
 	config   RunnerConfig
 	events   *ring.Ring[Event]
@@ -44,26 +44,27 @@
 	fence    atomic.Uint64
 }
 
-// NewRunner makes a runner.
+// NewRunner creates a Runner.
 func NewRunner(config RunnerConfig) *Runner {
-	return &Runner{config: config, events: ring.New[Event](ring.Config{Size: eventRing})}
+	return &Runner{config: config, events: ring.New[Event](ring.Config{Size: eventRingSize})}
 }
 
-// Tell hands in the newest order, or the start. A full ring drops it; the next
-// change of the configuration, or the caller, tells it again.
-func (r *Runner) Tell(event Event) bool {
+// Submit enqueues an Update or ConfigConfirmed and reports whether there was space in
+// the ring. A dropped event is submitted again by the caller or after the next change
+// of the configuration.
+func (r *Runner) Submit(event Event) bool {
 	return r.events.Offer(event)
 }
 
-// Fence is the number of the order that the engine holds.
+// Fence returns the fence of the engine's order.
 func (r *Runner) Fence() uint64 {
 	return r.fence.Load()
 }
 
-// Run carries out orders until the context ends. Calls to the engine are made
-// from here, so there is never more than one at a time.
+// Run executes orders until the context ends. It makes all calls to the engine, so
+// there is at most one at a time.
 func (r *Runner) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickPeriod)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -90,8 +91,8 @@
 		actions := r.config.Machine.Step(r.config.Clock.Now(), pending[0])
 		pending = pending[1:]
 		for _, a := range actions {
-			if answer := r.act(ctx, a); answer != nil {
-				pending = append(pending, answer)
+			if result := r.act(ctx, a); result != nil {
+				pending = append(pending, result)
 			}
 		}
 	}
@@ -116,16 +117,16 @@
 }
 
 func (r *Runner) read(ctx context.Context) Event {
-	held, err := r.config.Read(ctx)
+	state, err := r.config.Read(ctx)
 	if err != nil {
 		level.Debug(r.config.Logger).Log(logs.KeyEvent, "orders-unreadable", logs.KeyError, err)
 	}
-	return Held{Held: held, Failed: err != nil}
+	return ReadResult{State: state, Failed: err != nil}
 }
 
 func (r *Runner) send(ctx context.Context, o engine.Order) Event {
-	held, refused, err := r.config.Send(ctx, o)
-	sent := Sent{Fence: o.Fence, Current: held, Refused: refused, Failed: err != nil}
+	current, refused, err := r.config.Send(ctx, o)
+	result := SendResult{Fence: o.Fence, Current: current, Refused: refused, Failed: err != nil}
 	event := "order-taken"
 	switch {
 	case err != nil:
@@ -133,13 +134,14 @@
 	case refused:
 		event = "order-refused"
 	}
-	level.Info(r.config.Logger).Log(logs.KeyEvent, event, "fence", o.Fence, "held", held, logs.KeyError, err)
-	r.config.Noted(o.Fence, event, o.Kind)
-	return sent
+	level.Info(r.config.Logger).Log(logs.KeyEvent, event, "fence", o.Fence, "held", current, logs.KeyError, err)
+	r.config.RecordEvent(o.Fence, event, o.Kind)
+	return result
 }
 
-// Of turns an entry of the configuration into what is wanted; false when it is none.
-func Of(e *toucanhingev1.Entry) (Wanted, bool) {
+// DesiredFromEntry converts a configuration entry to a desired order. It returns false
+// if the entry holds no order of a known kind.
+func DesiredFromEntry(e *toucanhingev1.Entry) (Desired, bool) {
 	o := e.GetOrder()
 	var kind string
 	switch o.GetKind() {
@@ -152,9 +154,9 @@
 	case toucanhingev1.OrderKind_ORDER_KIND_SET_ROLE:
 		kind = KindRole
 	default:
-		return Wanted{}, false
+		return Desired{}, false
 	}
-	return Wanted{
+	return Desired{
 		Order: engine.Order{
 			Fence: e.GetVersion(), Kind: kind, Model: o.GetModel(), Adapter: o.GetAdapter(),
 			Version: o.GetModelVersion(), Role: o.GetEngineRole(),
