--- a/sidecar/pkg/app/parts.go
+++ b/sidecar/pkg/app/parts.go
@@ -134,12 +134,12 @@
 ) *work.Puller {
 	return work.New(work.Config{
 		Clock: c, Logger: l, Control: client, Dispatcher: d, Engine: e,
-		Keeper: work.KeeperConfig{
-			Most: s.Batch.Slots + s.Batch.Local, Ask: s.Batch.Ask,
-			Flush: clock.Millis(s.Batch.Flush), FlushMost: s.Batch.FlushItems,
+		Leases: work.LeaseManagerConfig{
+			MaxItems: s.Batch.Slots + s.Batch.Local, MaxPerRequest: s.Batch.Ask,
+			FlushDelay: clock.Millis(s.Batch.Flush), FlushSize: s.Batch.FlushItems,
 		},
-		Name: s.Name, Incarnation: uint64(i), Service: s.Service, ResultBytes: s.Batch.ResultBytes,
-		Unreachable: p.Suspect, Noted: n.item,
+		Name: s.Name, Incarnation: uint64(i), Service: s.Service, MaxResultBytes: s.Batch.ResultBytes,
+		OnUnreachable: p.Suspect, RecordEvent: n.item,
 	})
 }
 
--- a/sidecar/pkg/work/assemble.go
+++ b/sidecar/pkg/work/assembly.go
@@ -11,41 +11,42 @@
 	"toucanhinge.example/sidecar/pkg/engine"
 )
 
-// Paths of the engine's calls.
+// Paths of the engine's API.
 const (
 	pathChat       = "/v1/chat/completions"
 	pathCompletion = "/v1/completions"
 )
 
-var errBody = errors.New("the item's body is neither a chat nor a completion request")
+var errUnknownRequestKind = errors.New("the item's body is neither a chat nor a completion request")
 
-// prepared is an item's request as it goes to the engine.
-type prepared struct {
+// preparedRequest is an item's request as sent to the engine.
+type preparedRequest struct {
 	path string
 	body []byte
-	// streamed requests can be suspended and go on later. Their answer is put
-	// together from its pieces, which works for plain text only.
-	streamed bool
-	prefill  int
+	// streamed requests can be suspended and resumed. Their answer is assembled from
+	// chunks, which works for plain text only.
+	streamed      bool
+	prefillTokens int
 }
 
-// bytesPerToken is a rough measure of a prompt's length, for the prefill budget.
+// bytesPerToken is a rough estimate that converts body length to prompt tokens for
+// the prefill budget.
 const bytesPerToken = 4
 
-// prepare makes the engine's request of an item's body.
-func prepare(body []byte) (prepared, error) {
+// prepare creates the engine request for an item's body.
+func prepare(body []byte) (preparedRequest, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return prepared{}, fmt.Errorf("read the item's body: %w", err)
+		return preparedRequest{}, fmt.Errorf("parse the item's body: %w", err)
 	}
-	p := prepared{body: body, prefill: len(body) / bytesPerToken, streamed: streamable(fields)}
+	p := preparedRequest{body: body, prefillTokens: len(body) / bytesPerToken, streamed: streamable(fields)}
 	switch {
 	case fields["messages"] != nil:
 		p.path = pathChat
 	case fields["prompt"] != nil:
 		p.path = pathCompletion
 	default:
-		return prepared{}, errBody
+		return preparedRequest{}, errUnknownRequestKind
 	}
 	fields["stream"] = json.RawMessage("false")
 	if p.streamed {
@@ -53,13 +54,13 @@
 	}
 	var err error
 	if p.body, err = json.Marshal(fields); err != nil {
-		return prepared{}, fmt.Errorf("write the item's body: %w", err)
+		return preparedRequest{}, fmt.Errorf("encode the engine request: %w", err)
 	}
 	return p, nil
 }
 
-// streamable says whether an answer's pieces can be put together to the answer
-// that the engine would have given in one.
+// streamable reports whether the chunks of a streamed answer can be assembled to the
+// answer that the engine would have given without streaming.
 func streamable(fields map[string]json.RawMessage) bool {
 	for _, name := range []string{"tools", "functions", "logprobs", "stream_options"} {
 		if value := fields[name]; value != nil && string(value) != "null" && string(value) != "false" {
@@ -95,16 +96,16 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-type wholeAnswer struct {
-	ID      string        `json:"id"`
-	Object  string        `json:"object"`
-	Created int64         `json:"created"`
-	Model   string        `json:"model"`
-	Choices []wholeChoice `json:"choices"`
-	Usage   *usage        `json:"usage,omitempty"`
+type assembledAnswer struct {
+	ID      string            `json:"id"`
+	Object  string            `json:"object"`
+	Created int64             `json:"created"`
+	Model   string            `json:"model"`
+	Choices []assembledChoice `json:"choices"`
+	Usage   *usage            `json:"usage,omitempty"`
 }
 
-type wholeChoice struct {
+type assembledChoice struct {
 	Index        int      `json:"index"`
 	Message      *message `json:"message,omitempty"`
 	Text         *string  `json:"text,omitempty"`
@@ -116,33 +117,33 @@
 	Content string `json:"content"`
 }
 
-// assembly puts an answer together from its pieces.
+// assembly assembles a complete answer from the chunks of a stream.
 type assembly struct {
 	chat    bool
 	first   *chunk
 	usage   *usage
 	choices map[int]*choice
-	pieces  int
-	// text is the length of all texts, bytes.
-	text int
+	chunks  int
+	// textBytes is the total length of all texts in bytes.
+	textBytes int
 }
 
 type choice struct {
-	text   strings.Builder
-	finish *string
+	text         strings.Builder
+	finishReason *string
 }
 
 func newAssembly(path string) *assembly {
 	return &assembly{chat: path == pathChat, choices: map[int]*choice{}}
 }
 
-// add takes one event's data.
+// add adds the data of one event.
 func (a *assembly) add(data []byte) error {
 	var c chunk
 	if err := json.Unmarshal(data, &c); err != nil {
-		return fmt.Errorf("read a piece: %w: %w", engine.ErrGarbage, err)
+		return fmt.Errorf("parse a chunk: %w: %w", engine.ErrGarbage, err)
 	}
-	a.pieces++
+	a.chunks++
 	if a.first == nil {
 		a.first = &c
 	}
@@ -150,31 +151,31 @@
 		a.usage = c.Usage
 	}
 	for _, part := range c.Choices {
-		a.choice(part)
+		a.addChoice(part)
 	}
 	return nil
 }
 
-func (a *assembly) choice(part chunkChoice) {
+func (a *assembly) addChoice(part chunkChoice) {
 	c := a.choices[part.Index]
 	if c == nil {
 		c = &choice{}
 		a.choices[part.Index] = c
 	}
-	a.text += len(part.Delta.Content) + len(part.Text)
+	a.textBytes += len(part.Delta.Content) + len(part.Text)
 	c.text.WriteString(part.Delta.Content)
 	c.text.WriteString(part.Text)
 	if part.FinishReason != nil {
-		c.finish = part.FinishReason
+		c.finishReason = part.FinishReason
 	}
 }
 
-// whole returns the answer as if it had come in one.
-func (a *assembly) whole() ([]byte, error) {
+// marshal returns the complete answer in the format of an answer without streaming.
+func (a *assembly) marshal() ([]byte, error) {
 	if a.first == nil {
 		return nil, engine.ErrShort
 	}
-	answer := wholeAnswer{
+	answer := assembledAnswer{
 		ID: a.first.ID, Object: "text_completion", Created: a.first.Created, Model: a.first.Model,
 		Usage: a.usage,
 	}
@@ -183,7 +184,7 @@
 	}
 	for index, c := range a.choices {
 		text := c.text.String()
-		part := wholeChoice{Index: index, FinishReason: c.finish}
+		part := assembledChoice{Index: index, FinishReason: c.finishReason}
 		if a.chat {
 			part.Message = &message{Role: "assistant", Content: text}
 		} else {
@@ -194,7 +195,7 @@
 	sort.Slice(answer.Choices, func(i, j int) bool { return answer.Choices[i].Index < answer.Choices[j].Index })
 	body, err := json.Marshal(answer)
 	if err != nil {
-		return nil, fmt.Errorf("write the answer: %w", err)
+		return nil, fmt.Errorf("encode the answer: %w", err)
 	}
 	return body, nil
 }
--- a/sidecar/pkg/work/puller.go
+++ b/sidecar/pkg/work/puller.go
@@ -1,5 +1,5 @@
-// Package work pulls batch items from control: it leases a few, has them
-// admitted and run, renews the leases and reports the outcomes.
+// Package work pulls batch items from control: it leases items, runs them through
+// admission and the engine, renews the leases and reports the outcomes.
 package work
 
 import (
@@ -23,87 +23,87 @@
 	"toucanhinge.example/sidecar/pkg/engine"
 )
 
-// tickPeriod is how often the keeper is stepped without an event; it bounds how
-// late a run-out lease is noticed and how long an outcome waits.
-const tickPeriod = 10 * time.Millisecond
+// tickInterval is the interval between steps of the LeaseManager without an event. It
+// bounds the delay in detecting expired leases and in reporting outcomes.
+const tickInterval = 10 * time.Millisecond
 
-// idlePeriod is the same while nothing is held; control's answers say when to
-// ask again anyway.
-const idlePeriod = 50 * time.Millisecond
+// idleTickInterval is the tick interval while there are no leases. Control's answers
+// set the time of the next lease request anyway.
+const idleTickInterval = 50 * time.Millisecond
 
-// callTimeout ends one call to control, its retries included. A completion that
-// is not acknowledged by then is put back and tried again.
+// callTimeout limits one call to control including its retries. Completions that are
+// not acknowledged by then are reported again.
 const callTimeout = 4 * time.Second
 
-// Config describes a puller.
+// Config configures a Puller.
 type Config struct {
 	Clock       clock.Clock
 	Logger      log.Logger
 	Control     *control.Client
 	Dispatcher  *dispatch.Dispatcher
 	Engine      *engine.Client
-	Keeper      KeeperConfig
+	Leases      LeaseManagerConfig
 	Name        string
 	Incarnation uint64
 	Service     string
-	// ResultBytes is the largest result.
-	ResultBytes int
-	// Unreachable is told that the engine can't be reached.
-	Unreachable func()
-	// Noted is told what became of an item, for counters and records.
-	Noted func(item, event, detail string)
+	// MaxResultBytes is the maximum size of a result.
+	MaxResultBytes int
+	// OnUnreachable is called if the engine can't be reached.
+	OnUnreachable func()
+	// RecordEvent records an event of an item in counters and records.
+	RecordEvent func(item, event, detail string)
 }
 
-// Puller is the runtime of a keeper.
+// Puller executes the actions of a LeaseManager.
 type Puller struct {
-	config Config
-	events *ring.Ring[func(now clock.Millis) []Action]
-	keeper *Keeper
-	runs   map[Key]*run
-	open   atomic.Bool
-	groups atomic.Uint32
-	held   atomic.Int64
-	calls  sync.WaitGroup
-	alive  context.Context
-	stop   context.CancelFunc
+	config     Config
+	events     *ring.Ring[func(now clock.Millis) []Action]
+	leases     *LeaseManager
+	runs       map[Key]*run
+	open       atomic.Bool
+	groupCount atomic.Uint32
+	leaseCount atomic.Int64
+	calls      sync.WaitGroup
+	runCtx     context.Context
+	cancelRun  context.CancelFunc
 }
 
-// eventRing is the most events that wait for the keeper: every held item can
-// have one, and every group three answers.
-const eventRing = 1024
+// eventRingSize is the maximum number of events that wait for the LeaseManager. Every
+// leased item can have one event, and every group three answers.
+const eventRingSize = 1024
 
-// New makes a puller that asks for nothing until Open and Groups are told.
+// New creates a Puller that requests no items before SetOpen and SetGroupCount.
 func New(config Config) *Puller {
 	p := &Puller{
 		config: config,
-		events: ring.New[func(clock.Millis) []Action](ring.Config{Size: eventRing}),
-		keeper: NewKeeper(config.Keeper),
+		events: ring.New[func(clock.Millis) []Action](ring.Config{Size: eventRingSize}),
+		leases: NewLeaseManager(config.Leases),
 		runs:   map[Key]*run{},
 	}
-	p.alive, p.stop = context.WithCancel(context.Background())
+	p.runCtx, p.cancelRun = context.WithCancel(context.Background())
 	return p
 }
 
-// Open lets the puller ask for items, or not.
-func (p *Puller) Open(open bool) {
+// SetOpen sets whether the Puller requests new items.
+func (p *Puller) SetOpen(open bool) {
 	p.open.Store(open)
 }
 
-// Groups tells how many groups control runs.
-func (p *Puller) Groups(count uint32) {
-	p.groups.Store(count)
+// SetGroupCount sets the number of groups that control runs.
+func (p *Puller) SetGroupCount(count uint32) {
+	p.groupCount.Store(count)
 }
 
-// Held is how many leases are held.
-func (p *Puller) Held() int {
-	return int(p.held.Load())
+// LeaseCount returns the number of leased items.
+func (p *Puller) LeaseCount() int {
+	return int(p.leaseCount.Load())
 }
 
-// Run keeps leases until the context ends.
+// Run pulls items and manages their leases until the context ends.
 func (p *Puller) Run(ctx context.Context) {
 	defer p.calls.Wait()
-	defer p.stop()
-	timer := time.NewTimer(tickPeriod)
+	defer p.cancelRun()
+	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -112,35 +112,35 @@
 		case event := <-p.events.Items():
 			p.step(event)
 		case <-timer.C:
-			p.step(p.keeper.Tick)
+			p.step(p.leases.Tick)
 		}
-		// Each event steps the keeper too, so putting the tick off loses nothing.
-		if p.keeper.Held() > 0 {
-			timer.Reset(tickPeriod)
+		// Each event steps the LeaseManager too, so resetting the timer delays nothing.
+		if p.leases.LeaseCount() > 0 {
+			timer.Reset(tickInterval)
 		} else {
-			timer.Reset(idlePeriod)
+			timer.Reset(idleTickInterval)
 		}
 	}
 }
 
 func (p *Puller) step(event func(clock.Millis) []Action) {
-	p.keeper.Groups(p.groups.Load())
-	p.keeper.Open(p.open.Load())
+	p.leases.SetGroupCount(p.groupCount.Load())
+	p.leases.SetOpen(p.open.Load())
 	for _, a := range event(p.config.Clock.Now()) {
 		p.act(a)
 	}
-	p.held.Store(int64(p.keeper.Held()))
+	p.leaseCount.Store(int64(p.leases.LeaseCount()))
 }
 
-// tell hands an event to the keeper's goroutine.
-func (p *Puller) tell(event func(clock.Millis) []Action) {
-	_ = p.events.Put(p.alive, event)
+// submit passes an event to the goroutine of the LeaseManager.
+func (p *Puller) submit(event func(clock.Millis) []Action) {
+	_ = p.events.Put(p.runCtx, event)
 }
 
 func (p *Puller) act(a Action) {
 	switch a.Verb {
-	case VerbAsk:
-		p.call(func(ctx context.Context) { p.ask(ctx, a) })
+	case VerbLease:
+		p.call(func(ctx context.Context) { p.lease(ctx, a) })
 	case VerbRenew:
 		p.call(func(ctx context.Context) { p.renew(ctx, a) })
 	case VerbReport:
@@ -148,7 +148,7 @@
 	case VerbRun:
 		p.start(a)
 	case VerbStop:
-		p.lost(a.Key)
+		p.withdraw(a.Key)
 	}
 }
 
@@ -156,28 +156,28 @@
 	p.calls.Add(1)
 	go func() {
 		defer p.calls.Done()
-		ctx, cancel := context.WithTimeout(p.alive, callTimeout)
+		ctx, cancel := context.WithTimeout(p.runCtx, callTimeout)
 		defer cancel()
 		do(ctx)
 	}()
 }
 
-func (p *Puller) ask(ctx context.Context, a Action) {
+func (p *Puller) lease(ctx context.Context, a Action) {
 	sent := p.config.Clock.Now()
 	reply, err := control.Call(ctx, p.config.Control, a.Group, "lease",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.LeaseResponse], error) {
 			sent = p.config.Clock.Now()
 			return r.Work.Lease(ctx, connect.NewRequest(&toucanhingev1.LeaseRequest{
 				Sidecar: p.config.Name, Incarnation: p.config.Incarnation, Service: p.config.Service,
-				Group: a.Group, Most: a.Most,
+				Group: a.Group, Most: a.MaxItems,
 			}))
 		})
 	if err != nil {
 		p.warn("lease-failed", a.Group, err)
-		p.tell(func(now clock.Millis) []Action { return p.keeper.AskFailed(now, a.Group) })
+		p.submit(func(now clock.Millis) []Action { return p.leases.LeaseFailed(now, a.Group) })
 		return
 	}
-	p.tell(func(now clock.Millis) []Action { return p.keeper.Granted(now, sent, a.Group, reply.Msg) })
+	p.submit(func(now clock.Millis) []Action { return p.leases.Granted(now, sent, a.Group, reply.Msg) })
 }
 
 func (p *Puller) renew(ctx context.Context, a Action) {
@@ -191,10 +191,10 @@
 		})
 	if err != nil {
 		p.warn("renew-failed", a.Group, err)
-		p.tell(func(now clock.Millis) []Action { return p.keeper.RenewFailed(now, a.Group) })
+		p.submit(func(now clock.Millis) []Action { return p.leases.RenewFailed(now, a.Group) })
 		return
 	}
-	p.tell(func(now clock.Millis) []Action { return p.keeper.Renewed(now, sent, a.Group, a.Leases, reply.Msg) })
+	p.submit(func(now clock.Millis) []Action { return p.leases.Renewed(now, sent, a.Group, a.Leases, reply.Msg) })
 }
 
 func (p *Puller) report(ctx context.Context, a Action) {
@@ -206,17 +206,17 @@
 		})
 	if err != nil || len(reply.Msg.GetVerdicts()) != len(a.Completions) {
 		p.warn("complete-failed", a.Group, err)
-		p.tell(func(now clock.Millis) []Action { return p.keeper.ReportFailed(now, a.Group, a.Completions) })
+		p.submit(func(now clock.Millis) []Action { return p.leases.ReportFailed(now, a.Group, a.Completions) })
 		return
 	}
 	for i, c := range a.Completions {
-		p.config.Noted(itemName(c.GetJob(), c.GetIndex()), "verdict", verdictName(reply.Msg.GetVerdicts()[i]))
+		p.config.RecordEvent(itemName(c.GetJob(), c.GetIndex()), "verdict", verdictName(reply.Msg.GetVerdicts()[i]))
 	}
-	p.tell(func(now clock.Millis) []Action { return p.keeper.Reported(now, a.Group, a.Completions) })
+	p.submit(func(now clock.Millis) []Action { return p.leases.Reported(now, a.Group, a.Completions) })
 }
 
 func (p *Puller) warn(event string, group uint32, err error) {
-	if p.alive.Err() == nil {
+	if p.runCtx.Err() == nil {
 		level.Warn(p.config.Logger).Log(logs.KeyEvent, event, logs.KeyGroup, group, logs.KeyError, err)
 	}
 }
@@ -225,51 +225,52 @@
 	return fmt.Sprintf("%s/%d", job, index)
 }
 
-// start hands a leased item to the admission machine.
+// start offers a leased item to the admission machine.
 func (p *Puller) start(a Action) {
 	r := &run{
 		puller: p, key: a.Key, id: p.config.Dispatcher.NextID(), item: a.Item,
-		// The lease's number tells attempts of one item apart at the engine.
-		name:     fmt.Sprintf("%s.%d.%d", a.Item.GetJob(), a.Item.GetIndex(), a.Item.GetLease()),
-		verdicts: make(chan admit.Action, 8),
+		// The lease number distinguishes the attempts of an item at the engine.
+		name:    fmt.Sprintf("%s.%d.%d", a.Item.GetJob(), a.Item.GetIndex(), a.Item.GetLease()),
+		actions: make(chan admit.Action, 8),
 	}
 	p.runs[a.Key] = r
-	p.config.Noted(itemName(a.Item.GetJob(), a.Item.GetIndex()), "leased", fmt.Sprintf("lease %d attempt %d", a.Key.Lease, a.Item.GetAttempt()))
+	p.config.RecordEvent(itemName(a.Item.GetJob(), a.Item.GetIndex()), "leased", fmt.Sprintf("lease %d attempt %d", a.Key.Lease, a.Item.GetAttempt()))
 	request, err := prepare(a.Item.GetBody())
 	if err != nil {
-		go p.ended(r, failed(reasonMalformed))
+		go p.reportResult(r, failed(reasonMalformed))
 		return
 	}
 	r.request = request
-	p.config.Dispatcher.Offer(admit.Offer{ID: r.id, PrefillTokens: request.prefill}, r.deliver)
+	p.config.Dispatcher.Offer(admit.Offer{ID: r.id, PrefillTokens: request.prefillTokens}, r.deliver)
 }
 
-// lost stops an item whose lease no longer holds: another process may run it
-// now, and our result would be refused anyway.
-func (p *Puller) lost(key Key) {
+// withdraw stops an item whose lease was lost: another process may run it now, and
+// control would refuse this process's result.
+func (p *Puller) withdraw(key Key) {
 	r, found := p.runs[key]
 	if !found {
 		return
 	}
 	delete(p.runs, key)
-	p.config.Noted(itemName(r.item.GetJob(), r.item.GetIndex()), "lease-lost", "")
+	p.config.RecordEvent(itemName(r.item.GetJob(), r.item.GetIndex()), "lease-lost", "")
 	p.config.Dispatcher.Tell(admit.Withdraw{ID: r.id})
 }
 
-// ended takes an item's outcome from its goroutine, or from the dispatcher's.
-func (p *Puller) ended(r *run, end result) {
+// reportResult submits an item's result to the LeaseManager. It is called on the
+// goroutine of the run or of the dispatcher.
+func (p *Puller) reportResult(r *run, res result) {
 	completion := &toucanhingev1.Completion{
 		Job: r.item.GetJob(), Index: r.item.GetIndex(), Lease: r.key.Lease,
-		Outcome: end.outcome, Body: end.body, Reason: end.reason,
+		Outcome: res.outcome, Body: res.body, Reason: res.reason,
 	}
-	p.tell(func(now clock.Millis) []Action {
+	p.submit(func(now clock.Millis) []Action {
 		delete(p.runs, r.key)
-		actions, held := p.keeper.Ended(now, r.key, completion)
-		event := outcomeName(end.outcome)
-		if !held {
+		actions, valid := p.leases.Ended(now, r.key, completion)
+		event := outcomeName(res.outcome)
+		if !valid {
 			event = "unreported"
 		}
-		p.config.Noted(itemName(r.item.GetJob(), r.item.GetIndex()), event, end.reason)
+		p.config.RecordEvent(itemName(r.item.GetJob(), r.item.GetIndex()), event, res.reason)
 		return actions
 	})
 }
--- a/sidecar/pkg/work/item.go
+++ b/sidecar/pkg/work/run.go
@@ -15,114 +15,117 @@
 	"toucanhinge.example/sidecar/pkg/engine"
 )
 
-// Reasons of outcomes.
+// Reasons of outcomes other than done.
 const (
 	reasonMalformed   = "malformed"
 	reasonTooLarge    = "too-large"
 	reasonUnreachable = "unreachable"
 )
 
-// errTooLarge is an answer above the bound on results.
+// errTooLarge is the error for an answer above Config.MaxResultBytes.
 var errTooLarge = errors.New("the answer is too large")
 
-// run is one leased item on its way through the engine.
+// run is the execution of one leased item at the engine.
 type run struct {
-	puller   *Puller
-	key      Key
-	id       admit.ID
-	item     *toucanhingev1.LeasedItem
-	request  prepared
-	name     string
-	verdicts chan admit.Action
-	begun    bool
+	puller  *Puller
+	key     Key
+	id      admit.ID
+	item    *toucanhingev1.LeasedItem
+	request preparedRequest
+	name    string
+	actions chan admit.Action
+	started bool
 
-	// halting is set from before a suspension until the next turn.
-	halting atomic.Bool
-	// taken counts the pieces of the present beginning.
-	taken    atomic.Int64
-	stream   *engine.Stream
-	assembly *assembly
-	body     []byte
-	status   int
+	// interrupting is set from just before a suspension or stop until the run holds
+	// a slot again. A stream that breaks meanwhile must not be resumed.
+	interrupting atomic.Bool
+	// chunkCount is the number of chunks received since the last start from the
+	// beginning.
+	chunkCount atomic.Int64
+	stream     *engine.Stream
+	assembly   *assembly
+	body       []byte
+	status     int
 }
 
-// deliver takes the machine's actions; it runs on the dispatcher's goroutine.
+// deliver receives the admission machine's actions on the dispatcher's goroutine.
 func (r *run) deliver(a admit.Action) {
-	if !r.begun {
-		r.begun = true
+	if !r.started {
+		r.started = true
 		if a.Verb == admit.Return {
-			go r.puller.ended(r, returned(string(a.Reason)))
+			go r.puller.reportResult(r, returned(string(a.Reason)))
 			return
 		}
-		go r.carryOut()
+		go r.execute()
 		return
 	}
-	r.verdicts <- a
+	r.actions <- a
 }
 
-// carryOut holds the item from its first start to its outcome.
-func (r *run) carryOut() {
+// execute runs the item from its first start to its outcome.
+func (r *run) execute() {
 	resume := false
 	for {
-		outcome, suspended := r.turn(resume)
+		res, suspended := r.runInSlot(resume)
 		if !suspended {
-			r.puller.ended(r, outcome)
-			r.puller.config.Dispatcher.Tell(admit.Finished{ID: r.id, Complete: outcome.outcome == toucanhingev1.Outcome_OUTCOME_DONE})
+			r.puller.reportResult(r, res)
+			r.puller.config.Dispatcher.Tell(admit.Finished{ID: r.id, Complete: res.outcome == toucanhingev1.Outcome_OUTCOME_DONE})
 			return
 		}
-		if a := <-r.verdicts; a.Verb != admit.Resume {
+		if a := <-r.actions; a.Verb != admit.Resume {
 			r.cancelAtEngine()
-			r.puller.ended(r, returned(string(a.Reason)))
+			r.puller.reportResult(r, returned(string(a.Reason)))
 			return
 		}
 		resume = true
 	}
 }
 
-// turn holds a slot until the item ends or is suspended.
-func (r *run) turn(resume bool) (outcome result, suspended bool) {
+// runInSlot runs the item in its slot until it ends or is suspended.
+func (r *run) runInSlot(resume bool) (res result, suspended bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r.halting.Store(false)
+	r.interrupting.Store(false)
 	done := make(chan error, 1)
 	go func() { done <- r.generate(ctx, resume) }()
 	select {
 	case err := <-done:
-		return r.outcome(err), false
-	case a := <-r.verdicts:
-		return r.interrupted(a, cancel, done)
+		return r.resultOf(err), false
+	case a := <-r.actions:
+		return r.interrupt(a, cancel, done)
 	}
 }
 
-func (r *run) interrupted(a admit.Action, cancel context.CancelFunc, done <-chan error) (outcome result, suspended bool) {
-	r.halting.Store(true)
+func (r *run) interrupt(a admit.Action, cancel context.CancelFunc, done <-chan error) (res result, suspended bool) {
+	r.interrupting.Store(true)
 	suspend := a.Verb == admit.Suspend
-	// The slot is free once the engine says so; an online request waits for it,
-	// so we tell it before our own side has cleared up.
-	told := suspend && r.suspendAtEngine()
-	if told {
+	// An online request waits for the slot, so send Suspended as soon as the engine
+	// confirms, before the local stream has been closed.
+	confirmed := suspend && r.suspendAtEngine()
+	if confirmed {
 		r.puller.config.Dispatcher.Tell(admit.Suspended{ID: r.id})
 	}
 	cancel()
 	if err := <-done; err == nil {
-		// It came to its end while we were about to stop it.
-		return r.outcome(nil), false
+		// The item ended before the interruption took effect.
+		return r.resultOf(nil), false
 	}
 	if !suspend {
 		r.cancelAtEngine()
 		return returned(string(a.Reason)), false
 	}
-	if !told {
+	if !confirmed {
 		r.puller.config.Dispatcher.Tell(admit.Suspended{ID: r.id})
 	}
 	return result{}, true
 }
 
-// suspendTimeout ends the wait for an engine that does not answer. We break the
-// stream's connection then, which takes it out of its slot as well.
+// suspendTimeout limits the wait for an engine that does not answer a suspension. The
+// stream's connection is closed then, which releases the slot as well.
 const suspendTimeout = 250 * time.Millisecond
 
-// suspendAtEngine says whether the engine confirmed.
+// suspendAtEngine reports whether the engine confirmed the suspension. A request that
+// is not streamed can't be suspended and is cancelled instead.
 func (r *run) suspendAtEngine() bool {
 	if !r.request.streamed {
 		r.cancelAtEngine()
@@ -137,8 +140,8 @@
 	_ = r.puller.config.Engine.Cancel(context.Background(), r.name)
 }
 
-// generate runs the request, or goes on with it where it was. When the engine
-// no longer holds the stream, it starts again from the beginning.
+// generate runs the request or resumes its stream. If the engine no longer has the
+// stream, the request is started again from the beginning.
 func (r *run) generate(ctx context.Context, resume bool) error {
 	if resume && r.request.streamed && r.stream.Sent() {
 		err := r.stream.Resume(ctx, r.stream.Last())
@@ -146,14 +149,14 @@
 		if err == nil || ctx.Err() != nil || !errors.As(err, &status) {
 			return err
 		}
-		r.puller.config.Dispatcher.Tell(admit.TokensLost{Count: int(r.taken.Load())})
+		r.puller.config.Dispatcher.Tell(admit.TokensLost{Count: int(r.chunkCount.Load())})
 	}
 	return r.start(ctx)
 }
 
 func (r *run) start(ctx context.Context) error {
 	r.assembly = newAssembly(r.request.path)
-	r.taken.Store(0)
+	r.chunkCount.Store(0)
 	r.body = nil
 	r.status = 0
 	r.stream = &engine.Stream{
@@ -166,39 +169,39 @@
 			r.status = status
 			return nil
 		},
-		Emit: r.take,
-		Mend: func() bool { return !r.halting.Load() },
-		Body: r.takeBody,
+		Emit: r.addEvent,
+		Mend: func() bool { return !r.interrupting.Load() },
+		Body: r.addBody,
 	}
 	if !r.request.streamed {
-		r.stream.Whole = r.puller.config.ResultBytes
+		r.stream.Whole = r.puller.config.MaxResultBytes
 	}
 	return r.stream.Run(ctx)
 }
 
-func (r *run) take(e engine.Event) error {
-	if r.assembly.pieces == 0 {
+func (r *run) addEvent(e engine.Event) error {
+	if r.assembly.chunks == 0 {
 		r.puller.config.Dispatcher.Tell(admit.FirstToken{ID: r.id})
 	}
 	if err := r.assembly.add(e.Data); err != nil {
 		return err
 	}
-	r.taken.Add(1)
-	if r.assembly.text > r.puller.config.ResultBytes {
+	r.chunkCount.Add(1)
+	if r.assembly.textBytes > r.puller.config.MaxResultBytes {
 		return errTooLarge
 	}
 	return nil
 }
 
-func (r *run) takeBody(piece []byte) error {
-	r.body = append(r.body, piece...)
-	if len(r.body) > r.puller.config.ResultBytes {
+func (r *run) addBody(part []byte) error {
+	r.body = append(r.body, part...)
+	if len(r.body) > r.puller.config.MaxResultBytes {
 		return errTooLarge
 	}
 	return nil
 }
 
-// result is how an item ended here.
+// result is the outcome of an item in this process.
 type result struct {
 	outcome toucanhingev1.Outcome
 	body    []byte
@@ -217,12 +220,13 @@
 	return result{outcome: toucanhingev1.Outcome_OUTCOME_RETRY, reason: reason}
 }
 
-// outcome judges how a run ended. An item that never reached the engine has
-// spent no attempt; one whose answer is not whole has.
-func (r *run) outcome(err error) result {
+// resultOf returns the result of a run that ended with err. An item that never reached
+// the engine is returned, which uses up no attempt. An item with an incomplete answer
+// is retried, which uses up an attempt.
+func (r *run) resultOf(err error) result {
 	switch {
 	case errors.Is(err, engine.ErrNotSent):
-		r.puller.config.Unreachable()
+		r.puller.config.OnUnreachable()
 		return returned(reasonUnreachable)
 	case errors.Is(err, errTooLarge):
 		r.cancelAtEngine()
@@ -231,24 +235,24 @@
 		r.cancelAtEngine()
 		return retry(engine.Cause(err))
 	case r.status == http.StatusOK:
-		return r.done()
-	case permanent(r.status):
+		return r.doneResult()
+	case isPermanent(r.status):
 		return failed(fmt.Sprintf("status-%d", r.status))
 	default:
 		return retry(fmt.Sprintf("status-%d", r.status))
 	}
 }
 
-// doneWhole is an answer that came in one.
-func (r *run) doneWhole() result {
+// unstreamedResult returns the result of an answer that was not streamed.
+func (r *run) unstreamedResult() result {
 	if !json.Valid(r.body) {
 		return retry(engine.Cause(engine.ErrGarbage))
 	}
 	return result{outcome: toucanhingev1.Outcome_OUTCOME_DONE, body: r.body}
 }
 
-// permanent says whether the engine would give the same answer again.
-func permanent(status int) bool {
+// isPermanent reports whether a retry would get the same error status.
+func isPermanent(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusConflict, http.StatusTooManyRequests, http.StatusTooEarly:
 		return false
@@ -257,11 +261,11 @@
 	}
 }
 
-func (r *run) done() result {
-	if r.assembly.pieces == 0 && len(r.body) > 0 {
-		return r.doneWhole()
+func (r *run) doneResult() result {
+	if r.assembly.chunks == 0 && len(r.body) > 0 {
+		return r.unstreamedResult()
 	}
-	body, err := r.assembly.whole()
+	body, err := r.assembly.marshal()
 	if err != nil {
 		return retry(engine.Cause(err))
 	}
