--- a/control/pkg/app/contract_test.go
+++ b/control/pkg/app/contract_test.go
@@ -40,7 +40,7 @@
 // TestUploadFaults sends one faulty upload each. The gateway sees a code and a
 // reason that names the line, and nothing of the job ever exists.
 func TestUploadFaults(t *testing.T) {
-	c := newCluster(t, 1, func(s *config.Config) { s.Jobs.MostItems, s.Jobs.ItemBytes = 3, 100 })
+	c := newCluster(t, 1, func(s *config.Config) { s.Jobs.MaxItems, s.Jobs.ItemBytes = 3, 100 })
 	c.contract()
 	good := item("a", `{}`)
 	scenarios := []struct {
--- a/control/pkg/app/counts.go
+++ b/control/pkg/app/counts.go
@@ -49,7 +49,7 @@
 	happened(to, "0", "settle-refused", n.SettlesRefused)
 	happened(to, "0", "member-dead", n.MembersDead)
 	held(to, "0", "version", int(s.Version()))
-	held(to, "0", "claims", s.Claims())
+	held(to, "0", "claims", s.ClaimCount())
 }
 
 func (c *counts) jobs(to chan<- prometheus.Metric, group string, s *jobstate.State) {
--- a/control/pkg/app/groups.go
+++ b/control/pkg/app/groups.go
@@ -55,7 +55,7 @@
 			return group.Group{}, fmt.Errorf("replica: %w", err)
 		}
 		gs.replicas[number] = g
-		return group.Of(number, g), nil
+		return group.FromReplica(number, g), nil
 	}
 	if err := gs.openFleet(open, now, set); err != nil {
 		return nil, err
--- a/control/pkg/app/parts.go
+++ b/control/pkg/app/parts.go
@@ -33,8 +33,8 @@
 
 // parts are what the process serves and runs.
 type parts struct {
-	members *fleet.Keeper
-	leases  *work.Keeper
+	members *fleet.LeaseTracker
+	leases  *work.LeaseTracker
 	vms     *platform.Poller
 	handler http.Handler
 }
@@ -44,19 +44,19 @@
 	status *health.Status, gs *groups,
 ) *parts {
 	p := &parts{
-		members: fleet.NewKeeper(fleet.KeeperConfig{
+		members: fleet.NewLeaseTracker(fleet.LeaseTrackerConfig{
 			Fleet: gs.fleet, Clock: now, Logger: logger,
 			Lease: clock.Millis(settings.Members.LeaseMS), ForgetAfter: clock.Millis(settings.Members.ForgetMS),
-			ClaimsKept: clock.Millis(settings.Claims.KeepMS), RequestsKept: clock.Millis(settings.Operators.RequestsMS),
+			ClaimRetention: clock.Millis(settings.Claims.KeepMS), RequestRetention: clock.Millis(settings.Operators.RequestsMS),
 		}),
-		leases: work.NewKeeper(work.KeeperConfig{
+		leases: work.NewLeaseTracker(work.LeaseTrackerConfig{
 			Groups: gs.jobs, Clock: now, Logger: logger, Lease: clock.Millis(settings.Jobs.LeaseMS),
-			UploadsKept: clock.Millis(settings.Jobs.UploadMS), JobsKept: clock.Millis(settings.Jobs.RetentionMS),
+			UploadRetention: clock.Millis(settings.Jobs.UploadMS), JobRetention: clock.Millis(settings.Jobs.RetentionMS),
 		}),
 	}
 	if settings.Platform.VMListURL != "" {
 		p.vms = platform.New(platform.Config{
-			URL: settings.Platform.VMListURL, Every: clock.Millis(settings.Platform.PollMS).Duration(),
+			URL: settings.Platform.VMListURL, Interval: clock.Millis(settings.Platform.PollMS).Duration(),
 			HTTP: &http.Client{}, Fleet: gs.fleet, Logger: logger, Refused: set.Refused,
 		})
 	}
@@ -70,21 +70,21 @@
 ) http.Handler {
 	refuser := group.Refuser{Refused: set.Refused}
 	jobs := entry.New(entry.Config{
-		Groups: gs.jobs, Total: settings.Groups, Fleet: gs.fleet, Book: book, Refuser: refuser,
-		MostItems: settings.Jobs.MostItems, ItemBytes: settings.Jobs.ItemBytes,
+		Groups: gs.jobs, GroupCount: settings.Groups, Fleet: gs.fleet, Book: book, Refuser: refuser,
+		MaxItems: settings.Jobs.MaxItems, ItemBytes: settings.Jobs.ItemBytes,
 	})
 	items := work.New(work.Config{
-		Groups: gs.jobs, Fleet: gs.fleet, Keeper: p.leases, Clock: now, Book: book, Refuser: refuser,
+		Groups: gs.jobs, Fleet: gs.fleet, Leases: p.leases, Clock: now, Book: book, Refuser: refuser,
 		Lease: clock.Millis(settings.Jobs.LeaseMS), ResultBytes: settings.Jobs.ResultBytes,
 	})
 	members := fleet.New(fleet.Config{
-		Fleet: gs.fleet, Keeper: p.members, Clock: now, Refuser: refuser,
+		Fleet: gs.fleet, Leases: p.members, Clock: now, Refuser: refuser,
 		Groups: settings.Groups, Lease: clock.Millis(settings.Members.LeaseMS),
 	})
 	operators := operator.New(operator.Config{
-		Fleet: gs.fleet, Jobs: gs.jobs, Entry: jobs, Keeper: p.members, Clock: now, Book: book, Refuser: refuser,
+		Fleet: gs.fleet, Jobs: gs.jobs, Entry: jobs, Leases: p.members, Clock: now, Log: book, Refuser: refuser,
 		LoadInterval: loadInterval(settings),
-		Replicas:     operator.Replicas{Name: settings.Name, Identity: gs.identity, Status: gs.status, Change: gs.change, Handover: gs.handover},
+		Replicas:     operator.Replicas{Name: settings.Name, Identity: gs.identity, Status: gs.status, Change: gs.change, TransferLeadership: gs.handover},
 	})
 	limit := connect.WithHandlerOptions(connect.WithReadMaxBytes(readBytes), connect.WithCompressMinBytes(neverCompress))
 	mux := http.NewServeMux()
--- a/control/pkg/config/config.go
+++ b/control/pkg/config/config.go
@@ -51,7 +51,7 @@
 	LeaseMS     int64  `toml:"lease_ms" doc:"silence after which leased items go to another sidecar, milliseconds"`
 	RetentionMS int64  `toml:"retention_ms" doc:"how long an ended job and its results stay, milliseconds; longer than clients resend"`
 	UploadMS    int64  `toml:"upload_ms" doc:"how long the items of a broken upload stay, milliseconds"`
-	MostItems   uint64 `toml:"most_items" doc:"items in one job"`
+	MaxItems   uint64 `toml:"most_items" doc:"items in one job"`
 	ItemBytes   int    `toml:"item_bytes" doc:"largest body of one item"`
 	ResultBytes int    `toml:"result_bytes" doc:"largest result of one item"`
 }
@@ -95,7 +95,7 @@
 		Members:   Members{LeaseMS: 10 * second, ForgetMS: 10 * minute},
 		Jobs: Jobs{
 			LeaseMS: 10 * second, RetentionMS: 7 * day, UploadMS: 10 * minute,
-			MostItems: 250_000, ItemBytes: largestItem / 2, ResultBytes: largestItem,
+			MaxItems: 250_000, ItemBytes: largestItem / 2, ResultBytes: largestItem,
 		},
 		Platform:  Platform{PollMS: 2 * second},
 		Claims:    Claims{KeepMS: day},
@@ -160,7 +160,7 @@
 	check.Require(c.Jobs.LeaseMS >= second, "jobs.lease_ms", "want at least 1000, got %d", c.Jobs.LeaseMS)
 	check.Require(c.Jobs.RetentionMS >= minute, "jobs.retention_ms", "want at least a minute, got %d", c.Jobs.RetentionMS)
 	check.Require(c.Jobs.UploadMS >= 10*second, "jobs.upload_ms", "want at least 10000, got %d", c.Jobs.UploadMS)
-	check.Require(c.Jobs.MostItems >= 1 && c.Jobs.MostItems <= 4*mib, "jobs.most_items", "want 1 to %d, got %d", 4*mib, c.Jobs.MostItems)
+	check.Require(c.Jobs.MaxItems >= 1 && c.Jobs.MaxItems <= 4*mib, "jobs.most_items", "want 1 to %d, got %d", 4*mib, c.Jobs.MaxItems)
 	check.Require(c.Jobs.ItemBytes >= 1 && c.Jobs.ItemBytes <= largestItem, "jobs.item_bytes", "want 1 to %d, got %d", largestItem, c.Jobs.ItemBytes)
 	check.Require(c.Jobs.ResultBytes >= 1 && c.Jobs.ResultBytes <= largestItem, "jobs.result_bytes", "want 1 to %d, got %d", largestItem, c.Jobs.ResultBytes)
 }
--- a/control/pkg/core/cluster_test.go
+++ b/control/pkg/core/cluster_test.go
@@ -246,7 +246,7 @@
 	cl.t.Helper()
 	require.Eventually(cl.t, func() bool {
 		for _, m := range cl.leader().core.members() {
-			if m.Name == v.address && !m.Voter && m.Behind == 0 {
+			if m.Name == v.address && !m.Voter && m.Lag == 0 {
 				return true
 			}
 		}
--- a/control/pkg/core/leader.go
+++ b/control/pkg/core/leader.go
@@ -106,10 +106,10 @@
 
 func (c *Core) repairOnce(ctx context.Context, leaderSince clock.Millis) {
 	c.registerVMs(ctx)
-	planner := repair.Config{Self: c.config.Address, Losses: c.config.Losses, SilentAfter: unresponsiveAfter}
+	planner := repair.Config{Self: c.config.Address, ToleratedLosses: c.config.Losses, UnresponsiveAfter: unresponsiveAfter}
 	members := c.members()
 	step := planner.Next(c.config.Clock.Now(), members, c.vms(leaderSince, members))
-	if step.Kind == repair.Nothing {
+	if step.Kind == repair.NoStep {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, repairTimeout)
@@ -131,7 +131,7 @@
 		return c.group.Promote(ctx, step.Member.Name)
 	case repair.Remove:
 		return c.group.Remove(ctx, step.Member.Name)
-	case repair.HandOver:
+	case repair.TransferLeadership:
 		return c.group.TransferLeadership(ctx)
 	default:
 		return nil
@@ -146,7 +146,7 @@
 	for _, r := range status.GetReplicas() {
 		lag := status.GetCommit() - min(r.GetMatch(), status.GetCommit())
 		members = append(members, repair.Member{
-			Name: r.GetName(), Address: r.GetAddress(), Identity: r.GetIdentity(), Voter: r.GetVoter(), Behind: lag,
+			Name: r.GetName(), Address: r.GetAddress(), Identity: r.GetIdentity(), Voter: r.GetVoter(), Lag: lag,
 		})
 		addresses = append(addresses, r.GetAddress())
 	}
@@ -176,7 +176,7 @@
 	var vms []repair.VM
 	for address, v := range byAddress {
 		vms = append(vms, repair.VM{
-			Name: address, Address: address, Identity: v.identity, Heard: v.lastSeen, Retiring: retiring[address],
+			Name: address, Address: address, Identity: v.identity, LastSeen: v.lastSeen, Retiring: retiring[address],
 		})
 	}
 	return vms
--- a/control/pkg/disk/bench_test.go
+++ b/control/pkg/disk/bench_test.go
@@ -45,7 +45,7 @@
 	b.ResetTimer()
 	for range b.N {
 		l, content := mustOpen(b, config)
-		require.Equal(b, uint64(100_000), content.Last())
+		require.Equal(b, uint64(100_000), content.LastIndex())
 		require.NoError(b, l.Close())
 	}
 }
--- a/control/pkg/disk/content.go
+++ b/control/pkg/disk/content.go
@@ -15,8 +15,8 @@
 	Entries []consensus.Entry
 }
 
-// Last is the index of the last entry.
-func (c *Content) Last() uint64 {
+// LastIndex is the index of the last entry.
+func (c *Content) LastIndex() uint64 {
 	return c.Base.Index + uint64(len(c.Entries))
 }
 
@@ -61,8 +61,8 @@
 		}
 		return nil
 	}
-	if e.Index > c.Last()+1 {
-		return fmt.Errorf("entry %d after entry %d: %w", e.Index, c.Last(), errGap)
+	if e.Index > c.LastIndex()+1 {
+		return fmt.Errorf("entry %d after entry %d: %w", e.Index, c.LastIndex(), errGap)
 	}
 	c.Entries = append(c.Entries[:e.Index-c.Base.Index-1], e)
 	return nil
@@ -73,7 +73,7 @@
 	if index == c.Base.Index {
 		return c.Base.Term, true
 	}
-	if index < c.Base.Index || index > c.Last() {
+	if index < c.Base.Index || index > c.LastIndex() {
 		return 0, false
 	}
 	return c.Entries[index-c.Base.Index-1].Term, true
--- a/control/pkg/disk/log_test.go
+++ b/control/pkg/disk/log_test.go
@@ -47,7 +47,7 @@
 	require.NoError(t, l.Append(persist(2, entry(5, 2))))
 	require.NoError(t, l.Close())
 	_, content = mustOpen(t, Config{Folder: folder})
-	require.Equal(t, uint64(5), content.Last())
+	require.Equal(t, uint64(5), content.LastIndex())
 }
 
 // Many entries, and many steps of the machine, wait while a sync runs. They go
@@ -80,7 +80,7 @@
 	require.Positive(t, content.Base.Index)
 	require.Equal(t, uint64(3), content.Base.Term)
 	require.Equal(t, consensus.HardState{Term: 3, Vote: "somebody"}, content.State)
-	require.Equal(t, uint64(40), content.Last())
+	require.Equal(t, uint64(40), content.LastIndex())
 	require.Equal(t, entry(40, 3), content.Entries[len(content.Entries)-1])
 }
 
@@ -127,11 +127,11 @@
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(path, sc.tear(data, synced), 0o600))
 			l, content := mustOpen(t, Config{Folder: folder})
-			require.Equal(t, sc.left, content.Last())
+			require.Equal(t, sc.left, content.LastIndex())
 			require.NoError(t, l.Append(persist(1, entry(sc.left+1, 1))))
 			require.NoError(t, l.Close())
 			_, content = mustOpen(t, Config{Folder: folder})
-			require.Equal(t, sc.left+1, content.Last())
+			require.Equal(t, sc.left+1, content.LastIndex())
 		})
 	}
 }
@@ -239,7 +239,7 @@
 			require.Equal(t, err, l.Append(persist(2, entry(2, 2))))
 			require.NoError(t, l.Close())
 			_, content := mustOpen(t, config)
-			require.Equal(t, uint64(1), content.Last())
+			require.Equal(t, uint64(1), content.LastIndex())
 			require.Equal(t, uint64(1), content.State.Term)
 		})
 	}
--- a/control/pkg/disk/open.go
+++ b/control/pkg/disk/open.go
@@ -31,7 +31,7 @@
 		}
 	}
 	l.state = content.State
-	l.last = consensus.Base{Index: content.Last(), Term: content.lastTerm()}
+	l.last = consensus.Base{Index: content.LastIndex(), Term: content.lastTerm()}
 	return l, content, nil
 }
 
--- a/control/pkg/entry/handler.go
+++ b/control/pkg/entry/handler.go
@@ -41,13 +41,13 @@
 type Config struct {
 	// Groups are the job groups by number.
 	Groups map[uint32]*group.Jobs
-	// Total is the number of consensus groups, the one for configuration included.
-	Total   uint32
+	// GroupCount is the number of consensus groups, the one for configuration included.
+	GroupCount   uint32
 	Fleet   *group.Fleet
 	Book    *record.Log
 	Refuser group.Refuser
-	// MostItems and ItemBytes bound a job and each of its items.
-	MostItems uint64
+	// MaxItems and ItemBytes bound a job and each of its items.
+	MaxItems uint64
 	ItemBytes int
 }
 
@@ -68,7 +68,7 @@
 	number, err := jobname.GroupOf(id)
 	g := h.config.Groups[number]
 	if err != nil || g == nil {
-		return nil, h.config.Refuser.With(place, reasonNoJob, connect.CodeNotFound, "%q is no job here", id)
+		return nil, h.config.Refuser.RefuseWith(place, reasonNoJob, connect.CodeNotFound, "%q is no job here", id)
 	}
 	name, address, self := g.Leader()
 	if !self {
@@ -102,7 +102,7 @@
 		case <-timer.C:
 		case <-ctx.Done():
 		}
-		return permission{}, h.config.Refuser.With(placeUpload, reasonContract, connect.CodePermissionDenied,
+		return permission{}, h.config.Refuser.RefuseWith(placeUpload, reasonContract, connect.CodePermissionDenied,
 			"team %q has no contract for batch work on service %q", header.GetTeam(), header.GetService())
 	}
 }
@@ -140,7 +140,7 @@
 }
 
 func (h *Handler) noJob(place, id string, err error) error {
-	return h.config.Refuser.With(place, reasonNoJob, connect.CodeNotFound, "%q: %w", id, err)
+	return h.config.Refuser.RefuseWith(place, reasonNoJob, connect.CodeNotFound, "%q: %w", id, err)
 }
 
 // CancelJob ends a job for good.
@@ -148,7 +148,7 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.CancelJobRequest],
 ) (*connect.Response[toucanhingev1.CancelJobResponse], error) {
 	if request.Msg.GetTeam() == "" {
-		return nil, h.config.Refuser.With(placeCancel, reasonInvalid, connect.CodeInvalidArgument, "the team is missing")
+		return nil, h.config.Refuser.RefuseWith(placeCancel, reasonInvalid, connect.CodeInvalidArgument, "the team is missing")
 	}
 	return h.Cancel(ctx, request)
 }
--- a/control/pkg/entry/results.go
+++ b/control/pkg/entry/results.go
@@ -57,7 +57,7 @@
 	if errors.Is(err, jobstate.ErrNoJob) || errors.Is(err, segment.ErrGone) {
 		return h.noJob(placeResults, id, jobstate.ErrNoJob)
 	}
-	return h.config.Refuser.With(placeResults, reasonStorage, connect.CodeDataLoss, "read results: %w", err)
+	return h.config.Refuser.RefuseWith(placeResults, reasonStorage, connect.CodeDataLoss, "read results: %w", err)
 }
 
 func send(results []*toucanhingev1.Result, stream *connect.ServerStream[toucanhingev1.ReadResultsResponse]) error {
--- a/control/pkg/entry/upload.go
+++ b/control/pkg/entry/upload.go
@@ -64,11 +64,11 @@
 	if err == nil {
 		err = errors.New("the upload ended without its end mark")
 	}
-	return h.config.Refuser.With(placeUpload, reasonBroken, connect.CodeInvalidArgument, "upload broken off: %w", err)
+	return h.config.Refuser.RefuseWith(placeUpload, reasonBroken, connect.CodeInvalidArgument, "upload broken off: %w", err)
 }
 
 func (h *Handler) invalid(format string, args ...any) error {
-	return h.config.Refuser.With(placeUpload, reasonInvalid, connect.CodeInvalidArgument, format, args...)
+	return h.config.Refuser.RefuseWith(placeUpload, reasonInvalid, connect.CodeInvalidArgument, format, args...)
 }
 
 // uploading is one upload under way.
@@ -103,7 +103,7 @@
 	if header.GetTeam() == "" || header.GetKey() == "" || len(header.GetKey()) > longestName || len(header.GetTeam()) > longestName {
 		return nil, h.invalid("want a team and a key of at most %d bytes", longestName)
 	}
-	id := jobname.ID(header.GetTeam(), header.GetKey(), h.config.Total)
+	id := jobname.ID(header.GetTeam(), header.GetKey(), h.config.GroupCount)
 	g, err := h.lead(placeUpload, id)
 	if err != nil {
 		return nil, err
@@ -163,8 +163,8 @@
 	line := u.count + 1
 	limits := u.handler.config
 	switch {
-	case line > limits.MostItems:
-		return u.handler.invalid("line %d: a job holds at most %d items", line, limits.MostItems)
+	case line > limits.MaxItems:
+		return u.handler.invalid("line %d: a job holds at most %d items", line, limits.MaxItems)
 	case item.GetCustomId() == "" || len(item.GetCustomId()) > longestName:
 		return u.handler.invalid("line %d: custom_id: want 1 to %d bytes", line, longestName)
 	case len(item.GetBody()) > limits.ItemBytes:
@@ -268,9 +268,9 @@
 	refuser := u.handler.config.Refuser
 	switch {
 	case errors.Is(answer.Err, jobstate.ErrConflict):
-		return nil, refuser.With(placeUpload, reasonConflict, connect.CodeAlreadyExists, "key %q: %w", u.header.GetKey(), answer.Err)
+		return nil, refuser.RefuseWith(placeUpload, reasonConflict, connect.CodeAlreadyExists, "key %q: %w", u.header.GetKey(), answer.Err)
 	case answer.Err != nil:
-		return nil, refuser.With(placeUpload, reasonBroken, connect.CodeAborted, "accept: %w", answer.Err)
+		return nil, refuser.RefuseWith(placeUpload, reasonBroken, connect.CodeAborted, "accept: %w", answer.Err)
 	}
 	event := "accepted"
 	if answer.Resend {
--- a/control/pkg/fleet/handler.go
+++ b/control/pkg/fleet/handler.go
@@ -33,7 +33,7 @@
 // Config describes the handler.
 type Config struct {
 	Fleet   *group.Fleet
-	Keeper  *Keeper
+	Leases  *LeaseTracker
 	Clock   clock.Clock
 	Refuser group.Refuser
 	// Groups is the number of consensus groups, the one for configuration included.
@@ -77,7 +77,7 @@
 ) (*connect.Response[toucanhingev1.BeatResponse], error) {
 	beat := request.Msg
 	if reason := checkBeat(beat); reason != "" {
-		return nil, h.config.Refuser.With(placeBeat, reasonInvalid, connect.CodeInvalidArgument, "%s", reason)
+		return nil, h.config.Refuser.RefuseWith(placeBeat, reasonInvalid, connect.CodeInvalidArgument, "%s", reason)
 	}
 	if err := h.leads(); err != nil {
 		return nil, h.config.Refuser.Refuse(placeBeat, err)
@@ -85,17 +85,17 @@
 	var current, changed bool
 	var version uint64
 	h.config.Fleet.Machine.View(func(s *fleetstate.State) {
-		current, changed = s.Beat(beat.GetName(), beat.GetMember())
+		current, changed = s.CheckHeartbeat(beat.GetName(), beat.GetMember())
 		version = s.Version()
 	})
 	if current {
-		h.config.Keeper.Heard(beat)
+		h.config.Leases.RecordHeartbeat(beat)
 	}
 	if changed {
 		step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Member{
 			Member: &toucanhingev1.MemberStep{Name: beat.GetName(), Member: beat.GetMember()},
 		}}
-		answer, err := group.Do[fleetstate.MemberAnswer](ctx, h.config.Fleet.Steps, step, stepBytes)
+		answer, err := group.Do[fleetstate.MemberResult](ctx, h.config.Fleet.Steps, step, stepBytes)
 		if err != nil {
 			return nil, h.config.Refuser.Refuse(placeBeat, err)
 		}
@@ -130,16 +130,16 @@
 ) (*connect.Response[toucanhingev1.ClaimResponse], error) {
 	c := request.Msg
 	if c.GetTeam() == "" || c.GetRequestId() == "" || c.GetToken() == "" || len(c.GetRequestId()) > longestName {
-		return nil, h.config.Refuser.With(placeClaim, reasonInvalid, connect.CodeInvalidArgument,
+		return nil, h.config.Refuser.RefuseWith(placeClaim, reasonInvalid, connect.CodeInvalidArgument,
 			"want a team, a request id of at most %d bytes, and a token", longestName)
 	}
 	step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Claim{Claim: c}}
-	answer, err := group.Do[fleetstate.ClaimAnswer](ctx, h.config.Fleet.Steps, step, stepBytes)
+	answer, err := group.Do[fleetstate.ClaimResult](ctx, h.config.Fleet.Steps, step, stepBytes)
 	if err != nil {
 		return nil, h.config.Refuser.Refuse(placeClaim, err)
 	}
 	if answer.Full {
-		return nil, h.config.Refuser.With(placeClaim, reasonFull, connect.CodeResourceExhausted, "too many claims are held")
+		return nil, h.config.Refuser.RefuseWith(placeClaim, reasonFull, connect.CodeResourceExhausted, "too many claims are held")
 	}
 	return connect.NewResponse(&toucanhingev1.ClaimResponse{State: answer.State}), nil
 }
@@ -149,7 +149,7 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.SettleRequest],
 ) (*connect.Response[toucanhingev1.SettleResponse], error) {
 	step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Settle{Settle: request.Msg}}
-	if _, err := group.Do[fleetstate.SettleAnswer](ctx, h.config.Fleet.Steps, step, stepBytes); err != nil {
+	if _, err := group.Do[fleetstate.SettleResult](ctx, h.config.Fleet.Steps, step, stepBytes); err != nil {
 		return nil, h.config.Refuser.Refuse(placeSettle, err)
 	}
 	return connect.NewResponse(&toucanhingev1.SettleResponse{}), nil
--- a/control/pkg/fleet/keeper.go
+++ b/control/pkg/fleet/keeper.go
@@ -20,8 +20,8 @@
 	sweepEvery = clock.Millis(60_000)
 )
 
-// KeeperConfig describes a keeper.
-type KeeperConfig struct {
+// LeaseTrackerConfig describes a keeper.
+type LeaseTrackerConfig struct {
 	Fleet  *group.Fleet
 	Clock  clock.Clock
 	Logger log.Logger
@@ -29,46 +29,46 @@
 	Lease clock.Millis
 	// ForgetAfter is how long a dead member stays listed.
 	ForgetAfter clock.Millis
-	// ClaimsKept and RequestsKept are how long after their deadlines and answers
+	// ClaimRetention and RequestsKept are how long after their deadlines and answers
 	// claims and operators' request ids are remembered.
-	ClaimsKept   clock.Millis
-	RequestsKept clock.Millis
+	ClaimRetention   clock.Millis
+	RequestRetention clock.Millis
 }
 
-// Heard is the last that a process said of itself.
-type Heard struct {
+// Heartbeat is the last that a process said of itself.
+type Heartbeat struct {
 	At      clock.Millis
 	Version uint64
 	Order   uint64
 }
 
-// Keeper keeps the members' leases in the leader's memory and logs their ends.
-type Keeper struct {
-	config   KeeperConfig
+// LeaseTracker keeps the members' leases in the leader's memory and logs their ends.
+type LeaseTracker struct {
+	config   LeaseTrackerConfig
 	stopping chan struct{}
 
 	mu    sync.Mutex
-	heard map[string]Heard
+	heard map[string]Heartbeat
 	// term and since say when this replica began to lead.
 	term  uint64
 	since clock.Millis
 	swept clock.Millis
 }
 
-// NewKeeper makes a keeper.
-func NewKeeper(config KeeperConfig) *Keeper {
-	return &Keeper{config: config, heard: map[string]Heard{}, stopping: make(chan struct{})}
+// NewLeaseTracker makes a keeper.
+func NewLeaseTracker(config LeaseTrackerConfig) *LeaseTracker {
+	return &LeaseTracker{config: config, heard: map[string]Heartbeat{}, stopping: make(chan struct{})}
 }
 
-// Heard notes a heartbeat.
-func (k *Keeper) Heard(beat *toucanhingev1.BeatRequest) {
+// RecordHeartbeat notes a heartbeat.
+func (k *LeaseTracker) RecordHeartbeat(beat *toucanhingev1.BeatRequest) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.heard[beat.GetName()] = Heard{At: k.config.Clock.Now(), Version: beat.GetVersion(), Order: beat.GetOrder()}
+	k.heard[beat.GetName()] = Heartbeat{At: k.config.Clock.Now(), Version: beat.GetVersion(), Order: beat.GetOrder()}
 }
 
-// Last returns the last heartbeat of a process, if this replica heard one.
-func (k *Keeper) Last(name string) (Heard, bool) {
+// LastHeartbeat returns the last heartbeat of a process, if this replica heard one.
+func (k *LeaseTracker) LastHeartbeat(name string) (Heartbeat, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	h, found := k.heard[name]
@@ -76,7 +76,7 @@
 }
 
 // Run judges the members while this replica leads, until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *LeaseTracker) Run(ctx context.Context) {
 	defer close(k.stopping)
 	ticker := time.NewTicker(judgeEvery)
 	defer ticker.Stop()
@@ -85,13 +85,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			k.Judge(ctx)
+			k.CheckMembers(ctx)
 		}
 	}
 }
 
-// Judge looks once at all members.
-func (k *Keeper) Judge(ctx context.Context) {
+// CheckMembers looks once at all members.
+func (k *LeaseTracker) CheckMembers(ctx context.Context) {
 	if _, _, self := k.config.Fleet.Leader(); !self {
 		return
 	}
@@ -118,7 +118,7 @@
 // lead notes a new leadership. The leases of the former leader are not known
 // here, so everybody gets a whole lease before being judged; otherwise each
 // change of leader would declare the fleet dead.
-func (k *Keeper) lead(now clock.Millis) {
+func (k *LeaseTracker) lead(now clock.Millis) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if term := k.config.Fleet.Term(); term != k.term {
@@ -126,7 +126,7 @@
 	}
 }
 
-func (k *Keeper) judge(e *toucanhingev1.Entry, now clock.Millis) *toucanhingev1.FleetStep {
+func (k *LeaseTracker) judge(e *toucanhingev1.Entry, now clock.Millis) *toucanhingev1.FleetStep {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	m := e.GetMember()
@@ -146,7 +146,7 @@
 	}}}
 }
 
-func (k *Keeper) sweep(now clock.Millis) *toucanhingev1.FleetStep {
+func (k *LeaseTracker) sweep(now clock.Millis) *toucanhingev1.FleetStep {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if now-k.swept < sweepEvery {
@@ -154,7 +154,7 @@
 	}
 	k.swept = now
 	return &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Sweep{Sweep: &toucanhingev1.FleetSweepStep{
-		RequestsBeforeMs: int64(now - k.config.RequestsKept),
-		ClaimsBeforeMs:   int64(now - k.config.ClaimsKept),
+		RequestsBeforeMs: int64(now - k.config.RequestRetention),
+		ClaimsBeforeMs:   int64(now - k.config.ClaimRetention),
 	}}}
 }
--- a/control/pkg/fleet/keeper_test.go
+++ b/control/pkg/fleet/keeper_test.go
@@ -30,7 +30,7 @@
 	leads     bool
 	proposals int
 	machine   *fleetstate.Machine
-	keeper    *Keeper
+	keeper    *LeaseTracker
 	handler   *Handler
 }
 
@@ -52,11 +52,11 @@
 		Leader: func() (string, string, bool) { return "c1", "10.0.0.2:1", b.leads },
 		Term:   func() uint64 { return b.term },
 	}, b.machine, now, nil)
-	b.keeper = NewKeeper(KeeperConfig{
+	b.keeper = NewLeaseTracker(LeaseTrackerConfig{
 		Fleet: g, Clock: now, Logger: log.NewNopLogger(), Lease: testLease, ForgetAfter: testForget,
-		ClaimsKept: 100_000, RequestsKept: 100_000,
+		ClaimRetention: 100_000, RequestRetention: 100_000,
 	})
-	b.handler = New(Config{Fleet: g, Keeper: b.keeper, Clock: now, Groups: 2, Lease: testLease})
+	b.handler = New(Config{Fleet: g, Leases: b.keeper, Clock: now, Groups: 2, Lease: testLease})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go g.Steps.Run(ctx)
@@ -80,7 +80,7 @@
 // state is what the configuration says of the one member; unspecified when it
 // is not listed.
 func (b *bench) state() toucanhingev1.MemberState {
-	b.keeper.Judge(context.Background())
+	b.keeper.CheckMembers(context.Background())
 	state := toucanhingev1.MemberState_MEMBER_STATE_UNSPECIFIED
 	b.machine.View(func(s *fleetstate.State) {
 		if e, found := s.Entry(toucanhingev1.Kind_KIND_MEMBER, "s1"); found {
--- a/control/pkg/fleet/watch.go
+++ b/control/pkg/fleet/watch.go
@@ -38,7 +38,7 @@
 			contact = h.config.Clock.Now()
 		}
 		if (h.config.Clock.Now() - contact).Duration() > cutOffLimit {
-			return h.config.Refuser.With(placeWatch, reasonCutOff, connect.CodeUnavailable, "this replica has lost its leader")
+			return h.config.Refuser.RefuseWith(placeWatch, reasonCutOff, connect.CodeUnavailable, "this replica has lost its leader")
 		}
 		changed := h.config.Fleet.Machine.Changed()
 		var update *toucanhingev1.WatchResponse
@@ -61,7 +61,7 @@
 		return true
 	case <-ctx.Done():
 		return false
-	case <-h.config.Keeper.stopping:
+	case <-h.config.Leases.stopping:
 		return false
 	}
 	select {
--- a/control/pkg/fleetstate/claims.go
+++ b/control/pkg/fleetstate/claims.go
@@ -28,15 +28,15 @@
 	byAge claimHeap
 }
 
-// ClaimAnswer is what a gateway may do.
-type ClaimAnswer struct {
+// ClaimResult is what a gateway may do.
+type ClaimResult struct {
 	State toucanhingev1.ClaimState
 	// Full says that nothing was recorded since too many claims are held.
 	Full bool
 }
 
-// SettleAnswer says whether the token held the claim.
-type SettleAnswer struct {
+// SettleResult says whether the token held the claim.
+type SettleResult struct {
 	Settled bool
 }
 
@@ -51,22 +51,22 @@
 	}
 	s.counts.ClaimsRefused++
 	if c.state != toucanhingev1.ClaimState_CLAIM_STATE_HELD {
-		return ClaimAnswer{State: c.state}
+		return ClaimResult{State: c.state}
 	}
 	if c.token == request.GetToken() {
 		s.counts.ClaimsRefused--
-		return ClaimAnswer{State: toucanhingev1.ClaimState_CLAIM_STATE_GRANTED}
+		return ClaimResult{State: toucanhingev1.ClaimState_CLAIM_STATE_GRANTED}
 	}
 	if s.now > c.deadline+settleGrace {
 		c.state = toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN
 	}
-	return ClaimAnswer{State: c.state}
+	return ClaimResult{State: c.state}
 }
 
-func (s *State) grant(key claimKey, request *toucanhingev1.ClaimRequest) ClaimAnswer {
+func (s *State) grant(key claimKey, request *toucanhingev1.ClaimRequest) ClaimResult {
 	if len(s.claims.byID) >= claimLimit {
 		s.counts.ClaimsRefused++
-		return ClaimAnswer{Full: true}
+		return ClaimResult{Full: true}
 	}
 	c := &claim{
 		key: key, token: request.GetToken(), state: toucanhingev1.ClaimState_CLAIM_STATE_HELD,
@@ -75,7 +75,7 @@
 	s.claims.byID[key] = c
 	heap.Push(&s.claims.byAge, c)
 	s.counts.ClaimsGranted++
-	return ClaimAnswer{State: toucanhingev1.ClaimState_CLAIM_STATE_GRANTED}
+	return ClaimResult{State: toucanhingev1.ClaimState_CLAIM_STATE_GRANTED}
 }
 
 // settle books how a claimed request ended. Only the token that holds the claim
@@ -84,13 +84,13 @@
 	c := s.claims.byID[claimKey{team: request.GetTeam(), request: request.GetRequestId()}]
 	if c == nil || c.token != request.GetToken() {
 		s.counts.SettlesRefused++
-		return SettleAnswer{}
+		return SettleResult{}
 	}
 	switch request.GetState() {
 	case toucanhingev1.ClaimState_CLAIM_STATE_UNSPECIFIED:
 		// Certainly not run. A claim that was settled as run stays so.
 		if c.state != toucanhingev1.ClaimState_CLAIM_STATE_HELD {
-			return SettleAnswer{}
+			return SettleResult{}
 		}
 		delete(s.claims.byID, c.key)
 		heap.Remove(&s.claims.byAge, c.place)
@@ -102,19 +102,19 @@
 		}
 	default:
 		s.counts.SettlesRefused++
-		return SettleAnswer{}
+		return SettleResult{}
 	}
-	return SettleAnswer{Settled: true}
+	return SettleResult{Settled: true}
 }
 
-// SweepAnswer says what was forgotten.
-type SweepAnswer struct {
+// SweepResult says what was forgotten.
+type SweepResult struct {
 	Claims int
 }
 
 func (s *State) sweep(step *toucanhingev1.FleetSweepStep) any {
 	s.requests.forgetBefore(clock.Millis(step.GetRequestsBeforeMs()))
-	var answer SweepAnswer
+	var answer SweepResult
 	for len(s.claims.byAge) > 0 && s.claims.byAge[0].deadline < clock.Millis(step.GetClaimsBeforeMs()) {
 		c := heap.Pop(&s.claims.byAge).(*claim)
 		delete(s.claims.byID, c.key)
@@ -124,8 +124,8 @@
 	return answer
 }
 
-// Claims is how many claims are held.
-func (s *State) Claims() int {
+// ClaimCount is how many claims are held.
+func (s *State) ClaimCount() int {
 	return len(s.claims.byID)
 }
 
--- a/control/pkg/fleetstate/fuzz_test.go
+++ b/control/pkg/fleetstate/fuzz_test.go
@@ -149,7 +149,7 @@
 	member := &toucanhingev1.Member{Role: toucanhingev1.Role_ROLE_SIDECAR, Incarnation: incarnation, State: state, Address: "10.0.0.1:1"}
 	answer := r.step(&toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Member{
 		Member: &toucanhingev1.MemberStep{Name: name, Member: proto.CloneOf(member)},
-	}}).(MemberAnswer)
+	}}).(MemberResult)
 	require.Equal(t, incarnation >= r.members[name], answer.Current, "an old process takes nobody's place")
 	if !answer.Current {
 		return
@@ -166,14 +166,14 @@
 	r.machine.View(func(s *State) { r.take(s.entries[key]) })
 }
 
-// End lets a member's lease run out, also one that was judged by what it was.
-func (r *trial) End(t *rapid.T) {
+// ExpireLease lets a member's lease run out, also one that was judged by what it was.
+func (r *trial) ExpireLease(t *rapid.T) {
 	name := rapid.SampledFrom([]string{"s1", "g1"}).Draw(t, "name")
 	incarnation := uint64(rapid.IntRange(1, 5).Draw(t, "incarnation"))
 	forget := rapid.Bool().Draw(t, "forget")
 	answer := r.step(&toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_MemberEnd{
 		MemberEnd: &toucanhingev1.MemberEndStep{Name: name, Incarnation: incarnation, Forget: forget},
-	}}).(MemberEndAnswer)
+	}}).(MemberEndResult)
 	key := world.Key{Kind: toucanhingev1.Kind_KIND_MEMBER, Name: name}
 	e := r.entries[key]
 	dead := e.GetMember().GetState() == toucanhingev1.MemberState_MEMBER_STATE_DEAD
@@ -215,7 +215,7 @@
 	deadline := r.now + 1_000
 	answer := r.step(&toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Claim{Claim: &toucanhingev1.ClaimRequest{
 		Team: key.team, RequestId: key.request, Token: token, DeadlineMs: deadline,
-	}}}).(ClaimAnswer)
+	}}}).(ClaimResult)
 	c := r.claims[key]
 	want := toucanhingev1.ClaimState_CLAIM_STATE_GRANTED
 	switch {
@@ -255,8 +255,8 @@
 	}
 }
 
-// Pass lets time pass, and forgets claims long after their deadline.
-func (r *trial) Pass(t *rapid.T) {
+// AdvanceTime lets time pass, and forgets claims long after their deadline.
+func (r *trial) AdvanceTime(t *rapid.T) {
 	r.now += int64(rapid.SampledFrom([]int{1, 500, 100_000}).Draw(t, "passed"))
 	before := r.now - 200_000
 	r.step(&toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Sweep{
@@ -300,8 +300,8 @@
 	}
 }
 
-// Ship moves the state to another machine.
-func (r *trial) Ship(t *rapid.T) {
+// TransferState moves the state to another machine.
+func (r *trial) TransferState(t *rapid.T) {
 	var wire bytes.Buffer
 	manifest, err := r.machine.Checkpoint()
 	require.NoError(t, err)
@@ -312,9 +312,9 @@
 	r.log, r.answers = nil, nil
 }
 
-// Forget shortens the history, as happens after thousands of changes, so that
+// TruncateHistory shortens the history, as happens after thousands of changes, so that
 // watchers that are far behind need the whole.
-func (r *trial) Forget(t *rapid.T) {
+func (r *trial) TruncateHistory(t *rapid.T) {
 	r.machine.mu.Lock()
 	defer r.machine.mu.Unlock()
 	keep := rapid.IntRange(0, len(r.machine.state.recent)).Draw(t, "keep")
@@ -353,9 +353,9 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		r := newTrial(rt)
 		rt.Repeat(map[string]func(*rapid.T){
-			"change": r.Change, "change again": r.Change, "resend": r.Resend, "beat": r.Beat, "end": r.End, "order": r.Order,
-			"claim": r.Claim, "claim again": r.Claim, "settle": r.Settle, "pass": r.Pass, "watch": r.Watch, "watch again": r.Watch,
-			"checkpoint": r.Checkpoint, "crash": r.Crash, "ship": r.Ship, "forget": r.Forget,
+			"change": r.Change, "change again": r.Change, "resend": r.Resend, "beat": r.Beat, "end": r.ExpireLease, "order": r.Order,
+			"claim": r.Claim, "claim again": r.Claim, "settle": r.Settle, "pass": r.AdvanceTime, "watch": r.Watch, "watch again": r.Watch,
+			"checkpoint": r.Checkpoint, "crash": r.Crash, "ship": r.TransferState, "forget": r.TruncateHistory,
 			"": r.check,
 		})
 	})
--- a/control/pkg/fleetstate/members.go
+++ b/control/pkg/fleetstate/members.go
@@ -13,20 +13,20 @@
 // PlatformAuthor is who drains a VM that the platform's list calls leaving.
 const PlatformAuthor = "platform"
 
-// MemberAnswer says whether a process is the newest of its name.
-type MemberAnswer struct {
+// MemberResult says whether a process is the newest of its name.
+type MemberResult struct {
 	Current bool
 	Version uint64
 }
 
-// MemberEndAnswer says whether the member was still what it was judged by.
-type MemberEndAnswer struct {
+// MemberEndResult says whether the member was still what it was judged by.
+type MemberEndResult struct {
 	Changed bool
 }
 
-// Beat says what a heartbeat needs: whether a newer process of the name is
+// CheckHeartbeat says what a heartbeat needs: whether a newer process of the name is
 // known, and whether the heartbeat brings anything that has to be logged.
-func (s *State) Beat(name string, m *toucanhingev1.Member) (current, changed bool) {
+func (s *State) CheckHeartbeat(name string, m *toucanhingev1.Member) (current, changed bool) {
 	e, found := s.Entry(toucanhingev1.Kind_KIND_MEMBER, name)
 	if !found {
 		return true, true
@@ -40,14 +40,14 @@
 // member registers what a process says of itself. An older process of the same
 // name, which may come back from a long freeze, changes nothing.
 func (s *State) member(step *toucanhingev1.MemberStep) any {
-	current, changed := s.Beat(step.GetName(), step.GetMember())
+	current, changed := s.CheckHeartbeat(step.GetName(), step.GetMember())
 	if changed {
 		s.put(&toucanhingev1.Entry{
 			Kind: toucanhingev1.Kind_KIND_MEMBER, Name: step.GetName(), Author: step.GetName(),
 			Body: &toucanhingev1.Entry_Member{Member: step.GetMember()},
 		})
 	}
-	return MemberAnswer{Current: current, Version: s.version}
+	return MemberResult{Current: current, Version: s.version}
 }
 
 // memberEnd books a lease that ran out. It names the incarnation that was
@@ -55,7 +55,7 @@
 func (s *State) memberEnd(step *toucanhingev1.MemberEndStep) any {
 	e, found := s.Entry(toucanhingev1.Kind_KIND_MEMBER, step.GetName())
 	if !found || e.GetMember().GetIncarnation() != step.GetIncarnation() {
-		return MemberEndAnswer{}
+		return MemberEndResult{}
 	}
 	dead := e.GetMember().GetState() == toucanhingev1.MemberState_MEMBER_STATE_DEAD
 	switch {
@@ -63,7 +63,7 @@
 		// Its order stays: an accepted change never reverts, and the endpoint may
 		// come back under its name after a long repair.
 		s.remove(e)
-		return MemberEndAnswer{Changed: true}
+		return MemberEndResult{Changed: true}
 	case !step.GetForget() && !dead:
 		member := proto.CloneOf(e.GetMember())
 		member.State = toucanhingev1.MemberState_MEMBER_STATE_DEAD
@@ -72,9 +72,9 @@
 			Body: &toucanhingev1.Entry_Member{Member: member},
 		})
 		s.counts.MembersDead++
-		return MemberEndAnswer{Changed: true}
+		return MemberEndResult{Changed: true}
 	default:
-		return MemberEndAnswer{}
+		return MemberEndResult{}
 	}
 }
 
@@ -91,20 +91,20 @@
 	switch {
 	case step.GetGone() && present && e.GetAuthor() == PlatformAuthor:
 		s.remove(e)
-		return MemberEndAnswer{Changed: true}
+		return MemberEndResult{Changed: true}
 	case !step.GetGone() && !present:
 		s.put(&toucanhingev1.Entry{
 			Kind: key.Kind, Name: key.Name, Author: PlatformAuthor,
 			Body: &toucanhingev1.Entry_Drain{Drain: &toucanhingev1.Drain{Reason: "the platform's list calls this VM leaving"}},
 		})
-		return MemberEndAnswer{Changed: true}
+		return MemberEndResult{Changed: true}
 	default:
-		return MemberEndAnswer{}
+		return MemberEndResult{}
 	}
 }
 
-// Restricted returns the contracts for a service that name data centres.
-func (s *State) Restricted(service string) []*toucanhingev1.Contract {
+// RestrictedContracts returns the contracts for a service that name data centres.
+func (s *State) RestrictedContracts(service string) []*toucanhingev1.Contract {
 	var list []*toucanhingev1.Contract
 	for key, e := range s.entries {
 		c := e.GetContract()
--- a/control/pkg/fleetstate/order_kept_test.go
+++ b/control/pkg/fleetstate/order_kept_test.go
@@ -41,8 +41,8 @@
 		Apply: &toucanhingev1.ApplyStep{Request: &toucanhingev1.ApplyRequest{RequestId: "r", Entry: order}},
 	}}).(*toucanhingev1.ApplyResponse)
 	require.True(t, applied.GetAccepted(), applied.GetReason())
-	require.True(t, step(end(false)).(MemberEndAnswer).Changed)
-	require.True(t, step(end(true)).(MemberEndAnswer).Changed)
+	require.True(t, step(end(false)).(MemberEndResult).Changed)
+	require.True(t, step(end(true)).(MemberEndResult).Changed)
 	step(beat)
 	m.View(func(s *State) {
 		_, found := s.Entry(toucanhingev1.Kind_KIND_ORDER, "runner-1")
--- a/control/pkg/fleetstate/validate_test.go
+++ b/control/pkg/fleetstate/validate_test.go
@@ -152,7 +152,7 @@
 func TestPlatformDrains(t *testing.T) {
 	s := furnished(t)
 	say := func(vm string, gone bool) bool {
-		return s.platformDrain(&toucanhingev1.PlatformDrainStep{Vm: vm, Gone: gone}).(MemberEndAnswer).Changed
+		return s.platformDrain(&toucanhingev1.PlatformDrainStep{Vm: vm, Gone: gone}).(MemberEndResult).Changed
 	}
 	require.True(t, say("vm1", false))
 	require.False(t, say("vm1", false))
--- a/control/pkg/group/group.go
+++ b/control/pkg/group/group.go
@@ -30,8 +30,8 @@
 	Term   func() uint64
 }
 
-// Of makes the seams of a replica.
-func Of(number uint32, g *replica.Group) Group {
+// FromReplica makes the seams of a replica.
+func FromReplica(number uint32, g *replica.Group) Group {
 	return Group{Number: number, Propose: g.Propose, Read: g.Read, Leader: g.Leader, Term: g.Term}
 }
 
--- a/control/pkg/group/refusal.go
+++ b/control/pkg/group/refusal.go
@@ -35,8 +35,8 @@
 	return r.count(place, reason, refusal)
 }
 
-// With refuses a call for a reason of the handler's own.
-func (r Refuser) With(place, reason string, code connect.Code, format string, args ...any) *connect.Error {
+// RefuseWith refuses a call for a reason of the handler's own.
+func (r Refuser) RefuseWith(place, reason string, code connect.Code, format string, args ...any) *connect.Error {
 	return r.count(place, reason, connect.NewError(code, fmt.Errorf(format, args...)))
 }
 
--- a/control/pkg/jobstate/fuzz_test.go
+++ b/control/pkg/jobstate/fuzz_test.go
@@ -344,8 +344,8 @@
 	}
 }
 
-// Ship moves the state to another machine, as to a replica that lost its disk.
-func (r *trial) Ship(t *rapid.T) {
+// Transfer moves the state to another machine, as to a replica that lost its disk.
+func (r *trial) Transfer(t *rapid.T) {
 	var wire bytes.Buffer
 	manifest, err := r.machine.Checkpoint()
 	require.NoError(t, err)
@@ -462,7 +462,7 @@
 		defer func() { r.machine.Close() }()
 		rt.Repeat(map[string]func(*rapid.T){
 			"upload": r.Upload, "lease": r.Lease, "lease again": r.Lease, "complete": r.Complete, "complete again": r.Complete,
-			"finish": r.Finish, "expire": r.Expire, "cancel": r.Cancel, "sweep": r.Sweep, "checkpoint": r.Checkpoint, "crash": r.Crash, "ship": r.Ship,
+			"finish": r.Finish, "expire": r.Expire, "cancel": r.Cancel, "sweep": r.Sweep, "checkpoint": r.Checkpoint, "crash": r.Crash, "ship": r.Transfer,
 			"lost checkpoint": r.LostCheckpoint, "lost import": r.LostImport,
 			"": r.check,
 		})
--- a/control/pkg/jobstate/machine.go
+++ b/control/pkg/jobstate/machine.go
@@ -155,8 +155,8 @@
 
 func (m *Machine) stores(folder string) (items, results *segment.Store) {
 	path := filepath.Join(m.config.Folder, folder)
-	return segment.New(segment.Config{Folder: path, Name: itemsName, Roll: m.config.Roll}),
-		segment.New(segment.Config{Folder: path, Name: resultsName, Roll: m.config.Roll})
+	return segment.New(segment.Config{Folder: path, Name: itemsName, MaxFileBytes: m.config.Roll}),
+		segment.New(segment.Config{Folder: path, Name: resultsName, MaxFileBytes: m.config.Roll})
 }
 
 func (m *Machine) closeStores() {
@@ -197,7 +197,7 @@
 	if err != nil {
 		return nil, err
 	}
-	snapshot.Folder = segment.FreeGeneration(m.config.Folder, m.folder)
+	snapshot.Folder = segment.UnusedGeneration(m.config.Folder, m.folder)
 	items, results := m.stores(snapshot.GetFolder())
 	if err := items.Import(snapshot.GetItems(), r); err != nil {
 		return nil, fmt.Errorf("receive the items: %w", err)
--- a/control/pkg/jobstate/view.go
+++ b/control/pkg/jobstate/view.go
@@ -91,9 +91,9 @@
 	return s.leases[number] != nil
 }
 
-// Waiting says whether a service has anything to lease, so that an idle
+// HasWaitingItems says whether a service has anything to lease, so that an idle
 // sidecar's question costs no entry in the log.
-func (s *State) Waiting(name string) bool {
+func (s *State) HasWaitingItems(name string) bool {
 	v := s.services[name]
 	if v == nil {
 		return false
--- a/control/pkg/operator/handler.go
+++ b/control/pkg/operator/handler.go
@@ -41,7 +41,7 @@
 	Identity string
 	Status   func() []*toucanhingev1.GroupState
 	Change   func(ctx context.Context, request *toucanhingev1.ChangeReplicaRequest) error
-	Handover func(ctx context.Context) (moved int, err error)
+	TransferLeadership func(ctx context.Context) (moved int, err error)
 }
 
 // Config describes the handler.
@@ -49,10 +49,10 @@
 	Fleet    *group.Fleet
 	Jobs     map[uint32]*group.Jobs
 	Entry    *entry.Handler
-	Keeper   *fleet.Keeper
+	Leases   *fleet.LeaseTracker
 	Replicas Replicas
 	Clock    clock.Clock
-	Book     *record.Log
+	Log     *record.Log
 	Refuser  group.Refuser
 	// LoadInterval is the time between two loads from the weight store.
 	LoadInterval clock.Millis
@@ -76,7 +76,7 @@
 ) (*connect.Response[toucanhingev1.ApplyResponse], error) {
 	size := entryBytes(request.Msg)
 	if size > mostEntryBytes {
-		return nil, h.config.Refuser.With(placeApply, reasonInvalid, connect.CodeInvalidArgument,
+		return nil, h.config.Refuser.RefuseWith(placeApply, reasonInvalid, connect.CodeInvalidArgument,
 			"the entry is larger than %d bytes", mostEntryBytes)
 	}
 	step := &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_Apply{Apply: &toucanhingev1.ApplyStep{
@@ -90,7 +90,7 @@
 	if !answer.GetAccepted() {
 		event = "refused"
 	}
-	h.config.Book.Add(request.Msg.GetEntry().GetName(), event, request.Msg.GetAuthor()+" "+answer.GetReason())
+	h.config.Log.Add(request.Msg.GetEntry().GetName(), event, request.Msg.GetAuthor()+" "+answer.GetReason())
 	return connect.NewResponse(answer), nil
 }
 
@@ -123,7 +123,7 @@
 		response.Version = s.Version()
 		for _, e := range s.Members() {
 			process := &toucanhingev1.ProcessConfig{Name: e.GetName(), Role: e.GetMember().GetRole(), HeardMs: -1}
-			if heard, known := h.config.Keeper.Last(e.GetName()); known {
+			if heard, known := h.config.Leases.LastHeartbeat(e.GetName()); known {
 				process.Version = heard.Version
 				process.HeardMs = int64(now - heard.At)
 			}
@@ -171,15 +171,15 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.ChangeReplicaRequest],
 ) (*connect.Response[toucanhingev1.ChangeReplicaResponse], error) {
 	if request.Msg.GetName() == "" {
-		return nil, h.config.Refuser.With(placeChange, reasonInvalid, connect.CodeInvalidArgument, "the replica's name is missing")
+		return nil, h.config.Refuser.RefuseWith(placeChange, reasonInvalid, connect.CodeInvalidArgument, "the replica's name is missing")
 	}
 	if missing := missingInAdd(request.Msg); missing != "" {
-		return nil, h.config.Refuser.With(placeChange, reasonInvalid, connect.CodeInvalidArgument, "a newcomer needs its %s", missing)
+		return nil, h.config.Refuser.RefuseWith(placeChange, reasonInvalid, connect.CodeInvalidArgument, "a newcomer needs its %s", missing)
 	}
 	if err := h.config.Replicas.Change(ctx, request.Msg); err != nil {
 		var refused *replica.RefusedError
 		if asRefused(err, &refused) {
-			return nil, h.config.Refuser.With(placeChange, reasonRefused, connect.CodeFailedPrecondition, "%w", err)
+			return nil, h.config.Refuser.RefuseWith(placeChange, reasonRefused, connect.CodeFailedPrecondition, "%w", err)
 		}
 		return nil, h.config.Refuser.Refuse(placeChange, err)
 	}
@@ -205,7 +205,7 @@
 func (h *Handler) Handover(
 	ctx context.Context, _ *connect.Request[toucanhingev1.HandoverRequest],
 ) (*connect.Response[toucanhingev1.HandoverResponse], error) {
-	moved, err := h.config.Replicas.Handover(ctx)
+	moved, err := h.config.Replicas.TransferLeadership(ctx)
 	if err != nil {
 		return nil, h.config.Refuser.Refuse(placeHandover, err)
 	}
--- a/control/pkg/platform/poller.go
+++ b/control/pkg/platform/poller.go
@@ -41,7 +41,7 @@
 type Config struct {
 	// URL answers GET with a JSON list of {"name", "state": "live"|"leaving"}.
 	URL    string
-	Every  time.Duration
+	Interval  time.Duration
 	HTTP   *http.Client
 	Fleet  *group.Fleet
 	Logger log.Logger
@@ -66,7 +66,7 @@
 
 // Run polls until the context ends.
 func (p *Poller) Run(ctx context.Context) {
-	ticker := time.NewTicker(p.config.Every)
+	ticker := time.NewTicker(p.config.Interval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/control/pkg/platform/poller_test.go
+++ b/control/pkg/platform/poller_test.go
@@ -40,7 +40,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go fleet.Steps.Run(ctx)
-	b.poller = New(Config{URL: server.URL, Every: time.Second, HTTP: server.Client(), Fleet: fleet, Logger: log.NewNopLogger()})
+	b.poller = New(Config{URL: server.URL, Interval: time.Second, HTTP: server.Client(), Fleet: fleet, Logger: log.NewNopLogger()})
 	return b
 }
 
--- a/control/pkg/repair/repair.go
+++ b/control/pkg/repair/repair.go
@@ -15,11 +15,11 @@
 type Config struct {
 	// Self is the name of the leader's own member.
 	Self string
-	// Losses is how many VMs may be lost at the same time.
-	Losses int
-	// SilentAfter is the silence after which a voter is replaced, if another VM
+	// ToleratedLosses is how many VMs may be lost at the same time.
+	ToleratedLosses int
+	// UnresponsiveAfter is the silence after which a voter is replaced, if another VM
 	// can take its place. A shorter one would replace VMs that only restart.
-	SilentAfter clock.Millis
+	UnresponsiveAfter clock.Millis
 }
 
 // Member is a replica of the group as the leader knows it.
@@ -28,8 +28,8 @@
 	Address  string
 	Identity string
 	Voter    bool
-	// Behind is how many committed entries it lacks.
-	Behind uint64
+	// Lag is how many committed entries it lacks.
+	Lag uint64
 }
 
 // VM is a VM that has announced itself.
@@ -38,7 +38,7 @@
 	Name     string
 	Address  string
 	Identity string
-	Heard    clock.Millis
+	LastSeen    clock.Millis
 	// Retiring VMs are to be emptied.
 	Retiring bool
 }
@@ -47,16 +47,16 @@
 type Kind int
 
 const (
-	// Nothing is to be done.
-	Nothing Kind = iota
+	// NoStep is to be done.
+	NoStep Kind = iota
 	// AddLearner adds a member that gets the log and doesn't vote.
 	AddLearner
 	// Promote makes a learner a voter.
 	Promote
 	// Remove takes a member out.
 	Remove
-	// HandOver gives the leadership away, so that the leader can be removed.
-	HandOver
+	// TransferLeadership gives the leadership away, so that the leader can be removed.
+	TransferLeadership
 )
 
 // String names the kind in logs.
@@ -72,7 +72,7 @@
 }
 
 // Voters is how many voters bear the losses: a majority must be left.
-func (c Config) Voters() int { return 2*c.Losses + 1 }
+func (c Config) Voters() int { return 2*c.ToleratedLosses + 1 }
 
 // members that are kept beside the voters, so that a lost voter is replaced
 // without copying first.
@@ -87,7 +87,7 @@
 	for _, decide := range []func(clock.Millis, []Member, map[string]VM) Step{
 		c.dropLostDisk, c.promote, c.dropSilent, c.dropRetiring, c.add,
 	} {
-		if step := decide(now, members, byName); step.Kind != Nothing {
+		if step := decide(now, members, byName); step.Kind != NoStep {
 			return step
 		}
 	}
@@ -113,7 +113,7 @@
 	}
 	for _, m := range members {
 		v, known := vms[m.Name]
-		if !m.Voter && m.Behind == 0 && known && !v.Retiring && c.alive(now, v) {
+		if !m.Voter && m.Lag == 0 && known && !v.Retiring && c.alive(now, v) {
 			return Step{Kind: Promote, Member: m, Reason: "too-few-voters"}
 		}
 	}
@@ -136,7 +136,7 @@
 func (c Config) dropSilent(now clock.Millis, members []Member, vms map[string]VM) Step {
 	ready := slices.ContainsFunc(members, func(m Member) bool {
 		v, known := vms[m.Name]
-		return !m.Voter && m.Behind == 0 && known && !v.Retiring && c.alive(now, v)
+		return !m.Voter && m.Lag == 0 && known && !v.Retiring && c.alive(now, v)
 	})
 	spare := false
 	for name, v := range vms {
@@ -164,7 +164,7 @@
 		switch {
 		case m.Voter && c.lasting(members, vms) < c.Voters():
 		case m.Name == c.Self:
-			return Step{Kind: HandOver, Member: m, Reason: "retiring"}
+			return Step{Kind: TransferLeadership, Member: m, Reason: "retiring"}
 		default:
 			return Step{Kind: Remove, Member: m, Reason: "retiring"}
 		}
@@ -200,7 +200,7 @@
 
 func (c Config) usable(now clock.Millis, v VM) bool { return !v.Retiring && c.alive(now, v) }
 
-func (c Config) alive(now clock.Millis, v VM) bool { return now-v.Heard < c.SilentAfter }
+func (c Config) alive(now clock.Millis, v VM) bool { return now-v.LastSeen < c.UnresponsiveAfter }
 
 // MayRetire says whether enough VMs would be left without one of them.
 func (c Config) MayRetire(now clock.Millis, name string, vms []VM) bool {
--- a/control/pkg/repair/repair_test.go
+++ b/control/pkg/repair/repair_test.go
@@ -15,20 +15,20 @@
 
 const now clock.Millis = 100_000
 
-func config(losses int) Config { return Config{Self: "a", Losses: losses, SilentAfter: 3_000} }
+func config(losses int) Config { return Config{Self: "a", ToleratedLosses: losses, UnresponsiveAfter: 3_000} }
 
 func voter(name string) Member { return Member{Name: name, Identity: "1", Voter: true} }
 
 func learner(name string, behind uint64) Member {
-	return Member{Name: name, Identity: "1", Behind: behind}
+	return Member{Name: name, Identity: "1", Lag: behind}
 }
 
-func vm(name string) VM { return VM{Name: name, Identity: "1", Heard: now} }
+func vm(name string) VM { return VM{Name: name, Identity: "1", LastSeen: now} }
 
 func TestNextStep(t *testing.T) {
-	silent := func(name string) VM { return VM{Name: name, Identity: "1", Heard: now - 3_000} }
-	wiped := func(name string) VM { return VM{Name: name, Identity: "2", Heard: now} }
-	retiring := func(name string) VM { return VM{Name: name, Identity: "1", Heard: now, Retiring: true} }
+	silent := func(name string) VM { return VM{Name: name, Identity: "1", LastSeen: now - 3_000} }
+	wiped := func(name string) VM { return VM{Name: name, Identity: "2", LastSeen: now} }
+	retiring := func(name string) VM { return VM{Name: name, Identity: "1", LastSeen: now, Retiring: true} }
 	three := []Member{voter("a"), voter("b"), voter("c")}
 	for _, c := range []struct {
 		name    string
@@ -37,27 +37,27 @@
 		kind    Kind
 		member  string
 	}{
-		{"all is well", three, []VM{vm("a"), vm("b"), vm("c")}, Nothing, ""},
+		{"all is well", three, []VM{vm("a"), vm("b"), vm("c")}, NoStep, ""},
 		{"a VM is new", three, []VM{vm("a"), vm("b"), vm("c"), vm("d")}, AddLearner, "d"},
-		{"two VMs are new", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("c"), vm("d"), vm("e")}, Nothing, ""},
+		{"two VMs are new", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("c"), vm("d"), vm("e")}, NoStep, ""},
 		{"a disk was lost", three, []VM{vm("a"), vm("b"), wiped("c")}, Remove, "c"},
 		{"and its VM comes back", three[:2], []VM{vm("a"), vm("b"), wiped("c")}, AddLearner, "c"},
-		{"and holds nothing yet", append(three[:2:2], learner("c", 9)), []VM{vm("a"), vm("b"), vm("c")}, Nothing, ""},
+		{"and holds nothing yet", append(three[:2:2], learner("c", 9)), []VM{vm("a"), vm("b"), vm("c")}, NoStep, ""},
 		{"and holds everything", append(three[:2:2], learner("c", 0)), []VM{vm("a"), vm("b"), vm("c")}, Promote, "c"},
-		{"a silent voter without a successor", three, []VM{vm("a"), vm("b"), silent("c")}, Nothing, ""},
-		{"a silent voter, a successor lags", append(three, learner("d", 4)), []VM{vm("a"), vm("b"), silent("c"), vm("d")}, Nothing, ""},
+		{"a silent voter without a successor", three, []VM{vm("a"), vm("b"), silent("c")}, NoStep, ""},
+		{"a silent voter, a successor lags", append(three, learner("d", 4)), []VM{vm("a"), vm("b"), silent("c"), vm("d")}, NoStep, ""},
 		{"a silent voter, a successor is ready", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), silent("c"), vm("d")}, Remove, "c"},
 		{"a silent learner, another VM is there", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("c"), silent("d"), vm("e")}, Remove, "d"},
 		{"a VM that never announced itself", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("d")}, Remove, "c"},
-		{"the leader's own silence is none", append(three, learner("d", 0)), []VM{silent("a"), vm("b"), vm("c"), vm("d")}, Nothing, ""},
-		{"retiring, nobody can follow", three, []VM{vm("a"), vm("b"), retiring("c")}, Nothing, ""},
+		{"the leader's own silence is none", append(three, learner("d", 0)), []VM{silent("a"), vm("b"), vm("c"), vm("d")}, NoStep, ""},
+		{"retiring, nobody can follow", three, []VM{vm("a"), vm("b"), retiring("c")}, NoStep, ""},
 		{"retiring, a new VM is there", three, []VM{vm("a"), vm("b"), retiring("c"), vm("d")}, AddLearner, "d"},
 		{"retiring, the successor is ready", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), retiring("c"), vm("d")}, Promote, "d"},
 		{"retiring, the successor votes", append(three, voter("d")), []VM{vm("a"), vm("b"), retiring("c"), vm("d")}, Remove, "c"},
-		{"the leader retires", append(three, voter("d")), []VM{retiring("a"), vm("b"), vm("c"), vm("d")}, HandOver, "a"},
+		{"the leader retires", append(three, voter("d")), []VM{retiring("a"), vm("b"), vm("c"), vm("d")}, TransferLeadership, "a"},
 		{"retiring learners leave first", append(three, learner("d", 0)), []VM{vm("a"), vm("b"), vm("c"), retiring("d")}, Remove, "d"},
-		{"a retiring VM isn't taken in", three, []VM{vm("a"), vm("b"), vm("c"), retiring("d")}, Nothing, ""},
-		{"a silent VM isn't taken in", three, []VM{vm("a"), vm("b"), vm("c"), silent("d")}, Nothing, ""},
+		{"a retiring VM isn't taken in", three, []VM{vm("a"), vm("b"), vm("c"), retiring("d")}, NoStep, ""},
+		{"a silent VM isn't taken in", three, []VM{vm("a"), vm("b"), vm("c"), silent("d")}, NoStep, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			step := config(1).Next(now, c.members, c.vms)
@@ -74,7 +74,7 @@
 	vms[1].Retiring = true
 	require.False(t, config(1).MayRetire(now, "d", vms))
 	vms[1].Retiring = false
-	vms[1].Heard = now - 10_000
+	vms[1].LastSeen = now - 10_000
 	require.False(t, config(1).MayRetire(now, "d", vms))
 }
 
@@ -90,7 +90,7 @@
 	var list []VM
 	for name, v := range w.vms {
 		if !w.gone[name] {
-			v.Heard = now
+			v.LastSeen = now
 		}
 		list = append(list, v)
 	}
@@ -108,7 +108,7 @@
 	switch step.Kind {
 	case AddLearner:
 		m := step.Member
-		m.Behind = 0
+		m.Lag = 0
 		rest = append(rest, m)
 		w.members = rest
 	case Promote:
@@ -141,7 +141,7 @@
 		settle := func(t *rapid.T) {
 			for range 40 {
 				step := c.Next(now, w.members, w.list())
-				if step.Kind == Nothing || step.Kind == HandOver {
+				if step.Kind == NoStep || step.Kind == TransferLeadership {
 					return
 				}
 				w.carry(step)
@@ -166,13 +166,13 @@
 			"a VM vanishes and another comes": func(t *rapid.T) {
 				name := rapid.SampledFrom([]string{"b", "c", "d"}).Draw(t, "name")
 				v := w.vms[name]
-				v.Heard = now - 60_000
+				v.LastSeen = now - 60_000
 				w.vms[name] = v
 				w.gone[name] = true
 				fresh := fmt.Sprintf("n%d", len(w.vms))
 				w.vms[fresh] = vm(fresh)
 				settle(t)
-				v.Heard = now
+				v.LastSeen = now
 				w.vms[name] = v
 				delete(w.gone, name)
 				settle(t)
--- a/control/pkg/replica/group.go
+++ b/control/pkg/replica/group.go
@@ -127,7 +127,7 @@
 	if cp.Index == 0 {
 		return content, nil
 	}
-	if content.Base.Index > cp.Index || content.Last() == 0 && content.State.Term == 0 {
+	if content.Base.Index > cp.Index || content.LastIndex() == 0 && content.State.Term == 0 {
 		return content, &disk.DamageError{
 			File:   checkpointPath(g.config.Folder),
 			Reason: fmt.Sprintf("log starts after entry %d, but the state ends at entry %d", content.Base.Index, cp.Index),
--- a/control/pkg/replica/loop.go
+++ b/control/pkg/replica/loop.go
@@ -81,7 +81,7 @@
 		reportedConflicts: map[string]bool{}, pendingCalls: map[uint64][]*call{},
 		formation: consensus.NewFormation(consensus.FormationConfig{
 			Self:             consensus.Member{Name: g.config.Name, Identity: g.config.Identity},
-			BootstrapMembers: g.config.bootstrapMembers(), Persisted: persisted, HasLog: content.Last() > 0,
+			BootstrapMembers: g.config.bootstrapMembers(), Persisted: persisted, HasLog: content.LastIndex() > 0,
 		}),
 	}
 	for _, p := range g.config.Bootstrap {
--- a/control/pkg/segment/generation.go
+++ b/control/pkg/segment/generation.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// FreeGeneration names a folder that isn't there yet.
-func FreeGeneration(root, present string) string {
+// UnusedGeneration names a folder that isn't there yet.
+func UnusedGeneration(root, present string) string {
 	for n := 1; ; n++ {
 		name := fmt.Sprintf("%s%d", generationPrefix, n)
 		if _, err := os.Stat(filepath.Join(root, name)); errors.Is(err, os.ErrNotExist) && name != present {
--- a/control/pkg/segment/store.go
+++ b/control/pkg/segment/store.go
@@ -22,8 +22,8 @@
 const (
 	// headerBytes stand before each record: its length and its checksum.
 	headerBytes = 8
-	// DefaultRoll is the length at which a new file is begun.
-	DefaultRoll = 64 << 20
+	// DefaultMaxFileBytes is the length at which a new file is begun.
+	DefaultMaxFileBytes = 64 << 20
 	fileMode    = 0o640
 	folderMode  = 0o750
 )
@@ -54,8 +54,8 @@
 	Folder string
 	// Name begins the names of the files.
 	Name string
-	// Roll is the length at which a new file is begun; 0 means DefaultRoll.
-	Roll int64
+	// MaxFileBytes is the length at which a new file is begun; 0 means DefaultRoll.
+	MaxFileBytes int64
 }
 
 // file is one segment. Live counts the records that somebody still refers to.
@@ -82,8 +82,8 @@
 
 // New makes a store without files; call Load before use.
 func New(config Config) *Store {
-	if config.Roll == 0 {
-		config.Roll = DefaultRoll
+	if config.MaxFileBytes == 0 {
+		config.MaxFileBytes = DefaultMaxFileBytes
 	}
 	return &Store{config: config, files: map[uint32]*file{}}
 }
@@ -111,7 +111,7 @@
 // present one would outgrow its limit.
 func (s *Store) writable(needed int64) (*file, error) {
 	f := s.files[s.current]
-	if f != nil && (f.length+int64(len(s.buffer)) == 0 || f.length+int64(len(s.buffer))+needed <= s.config.Roll) {
+	if f != nil && (f.length+int64(len(s.buffer)) == 0 || f.length+int64(len(s.buffer))+needed <= s.config.MaxFileBytes) {
 		return f, nil
 	}
 	if err := s.Flush(); err != nil {
--- a/control/pkg/segment/store_test.go
+++ b/control/pkg/segment/store_test.go
@@ -21,7 +21,7 @@
 
 // filled is a store of some small files and the places of its records.
 func filled(t *testing.T, folder string) (*Store, []Ref, []*toucanhingev1.Segment) {
-	s := New(Config{Folder: folder, Name: "items", Roll: 100})
+	s := New(Config{Folder: folder, Name: "items", MaxFileBytes: 100})
 	require.NoError(t, s.Load(nil))
 	t.Cleanup(s.Close)
 	var refs []Ref
@@ -56,7 +56,7 @@
 			folder := t.TempDir()
 			s, refs, list := filled(t, folder)
 			c.damage(t, filepath.Join(folder, "items-00000001.seg"))
-			again := New(Config{Folder: folder, Name: "items", Roll: 100})
+			again := New(Config{Folder: folder, Name: "items", MaxFileBytes: 100})
 			t.Cleanup(again.Close)
 			err := again.Load(list)
 			require.Equal(t, c.load, err == nil, "%v", err)
@@ -81,7 +81,7 @@
 // TestReadManyKeepsTheOrderAskedFor reads records of many sizes, backwards and
 // twice, some of them longer than what is read behind a run's last record.
 func TestReadManyKeepsTheOrderAskedFor(t *testing.T) {
-	s := New(Config{Folder: t.TempDir(), Name: "items", Roll: 50_000})
+	s := New(Config{Folder: t.TempDir(), Name: "items", MaxFileBytes: 50_000})
 	require.NoError(t, s.Load(nil))
 	t.Cleanup(s.Close)
 	var refs []Ref
@@ -120,7 +120,7 @@
 	_, err := s.Read(refs[0])
 	require.ErrorIs(t, err, ErrGone)
 
-	again := New(Config{Folder: folder, Name: "items", Roll: 100})
+	again := New(Config{Folder: folder, Name: "items", MaxFileBytes: 100})
 	t.Cleanup(again.Close)
 	require.NoError(t, again.Load(list))
 	for n := range 10 {
--- a/control/pkg/systemstate/machine.go
+++ b/control/pkg/systemstate/machine.go
@@ -138,7 +138,7 @@
 }
 
 func (m *Machine) newStore(folder string) *segment.Store {
-	return segment.New(segment.Config{Folder: filepath.Join(m.config.Folder, folder), Name: recordsName, Roll: segmentBytes})
+	return segment.New(segment.Config{Folder: filepath.Join(m.config.Folder, folder), Name: recordsName, MaxFileBytes: segmentBytes})
 }
 
 // Export writes a manifest and the segments that it names to w.
@@ -168,7 +168,7 @@
 	if err != nil {
 		return nil, err
 	}
-	snapshot.Folder = segment.FreeGeneration(m.config.Folder, m.folder)
+	snapshot.Folder = segment.UnusedGeneration(m.config.Folder, m.folder)
 	if err := m.newStore(snapshot.GetFolder()).Import(snapshot.GetSegments(), r); err != nil {
 		return nil, fmt.Errorf("import the records: %w", err)
 	}
--- a/control/pkg/work/handler.go
+++ b/control/pkg/work/handler.go
@@ -46,7 +46,7 @@
 	// Groups are the job groups by number.
 	Groups map[uint32]*group.Jobs
 	Fleet  *group.Fleet
-	Keeper *Keeper
+	Leases *LeaseTracker
 	Clock  clock.Clock
 	Book   *record.Log
 	// Lease is how long a lease holds without a renewal.
@@ -71,7 +71,7 @@
 func (h *Handler) group(place string, number uint32) (*group.Jobs, error) {
 	g := h.config.Groups[number]
 	if g == nil {
-		return nil, h.config.Refuser.With(place, reasonGroup, connect.CodeInvalidArgument, "there is no job group %d", number)
+		return nil, h.config.Refuser.RefuseWith(place, reasonGroup, connect.CodeInvalidArgument, "there is no job group %d", number)
 	}
 	name, address, self := g.Leader()
 	if !self {
@@ -87,7 +87,7 @@
 ) (*connect.Response[toucanhingev1.LeaseResponse], error) {
 	asked := request.Msg
 	if asked.GetSidecar() == "" || asked.GetService() == "" || asked.GetMost() == 0 || asked.GetMost() > mostLeased {
-		return nil, h.config.Refuser.With(placeLease, reasonInvalid, connect.CodeInvalidArgument,
+		return nil, h.config.Refuser.RefuseWith(placeLease, reasonInvalid, connect.CodeInvalidArgument,
 			"want a sidecar, a service and 1 to %d items", mostLeased)
 	}
 	g, err := h.group(placeLease, asked.GetGroup())
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	waiting := false
-	g.Machine.View(func(s *jobstate.State) { waiting = s.Waiting(asked.GetService()) })
+	g.Machine.View(func(s *jobstate.State) { waiting = s.HasWaitingItems(asked.GetService()) })
 	if !waiting {
 		return connect.NewResponse(&toucanhingev1.LeaseResponse{LeaseMs: int64(h.config.Lease), RetryMs: retryIdle}), nil
 	}
@@ -122,10 +122,10 @@
 	}
 	items, err := readItems(g, answer.Items)
 	if err != nil {
-		return nil, h.config.Refuser.With(placeLease, reasonStorage, connect.CodeDataLoss, "read leased items: %w", err)
+		return nil, h.config.Refuser.RefuseWith(placeLease, reasonStorage, connect.CodeDataLoss, "read leased items: %w", err)
 	}
 	for _, l := range items {
-		h.config.Keeper.Granted(g.Number, l.GetLease())
+		h.config.Leases.Granted(g.Number, l.GetLease())
 	}
 	response.Items = items
 	h.config.Book.Add(items[0].GetJob(), "leased", asked.GetSidecar())
@@ -164,7 +164,7 @@
 		if !found {
 			return
 		}
-		for _, team := range s.Restricted(service) {
+		for _, team := range s.RestrictedContracts(service) {
 			if !(world.Contract{Contract: team}).Allows(member.GetMember().GetDataCentre()) {
 				excluded = append(excluded, team.GetTeam())
 			}
@@ -178,13 +178,13 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.CompleteRequest],
 ) (*connect.Response[toucanhingev1.CompleteResponse], error) {
 	if len(request.Msg.GetCompletions()) > mostCompletions {
-		return nil, h.config.Refuser.With(placeComplete, reasonInvalid, connect.CodeInvalidArgument,
+		return nil, h.config.Refuser.RefuseWith(placeComplete, reasonInvalid, connect.CodeInvalidArgument,
 			"want at most %d completions", mostCompletions)
 	}
 	size := stepBytes
 	for _, c := range request.Msg.GetCompletions() {
 		if len(c.GetBody())+len(c.GetReason()) > h.config.ResultBytes {
-			return nil, h.config.Refuser.With(placeComplete, reasonTooLarge, connect.CodeInvalidArgument,
+			return nil, h.config.Refuser.RefuseWith(placeComplete, reasonTooLarge, connect.CodeInvalidArgument,
 				"the result of item %s/%d is larger than %d bytes", c.GetJob(), c.GetIndex(), h.config.ResultBytes)
 		}
 		size += len(c.GetBody()) + len(c.GetReason()) + stepBytes
@@ -209,7 +209,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := h.config.Keeper.Confirm(ctx, g); err != nil {
+	if err := h.config.Leases.Confirm(ctx, g); err != nil {
 		return nil, h.config.Refuser.Refuse(placeRenew, err)
 	}
 	response := &toucanhingev1.RenewResponse{LeaseMs: int64(h.config.Lease)}
@@ -220,6 +220,6 @@
 			}
 		}
 	})
-	h.config.Keeper.Renewed(g.Number, request.Msg)
+	h.config.Leases.Renewed(g.Number, request.Msg)
 	return connect.NewResponse(response), nil
 }
--- a/control/pkg/work/keeper.go
+++ b/control/pkg/work/keeper.go
@@ -20,17 +20,17 @@
 	sweepEvery = clock.Millis(30_000)
 )
 
-// KeeperConfig describes a keeper.
-type KeeperConfig struct {
+// LeaseTrackerConfig describes a keeper.
+type LeaseTrackerConfig struct {
 	Groups map[uint32]*group.Jobs
 	Clock  clock.Clock
 	Logger log.Logger
 	// Lease is how long a lease holds without a renewal.
 	Lease clock.Millis
-	// UploadsKept is how long a broken upload's items stay.
-	UploadsKept clock.Millis
-	// JobsKept is how long ended jobs and their results stay.
-	JobsKept clock.Millis
+	// UploadRetention is how long a broken upload's items stay.
+	UploadRetention clock.Millis
+	// JobRetention is how long ended jobs and their results stay.
+	JobRetention clock.Millis
 }
 
 // holderKey is one incarnation of a sidecar.
@@ -57,17 +57,17 @@
 	leases map[uint64]bool
 }
 
-// Keeper keeps the leases' times in the leader's memory and logs their ends. A
+// LeaseTracker keeps the leases' times in the leader's memory and logs their ends. A
 // renewal therefore costs no log entry.
-type Keeper struct {
-	config KeeperConfig
+type LeaseTracker struct {
+	config LeaseTrackerConfig
 	mu     sync.Mutex
 	groups map[uint32]*watched
 }
 
-// NewKeeper makes a keeper.
-func NewKeeper(config KeeperConfig) *Keeper {
-	k := &Keeper{config: config, groups: map[uint32]*watched{}}
+// NewLeaseTracker makes a keeper.
+func NewLeaseTracker(config LeaseTrackerConfig) *LeaseTracker {
+	k := &LeaseTracker{config: config, groups: map[uint32]*watched{}}
 	for number := range config.Groups {
 		k.groups[number] = newWatched(0, 0)
 	}
@@ -81,7 +81,7 @@
 // lead returns what is remembered of a group in the present term. What was
 // remembered of an earlier leadership is worthless: leases were granted and
 // renewed elsewhere since. Every lease then gets a whole new time.
-func (k *Keeper) lead(number uint32) *watched {
+func (k *LeaseTracker) lead(number uint32) *watched {
 	term := k.config.Groups[number].Term()
 	w := k.groups[number]
 	if w.term != term {
@@ -94,7 +94,7 @@
 // Confirm makes sure, once in each leadership, that this replica has applied all
 // that earlier leaders acknowledged. Before that it would call leases revoked
 // that it has not heard of yet.
-func (k *Keeper) Confirm(ctx context.Context, g *group.Jobs) error {
+func (k *LeaseTracker) Confirm(ctx context.Context, g *group.Jobs) error {
 	k.mu.Lock()
 	w := k.lead(g.Number)
 	confirmed := w.confirmed
@@ -112,14 +112,14 @@
 }
 
 // Granted starts a lease's time.
-func (k *Keeper) Granted(number uint32, lease uint64) {
+func (k *LeaseTracker) Granted(number uint32, lease uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lead(number).renewed[lease] = k.config.Clock.Now()
 }
 
 // Renewed starts the times of the listed leases anew.
-func (k *Keeper) Renewed(number uint32, request *toucanhingev1.RenewRequest) {
+func (k *LeaseTracker) Renewed(number uint32, request *toucanhingev1.RenewRequest) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	w, now := k.lead(number), k.config.Clock.Now()
@@ -137,7 +137,7 @@
 }
 
 // Run judges the leases of the groups led here until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *LeaseTracker) Run(ctx context.Context) {
 	ticker := time.NewTicker(judgeEvery)
 	defer ticker.Stop()
 	for {
@@ -146,14 +146,14 @@
 			return
 		case <-ticker.C:
 			for _, g := range k.config.Groups {
-				k.Judge(ctx, g)
+				k.CheckLeases(ctx, g)
 			}
 		}
 	}
 }
 
-// Judge looks once at all leases of a group.
-func (k *Keeper) Judge(ctx context.Context, g *group.Jobs) {
+// CheckLeases looks once at all leases of a group.
+func (k *LeaseTracker) CheckLeases(ctx context.Context, g *group.Jobs) {
 	if _, _, self := g.Leader(); !self {
 		return
 	}
@@ -166,7 +166,7 @@
 	}
 }
 
-func (k *Keeper) judge(number uint32, leases []jobstate.LeaseView) []*toucanhingev1.JobStep {
+func (k *LeaseTracker) judge(number uint32, leases []jobstate.LeaseView) []*toucanhingev1.JobStep {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	w, now := k.lead(number), k.config.Clock.Now()
@@ -195,7 +195,7 @@
 }
 
 // causeOf says why a lease has ended, if it has.
-func (k *Keeper) causeOf(w *watched, l jobstate.LeaseView, now clock.Millis) toucanhingev1.ExpiryCause {
+func (k *LeaseTracker) causeOf(w *watched, l jobstate.LeaseView, now clock.Millis) toucanhingev1.ExpiryCause {
 	list, heard := w.listed[l.Sidecar]
 	switch {
 	case now-max(w.renewed[l.Number], w.since) > k.config.Lease:
@@ -211,9 +211,9 @@
 	}
 }
 
-func (k *Keeper) sweep(now clock.Millis) *toucanhingev1.JobStep {
+func (k *LeaseTracker) sweep(now clock.Millis) *toucanhingev1.JobStep {
 	return &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Sweep{Sweep: &toucanhingev1.JobSweepStep{
-		UploadsBeforeMs: int64(now - k.config.UploadsKept),
-		JobsBeforeMs:    int64(now - k.config.JobsKept),
+		UploadsBeforeMs: int64(now - k.config.UploadRetention),
+		JobsBeforeMs:    int64(now - k.config.JobRetention),
 	}}}
 }
--- a/control/pkg/work/keeper_test.go
+++ b/control/pkg/work/keeper_test.go
@@ -25,7 +25,7 @@
 	reads   int
 	machine *jobstate.Machine
 	jobs    *group.Jobs
-	keeper  *Keeper
+	keeper  *LeaseTracker
 	cancel  context.CancelFunc
 }
 
@@ -41,9 +41,9 @@
 		Leader:  func() (string, string, bool) { return "c1", "", b.leads },
 		Term:    func() uint64 { return b.term },
 	}, b.machine, now, nil)
-	b.keeper = NewKeeper(KeeperConfig{
+	b.keeper = NewLeaseTracker(LeaseTrackerConfig{
 		Groups: map[uint32]*group.Jobs{1: b.jobs}, Clock: now, Logger: log.NewNopLogger(),
-		Lease: testLease, UploadsKept: 600_000, JobsKept: 600_000,
+		Lease: testLease, UploadRetention: 600_000, JobRetention: 600_000,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	b.cancel = cancel
@@ -88,7 +88,7 @@
 
 // live judges once and returns which of the leases still hold.
 func (b *bench) live(leases []uint64) []bool {
-	b.keeper.Judge(context.Background(), b.jobs)
+	b.keeper.CheckLeases(context.Background(), b.jobs)
 	var live []bool
 	b.machine.View(func(s *jobstate.State) {
 		for _, lease := range leases {
