--- a/gateway/pkg/caller/refusal.go
+++ b/gateway/pkg/caller/refusal.go
@@ -158,15 +158,15 @@
 
 // reasonMessages maps refusal reasons to messages for callers.
 var reasonMessages = map[string]string{
-	attempt.ReasonDeadline:     "the deadline passed, or can't be kept",
-	attempt.ReasonUnknownOutcome:      "the connection to the endpoint broke; whether the request was run is not known",
-	attempt.ReasonAlreadyRun:   "a request with this id was run already",
-	attempt.ReasonAnswerCut:          "the answer broke off and could not be resumed; what was sent is not whole",
-	route.ReasonNoEndpoint:           "no endpoint of the service can take the request",
-	route.ReasonOverloaded:     "every endpoint of the service is full",
-	endpoint.ReasonUnreachable: "no endpoint of the service could be reached",
-	limit.ReasonRate:           "the team's rate is used up",
-	limit.ReasonInFlight:       "the team has as many requests under way as it may",
-	limit.ReasonFairShare:          "the service is full and the team has its share of it",
-	limit.ReasonGatewayFull:           "this gateway has as many requests under way as it may",
+	attempt.ReasonDeadline:       "the deadline passed, or can't be kept",
+	attempt.ReasonUnknownOutcome: "the connection to the endpoint broke; whether the request was run is not known",
+	attempt.ReasonAlreadyRun:     "a request with this id was run already",
+	attempt.ReasonAnswerCut:      "the answer broke off and could not be resumed; what was sent is not whole",
+	route.ReasonNoEndpoint:       "no endpoint of the service can take the request",
+	route.ReasonOverloaded:       "every endpoint of the service is full",
+	endpoint.ReasonUnreachable:   "no endpoint of the service could be reached",
+	limit.ReasonRate:             "the team's rate is used up",
+	limit.ReasonInFlight:         "the team has as many requests under way as it may",
+	limit.ReasonFairShare:        "the service is full and the team has its share of it",
+	limit.ReasonGatewayFull:      "this gateway has as many requests under way as it may",
 }
--- a/lab/pkg/bench/config.go
+++ b/lab/pkg/bench/config.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 
 	"toucanhinge.example/common/pkg/control"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/common/pkg/web"
-	"toucanhinge.example/common/pkg/world"
 	"toucanhinge.example/lab/pkg/fleet"
 	"toucanhinge.example/lab/pkg/load"
 )
@@ -111,7 +111,7 @@
 		client := control.New(control.Config{Addresses: f.ControlAddresses(), HTTP: web.NewClient()})
 		w := control.NewWatcher(control.WatcherConfig{
 			Client: client, Process: fmt.Sprintf("watcher-%d", n), Logger: log.NewNopLogger(),
-			Changed: func(w *world.Fleet) { a.note(n, w.Version) },
+			Changed: func(w *fleetconfig.Fleet) { a.note(n, w.Version) },
 		})
 		duties.Go(func() { w.Run(ctx) })
 		select {
