--- a/lab/pkg/engine/cache.go
+++ b/lab/pkg/engine/cache.go
@@ -6,27 +6,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// blockBytes is how much of a prompt one cache block covers.
+// blockBytes is the number of prompt bytes covered by one cache block.
 const blockBytes = blockTokens * bytesPerToken
 
-// prefixCache remembers blocks of prompts, least recently used out first.
+// prefixCache caches prompt blocks and evicts the least recently used ones.
 type prefixCache struct {
-	most    int
-	order   *list.List
-	blocks  map[uint64]*list.Element
-	stored  func(block uint64)
-	evicted func(block uint64)
+	capacity  int
+	recency   *list.List
+	blocks    map[uint64]*list.Element
+	onStored  func(block uint64)
+	onEvicted func(block uint64)
 }
 
-func newPrefixCache(most int, stored, evicted func(uint64)) *prefixCache {
+func newPrefixCache(capacity int, onStored, onEvicted func(uint64)) *prefixCache {
 	return &prefixCache{
-		most: most, order: list.New(), blocks: make(map[uint64]*list.Element),
-		stored: stored, evicted: evicted,
+		capacity: capacity, recency: list.New(), blocks: make(map[uint64]*list.Element),
+		onStored: onStored, onEvicted: onEvicted,
 	}
 }
 
-// blocksOf hashes each whole block together with all before it.
-func blocksOf(prompt string) []uint64 {
+// hashBlocks returns one hash per full block, covering the block and all blocks before it.
+func hashBlocks(prompt string) []uint64 {
 	var hashes []uint64
 	digest := xxhash.New()
 	for at := 0; at+blockBytes <= len(prompt); at += blockBytes {
@@ -36,46 +36,46 @@
 	return hashes
 }
 
-// hit counts the tokens of the longest cached prefix.
-func (c *prefixCache) hit(prompt string) int {
+// hitTokens returns the number of tokens in the longest cached prefix of the prompt.
+func (c *prefixCache) hitTokens(prompt string) int {
 	tokens := 0
-	for _, block := range blocksOf(prompt) {
+	for _, block := range hashBlocks(prompt) {
 		element, ok := c.blocks[block]
 		if !ok {
 			break
 		}
-		c.order.MoveToFront(element)
+		c.recency.MoveToFront(element)
 		tokens += blockTokens
 	}
 	return tokens
 }
 
-// store adds every block of a prompt whose prefill is done.
+// store adds all full blocks of a prompt. It is called when the prompt's prefill completes.
 func (c *prefixCache) store(prompt string) {
-	for _, block := range blocksOf(prompt) {
+	for _, block := range hashBlocks(prompt) {
 		if element, ok := c.blocks[block]; ok {
-			c.order.MoveToFront(element)
+			c.recency.MoveToFront(element)
 			continue
 		}
-		c.blocks[block] = c.order.PushFront(block)
-		c.stored(block)
+		c.blocks[block] = c.recency.PushFront(block)
+		c.onStored(block)
 		c.evict()
 	}
 }
 
 func (c *prefixCache) evict() {
-	for c.order.Len() > c.most {
-		oldest := c.order.Back()
-		block, _ := c.order.Remove(oldest).(uint64)
+	for c.recency.Len() > c.capacity {
+		oldest := c.recency.Back()
+		block, _ := c.recency.Remove(oldest).(uint64)
 		delete(c.blocks, block)
-		c.evicted(block)
+		c.onEvicted(block)
 	}
 }
 
 func (c *prefixCache) clear() {
-	for c.order.Len() > 0 {
-		block, _ := c.order.Remove(c.order.Back()).(uint64)
+	for c.recency.Len() > 0 {
+		block, _ := c.recency.Remove(c.recency.Back()).(uint64)
 		delete(c.blocks, block)
-		c.evicted(block)
+		c.onEvicted(block)
 	}
 }
--- a/lab/pkg/engine/answer.go
+++ b/lab/pkg/engine/completion.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-const doneMark = "[DONE]"
+const doneMarker = "[DONE]"
 
 type chunkDelta struct {
 	Role    string `json:"role,omitempty"`
@@ -20,19 +20,19 @@
 	FinishReason *string      `json:"finish_reason"`
 }
 
-type answerUsage struct {
+type usageBody struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-type answerBody struct {
+type completionBody struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
 	Created int64         `json:"created"`
 	Model   string        `json:"model"`
 	Choices []chunkChoice `json:"choices"`
-	Usage   *answerUsage  `json:"usage,omitempty"`
+	Usage   *usageBody    `json:"usage,omitempty"`
 }
 
 type errorBody struct {
@@ -44,17 +44,17 @@
 	Type    string `json:"type"`
 }
 
-// eventData is the data of event number n (from 1) of a stream. It depends only
-// on what was asked, so a resumed stream repeats it byte for byte.
+// eventData returns the data of event n of a stream, counted from 1. It depends
+// only on the request, so a resumed stream repeats the event byte for byte.
 func (s *sequence) eventData(n int) []byte {
-	if n == s.most+2 {
-		return []byte(doneMark)
+	if n == s.maxTokens+2 {
+		return []byte(doneMarker)
 	}
-	body := answerBody{ID: s.id, Object: "text_completion", Created: s.created, Model: s.model}
+	body := completionBody{ID: s.id, Object: "text_completion", Created: s.created, Model: s.model}
 	choice := chunkChoice{}
 	text := ""
-	if n <= s.most {
-		text = Token(s.seed, s.start+n-1)
+	if n <= s.maxTokens {
+		text = Token(s.seed, s.startPosition+n-1)
 	} else {
 		reason := "length"
 		choice.FinishReason = &reason
@@ -73,15 +73,15 @@
 	return data
 }
 
-// whole is the answer of a request that doesn't stream.
-func (s *sequence) whole(tokens int) answerBody {
+// fullResponse returns the response body of a non-streaming request.
+func (s *sequence) fullResponse(tokens int) completionBody {
 	var b strings.Builder
 	for k := range tokens {
-		b.WriteString(Token(s.seed, s.start+k))
+		b.WriteString(Token(s.seed, s.startPosition+k))
 	}
 	reason := "length"
 	choice := chunkChoice{FinishReason: &reason}
-	body := answerBody{ID: s.id, Object: "text_completion", Created: s.created, Model: s.model}
+	body := completionBody{ID: s.id, Object: "text_completion", Created: s.created, Model: s.model}
 	if s.chat {
 		body.Object = "chat.completion"
 		choice.Message = &chatMessage{Role: "assistant", Content: b.String()}
@@ -91,6 +91,6 @@
 	}
 	body.Choices = []chunkChoice{choice}
 	prompt := s.promptTokens()
-	body.Usage = &answerUsage{PromptTokens: prompt, CompletionTokens: tokens, TotalTokens: prompt + tokens}
+	body.Usage = &usageBody{PromptTokens: prompt, CompletionTokens: tokens, TotalTokens: prompt + tokens}
 	return body
 }
--- a/lab/pkg/engine/config.go
+++ b/lab/pkg/engine/config.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Config is how an engine is built.
+// Config configures an Engine.
 type Config struct {
 	Name  string
 	Model string
-	// Slots is how many sequences run at once; the rest waits first in, first out.
+	// Slots is the maximum number of concurrent sequences. Further sequences wait in FIFO order.
 	Slots  int
 	Timing Timing
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// Keep is how long a suspended stream's KV stays.
-	Keep time.Duration
-	// LoadLag is how old the reported load is.
+	// KVRetention is how long the KV cache of a suspended stream is retained.
+	KVRetention time.Duration
+	// LoadLag is the age of the reported load.
 	LoadLag time.Duration
-	// EventLag and EventGap make cache events late and lossy (share lost, 0 to 1).
+	// EventLag delays cache events. EventGap is the fraction of events dropped, from 0 to 1.
 	EventLag time.Duration
 	EventGap float64
-	// CheckFence refuses orders with an older fencing number.
+	// CheckFence makes the engine refuse orders with an older fencing token.
 	CheckFence bool
-	// Weights is the weight store's base URL; when empty, loading takes LoadTime.
+	// Weights is the base URL of the weight store. If it is empty, a load takes LoadTime.
 	Weights  string
 	LoadTime time.Duration
 	Faults   Faults
 	Seed     uint64
-	// Exit ends the process on a crash; tests put their own in.
+	// Exit terminates the process on a crash. Tests replace it.
 	Exit   func(code int)
 	Client *http.Client
 }
@@ -40,8 +40,8 @@
 	if c.CacheBlocks <= 0 {
 		c.CacheBlocks = 4096
 	}
-	if c.Keep <= 0 {
-		c.Keep = 10 * time.Second
+	if c.KVRetention <= 0 {
+		c.KVRetention = 10 * time.Second
 	}
 	if c.Exit == nil {
 		c.Exit = func(int) {}
--- a/lab/pkg/engine/engine.go
+++ b/lab/pkg/engine/engine.go
@@ -6,44 +6,45 @@
 	"time"
 )
 
-// crashCode is the exit code of a crash on command or by a poison item.
+// crashCode is the exit code of a crash caused by a fault or a poison item.
 const crashCode = 3
 
-// idleWait is how long an idle loop sleeps unless a request wakes it.
-const idleWait = 50 * time.Millisecond
+// idlePollInterval is how long the idle loop sleeps unless a request wakes it.
+const idlePollInterval = 50 * time.Millisecond
 
-// sweepEvery is how often kept streams are looked through for old ones.
-const sweepEvery = 100 * time.Millisecond
+// sweepInterval is the interval between scans for expired streams.
+const sweepInterval = 100 * time.Millisecond
 
-// Engine is the stand-in. One mutex guards all: at these sizes it isn't felt.
+// Engine simulates a model engine. One mutex guards all state; contention is
+// negligible at the batch sizes used here.
 type Engine struct {
-	config  Config
-	mu      sync.Mutex
-	wake    chan struct{}
-	waiting []*sequence
-	running []*sequence
-	streams map[string]*sequence
-	cache   *prefixCache
-	events  *cacheEvents
-	ledger  ledger
-	faults  Faults
-	hits    int
-	frozen  time.Time
-	order   orderState
-	loads   loadHistory
-	swept   time.Time
-	tokens  int64
-	steps   int64
+	config      Config
+	mu          sync.Mutex
+	wake        chan struct{}
+	waiting     []*sequence
+	running     []*sequence
+	streams     map[string]*sequence
+	cache       *prefixCache
+	events      *cacheEventLog
+	ledger      ledger
+	faults      Faults
+	faultHits   int
+	frozenUntil time.Time
+	orderState  orderState
+	loads       loadHistory
+	lastSweep   time.Time
+	tokens      int64
+	steps       int64
 }
 
-// New builds an engine; Run drives it.
+// New returns an engine. Run must be called to process requests.
 func New(config Config) *Engine {
 	config = config.withDefaults()
 	e := &Engine{
 		config: config, wake: make(chan struct{}, 1), streams: make(map[string]*sequence),
 		ledger: ledger{records: make(map[string]*Record)}, faults: config.Faults,
-		order:  orderState{Model: config.Model},
-		events: newCacheEvents(config.EventLag, config.EventGap, config.Seed),
+		orderState: orderState{Model: config.Model},
+		events:     newCacheEventLog(config.EventLag, config.EventGap, config.Seed),
 	}
 	e.loads.lag = config.LoadLag
 	e.cache = newPrefixCache(config.CacheBlocks,
@@ -52,19 +53,19 @@
 	return e
 }
 
-// Run is the batching loop. It ends with the context.
+// Run runs the batching loop until the context is done.
 func (e *Engine) Run(ctx context.Context) {
 	next := time.Now()
 	for ctx.Err() == nil {
-		e.thaw(ctx)
-		length := e.plan()
+		e.waitWhileFrozen(ctx)
+		length := e.planStep()
 		if length == 0 {
-			e.idle(ctx)
+			e.waitForWork(ctx)
 			next = time.Now()
 			continue
 		}
-		// Steps are scheduled one after the other, so that a late wake of the
-		// loop doesn't add up to a slower engine.
+		// Each step is scheduled relative to the previous one, so that late
+		// wake-ups of the loop don't accumulate and slow the engine down.
 		next = next.Add(length)
 		if now := time.Now(); next.Before(now) {
 			next = now
@@ -86,8 +87,8 @@
 	}
 }
 
-func (e *Engine) idle(ctx context.Context) {
-	t := time.NewTimer(idleWait)
+func (e *Engine) waitForWork(ctx context.Context) {
+	t := time.NewTimer(idlePollInterval)
 	defer t.Stop()
 	select {
 	case <-e.wake:
@@ -96,17 +97,17 @@
 	}
 }
 
-// thaw holds the loop while the engine is frozen.
-func (e *Engine) thaw(ctx context.Context) {
+// waitWhileFrozen blocks while the engine is frozen or until the context is done.
+func (e *Engine) waitWhileFrozen(ctx context.Context) {
 	e.mu.Lock()
-	until := e.frozen
+	until := e.frozenUntil
 	e.mu.Unlock()
 	sleep(ctx, time.Until(until))
 }
 
-// plan admits what waits, spends the prefill chunk and says how long this step
-// takes; 0 when nothing runs.
-func (e *Engine) plan() time.Duration {
+// planStep admits waiting sequences, spends the prefill chunk and returns the
+// duration of the step, or 0 if no sequence runs.
+func (e *Engine) planStep() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
@@ -117,7 +118,7 @@
 		return 0
 	}
 	e.steps++
-	return e.config.Timing.Step(len(e.running), e.spendPrefill(), e.faults.SlowFactor)
+	return e.config.Timing.StepDuration(len(e.running), e.spendPrefill(), e.faults.SlowFactor)
 }
 
 func (e *Engine) admit() {
@@ -125,20 +126,21 @@
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		s.state = stateRunning
-		record := e.ledger.of(s.id)
-		if !s.ran {
-			s.ran = true
+		record := e.ledger.recordFor(s.id)
+		if !s.admitted {
+			s.admitted = true
 			record.Runs++
 		}
 		if s.prefill < 0 {
-			s.prefill = max(0, s.promptTokens()-e.cache.hit(s.prompt))
+			s.prefill = max(0, s.promptTokens()-e.cache.hitTokens(s.prompt))
 			record.Prefill += s.prefill
 		}
 		e.running = append(e.running, s)
 	}
 }
 
-// spendPrefill computes prompt tokens first in, first out within one chunk.
+// spendPrefill computes the prompt tokens of running sequences in FIFO order, up to
+// one chunk, and returns the number of tokens computed.
 func (e *Engine) spendPrefill() int {
 	left := prefillChunk
 	for _, s := range e.running {
@@ -158,39 +160,39 @@
 	return prefillChunk - left
 }
 
-// finishStep gives each sequence whose prefill is done its token.
+// finishStep emits one token for each running sequence whose prefill is complete.
 func (e *Engine) finishStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kept := e.running[:0]
+	remaining := e.running[:0]
 	for _, s := range e.running {
 		if s.state != stateRunning {
 			continue
 		}
 		if s.prefill > 0 {
-			kept = append(kept, s)
+			remaining = append(remaining, s)
 			continue
 		}
-		e.produce(s)
+		e.emitToken(s)
 		if s.state == stateRunning {
-			kept = append(kept, s)
+			remaining = append(remaining, s)
 		}
 	}
-	clear(e.running[len(kept):])
-	e.running = kept
+	clear(e.running[len(remaining):])
+	e.running = remaining
 }
 
-func (e *Engine) produce(s *sequence) {
+func (e *Engine) emitToken(s *sequence) {
 	s.produced++
 	e.tokens++
-	record := e.ledger.of(s.id)
+	record := e.ledger.recordFor(s.id)
 	record.Tokens++
-	if s.produced >= s.most {
+	if s.produced >= s.maxTokens {
 		s.state = stateDone
-		s.idleAt = time.Now()
+		s.idleSince = time.Now()
 		record.Finished++
 	}
-	s.wake()
+	s.notify()
 	if e.faults.CrashAfter > 0 {
 		e.faults.CrashAfter--
 		if e.faults.CrashAfter == 0 {
@@ -199,12 +201,12 @@
 	}
 }
 
-// submit queues a new sequence. An older stream of the same id stays with its
-// own handler, but the id now names the new one.
+// submit enqueues a new sequence. An older stream with the same id continues in its
+// own handler, but the id now refers to the new stream.
 func (e *Engine) submit(s *sequence, mark string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	record := e.ledger.of(s.id)
+	record := e.ledger.recordFor(s.id)
 	record.Posts++
 	if mark != "" {
 		record.Mark = mark
@@ -222,15 +224,15 @@
 	}
 }
 
-// drop takes a sequence out of the slots and the queue.
-func (e *Engine) drop(s *sequence) {
+// remove removes a sequence from the slots and the wait queue.
+func (e *Engine) remove(s *sequence) {
 	e.running = without(e.running, s)
 	e.waiting = without(e.waiting, s)
 }
 
-func without(all []*sequence, gone *sequence) []*sequence {
+func without(all []*sequence, removed *sequence) []*sequence {
 	for i, s := range all {
-		if s == gone {
+		if s == removed {
 			return append(all[:i:i], all[i+1:]...)
 		}
 	}
@@ -244,11 +246,11 @@
 	if !ok || s.ended() {
 		return false
 	}
-	e.drop(s)
+	e.remove(s)
 	s.state = stateCancelled
-	s.idleAt = time.Now()
-	e.ledger.of(id).Cancelled = true
-	s.wake()
+	s.idleSince = time.Now()
+	e.ledger.recordFor(id).Cancelled = true
+	s.notify()
 	return true
 }
 
@@ -267,16 +269,16 @@
 	if s.ended() || s.state == stateSuspended {
 		return
 	}
-	e.drop(s)
+	e.remove(s)
 	s.state = stateSuspended
-	s.idleAt = time.Now()
-	e.ledger.of(s.id).Suspended++
-	s.wake()
+	s.idleSince = time.Now()
+	e.ledger.recordFor(s.id).Suspended++
+	s.notify()
 }
 
-// abandon is called by a handler whose connection broke: the stream keeps its
-// KV for a while, unless another handler has taken it over.
-func (e *Engine) abandon(s *sequence, owner int) {
+// handleDisconnect suspends a stream whose connection broke. The stream retains its
+// KV cache for Config.KVRetention. If another handler has resumed the stream, it does nothing.
+func (e *Engine) handleDisconnect(s *sequence, owner int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.owner == owner {
@@ -284,27 +286,28 @@
 	}
 }
 
-// evictIdle forgets ended streams and the KV of suspended ones after a while.
+// evictIdle deletes ended and suspended streams after Config.KVRetention.
 func (e *Engine) evictIdle(now time.Time) {
-	if now.Sub(e.swept) < sweepEvery {
+	if now.Sub(e.lastSweep) < sweepInterval {
 		return
 	}
-	e.swept = now
+	e.lastSweep = now
 	for id, s := range e.streams {
 		idle := s.state == stateSuspended || s.ended()
-		if !idle || now.Sub(s.idleAt) < e.config.Keep {
+		if !idle || now.Sub(s.idleSince) < e.config.KVRetention {
 			continue
 		}
 		if s.state == stateSuspended {
 			s.state = stateEvicted
-			e.ledger.of(id).Evicted = true
-			s.wake()
+			e.ledger.recordFor(id).Evicted = true
+			s.notify()
 		}
 		delete(e.streams, id)
 	}
 }
 
-// resume takes over a kept stream; nil when it isn't known any more.
+// resume makes the caller the owner of a retained stream. It returns nil if the
+// stream is unknown, cancelled or evicted.
 func (e *Engine) resume(id string) (s *sequence, owner int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -313,14 +316,14 @@
 		return nil, 0
 	}
 	s.owner++
-	e.ledger.of(id).Resumes++
+	e.ledger.recordFor(id).Resumes++
 	if s.state == stateSuspended {
 		e.enqueue(s)
 	}
 	return s, s.owner
 }
 
-// progress is what a handler may write now.
+// progress is a stream's state as seen by one handler. Up to events events may be written.
 type progress struct {
 	events   int
 	produced int
--- a/lab/pkg/engine/kv.go
+++ b/lab/pkg/engine/kv.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// kvImage is a stream's KV as moved between engines. Callers see opaque bytes.
-type kvImage struct {
-	Model    string `json:"model"`
-	Prompt   string `json:"prompt"`
-	Chat     bool   `json:"chat"`
-	Seed     uint64 `json:"seed"`
-	Start    int    `json:"start"`
-	Most     int    `json:"most"`
-	Produced int    `json:"produced"`
-	Created  int64  `json:"created"`
+// kvSnapshot is the exported KV cache of a stream. It is opaque to callers.
+type kvSnapshot struct {
+	Model     string `json:"model"`
+	Prompt    string `json:"prompt"`
+	Chat      bool   `json:"chat"`
+	Seed      uint64 `json:"seed"`
+	Start     int    `json:"start"`
+	MaxTokens int    `json:"most"`
+	Produced  int    `json:"produced"`
+	Created   int64  `json:"created"`
 }
 
 func (e *Engine) exportKV(id string) ([]byte, bool) {
@@ -25,26 +25,26 @@
 	if !ok || s.ended() || s.prefill != 0 {
 		return nil, false
 	}
-	image := kvImage{
-		Model: s.model, Prompt: s.prompt, Chat: s.chat, Seed: s.seed, Start: s.start,
-		Most: s.most, Produced: s.produced, Created: s.created,
+	snapshot := kvSnapshot{
+		Model: s.model, Prompt: s.prompt, Chat: s.chat, Seed: s.seed, Start: s.startPosition,
+		MaxTokens: s.maxTokens, Produced: s.produced, Created: s.created,
 	}
-	data, _ := json.Marshal(image)
+	data, _ := json.Marshal(snapshot)
 	return data, true
 }
 
-// importKV makes a suspended stream that a resume goes on with.
+// importKV creates a suspended stream from exported data. A resume continues it.
 func (e *Engine) importKV(id string, data []byte) error {
-	var image kvImage
-	if err := json.Unmarshal(data, &image); err != nil {
+	var snapshot kvSnapshot
+	if err := json.Unmarshal(data, &snapshot); err != nil {
 		return fmt.Errorf("parse KV: %w", err)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.streams[id] = &sequence{
-		id: id, model: image.Model, prompt: image.Prompt, chat: image.Chat, seed: image.Seed,
-		start: image.Start, most: image.Most, produced: image.Produced, created: image.Created,
-		state: stateSuspended, ran: true, idleAt: time.Now(), changed: make(chan struct{}, 1),
+		id: id, model: snapshot.Model, prompt: snapshot.Prompt, chat: snapshot.Chat, seed: snapshot.Seed,
+		startPosition: snapshot.Start, maxTokens: snapshot.MaxTokens, produced: snapshot.Produced, created: snapshot.Created,
+		state: stateSuspended, admitted: true, idleSince: time.Now(), changed: make(chan struct{}, 1),
 	}
 	return nil
 }
--- a/lab/pkg/engine/ledger.go
+++ b/lab/pkg/engine/ledger.go
@@ -2,15 +2,15 @@
 
 import "sort"
 
-// Record is what the engine knows of one request id: the oracle of the tests.
+// Record counts the events of one request id. Failure tests use it as their oracle.
 type Record struct {
 	ID string `json:"id"`
-	// Runs counts how often it was taken into a slot from the start; resumes don't count.
+	// Runs counts how often the request was started in a slot. Resumes don't count.
 	Runs int `json:"runs"`
-	// Posts counts how often it was received, also when it never got a slot.
+	// Posts counts how often the request was received, including when it never got a slot.
 	Posts   int `json:"posts"`
 	Resumes int `json:"resumes"`
-	// Tokens counts those generated over all runs.
+	// Tokens counts the tokens generated over all runs.
 	Tokens int `json:"tokens"`
 	// Prefill counts the prompt tokens computed over all runs.
 	Prefill   int  `json:"prefill"`
@@ -18,7 +18,7 @@
 	Cancelled bool `json:"cancelled"`
 	Suspended int  `json:"suspended"`
 	Evicted   bool `json:"evicted"`
-	// Mark is the item's own text between ITEM[ and ], when the body has one.
+	// Mark is the text between ITEM[ and ] in the request body, if present.
 	Mark string `json:"mark,omitempty"`
 }
 
@@ -26,7 +26,7 @@
 	records map[string]*Record
 }
 
-func (l *ledger) of(id string) *Record {
+func (l *ledger) recordFor(id string) *Record {
 	r, ok := l.records[id]
 	if !ok {
 		r = &Record{ID: id}
--- a/lab/pkg/engine/load.go
+++ b/lab/pkg/engine/load.go
@@ -2,41 +2,42 @@
 
 import "time"
 
-// Load is the engine's report of itself; it lags behind the truth.
+// Load is the load reported by the engine. It lags behind the actual load.
 type Load struct {
 	Running       int   `json:"running"`
 	Waiting       int   `json:"waiting"`
 	Slots         int   `json:"slots"`
 	PrefillTokens int   `json:"prefill_tokens"`
 	AsOfMs        int64 `json:"as_of_ms"`
-	at            time.Time
+	recordedAt    time.Time
 }
 
-// loadHistoryMost bounds the kept reports; at one a step it covers several seconds.
-const loadHistoryMost = 4096
+// maxLoadHistory limits the number of retained reports. One report is recorded per
+// step, so the history covers several seconds.
+const maxLoadHistory = 4096
 
 type loadHistory struct {
-	lag  time.Duration
-	kept []Load
+	lag     time.Duration
+	reports []Load
 }
 
 func (h *loadHistory) record(l Load, now time.Time) {
-	l.at = now
-	h.kept = append(h.kept, l)
-	if len(h.kept) > loadHistoryMost {
-		h.kept = append([]Load(nil), h.kept[len(h.kept)/2:]...)
+	l.recordedAt = now
+	h.reports = append(h.reports, l)
+	if len(h.reports) > maxLoadHistory {
+		h.reports = append([]Load(nil), h.reports[len(h.reports)/2:]...)
 	}
 }
 
-// lagged is the newest report that is at least lag old, else the oldest.
+// lagged returns the newest report that is at least lag old, or else the oldest report.
 func (h *loadHistory) lagged(now time.Time) Load {
-	for i := len(h.kept) - 1; i >= 0; i-- {
-		if now.Sub(h.kept[i].at) >= h.lag {
-			return h.kept[i]
+	for i := len(h.reports) - 1; i >= 0; i-- {
+		if now.Sub(h.reports[i].recordedAt) >= h.lag {
+			return h.reports[i]
 		}
 	}
-	if len(h.kept) > 0 {
-		return h.kept[0]
+	if len(h.reports) > 0 {
+		return h.reports[0]
 	}
 	return Load{AsOfMs: now.UnixMilli()}
 }
--- a/lab/pkg/engine/order.go
+++ b/lab/pkg/engine/order.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Kinds of orders.
+// Order kinds.
 const (
 	orderLoadModel   = "load_model"
 	orderLoadAdapter = "load_adapter"
@@ -25,7 +25,7 @@
 	Role    string `json:"role"`
 }
 
-// orderState is what the engine holds by its orders.
+// orderState is the engine state set by orders, with counters.
 type orderState struct {
 	Fence   uint64 `json:"fence"`
 	Model   string `json:"model"`
@@ -33,15 +33,15 @@
 	Version string `json:"version"`
 	Role    string `json:"role"`
 	Loading bool   `json:"loading"`
-	// Taken counts the orders carried out, Refused those with an old number.
-	Taken   int `json:"taken"`
+	// Applied counts the applied orders, Refused the orders refused for an old fencing token.
+	Applied int `json:"taken"`
 	Refused int `json:"refused"`
-	// Reverts counts orders carried out though a higher number was held: what
-	// an engine without a check does when a late order reaches it.
+	// Reverts counts the orders applied despite a fencing token lower than the
+	// current one. An engine without a check does this when an order arrives late.
 	Reverts int `json:"reverts"`
 }
 
-func (r orderRequest) known() bool {
+func (r orderRequest) hasKnownKind() bool {
 	switch r.Kind {
 	case orderLoadModel, orderLoadAdapter, orderSetVersion, orderSetRole:
 		return true
@@ -49,57 +49,58 @@
 	return false
 }
 
-// takeOrder starts an order; it says false with the held number when refused.
-func (e *Engine) takeOrder(r orderRequest) (held uint64, taken bool) {
+// applyOrder applies an order and returns the current fencing token. It returns
+// false if the order is refused. Weights are loaded in the background.
+func (e *Engine) applyOrder(r orderRequest) (fence uint64, applied bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if r.Fence < e.order.Fence {
+	if r.Fence < e.orderState.Fence {
 		if e.config.CheckFence {
-			e.order.Refused++
-			return e.order.Fence, false
+			e.orderState.Refused++
+			return e.orderState.Fence, false
 		}
-		e.order.Reverts++
+		e.orderState.Reverts++
 	}
-	e.order.Fence = r.Fence
-	e.order.Taken++
+	e.orderState.Fence = r.Fence
+	e.orderState.Applied++
 	if r.Kind == orderSetRole {
-		e.order.Role = r.Role
+		e.orderState.Role = r.Role
 		return r.Fence, true
 	}
-	e.order.Loading = true
+	e.orderState.Loading = true
 	go e.load(r)
 	return r.Fence, true
 }
 
-// load fetches the weights, then puts them in place. Model weights drop the
-// prefix cache, since it holds another model's KV.
+// load fetches the weights and activates them. New model weights clear the prefix
+// cache, since its KV blocks belong to the previous model.
 func (e *Engine) load(r orderRequest) {
 	name := r.Model
 	if r.Kind == orderLoadAdapter {
 		name = r.Adapter
 	}
-	if err := e.fetch(name); err != nil {
+	if err := e.fetchWeights(name); err != nil {
 		time.Sleep(e.config.LoadTime)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.order.Fence != r.Fence {
+	if e.orderState.Fence != r.Fence {
 		return
 	}
-	e.order.Loading = false
+	e.orderState.Loading = false
 	switch r.Kind {
 	case orderLoadModel:
-		e.order.Model, e.order.Version = r.Model, r.Version
+		e.orderState.Model, e.orderState.Version = r.Model, r.Version
 		e.cache.clear()
 	case orderLoadAdapter:
-		e.order.Adapter = r.Adapter
+		e.orderState.Adapter = r.Adapter
 	case orderSetVersion:
-		e.order.Version = r.Version
+		e.orderState.Version = r.Version
 		e.cache.clear()
 	}
 }
 
-func (e *Engine) fetch(name string) error {
+func (e *Engine) fetchWeights(name string) error {
 	if e.config.Weights == "" {
 		time.Sleep(e.config.LoadTime)
 		return nil
@@ -108,14 +109,14 @@
 	defer stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.config.Weights+"/weights/"+name, nil)
 	if err != nil {
-		return fmt.Errorf("ask weight store: %w", err)
+		return fmt.Errorf("create weight store request: %w", err)
 	}
-	answer, err := e.config.Client.Do(request)
+	response, err := e.config.Client.Do(request)
 	if err != nil {
 		return fmt.Errorf("fetch weights: %w", err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	defer func() { _ = response.Body.Close() }()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return fmt.Errorf("read weights: %w", err)
 	}
 	return nil
@@ -124,12 +125,12 @@
 func (e *Engine) orders() orderState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.order
+	return e.orderState
 }
 
-// loadingModel tells whether requests must be refused for now.
+// loadingModel reports whether weights are loading. Requests are refused meanwhile.
 func (e *Engine) loadingModel() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.order.Loading
+	return e.orderState.Loading
 }
--- a/lab/pkg/engine/request.go
+++ b/lab/pkg/engine/request.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a request body.
+// Validation errors of a request body.
 var (
 	errNoPrompt  = errors.New("neither messages nor prompt")
 	errMaxTokens = errors.New("max_tokens out of range")
@@ -37,14 +37,14 @@
 	if chat && len(r.Messages) == 0 || !chat && r.Prompt == "" {
 		return r, errNoPrompt
 	}
-	if r.MaxTokens != nil && (*r.MaxTokens < 1 || *r.MaxTokens > mostTokens) {
+	if r.MaxTokens != nil && (*r.MaxTokens < 1 || *r.MaxTokens > maxTokensLimit) {
 		return r, errMaxTokens
 	}
 	return r, nil
 }
 
-// flatPrompt joins the messages in the way of a chat template. Only a
-// continuation leaves the last message open, so only then are its tokens counted.
+// flatPrompt joins the messages like a chat template. Only a continuation leaves the
+// last message open, so generated tokens are counted only in that case.
 func (r generateRequest) flatPrompt(chat bool) string {
 	if !chat {
 		return r.Prompt
@@ -63,7 +63,7 @@
 	return b.String()
 }
 
-func (r generateRequest) tokens() int {
+func (r generateRequest) maxTokens() int {
 	if r.MaxTokens == nil {
 		return defaultTokens
 	}
--- a/lab/pkg/engine/sequence.go
+++ b/lab/pkg/engine/sequence.go
@@ -2,26 +2,29 @@
 
 import "time"
 
-// sequence is one stream: what it was asked, how far it is, who waits for it.
+// sequence holds a stream's request, its progress and its current handler.
 type sequence struct {
-	id       string
-	model    string
-	prompt   string
-	chat     bool
-	seed     uint64
-	start    int
-	most     int
-	produced int
-	// prefill counts prompt tokens still to be computed; -1 means not yet looked up.
+	id            string
+	model         string
+	prompt        string
+	chat          bool
+	seed          uint64
+	startPosition int
+	maxTokens     int
+	produced      int
+	// prefill is the number of prompt tokens still to be computed. -1 means that the
+	// prefix cache hasn't been consulted yet.
 	prefill int
 	state   sequenceState
-	// ran tells whether it was in a slot before, so that a resume isn't a new run.
-	ran     bool
-	idleAt  time.Time
-	changed chan struct{}
-	created int64
-	// owner numbers the handler that now reads it, so that a handler whose
-	// connection broke doesn't suspend a stream which another has resumed.
+	// admitted reports whether the sequence has had a slot before, so that a resume
+	// isn't counted as a new run.
+	admitted  bool
+	idleSince time.Time
+	changed   chan struct{}
+	created   int64
+	// owner is the number of the handler that currently reads the stream. It keeps a
+	// handler with a broken connection from suspending a stream that another
+	// handler has resumed.
 	owner int
 }
 
@@ -40,13 +43,13 @@
 	prompt := r.flatPrompt(chat)
 	seed, start := splitPrompt(prompt)
 	return &sequence{
-		id: id, model: r.Model, prompt: prompt, chat: chat, seed: seed, start: start,
-		most: r.tokens(), prefill: -1, changed: make(chan struct{}, 1), created: now.Unix(),
+		id: id, model: r.Model, prompt: prompt, chat: chat, seed: seed, startPosition: start,
+		maxTokens: r.maxTokens(), prefill: -1, changed: make(chan struct{}, 1), created: now.Unix(),
 	}
 }
 
-// wake tells the handler that something changed; one pending wake is enough.
-func (s *sequence) wake() {
+// notify signals a state change to the handler. One pending signal is enough.
+func (s *sequence) notify() {
 	select {
 	case s.changed <- struct{}{}:
 	default:
@@ -55,8 +58,8 @@
 
 func (s *sequence) promptTokens() int { return len(s.prompt)/bytesPerToken + 1 }
 
-// events is how many events the whole stream has by now: the tokens, and when
-// done the finish and the end mark.
+// events returns the number of events available so far: the tokens and, if the
+// sequence is done, the finish reason and the end marker.
 func (s *sequence) events() int {
 	if s.state == stateDone {
 		return s.produced + 2
--- a/lab/pkg/engine/server.go
+++ b/lab/pkg/engine/server.go
@@ -13,14 +13,14 @@
 
 const (
 	requestIDHeader = "X-Request-Id"
-	bodyMost        = 16 << 20
+	maxBodyBytes    = 16 << 20
 	poisonMark      = "POISON"
 	failMark        = "FAIL"
 )
 
-var unnamed atomic.Int64
+var unnamedRequests atomic.Int64
 
-// Handler is the engine's whole HTTP surface.
+// Handler returns the HTTP handler for all of the engine's endpoints.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.generate(w, r, true) })
@@ -41,7 +41,7 @@
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, healthBody{Name: e.config.Name, OK: true, Loading: e.loadingModel()})
 	})
-	return e.freezing(mux)
+	return e.withFreeze(mux)
 }
 
 type healthBody struct {
@@ -50,23 +50,23 @@
 	Loading bool   `json:"loading"`
 }
 
-// freezing holds every call but the oracle's and the faults' own while frozen.
-func (e *Engine) freezing(next http.Handler) http.Handler {
+// withFreeze blocks requests while the engine is frozen, except those to /ledger and /faults.
+func (e *Engine) withFreeze(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/ledger" && r.URL.Path != "/faults" {
-			e.thaw(r.Context())
+			e.waitWhileFrozen(r.Context())
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request, chat bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		writeError(w, http.StatusBadRequest, "body", err.Error())
 		return
 	}
-	if !e.admissible(w, string(body)) {
+	if !e.checkAdmission(w, string(body)) {
 		return
 	}
 	parsed, err := parseRequest(body, chat)
@@ -76,24 +76,25 @@
 	}
 	id := r.Header.Get(requestIDHeader)
 	if id == "" {
-		id = fmt.Sprintf("unnamed-%d", unnamed.Add(1))
+		id = fmt.Sprintf("unnamed-%d", unnamedRequests.Add(1))
 	}
-	faults := e.answerFaults()
+	faults := e.nextResponseFaults()
 	if faults.Status != 0 {
 		writeError(w, faults.Status, "fault", "status fault")
 		return
 	}
 	s := newSequence(id, parsed, chat, time.Now())
-	e.submit(s, markOf(string(body)))
+	e.submit(s, itemMark(string(body)))
 	if parsed.Stream {
 		newStreamWriter(e, w, r, s, 0, faults).serve(0)
 		return
 	}
-	e.serveWhole(w, r, s, faults)
+	e.serveNonStreaming(w, r, s, faults)
 }
 
-// admissible carries out the marks of poison items and refuses while weights load.
-func (e *Engine) admissible(w http.ResponseWriter, body string) bool {
+// checkAdmission crashes on the poison mark, and refuses bodies with the fail mark
+// and all requests while weights are loading.
+func (e *Engine) checkAdmission(w http.ResponseWriter, body string) bool {
 	if strings.Contains(body, poisonMark) {
 		e.config.Exit(crashCode)
 	}
@@ -108,8 +109,8 @@
 	return true
 }
 
-// markOf finds the text between ITEM[ and ] by which tests know an item again.
-func markOf(body string) string {
+// itemMark returns the text between ITEM[ and ], by which tests identify an item.
+func itemMark(body string) string {
 	_, rest, ok := strings.Cut(body, "ITEM[")
 	if !ok {
 		return ""
@@ -121,16 +122,17 @@
 	return mark
 }
 
-// answerFaults takes the faults of this answer, as long as their count lasts.
-func (e *Engine) answerFaults() Faults {
+// nextResponseFaults returns the faults of the next response. After Faults.Count
+// affected responses it returns none.
+func (e *Engine) nextResponseFaults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.faults.hitsAnswers() {
+	if !e.faults.affectsResponses() {
 		return Faults{}
 	}
 	if e.faults.Count > 0 {
-		e.hits++
-		if e.hits > e.faults.Count {
+		e.faultHits++
+		if e.faultHits > e.faults.Count {
 			return Faults{}
 		}
 	}
@@ -138,14 +140,14 @@
 }
 
 func (e *Engine) handleCancel(w http.ResponseWriter, r *http.Request) {
-	e.answerFound(w, e.cancel(r.PathValue("id")))
+	e.writeFound(w, e.cancel(r.PathValue("id")))
 }
 
 func (e *Engine) handleSuspend(w http.ResponseWriter, r *http.Request) {
-	e.answerFound(w, e.suspend(r.PathValue("id")))
+	e.writeFound(w, e.suspend(r.PathValue("id")))
 }
 
-func (e *Engine) answerFound(w http.ResponseWriter, found bool) {
+func (e *Engine) writeFound(w http.ResponseWriter, found bool) {
 	if !found {
 		writeError(w, http.StatusNotFound, "unknown_stream", "no such stream")
 		return
@@ -178,7 +180,7 @@
 }
 
 func (e *Engine) handleImport(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		err = e.importKV(r.PathValue("id"), data)
 	}
@@ -207,21 +209,21 @@
 
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order orderRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost)).Decode(&order); err != nil || !order.known() {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&order); err != nil || !order.hasKnownKind() {
 		writeError(w, http.StatusBadRequest, "order", "no such order")
 		return
 	}
-	held, taken := e.takeOrder(order)
-	if !taken {
-		writeJSON(w, http.StatusConflict, fenceBody{Fence: held})
+	fence, applied := e.applyOrder(order)
+	if !applied {
+		writeJSON(w, http.StatusConflict, fenceBody{Fence: fence})
 		return
 	}
-	writeJSON(w, http.StatusOK, fenceBody{Fence: held})
+	writeJSON(w, http.StatusOK, fenceBody{Fence: fence})
 }
 
 func (e *Engine) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost)).Decode(&faults); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&faults); err != nil {
 		writeError(w, http.StatusBadRequest, "faults", err.Error())
 		return
 	}
@@ -229,30 +231,30 @@
 		e.config.Exit(crashCode)
 	}
 	e.mu.Lock()
-	e.faults, e.hits = faults, 0
-	e.frozen = time.Now().Add(time.Duration(faults.FreezeMs) * time.Millisecond)
+	e.faults, e.faultHits = faults, 0
+	e.frozenUntil = time.Now().Add(time.Duration(faults.FreezeMs) * time.Millisecond)
 	e.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Ledger is the answer of GET /ledger.
+// Ledger is the response body of GET /ledger.
 type Ledger struct {
 	Records []Record `json:"records"`
-	// Tokens and Steps count everything generated since the start.
+	// Tokens and Steps count all generated tokens and all steps since the start.
 	Tokens int64 `json:"tokens"`
 	Steps  int64 `json:"steps"`
 }
 
-// handleLedger answers ?records=none without the single records, so that an
-// experiment can count tokens without slowing the engine down.
+// handleLedger serves GET /ledger. With ?records=none it omits the records, so that
+// an experiment can count tokens without slowing the engine down.
 func (e *Engine) handleLedger(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	answer := Ledger{Tokens: e.tokens, Steps: e.steps}
+	response := Ledger{Tokens: e.tokens, Steps: e.steps}
 	if r.URL.Query().Get("records") != "none" {
-		answer.Records = e.ledger.all()
+		response.Records = e.ledger.all()
 	}
 	e.mu.Unlock()
-	writeJSON(w, http.StatusOK, answer)
+	writeJSON(w, http.StatusOK, response)
 }
 
 type modelsBody struct {
@@ -266,10 +268,10 @@
 }
 
 func (e *Engine) handleModels(w http.ResponseWriter, _ *http.Request) {
-	held := e.orders()
-	body := modelsBody{Object: "list", Data: []modelBody{{ID: held.Model, Object: "model"}}}
-	if held.Adapter != "" {
-		body.Data = append(body.Data, modelBody{ID: held.Adapter, Object: "model"})
+	state := e.orders()
+	body := modelsBody{Object: "list", Data: []modelBody{{ID: state.Model, Object: "model"}}}
+	if state.Adapter != "" {
+		body.Data = append(body.Data, modelBody{ID: state.Adapter, Object: "model"})
 	}
 	writeJSON(w, http.StatusOK, body)
 }
--- a/lab/pkg/engine/stream_writer.go
+++ b/lab/pkg/engine/stream_writer.go
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// garbageBytes is what a faulty engine puts in place of an event.
+// garbageBytes replaces an event when the garbage fault is set.
 const garbageBytes = "data: {\"id\": \x00\xff<<\n\n"
 
-// streamWriter writes one stream's events as server-sent events.
+// streamWriter writes the events of one stream as server-sent events.
 type streamWriter struct {
-	engine  *Engine
-	out     http.ResponseWriter
-	control *http.ResponseController
-	ctx     context.Context
-	s       *sequence
-	owner   int
-	faults  Faults
-	buffer  []byte
+	engine     *Engine
+	response   http.ResponseWriter
+	controller *http.ResponseController
+	ctx        context.Context
+	sequence   *sequence
+	owner      int
+	faults     Faults
+	buffer     []byte
 }
 
 func newStreamWriter(e *Engine, w http.ResponseWriter, r *http.Request, s *sequence, owner int, f Faults) *streamWriter {
 	return &streamWriter{
-		engine: e, out: w, control: http.NewResponseController(w), ctx: r.Context(),
-		s: s, owner: owner, faults: f,
+		engine: e, response: w, controller: http.NewResponseController(w), ctx: r.Context(),
+		sequence: s, owner: owner, faults: f,
 	}
 }
 
-// serve writes the events after a sequence number until the stream ends, is
-// taken over, or the caller goes.
+// serve writes the events after the given event number until the stream stops,
+// another handler resumes it, or the client disconnects.
 func (t *streamWriter) serve(after int) {
-	t.out.Header().Set("Content-Type", "text/event-stream")
-	t.out.Header().Set("Cache-Control", "no-cache")
-	t.out.WriteHeader(http.StatusOK)
-	_ = t.control.Flush()
+	t.response.Header().Set("Content-Type", "text/event-stream")
+	t.response.Header().Set("Cache-Control", "no-cache")
+	t.response.WriteHeader(http.StatusOK)
+	_ = t.controller.Flush()
 	written := after
 	for {
-		p := t.engine.progressOf(t.s, t.owner)
+		p := t.engine.progressOf(t.sequence, t.owner)
 		if !p.owned {
 			return
 		}
 		if p.events > written {
 			if !t.write(written+1, p.events) {
-				t.engine.abandon(t.s, t.owner)
+				t.engine.handleDisconnect(t.sequence, t.owner)
 				return
 			}
 			written = p.events
@@ -53,7 +53,7 @@
 			return
 		}
 		if !t.wait() {
-			t.engine.abandon(t.s, t.owner)
+			t.engine.handleDisconnect(t.sequence, t.owner)
 			return
 		}
 	}
@@ -61,20 +61,21 @@
 
 func (t *streamWriter) wait() bool {
 	select {
-	case <-t.s.changed:
-		t.engine.thaw(t.ctx)
+	case <-t.sequence.changed:
+		t.engine.waitWhileFrozen(t.ctx)
 		return true
 	case <-t.ctx.Done():
 		return false
 	}
 }
 
-// write puts out events from first to last; false when the stream is to end here.
+// write writes the events from first to last and flushes them. It returns false if
+// the stream must end here.
 func (t *streamWriter) write(first, last int) bool {
 	if t.faults.LateMs > 0 {
 		sleep(t.ctx, time.Duration(t.faults.LateMs)*time.Millisecond)
 	}
-	half := max(1, t.s.most/2)
+	half := max(1, t.sequence.maxTokens/2)
 	t.buffer = t.buffer[:0]
 	for n := first; n <= last; n++ {
 		if t.faults.Short && n > half {
@@ -83,20 +84,21 @@
 		if t.faults.Cut && n > half {
 			panic(http.ErrAbortHandler)
 		}
-		t.append(t.swapped(n))
+		t.appendEvent(t.reorderedEvent(n))
 	}
-	if _, err := t.out.Write(t.buffer); err != nil {
+	if _, err := t.response.Write(t.buffer); err != nil {
 		return false
 	}
-	if t.control.Flush() != nil {
+	if t.controller.Flush() != nil {
 		return false
 	}
 	return !t.faults.Short || last <= half
 }
 
-// swapped exchanges neighbours among the tokens when the order is at fault.
-func (t *streamWriter) swapped(n int) int {
-	if !t.faults.Reorder || t.s.most%2 == 1 && n == t.s.most || n > t.s.most {
+// reorderedEvent returns the event to write in place of event n. With the reorder
+// fault, neighbouring token events are swapped.
+func (t *streamWriter) reorderedEvent(n int) int {
+	if !t.faults.Reorder || t.sequence.maxTokens%2 == 1 && n == t.sequence.maxTokens || n > t.sequence.maxTokens {
 		return n
 	}
 	if n%2 == 1 {
@@ -105,7 +107,7 @@
 	return n - 1
 }
 
-func (t *streamWriter) append(n int) {
+func (t *streamWriter) appendEvent(n int) {
 	if t.faults.Garbage && n == 2 {
 		t.buffer = append(t.buffer, garbageBytes...)
 		return
@@ -113,17 +115,17 @@
 	t.buffer = append(t.buffer, "id: "...)
 	t.buffer = strconv.AppendInt(t.buffer, int64(n), 10)
 	t.buffer = append(t.buffer, "\ndata: "...)
-	t.buffer = append(t.buffer, t.s.eventData(n)...)
+	t.buffer = append(t.buffer, t.sequence.eventData(n)...)
 	t.buffer = append(t.buffer, "\n\n"...)
 }
 
-// serveWhole answers a request that doesn't stream.
-func (e *Engine) serveWhole(w http.ResponseWriter, r *http.Request, s *sequence, faults Faults) {
+// serveNonStreaming waits until the sequence is done and writes the full response.
+func (e *Engine) serveNonStreaming(w http.ResponseWriter, r *http.Request, s *sequence, faults Faults) {
 	for {
 		p := e.progressOf(s, 0)
 		switch p.state {
 		case stateDone:
-			e.writeWhole(w, r, s, faults)
+			e.writeNonStreaming(w, r, s, faults)
 			return
 		case stateCancelled, stateEvicted, stateSuspended:
 			writeError(w, http.StatusConflict, "stopped", "the request was stopped")
@@ -133,14 +135,14 @@
 		select {
 		case <-s.changed:
 		case <-r.Context().Done():
-			e.abandon(s, 0)
+			e.handleDisconnect(s, 0)
 			return
 		}
 	}
 }
 
-func (e *Engine) writeWhole(w http.ResponseWriter, r *http.Request, s *sequence, faults Faults) {
-	e.thaw(r.Context())
+func (e *Engine) writeNonStreaming(w http.ResponseWriter, r *http.Request, s *sequence, faults Faults) {
+	e.waitWhileFrozen(r.Context())
 	if faults.LateMs > 0 {
 		sleep(r.Context(), time.Duration(faults.LateMs)*time.Millisecond)
 	}
@@ -152,6 +154,6 @@
 		_, _ = w.Write([]byte("{\"id\":"))
 		panic(http.ErrAbortHandler)
 	default:
-		writeJSON(w, http.StatusOK, s.whole(s.most))
+		writeJSON(w, http.StatusOK, s.fullResponse(s.maxTokens))
 	}
 }
--- a/lab/pkg/engine/text.go
+++ b/lab/pkg/engine/text.go
@@ -11,7 +11,8 @@
 	vowels = "a e i o u"
 )
 
-// vocabulary holds made-up words, so that generated text is told from a prompt.
+// vocabulary holds made-up words, so that generated text can be distinguished from
+// prompt text.
 var vocabulary = buildVocabulary()
 
 var vocabularySet = func() map[string]bool {
@@ -34,7 +35,7 @@
 	return words
 }
 
-// Token is the text generated at a position for a prompt's seed, with its leading space.
+// Token returns the token generated at a position for a prompt's seed, with a leading space.
 func Token(seed uint64, position int) string {
 	mixed := (seed + uint64(position)) * 0x9e3779b97f4a7c15
 	mixed ^= mixed >> 29
@@ -43,7 +44,7 @@
 	return " " + vocabulary[mixed%uint64(len(vocabulary))]
 }
 
-// Text is the first count tokens generated for a prompt.
+// Text returns the first count tokens generated for a prompt.
 func Text(prompt string, count int) string {
 	seed, start := splitPrompt(prompt)
 	var b strings.Builder
@@ -53,9 +54,10 @@
 	return b.String()
 }
 
-// splitPrompt strips generated words from the end of a prompt. A continuation
-// holds the text so far at its end; by counting these tokens and seeding by the
-// rest alone, a resumed answer goes on exactly as an unbroken one would.
+// splitPrompt strips generated words from the end of a prompt and returns the seed
+// of the rest and the number of stripped words. The prompt of a continuation ends
+// with the text generated so far. Counting its tokens and seeding by the rest alone
+// makes a continued response identical to an uninterrupted one.
 func splitPrompt(prompt string) (seed uint64, start int) {
 	rest := prompt
 	for {
@@ -69,8 +71,8 @@
 	return xxhash.Sum64String(rest), start
 }
 
-// ChatText is the first count tokens generated for one user message, so that a
-// test can tell whether an answer belongs to its request and is whole.
+// ChatText returns the first count tokens generated for one user message. Tests use
+// it to check that a response belongs to its request and is complete.
 func ChatText(message string, count int) string {
 	request := generateRequest{Messages: []chatMessage{{Role: "user", Content: message}}}
 	return Text(request.flatPrompt(true), count)
