--- a/lab/pkg/bench/arm.go
+++ b/lab/pkg/bench/arm.go
@@ -8,13 +8,14 @@
 	"toucanhinge.example/lab/pkg/load"
 )
 
-// errUnsound marks a run whose calls failed, so that its figures would lie.
-var errUnsound = errors.New("calls failed")
+// errCallsFailed is returned for a run with too many failed calls, since its figures
+// would be misleading.
+var errCallsFailed = errors.New("calls failed")
 
-// soundShare is the share of calls that must be whole for an arm to count.
-const soundShare = 0.99
+// minSuccessShare is the share of calls that must be complete for an arm to be valid.
+const minSuccessShare = 0.99
 
-// arm collects the reports of one arm.
+// arm merges the load reports of one arm of an experiment.
 type arm struct {
 	report *load.Report
 }
@@ -27,9 +28,9 @@
 	a.report.Merge(r)
 }
 
-func (a *arm) sound() error {
-	if float64(a.report.Whole) < soundShare*float64(a.report.Calls) {
-		return fmt.Errorf("%s: %w", a.report, errUnsound)
+func (a *arm) checkSuccessShare() error {
+	if float64(a.report.Whole) < minSuccessShare*float64(a.report.Calls) {
+		return fmt.Errorf("%s: %w", a.report, errCallsFailed)
 	}
 	return nil
 }
--- a/lab/pkg/bench/bench.go
+++ b/lab/pkg/bench/bench.go
@@ -1,5 +1,5 @@
-// Package bench holds the experiments. Each compares its arms within one run on
-// one machine, so their ratios count more than their absolute figures.
+// Package bench implements the experiments. Each experiment compares its arms within
+// one run on one machine, so ratios are more meaningful than absolute figures.
 package bench
 
 import (
@@ -18,38 +18,38 @@
 	"toucanhinge.example/lab/pkg/summary"
 )
 
-// Config is one bench run.
+// Config configures a bench run.
 type Config struct {
-	// Bin is the folder of the built programs.
+	// Bin is the directory of the built binaries.
 	Bin string
-	// Out takes summary, pictures and, below it, the fleets' files.
+	// Out is the output directory for the summary, the pictures and the fleets' files.
 	Out string
-	// Only names the experiments to run; empty means all.
+	// Only lists the names of the experiments to run; empty means all.
 	Only []string
-	// Runs is how often each arm is run; the median counts.
+	// Runs is the number of runs per arm. The median is reported.
 	Runs int
 	Seed uint64
-	// Print takes the progress and the table.
+	// Print receives the progress output and the table.
 	Print io.Writer
 }
 
-// Bench is a run under way.
+// Bench is a running bench.
 type Bench struct {
-	Config  Config
-	Summary *summary.Summary
-	fleets  int
+	Config     Config
+	Summary    *summary.Summary
+	fleetCount int
 }
 
-// Experiment brings some of the summary's figures.
+// Experiment measures some of the summary's figures.
 type Experiment struct {
-	Name  string
-	About string
-	// Figures are the names it is to bring.
+	Name        string
+	Description string
+	// Figures are the names of the figures that the experiment must measure.
 	Figures []string
 	Run     func(ctx context.Context, b *Bench) error
 }
 
-// Experiments is all of them, in the order of running.
+// Experiments returns all experiments in the order in which they run.
 func Experiments() []Experiment {
 	return []Experiment{
 		overheadExperiment, processorExperiment, idleExperiment, itemsExperiment, failoverExperiment,
@@ -58,21 +58,22 @@
 	}
 }
 
-var errUnknown = errors.New("no such experiment")
+var errUnknownExperiment = errors.New("unknown experiment")
 
-// Run runs the chosen experiments, prints the table and writes the summary. An
-// experiment that fails leaves its figures out, says why, and the rest goes on.
+// Run runs the selected experiments, writes the summary and prints the table. If an
+// experiment fails, its missing figures are listed with the reason and the other
+// experiments still run.
 func Run(ctx context.Context, config Config) error {
 	b := &Bench{Config: config, Summary: summary.New()}
-	chosen, err := config.chosen()
+	selected, err := config.selected()
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(config.Out, 0o700); err != nil {
-		return fmt.Errorf("make folder: %w", err)
+		return fmt.Errorf("create output directory: %w", err)
 	}
-	for _, e := range chosen {
-		b.one(ctx, e)
+	for _, e := range selected {
+		b.runExperiment(ctx, e)
 	}
 	if err := b.Summary.WriteFile(filepath.Join(config.Out, "summary.json")); err != nil {
 		return err
@@ -80,59 +81,59 @@
 	return b.Summary.Print(config.Print)
 }
 
-func (c Config) chosen() ([]Experiment, error) {
+func (c Config) selected() ([]Experiment, error) {
 	if len(c.Only) == 0 {
 		return Experiments(), nil
 	}
-	var chosen []Experiment
+	var selected []Experiment
 	for _, name := range c.Only {
 		found := false
 		for _, e := range Experiments() {
 			if e.Name == name {
-				chosen, found = append(chosen, e), true
+				selected, found = append(selected, e), true
 			}
 		}
 		if !found {
-			return nil, fmt.Errorf("%s: %w", name, errUnknown)
+			return nil, fmt.Errorf("%s: %w", name, errUnknownExperiment)
 		}
 	}
-	return chosen, nil
+	return selected, nil
 }
 
-func (b *Bench) one(ctx context.Context, e Experiment) {
+func (b *Bench) runExperiment(ctx context.Context, e Experiment) {
 	start := time.Now()
-	b.say("== %s: %s", e.Name, e.About)
+	b.printf("== %s: %s", e.Name, e.Description)
 	err := e.Run(ctx, b)
 	if err != nil {
-		b.say("   failed: %v", err)
+		b.printf("   failed: %v", err)
 	}
 	for _, name := range e.Figures {
 		if _, ok := b.Summary.Median(name); !ok {
-			reason := "the experiment brought no value"
+			reason := "the experiment measured no value"
 			if err != nil {
 				reason = strings.SplitN(err.Error(), "\n", 2)[0]
 			}
 			b.Summary.Miss(name, reason)
 		}
 	}
-	b.say("   took %.1f s", time.Since(start).Seconds())
+	b.printf("   took %.1f s", time.Since(start).Seconds())
 }
 
-func (b *Bench) say(format string, args ...any) {
+func (b *Bench) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(b.Config.Print, format+"\n", args...)
 }
 
-// add notes a figure and prints it.
-func (b *Bench) add(name string, value float64) {
+// addFigure records a figure and prints it.
+func (b *Bench) addFigure(name string, value float64) {
 	b.Summary.Add(name, value)
-	b.say("   %s = %.4g", name, value)
+	b.printf("   %s = %.4g", name, value)
 }
 
-// fleet starts a fleet in a folder of its own.
-func (b *Bench) fleet(ctx context.Context, config fleet.Config) (*fleet.Fleet, error) {
-	b.fleets++
+// startFleet starts a fleet in its own directory.
+func (b *Bench) startFleet(ctx context.Context, config fleet.Config) (*fleet.Fleet, error) {
+	b.fleetCount++
 	config.Bin = b.Config.Bin
-	config.Folder = filepath.Join(b.Config.Out, "fleets", fmt.Sprintf("%d-%d", os.Getpid(), b.fleets))
+	config.Folder = filepath.Join(b.Config.Out, "fleets", fmt.Sprintf("%d-%d", os.Getpid(), b.fleetCount))
 	f, err := fleet.New(ctx, config)
 	if err != nil {
 		return nil, fmt.Errorf("start fleet: %w", err)
@@ -140,16 +141,17 @@
 	return f, nil
 }
 
-// end closes a fleet and removes its data, which may be large.
-func (b *Bench) end(f *fleet.Fleet) {
+// stopFleet closes a fleet and removes the data directories of its control VMs, which
+// may be large.
+func (b *Bench) stopFleet(f *fleet.Fleet) {
 	f.Close()
 	for _, n := range f.Controls {
 		_ = os.RemoveAll(n.Data)
 	}
 }
 
-func (b *Bench) draw(name string, picture plots.Picture) {
+func (b *Bench) writePicture(name string, picture plots.Picture) {
 	if err := picture.Write(filepath.Join(b.Config.Out, name+".png")); err != nil {
-		b.say("   no picture: %v", err)
+		b.printf("   failed to write picture: %v", err)
 	}
 }
--- a/lab/pkg/bench/daemons.go
+++ b/lab/pkg/bench/daemons.go
@@ -15,74 +15,74 @@
 )
 
 const (
-	daemonsFew    = 20
-	daemonsMany   = 220
-	daemonsSettle = 4 * time.Second
-	daemonsLength = 10 * time.Second
+	daemonsFew      = 20
+	daemonsMany     = 220
+	daemonsWarmup   = 4 * time.Second
+	daemonsDuration = 10 * time.Second
 )
 
 var daemonsExperiment = Experiment{
-	Name:    "daemons",
-	About:   "the controls' CPU and memory for one more idle daemon that watches and sends heartbeats",
-	Figures: []string{"control.daemon.us", "control.daemon.kb"},
-	Run:     runDaemons,
+	Name:        "daemons",
+	Description: "the controls' CPU and memory per additional idle daemon that watches and sends heartbeats",
+	Figures:     []string{"control.daemon.us", "control.daemon.kb"},
+	Run:         runDaemons,
 }
 
 func runDaemons(ctx context.Context, b *Bench) error {
 	for range b.Config.Runs {
-		few, err := daemonCost(ctx, b, daemonsFew)
+		few, err := measureControlUsage(ctx, b, daemonsFew)
 		if err != nil {
 			return err
 		}
-		many, err := daemonCost(ctx, b, daemonsMany)
+		many, err := measureControlUsage(ctx, b, daemonsMany)
 		if err != nil {
 			return err
 		}
-		b.add("control.daemon.us", (many.processor-few.processor)*processorUS/(daemonsMany-daemonsFew))
-		b.add("control.daemon.kb", (many.resident-few.resident)/1024/(daemonsMany-daemonsFew))
+		b.addFigure("control.daemon.us", (many.processor-few.processor)*microsPerSecond/(daemonsMany-daemonsFew))
+		b.addFigure("control.daemon.kb", (many.resident-few.resident)/1024/(daemonsMany-daemonsFew))
 	}
 	return nil
 }
 
-// daemonTotals is what all controls spend together: seconds of CPU in a second,
-// and bytes.
-type daemonTotals struct {
+// controlUsage is the total usage of all controls: CPU seconds per second and
+// resident bytes.
+type controlUsage struct {
 	processor float64
 	resident  float64
 }
 
-func daemonCost(ctx context.Context, b *Bench, count int) (daemonTotals, error) {
-	f, err := b.fleet(ctx, fleet.Config{Controls: 3})
+func measureControlUsage(ctx context.Context, b *Bench, count int) (controlUsage, error) {
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 3})
 	if err != nil {
-		return daemonTotals{}, err
+		return controlUsage{}, err
 	}
-	defer b.end(f)
+	defer b.stopFleet(f)
 	running, stop := context.WithCancel(ctx)
-	var duties sync.WaitGroup
-	defer func() { stop(); duties.Wait() }()
+	var wg sync.WaitGroup
+	defer func() { stop(); wg.Wait() }()
 	for n := range count {
-		startDaemon(running, f, n, &duties)
+		startDaemon(running, f, n, &wg)
 	}
-	time.Sleep(daemonsSettle)
-	before, err := usages(f.Controls)
+	time.Sleep(daemonsWarmup)
+	before, err := nodeUsages(f.Controls)
 	if err != nil {
-		return daemonTotals{}, err
+		return controlUsage{}, err
 	}
-	time.Sleep(daemonsLength)
-	after, err := usages(f.Controls)
+	time.Sleep(daemonsDuration)
+	after, err := nodeUsages(f.Controls)
 	if err != nil {
-		return daemonTotals{}, err
+		return controlUsage{}, err
 	}
-	var totals daemonTotals
+	var usage controlUsage
 	for i := range after {
-		totals.processor += (after[i].Processor - before[i].Processor).Seconds() / daemonsLength.Seconds()
-		totals.resident += float64(after[i].Resident)
+		usage.processor += (after[i].Processor - before[i].Processor).Seconds() / daemonsDuration.Seconds()
+		usage.resident += float64(after[i].Resident)
 	}
-	return totals, nil
+	return usage, nil
 }
 
-// startDaemon runs what every daemon does with control when it is idle.
-func startDaemon(ctx context.Context, f *fleet.Fleet, n int, duties *sync.WaitGroup) {
+// startDaemon starts a watcher and a heartbeater, the control traffic of an idle daemon.
+func startDaemon(ctx context.Context, f *fleet.Fleet, n int, wg *sync.WaitGroup) {
 	name := fmt.Sprintf("daemon-%d", n)
 	client := control.New(control.Config{Addresses: f.ControlAddresses(), HTTP: web.NewClient()})
 	watcher := control.NewWatcher(control.WatcherConfig{Client: client, Process: name, Logger: log.NewNopLogger()})
@@ -98,6 +98,6 @@
 			}
 		},
 	})
-	duties.Go(func() { watcher.Run(ctx) })
-	duties.Go(func() { beater.Run(ctx) })
+	wg.Go(func() { watcher.Run(ctx) })
+	wg.Go(func() { beater.Run(ctx) })
 }
--- a/lab/pkg/bench/death_test.go
+++ b/lab/pkg/bench/death_test.go
@@ -18,12 +18,12 @@
 		{"never slow", nil, 0},
 		{"slow for two windows", []int{0, 1}, 2 * deathWindow},
 		{"slow again after one", []int{0, 2}, 3 * deathWindow},
-		{"one late call long after", []int{0, 9}, deathWindow},
+		{"one slow call long after", []int{0, 9}, deathWindow},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			f := &firsts{}
-			for range deathLength / deathWindow {
+			f := &firstTokenTimes{}
+			for range deathDuration / deathWindow {
 				h := load.NewHistogram()
 				h.Record(20 * time.Millisecond)
 				f.windows = append(f.windows, h)
--- a/lab/pkg/bench/failover.go
+++ b/lab/pkg/bench/failover.go
@@ -12,18 +12,18 @@
 const failoverKills = 5
 
 var failoverExperiment = Experiment{
-	Name:    "failover",
-	About:   "kill -9 of the leader of the configuration group, to the next accepted change",
-	Figures: []string{"failover.p99.ms"},
-	Run:     runFailover,
+	Name:        "failover",
+	Description: "time from kill -9 of the configuration group's leader to the next accepted change",
+	Figures:     []string{"failover.p99.ms"},
+	Run:         runFailover,
 }
 
 func runFailover(ctx context.Context, b *Bench) error {
-	f, err := b.fleet(ctx, fleet.Config{Controls: 3})
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 3})
 	if err != nil {
 		return err
 	}
-	defer b.end(f)
+	defer b.stopFleet(f)
 	times := load.NewHistogram()
 	for n := range failoverKills * b.Config.Runs {
 		leader, err := f.Leader(ctx, 0)
@@ -39,7 +39,7 @@
 		}
 		took := time.Since(start)
 		times.Record(took)
-		b.say("   %d: %d ms", n+1, took.Milliseconds())
+		b.printf("   %d: %d ms", n+1, took.Milliseconds())
 		if err := leader.Start(); err != nil {
 			return err
 		}
@@ -47,7 +47,7 @@
 			return err
 		}
 	}
-	b.add("failover.p99.ms", times.Ms(99))
-	b.add("failover.p50.ms", times.Ms(50))
+	b.addFigure("failover.p99.ms", times.Ms(99))
+	b.addFigure("failover.p50.ms", times.Ms(50))
 	return nil
 }
--- a/lab/pkg/bench/harm.go
+++ b/lab/pkg/bench/harm.go
@@ -13,60 +13,61 @@
 )
 
 const (
-	harmEngines = 4
-	harmSlots   = 16
-	harmLength  = 8 * time.Second
-	// harmShare of the fleet's capacity is asked for by online requests on the average.
-	harmShare = 0.4
-	// A batch item is shaped like an online request, so that tokens compare.
+	harmEngines  = 4
+	harmSlots    = 16
+	harmDuration = 8 * time.Second
+	// harmLoadShare is the average online load as a share of the fleet's capacity.
+	harmLoadShare = 0.4
+	// Batch items and online requests have the same size, so that their token rates
+	// are comparable.
 	harmTokensMin = 16
 	harmTokensMax = 80
 	harmItems     = 8_000
-	// fillSettle lets batch fill the engines before we count.
-	fillSettle = 2 * time.Second
-	fillLength = 4 * time.Second
+	// fillWarmup lets batch items fill the engines before the measurement starts.
+	fillWarmup   = 2 * time.Second
+	fillDuration = 4 * time.Second
 )
 
 var harmExperiment = Experiment{
-	Name:  "harm",
-	About: "online alone, with batch under our policy, with batch given to the engines at once; and how much batch fills",
+	Name:        "harm",
+	Description: "online alone, with batch under our policy, with batch sent to the engines at once; spare capacity used by batch",
 	Figures: []string{
 		"harm.ttft", "harm.itl", "naive.harm.ttft", "naive.harm.itl", "batch.fill", "naive.batch.fill",
 	},
 	Run: runHarm,
 }
 
-// harmArm is what one policy gave.
+// harmArm holds the measurements of one policy.
 type harmArm struct {
 	alone, mixed *load.Report
-	// capacity is tokens a second with batch alone.
+	// capacity is the token rate per second with batch alone.
 	capacity float64
-	// filled is tokens a second of batch beside online.
-	filled float64
-	// left is tokens a second that online left.
-	left float64
+	// batchRate is the token rate of batch while online requests run.
+	batchRate float64
+	// spareRate is the capacity not used by online requests, in tokens per second.
+	spareRate float64
 }
 
 func runHarm(ctx context.Context, b *Bench) error {
 	for run := range b.Config.Runs {
-		ours, err := b.harmRun(ctx, fmt.Sprintf("ours%d", run))
+		ours, err := b.measureHarm(ctx, fmt.Sprintf("ours%d", run))
 		if err != nil {
 			return err
 		}
-		naive, err := b.harmRun(ctx, fmt.Sprintf("naive%d", run), fleet.NaivePolicy()...)
+		naive, err := b.measureHarm(ctx, fmt.Sprintf("naive%d", run), fleet.NaivePolicy()...)
 		if err != nil {
 			return err
 		}
-		b.add("harm.ttft", ratio(ours.mixed.First.Ms(99), ours.alone.First.Ms(99)))
-		b.add("harm.itl", ratio(ours.mixed.Gaps.Ms(95), ours.alone.Gaps.Ms(95)))
-		b.add("naive.harm.ttft", ratio(naive.mixed.First.Ms(99), naive.alone.First.Ms(99)))
-		b.add("naive.harm.itl", ratio(naive.mixed.Gaps.Ms(95), naive.alone.Gaps.Ms(95)))
-		b.add("batch.fill", ratio(ours.filled, ours.left))
-		b.add("naive.batch.fill", ratio(naive.filled, naive.left))
+		b.addFigure("harm.ttft", ratio(ours.mixed.First.Ms(99), ours.alone.First.Ms(99)))
+		b.addFigure("harm.itl", ratio(ours.mixed.Gaps.Ms(95), ours.alone.Gaps.Ms(95)))
+		b.addFigure("naive.harm.ttft", ratio(naive.mixed.First.Ms(99), naive.alone.First.Ms(99)))
+		b.addFigure("naive.harm.itl", ratio(naive.mixed.Gaps.Ms(95), naive.alone.Gaps.Ms(95)))
+		b.addFigure("batch.fill", ratio(ours.batchRate, ours.spareRate))
+		b.addFigure("naive.batch.fill", ratio(naive.batchRate, naive.spareRate))
 		if run == 0 {
-			b.draw("harm", quantilePicture("First token: online alone, with batch, with naive batch",
-				named{"alone", ours.alone.First}, named{"with batch, ours", ours.mixed.First},
-				named{"with batch, naive", naive.mixed.First}))
+			b.writePicture("harm", quantilePicture("First token: online alone, with batch, with naive batch",
+				namedHistogram{"alone", ours.alone.First}, namedHistogram{"with batch, ours", ours.mixed.First},
+				namedHistogram{"with batch, naive", naive.mixed.First}))
 		}
 	}
 	return nil
@@ -79,49 +80,49 @@
 	return a / b
 }
 
-// harmRun measures one policy on a fleet of its own: online alone, batch alone,
-// both together, with the same arrivals.
-func (b *Bench) harmRun(ctx context.Context, name string, settings ...fleet.Setting) (*harmArm, error) {
-	f, err := b.fleet(ctx, fleet.Config{
+// measureHarm measures one policy on its own fleet: batch alone, online and batch
+// together, and online alone. Both online measurements use the same arrivals.
+func (b *Bench) measureHarm(ctx context.Context, name string, settings ...fleet.Setting) (*harmArm, error) {
+	f, err := b.startFleet(ctx, fleet.Config{
 		Controls: 1, Gateways: 2, Sidecars: harmEngines, Engine: fleet.Engine{Slots: harmSlots}, SidecarSettings: settings,
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer b.end(f)
+	defer b.stopFleet(f)
 	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherKey})
-	filler, err := uploadFiller(ctx, batch, name)
+	job, err := uploadBackgroundJob(ctx, batch, name)
 	if err != nil {
 		return nil, err
 	}
 	a := &harmArm{}
-	if a.capacity, err = tokenRate(ctx, f, fillSettle, fillLength); err != nil {
+	if a.capacity, err = tokenRate(ctx, f, fillWarmup, fillDuration); err != nil {
 		return nil, err
 	}
-	rate := harmShare * a.capacity / ((harmTokensMin + harmTokensMax) / 2)
-	a.mixed, a.filled, err = b.onlineWithFill(ctx, f, name+"m", rate)
+	rate := harmLoadShare * a.capacity / ((harmTokensMin + harmTokensMax) / 2)
+	a.mixed, a.batchRate, err = b.measureOnline(ctx, f, name+"m", rate)
 	if err != nil {
 		return nil, err
 	}
-	if err := batch.Cancel(ctx, filler); err != nil {
+	if err := batch.Cancel(ctx, job); err != nil {
 		return nil, err
 	}
 	if err := waitIdle(ctx, f); err != nil {
 		return nil, err
 	}
-	if a.alone, _, err = b.onlineWithFill(ctx, f, name+"a", rate); err != nil {
+	if a.alone, _, err = b.measureOnline(ctx, f, name+"a", rate); err != nil {
 		return nil, err
 	}
-	a.left = a.capacity - float64(a.mixed.Tokens)/a.mixed.Length.Seconds()
-	b.say("   %s capacity %.0f tokens/s, batch beside online %.0f of %.0f left", name, a.capacity, a.filled, a.left)
-	b.say("   %s alone: %s", name, a.alone)
-	b.say("   %s mixed: %s", name, a.mixed)
+	a.spareRate = a.capacity - float64(a.mixed.Tokens)/a.mixed.Length.Seconds()
+	b.printf("   %s capacity %.0f tokens/s, batch used %.0f of %.0f spare", name, a.capacity, a.batchRate, a.spareRate)
+	b.printf("   %s alone: %s", name, a.alone)
+	b.printf("   %s mixed: %s", name, a.mixed)
 	return a, nil
 }
 
-// onlineWithFill runs the online load and says how many tokens a second the
-// engines generated besides.
-func (b *Bench) onlineWithFill(ctx context.Context, f *fleet.Fleet, name string, rate float64) (*load.Report, float64, error) {
+// measureOnline runs the online load. It also returns the rate of other tokens
+// generated by the engines, per second.
+func (b *Bench) measureOnline(ctx context.Context, f *fleet.Fleet, name string, rate float64) (*load.Report, float64, error) {
 	mix := load.Mix{
 		Model: fleet.Model, Prefixes: 8, PrefixBytes: 512, OwnBytes: 200,
 		MinTokens: harmTokensMin, MaxTokens: harmTokensMax, Name: name, Seed: b.Config.Seed,
@@ -133,20 +134,20 @@
 	start := time.Now()
 	report := load.Run(ctx, load.Config{
 		Target: f.Target, Make: mix.Make, Deadline: time.Minute,
-		Schedule: load.Agence.WithMean(rate).Schedule(harmLength, b.Config.Seed),
+		Schedule: load.Agence.WithMean(rate).Schedule(harmDuration, b.Config.Seed),
 	})
 	after, err := engineTokens(ctx, f)
 	if err != nil {
 		return nil, 0, err
 	}
-	if err := (&arm{report: report}).sound(); err != nil {
+	if err := (&arm{report: report}).checkSuccessShare(); err != nil {
 		return nil, 0, err
 	}
 	return report, (float64(after-before) - float64(report.Tokens)) / time.Since(start).Seconds(), nil
 }
 
-// uploadFiller brings a job that is larger than a run can finish.
-func uploadFiller(ctx context.Context, batch *caller.Caller, name string) (id string, err error) {
+// uploadBackgroundJob uploads a job that is too large to finish within a run.
+func uploadBackgroundJob(ctx context.Context, batch *caller.Caller, name string) (id string, err error) {
 	var lines strings.Builder
 	for n := range harmItems {
 		tokens := harmTokensMin + n%(harmTokensMax-harmTokensMin+1)
@@ -157,8 +158,8 @@
 	return job.ID, err
 }
 
-func tokenRate(ctx context.Context, f *fleet.Fleet, settle, length time.Duration) (float64, error) {
-	time.Sleep(settle)
+func tokenRate(ctx context.Context, f *fleet.Fleet, warmup, length time.Duration) (float64, error) {
+	time.Sleep(warmup)
 	before, err := engineTokens(ctx, f)
 	if err != nil {
 		return 0, err
@@ -192,7 +193,7 @@
 	return total, first
 }
 
-// waitIdle waits until the engines generate nothing more.
+// waitIdle waits until the engines generate no more tokens.
 func waitIdle(ctx context.Context, f *fleet.Fleet) error {
 	for range 200 {
 		rate, err := tokenRate(ctx, f, 0, 100*time.Millisecond)
@@ -200,5 +201,5 @@
 			return err
 		}
 	}
-	return errBusy
+	return errEnginesBusy
 }
--- a/lab/pkg/bench/idle.go
+++ b/lab/pkg/bench/idle.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	// idleSettle lets the start's own traffic pass.
-	idleSettle = 3 * time.Second
-	idleLength = 7 * time.Second
+	// idleWarmup is the time for startup traffic to end.
+	idleWarmup   = 3 * time.Second
+	idleDuration = 7 * time.Second
 )
 
 var idleExperiment = Experiment{
-	Name:    "idle",
-	About:   "memory of each role, CPU and bytes a second to and from control, all idle",
-	Figures: []string{"gateway.rss.mb", "sidecar.rss.mb", "control.rss.mb", "sidecar.control.bytes", "gateway.control.bytes"},
-	Run:     runIdle,
+	Name:        "idle",
+	Description: "memory and CPU of each idle role, and its bytes per second to and from control",
+	Figures:     []string{"gateway.rss.mb", "sidecar.rss.mb", "control.rss.mb", "sidecar.control.bytes", "gateway.control.bytes"},
+	Run:         runIdle,
 }
 
 func runIdle(ctx context.Context, b *Bench) error {
-	f, err := b.fleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, CountControl: true})
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, CountControl: true})
 	if err != nil {
 		return err
 	}
-	defer b.end(f)
-	time.Sleep(idleSettle)
+	defer b.stopFleet(f)
+	time.Sleep(idleWarmup)
 	for range b.Config.Runs {
 		nodes := []*fleet.Node{f.Gateways[0], f.Sidecars[0], f.Controls[0]}
-		before, err := usages(nodes)
+		before, err := nodeUsages(nodes)
 		if err != nil {
 			return err
 		}
 		gateway, sidecar := f.ControlBytes(nodes[0]), f.ControlBytes(nodes[1])
-		time.Sleep(idleLength)
-		after, err := usages(nodes)
+		time.Sleep(idleDuration)
+		after, err := nodeUsages(nodes)
 		if err != nil {
 			return err
 		}
 		for i, role := range []string{"gateway", "sidecar", "control"} {
-			b.add(role+".rss.mb", float64(after[i].Resident)/(1<<20))
-			b.add(role+".cpu.idle.percent", 100*(after[i].Processor-before[i].Processor).Seconds()/idleLength.Seconds())
+			b.addFigure(role+".rss.mb", float64(after[i].Resident)/(1<<20))
+			b.addFigure(role+".cpu.idle.percent", 100*(after[i].Processor-before[i].Processor).Seconds()/idleDuration.Seconds())
 		}
-		b.add("gateway.control.bytes", float64(f.ControlBytes(nodes[0])-gateway)/idleLength.Seconds())
-		b.add("sidecar.control.bytes", float64(f.ControlBytes(nodes[1])-sidecar)/idleLength.Seconds())
+		b.addFigure("gateway.control.bytes", float64(f.ControlBytes(nodes[0])-gateway)/idleDuration.Seconds())
+		b.addFigure("sidecar.control.bytes", float64(f.ControlBytes(nodes[1])-sidecar)/idleDuration.Seconds())
 	}
 	return nil
 }
--- a/lab/pkg/bench/items.go
+++ b/lab/pkg/bench/items.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	itemsPerJob    = 30_000
-	jobsPerGroup   = 4
-	workersPerJob  = 8
-	itemsPerLease  = 200
-	itemsLimit     = 90 * time.Second
-	itemBodyBytes  = 100
-	teamOfBench    = fleet.TeamName
-	serviceOfBench = fleet.ModelService
+	itemsPerJob   = 30_000
+	jobsPerGroup  = 4
+	workersPerJob = 8
+	itemsPerLease = 200
+	itemsTimeout  = 90 * time.Second
+	itemBodyBytes = 100
+	benchTeam     = fleet.TeamName
+	benchService  = fleet.ModelService
 )
 
-var errItems = errors.New("items are missing")
+var errItemsMissing = errors.New("items are missing")
 
 var itemsExperiment = Experiment{
-	Name:    "items",
-	About:   "batch items accepted and completed a second by 3 controls, in one job group and in four, without engines",
-	Figures: []string{"items.onegroup", "items.fourgroups", "item.cpu.us", "item.disk.bytes"},
+	Name:        "items",
+	Description: "batch items accepted and completed per second by 3 controls, in one job group and in four, without engines",
+	Figures:     []string{"items.onegroup", "items.fourgroups", "item.cpu.us", "item.disk.bytes"},
 	Run: func(ctx context.Context, b *Bench) error {
 		for _, groups := range []int{1, 4} {
 			if err := runItems(ctx, b, groups); err != nil {
@@ -43,13 +43,13 @@
 }
 
 func runItems(ctx context.Context, b *Bench, groups int) error {
-	f, err := b.fleet(ctx, fleet.Config{Controls: 3, JobGroups: groups})
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 3, JobGroups: groups})
 	if err != nil {
 		return err
 	}
-	defer b.end(f)
+	defer b.stopFleet(f)
 	for run := range b.Config.Runs {
-		before, err := usages(f.Controls)
+		before, err := nodeUsages(f.Controls)
 		if err != nil {
 			return err
 		}
@@ -57,40 +57,40 @@
 		if err != nil {
 			return err
 		}
-		after, err := usages(f.Controls)
+		after, err := nodeUsages(f.Controls)
 		if err != nil {
 			return err
 		}
 		if groups == 4 {
-			b.add("items.fourgroups", rate)
+			b.addFigure("items.fourgroups", rate)
 			continue
 		}
-		b.add("items.onegroup", rate)
+		b.addFigure("items.onegroup", rate)
 		processor, disk := 0.0, 0.0
 		for i := range after {
-			processor += (after[i].Processor - before[i].Processor).Seconds() * processorUS
+			processor += (after[i].Processor - before[i].Processor).Seconds() * microsPerSecond
 			disk += float64(after[i].Written - before[i].Written)
 		}
-		b.add("item.cpu.us", processor/float64(items))
-		b.add("item.disk.bytes", disk/float64(items))
+		b.addFigure("item.cpu.us", processor/float64(items))
+		b.addFigure("item.disk.bytes", disk/float64(items))
 	}
 	return nil
 }
 
-// completeJobs uploads jobs to every group, works them off, and says the rate
-// from the first upload to the last completion.
+// completeJobs uploads jobs to every group and completes their items. It returns the
+// rate from the first upload to the last completion.
 func completeJobs(ctx context.Context, f *fleet.Fleet, groups, run int) (rate float64, items int64, err error) {
-	ctx, stop := context.WithTimeout(ctx, itemsLimit)
+	ctx, stop := context.WithTimeout(ctx, itemsTimeout)
 	defer stop()
 	items = int64(groups * jobsPerGroup * itemsPerJob)
 	counts := &worker.Counts{}
-	var duties sync.WaitGroup
+	var wg sync.WaitGroup
 	errs := make(chan error, groups*(jobsPerGroup+workersPerJob))
 	start := time.Now()
 	for group := 1; group <= groups; group++ {
 		for n := range jobsPerGroup {
-			header := header(fmt.Sprintf("run-%d-job-%d", run, n), uint32(group), uint32(groups+1))
-			duties.Go(func() {
+			header := uploadHeader(fmt.Sprintf("run-%d-job-%d", run, n), uint32(group), uint32(groups+1))
+			wg.Go(func() {
 				_, err := worker.Upload(ctx, f.Operator.Client(), uint32(group), header, itemsPerJob, benchItem)
 				errs <- err
 			})
@@ -98,13 +98,13 @@
 		for n := range workersPerJob {
 			config := worker.Config{
 				Client: f.Operator.Client(), Name: fmt.Sprintf("worker-%d-%d", group, n), Incarnation: 1,
-				Service: serviceOfBench, Group: uint32(group), Most: itemsPerLease, Body: []byte(strings.Repeat("r", itemBodyBytes)),
+				Service: benchService, Group: uint32(group), Most: itemsPerLease, Body: []byte(strings.Repeat("r", itemBodyBytes)),
 				Limit: items,
 			}
-			duties.Go(func() { errs <- worker.Run(ctx, config, counts) })
+			wg.Go(func() { errs <- worker.Run(ctx, config, counts) })
 		}
 	}
-	duties.Wait()
+	wg.Wait()
 	close(errs)
 	for err := range errs {
 		if err != nil {
@@ -112,17 +112,17 @@
 		}
 	}
 	if counts.Accepted.Load() != items {
-		return 0, 0, fmt.Errorf("%d of %d completed: %w", counts.Accepted.Load(), items, errItems)
+		return 0, 0, fmt.Errorf("%d of %d items completed: %w", counts.Accepted.Load(), items, errItemsMissing)
 	}
 	return float64(items) / time.Since(start).Seconds(), items, nil
 }
 
-// header finds a key that falls into the wanted group.
-func header(key string, group, groups uint32) *toucanhingev1.UploadHeader {
+// uploadHeader returns a header with a job key that maps to the given group.
+func uploadHeader(key string, group, groups uint32) *toucanhingev1.UploadHeader {
 	for n := 0; ; n++ {
-		tried := fmt.Sprintf("%s-%d", key, n)
-		if found, err := job.GroupOf(job.ID(teamOfBench, tried, groups)); err == nil && found == group {
-			return &toucanhingev1.UploadHeader{Team: teamOfBench, Key: tried, Service: serviceOfBench, Gateway: "bench"}
+		candidate := fmt.Sprintf("%s-%d", key, n)
+		if found, err := job.GroupOf(job.ID(benchTeam, candidate, groups)); err == nil && found == group {
+			return &toucanhingev1.UploadHeader{Team: benchTeam, Key: candidate, Service: benchService, Gateway: "bench"}
 		}
 	}
 }
--- a/lab/pkg/bench/large_job.go
+++ b/lab/pkg/bench/large_job.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	largeItems = 210_000
-	largeLimit = 2 * time.Minute
+	largeItems   = 210_000
+	largeTimeout = 2 * time.Minute
 )
 
 var largeJobExperiment = Experiment{
-	Name:    "largejob",
-	About:   "a job of 210,000 items through a gateway: accepted, worked off without engines, read back",
-	Figures: []string{"accept210k.s", "results.persec"},
-	Run:     runLargeJob,
+	Name:        "largejob",
+	Description: "a job of 210,000 items through a gateway: uploaded, completed without engines, results read",
+	Figures:     []string{"accept210k.s", "results.persec"},
+	Run:         runLargeJob,
 }
 
 func runLargeJob(ctx context.Context, b *Bench) error {
-	ctx, stop := context.WithTimeout(ctx, largeLimit)
+	ctx, stop := context.WithTimeout(ctx, largeTimeout)
 	defer stop()
-	f, err := b.fleet(ctx, fleet.Config{Controls: 3, Gateways: 1, JobGroups: 1})
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 3, Gateways: 1, JobGroups: 1})
 	if err != nil {
 		return err
 	}
-	defer b.end(f)
+	defer b.stopFleet(f)
 	c := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.TeamKey})
 	reader, writer := io.Pipe()
-	go func() { _ = writer.CloseWithError(writeLarge(writer)) }()
+	go func() { _ = writer.CloseWithError(writeLargeJob(writer)) }()
 	start := time.Now()
 	status, err := c.Upload(ctx, fleet.ModelService, "large", reader)
 	if err != nil {
 		return err
 	}
-	b.add("accept210k.s", time.Since(start).Seconds())
+	b.addFigure("accept210k.s", time.Since(start).Seconds())
 	usage, err := f.Gateways[0].Process().Usage()
 	if err != nil {
 		return err
 	}
-	b.add("accept210k.gateway.rss.mb", float64(usage.Resident)/(1<<20))
-	if err := workOff(ctx, f, status.ID); err != nil {
+	b.addFigure("accept210k.gateway.rss.mb", float64(usage.Resident)/(1<<20))
+	if err := completeLargeJob(ctx, f, status.ID); err != nil {
 		return err
 	}
 	start = time.Now()
@@ -57,13 +57,13 @@
 		return err
 	}
 	if read != largeItems {
-		return fmt.Errorf("%d of %d results read: %w", read, largeItems, errItems)
+		return fmt.Errorf("%d of %d results read: %w", read, largeItems, errItemsMissing)
 	}
-	b.add("results.persec", float64(read)/time.Since(start).Seconds())
+	b.addFigure("results.persec", float64(read)/time.Since(start).Seconds())
 	return nil
 }
 
-func writeLarge(w io.Writer) error {
+func writeLargeJob(w io.Writer) error {
 	var lines strings.Builder
 	for n := range largeItems {
 		lines.WriteString(caller.ItemLine(fmt.Sprintf("item-%d", n), fleet.Model, "an agreement", 1))
@@ -77,22 +77,22 @@
 	return nil
 }
 
-func workOff(ctx context.Context, f *fleet.Fleet, id string) error {
+func completeLargeJob(ctx context.Context, f *fleet.Fleet, id string) error {
 	group, err := job.GroupOf(id)
 	if err != nil {
-		return fmt.Errorf("group of the job: %w", err)
+		return fmt.Errorf("get job group: %w", err)
 	}
 	counts := &worker.Counts{}
 	errs := make(chan error, workersPerJob)
-	var duties sync.WaitGroup
+	var wg sync.WaitGroup
 	for n := range workersPerJob {
 		config := worker.Config{
 			Client: f.Operator.Client(), Name: fmt.Sprintf("worker-%d", n), Incarnation: 1, Service: fleet.ModelService,
 			Group: group, Most: itemsPerLease, Body: []byte(`{"choices":[]}`), Limit: largeItems,
 		}
-		duties.Go(func() { errs <- worker.Run(ctx, config, counts) })
+		wg.Go(func() { errs <- worker.Run(ctx, config, counts) })
 	}
-	duties.Wait()
+	wg.Wait()
 	close(errs)
 	for err := range errs {
 		if err != nil {
@@ -100,7 +100,7 @@
 		}
 	}
 	if counts.Accepted.Load() != largeItems {
-		return fmt.Errorf("%d of %d completed: %w", counts.Accepted.Load(), largeItems, errItems)
+		return fmt.Errorf("%d of %d items completed: %w", counts.Accepted.Load(), largeItems, errItemsMissing)
 	}
 	return nil
 }
--- a/lab/pkg/bench/overhead.go
+++ b/lab/pkg/bench/overhead.go
@@ -13,56 +13,56 @@
 const (
 	overheadStreams = 64
 	overheadTokens  = 64
-	// overheadSpacing staggers the starts over a step or more, so that the wait
+	// overheadSpacing spreads the starts over more than one step, so that the wait
 	// for the engine's next step is sampled evenly in both arms.
 	overheadSpacing = 7 * time.Millisecond
-	// overheadRounds of both arms make one run; they alternate, so that a busy
-	// moment of the machine hits both.
+	// overheadRounds is the number of rounds per run. The arms alternate within a
+	// round, so that other load on the machine affects both.
 	overheadRounds = 4
-	// foreignPause follows calls made at the engines directly. To the sidecars
-	// they are load of others, which lowers the share in use for a second and the
-	// report's lag.
-	foreignPause = 2 * time.Second
+	// foreignLoadCooldown is the wait after calls sent directly to the engines. The
+	// sidecars treat such calls as foreign load, which lowers the share in use for a
+	// second plus the lag of the load report.
+	foreignLoadCooldown = 2 * time.Second
 )
 
 var overheadExperiment = Experiment{
-	Name:    "overhead",
-	About:   "64 streams of 64 tokens through gateway and sidecar, against the engine directly",
-	Figures: []string{"overhead.ttft.p50.ms", "overhead.ttft.p99.ms", "overhead.itl.p95.ms"},
-	Run:     runOverhead,
+	Name:        "overhead",
+	Description: "64 streams of 64 tokens through gateway and sidecar, compared with the engine directly",
+	Figures:     []string{"overhead.ttft.p50.ms", "overhead.ttft.p99.ms", "overhead.itl.p95.ms"},
+	Run:         runOverhead,
 }
 
 func runOverhead(ctx context.Context, b *Bench) error {
-	f, err := b.fleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, Engine: fleet.Engine{Slots: overheadStreams, Speed: 2}})
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, Engine: fleet.Engine{Slots: overheadStreams, Speed: 2}})
 	if err != nil {
 		return err
 	}
-	defer b.end(f)
+	defer b.stopFleet(f)
 	for run := range b.Config.Runs {
 		direct, through := &arm{}, &arm{}
 		for round := range overheadRounds {
 			name := fmt.Sprintf("o%d-%d", run, round)
-			direct.add(burstOfStreams(ctx, f.Direct, name+"d"))
-			time.Sleep(foreignPause)
-			through.add(burstOfStreams(ctx, f.Target, name+"t"))
+			direct.add(runStreams(ctx, f.Direct, name+"d"))
+			time.Sleep(foreignLoadCooldown)
+			through.add(runStreams(ctx, f.Target, name+"t"))
 		}
-		if err := through.sound(); err != nil {
+		if err := through.checkSuccessShare(); err != nil {
 			return err
 		}
-		b.say("   direct:  %s", direct.report)
-		b.say("   through: %s", through.report)
-		b.add("overhead.ttft.p50.ms", through.report.First.Ms(50)-direct.report.First.Ms(50))
-		b.add("overhead.ttft.p99.ms", through.report.First.Ms(99)-direct.report.First.Ms(99))
-		b.add("overhead.itl.p95.ms", through.report.Gaps.Ms(95)-direct.report.Gaps.Ms(95))
+		b.printf("   direct:  %s", direct.report)
+		b.printf("   through: %s", through.report)
+		b.addFigure("overhead.ttft.p50.ms", through.report.First.Ms(50)-direct.report.First.Ms(50))
+		b.addFigure("overhead.ttft.p99.ms", through.report.First.Ms(99)-direct.report.First.Ms(99))
+		b.addFigure("overhead.itl.p95.ms", through.report.Gaps.Ms(95)-direct.report.Gaps.Ms(95))
 		if run == 0 {
-			b.draw("overhead", quantilePicture("First token: engine directly, and through the system",
-				named{"directly", direct.report.First}, named{"through", through.report.First}))
+			b.writePicture("overhead", quantilePicture("First token: engine directly, and through the system",
+				namedHistogram{"directly", direct.report.First}, namedHistogram{"through", through.report.First}))
 		}
 	}
 	return nil
 }
 
-func burstOfStreams(ctx context.Context, target func(int) load.Target, name string) *load.Report {
+func runStreams(ctx context.Context, target func(int) load.Target, name string) *load.Report {
 	mix := load.Mix{Model: fleet.Model, OwnBytes: 200, MinTokens: overheadTokens, Name: name}
 	schedule := make([]time.Duration, overheadStreams)
 	for i := range schedule {
@@ -71,17 +71,17 @@
 	return load.Run(ctx, load.Config{Target: target, Make: mix.Make, Schedule: schedule, Deadline: time.Minute})
 }
 
-type named struct {
+type namedHistogram struct {
 	name string
 	h    *load.Histogram
 }
 
-func quantilePicture(title string, histograms ...named) plots.Picture {
+func quantilePicture(title string, histograms ...namedHistogram) plots.Picture {
 	picture := plots.Picture{Title: title, X: "percentile", Y: "milliseconds"}
-	for _, one := range histograms {
-		line := plots.Line{Name: one.name}
+	for _, named := range histograms {
+		line := plots.Line{Name: named.name}
 		for q := 1.0; q <= 99; q++ {
-			line.Points = append(line.Points, plots.Point{X: q, Y: one.h.Ms(q)})
+			line.Points = append(line.Points, plots.Point{X: q, Y: named.h.Ms(q)})
 		}
 		picture.Lines = append(picture.Lines, line)
 	}
--- a/lab/pkg/bench/processor.go
+++ b/lab/pkg/bench/processor.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	processorLength = 5 * time.Second
-	// Many requests of one token against few of many tokens: two equations for
-	// the cost of a request and the cost of a token.
-	shortRate   = 200
-	longRate    = 20
-	longTokens  = 300
-	processorUS = 1e6
+	processorDuration = 5 * time.Second
+	// Many requests of one token and few requests of many tokens give two equations
+	// for the cost per request and the cost per token.
+	shortRate       = 200
+	longRate        = 20
+	longTokens      = 300
+	microsPerSecond = 1e6
 )
 
 var processorExperiment = Experiment{
-	Name:  "processor",
-	About: "CPU of gateway and sidecar for a request and for a token, memory under load",
+	Name:        "processor",
+	Description: "CPU of gateway and sidecar per request and per token, memory under load",
 	Figures: []string{
 		"gateway.cpu.request.us", "gateway.cpu.token.us", "sidecar.cpu.request.us", "sidecar.cpu.token.us",
 	},
@@ -30,11 +30,11 @@
 }
 
 func runProcessor(ctx context.Context, b *Bench) error {
-	f, err := b.fleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, Engine: fleet.Engine{Slots: 128, Speed: 10}})
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, Engine: fleet.Engine{Slots: 128, Speed: 10}})
 	if err != nil {
 		return err
 	}
-	defer b.end(f)
+	defer b.stopFleet(f)
 	roles := []struct {
 		name string
 		node *fleet.Node
@@ -44,64 +44,67 @@
 		for _, r := range roles {
 			nodes = append(nodes, r.node)
 		}
-		short, err := b.costOf(ctx, f, nodes, fmt.Sprintf("s%d", run), shortRate, 1)
+		short, err := b.measureCosts(ctx, f, nodes, fmt.Sprintf("s%d", run), shortRate, 1)
 		if err != nil {
 			return err
 		}
-		long, err := b.costOf(ctx, f, nodes, fmt.Sprintf("l%d", run), longRate, longTokens)
+		long, err := b.measureCosts(ctx, f, nodes, fmt.Sprintf("l%d", run), longRate, longTokens)
 		if err != nil {
 			return err
 		}
 		for i, r := range roles {
-			request, token := solve(short.cost[i], long.cost[i], longTokens)
-			b.add(r.name+".cpu.request.us", request)
-			b.add(r.name+".cpu.token.us", token)
-			b.add(r.name+".rss.load.mb", float64(long.usage[i].Resident)/(1<<20))
+			request, token := splitCost(short.cost[i], long.cost[i], longTokens)
+			b.addFigure(r.name+".cpu.request.us", request)
+			b.addFigure(r.name+".cpu.token.us", token)
+			b.addFigure(r.name+".rss.load.mb", float64(long.usage[i].Resident)/(1<<20))
 		}
 	}
 	return nil
 }
 
-type costs struct {
-	// cost is microseconds of CPU per request, for each node.
+// nodeCosts holds the cost and the resource usage of each node.
+type nodeCosts struct {
+	// cost is the CPU time per request in microseconds, for each node.
 	cost  []float64
 	usage []process.Usage
 }
 
-func (b *Bench) costOf(ctx context.Context, f *fleet.Fleet, nodes []*fleet.Node, name string, rate float64, tokens int) (costs, error) {
-	before, err := usages(nodes)
+func (b *Bench) measureCosts(
+	ctx context.Context, f *fleet.Fleet, nodes []*fleet.Node, name string, rate float64, tokens int,
+) (nodeCosts, error) {
+	before, err := nodeUsages(nodes)
 	if err != nil {
-		return costs{}, err
+		return nodeCosts{}, err
 	}
 	mix := load.Mix{Model: fleet.Model, OwnBytes: 200, MinTokens: tokens, Name: name}
 	report := load.Run(ctx, load.Config{
 		Target: f.Target, Make: mix.Make, Deadline: time.Minute,
-		Schedule: load.Poisson(rate).Schedule(processorLength, b.Config.Seed),
+		Schedule: load.Poisson(rate).Schedule(processorDuration, b.Config.Seed),
 	})
 	a := arm{report: report}
-	if err := a.sound(); err != nil {
-		return costs{}, err
+	if err := a.checkSuccessShare(); err != nil {
+		return nodeCosts{}, err
 	}
-	after, err := usages(nodes)
+	after, err := nodeUsages(nodes)
 	if err != nil {
-		return costs{}, err
+		return nodeCosts{}, err
 	}
-	answer := costs{usage: after}
+	costs := nodeCosts{usage: after}
 	for i := range nodes {
-		spent := (after[i].Processor - before[i].Processor).Seconds() * processorUS
-		answer.cost = append(answer.cost, spent/float64(report.Calls))
+		spent := (after[i].Processor - before[i].Processor).Seconds() * microsPerSecond
+		costs.cost = append(costs.cost, spent/float64(report.Calls))
 	}
-	return answer, nil
+	return costs, nil
 }
 
-// solve splits the cost of requests with one token and with many into the cost
-// of a request and of a token.
-func solve(short, long float64, tokens int) (request, token float64) {
+// splitCost derives the cost per request and per token from the costs of requests
+// with one token and with many tokens.
+func splitCost(short, long float64, tokens int) (request, token float64) {
 	token = max(0, (long-short)/float64(tokens-1))
 	return short - token, token
 }
 
-func usages(nodes []*fleet.Node) ([]process.Usage, error) {
+func nodeUsages(nodes []*fleet.Node) ([]process.Usage, error) {
 	all := make([]process.Usage, len(nodes))
 	for i, n := range nodes {
 		u, err := n.Process().Usage()
--- a/lab/pkg/bench/reports.go
+++ b/lab/pkg/bench/reports.go
@@ -18,35 +18,35 @@
 )
 
 const (
-	reportCalls = 4_000
-	reportEvery = time.Millisecond
+	reportCalls    = 4_000
+	reportInterval = time.Millisecond
 )
 
 var reportsExperiment = Experiment{
-	Name:    "reports",
-	About:   "CPU and bytes of one load report, asked for over a connection that is kept",
-	Figures: []string{"report.sidecar.us", "report.caller.us", "report.bytes"},
-	Run:     runReports,
+	Name:        "reports",
+	Description: "CPU and bytes per load report, fetched over a persistent connection",
+	Figures:     []string{"report.sidecar.us", "report.caller.us", "report.bytes"},
+	Run:         runReports,
 }
 
 func runReports(ctx context.Context, b *Bench) error {
-	f, err := b.fleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1})
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1})
 	if err != nil {
 		return err
 	}
-	defer b.end(f)
+	defer b.stopFleet(f)
 	for range b.Config.Runs {
-		if err := b.reportsRun(ctx, f.Sidecars[0]); err != nil {
+		if err := b.measureReports(ctx, f.Sidecars[0]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (b *Bench) reportsRun(ctx context.Context, sidecar *fleet.Node) error {
+func (b *Bench) measureReports(ctx context.Context, sidecar *fleet.Node) error {
 	counter := &countingDialer{}
 	client := toucanhingev1connect.NewEndpointServiceClient(counter.client(), "http://"+sidecar.Address)
-	if err := askReport(ctx, client); err != nil {
+	if err := fetchReport(ctx, client); err != nil {
 		return err
 	}
 	sidecarBefore, callerBefore, err := reportUsages(sidecar)
@@ -55,42 +55,42 @@
 	}
 	bytes := counter.bytes.Load()
 	for range reportCalls {
-		if err := askReport(ctx, client); err != nil {
+		if err := fetchReport(ctx, client); err != nil {
 			return err
 		}
-		time.Sleep(reportEvery)
+		time.Sleep(reportInterval)
 	}
 	sidecarAfter, callerAfter, err := reportUsages(sidecar)
 	if err != nil {
 		return err
 	}
-	b.add("report.sidecar.us", (sidecarAfter-sidecarBefore).Seconds()*processorUS/reportCalls)
-	b.add("report.caller.us", (callerAfter-callerBefore).Seconds()*processorUS/reportCalls)
-	b.add("report.bytes", float64(counter.bytes.Load()-bytes)/reportCalls)
+	b.addFigure("report.sidecar.us", (sidecarAfter-sidecarBefore).Seconds()*microsPerSecond/reportCalls)
+	b.addFigure("report.caller.us", (callerAfter-callerBefore).Seconds()*microsPerSecond/reportCalls)
+	b.addFigure("report.bytes", float64(counter.bytes.Load()-bytes)/reportCalls)
 	return nil
 }
 
-func askReport(ctx context.Context, client toucanhingev1connect.EndpointServiceClient) error {
+func fetchReport(ctx context.Context, client toucanhingev1connect.EndpointServiceClient) error {
 	request := connect.NewRequest(&toucanhingev1.ReportRequest{Gateway: "gateway-1"})
 	if _, err := client.Report(ctx, request); err != nil {
-		return fmt.Errorf("ask for a report: %w", err)
+		return fmt.Errorf("fetch load report: %w", err)
 	}
 	return nil
 }
 
-func reportUsages(sidecar *fleet.Node) (there, here time.Duration, err error) {
-	usage, err := usages([]*fleet.Node{sidecar})
+func reportUsages(sidecar *fleet.Node) (sidecarCPU, callerCPU time.Duration, err error) {
+	usage, err := nodeUsages([]*fleet.Node{sidecar})
 	if err != nil {
 		return 0, 0, err
 	}
 	own, err := process.UsageOf(os.Getpid())
 	if err != nil {
-		return 0, 0, fmt.Errorf("own usage: %w", err)
+		return 0, 0, fmt.Errorf("usage of the bench process: %w", err)
 	}
 	return usage[0].Processor, own.Processor, nil
 }
 
-// countingDialer counts what goes over its connections, both ways.
+// countingDialer counts the bytes sent and received over its connections.
 type countingDialer struct {
 	bytes atomic.Int64
 }
@@ -121,7 +121,7 @@
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
-				return nil, fmt.Errorf("dial the sidecar: %w", err)
+				return nil, fmt.Errorf("dial sidecar: %w", err)
 			}
 			return countingConn{Conn: conn, bytes: &d.bytes}, nil
 		},
--- a/lab/pkg/bench/restart.go
+++ b/lab/pkg/bench/restart.go
@@ -15,24 +15,24 @@
 )
 
 var restartExperiment = Experiment{
-	Name:    "restart",
-	About:   "start to ready of a control after 1,000 changes and 100,000 items, killed before",
-	Figures: []string{"restart.ms"},
-	Run:     runRestart,
+	Name:        "restart",
+	Description: "time from start to ready of a killed control after 1,000 changes and 100,000 items",
+	Figures:     []string{"restart.ms"},
+	Run:         runRestart,
 }
 
 func runRestart(ctx context.Context, b *Bench) error {
-	f, err := b.fleet(ctx, fleet.Config{Controls: 3, JobGroups: 1})
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 3, JobGroups: 1})
 	if err != nil {
 		return err
 	}
-	defer b.end(f)
+	defer b.stopFleet(f)
 	for n := range restartChanges {
 		if _, err := f.Change(ctx, n); err != nil {
 			return fmt.Errorf("change %d: %w", n, err)
 		}
 	}
-	if _, err := worker.Upload(ctx, f.Operator.Client(), 1, header("restart", 1, 2), restartItems, benchItem); err != nil {
+	if _, err := worker.Upload(ctx, f.Operator.Client(), 1, uploadHeader("restart", 1, 2), restartItems, benchItem); err != nil {
 		return err
 	}
 	for _, n := range f.Controls {
@@ -46,7 +46,7 @@
 		if err := n.WaitReady(ctx); err != nil {
 			return err
 		}
-		b.add("restart.ms", float64(time.Since(start).Milliseconds()))
+		b.addFigure("restart.ms", float64(time.Since(start).Milliseconds()))
 	}
 	return nil
 }
--- a/lab/pkg/bench/yield.go
+++ b/lab/pkg/bench/yield.go
@@ -12,7 +12,7 @@
 	"toucanhinge.example/lab/pkg/load"
 )
 
-var errBusy = errors.New("engines don't become idle")
+var errEnginesBusy = errors.New("engines did not become idle")
 
 const (
 	yieldCalls   = 300
@@ -21,42 +21,42 @@
 )
 
 var yieldExperiment = Experiment{
-	Name:    "yield",
-	About:   "a lone online call at an engine full of batch against one at an empty engine, in steps",
-	Figures: []string{"yield.p99.steps"},
-	Run:     runYield,
+	Name:        "yield",
+	Description: "a single online call to an engine full of batch items, compared with an idle engine, in steps",
+	Figures:     []string{"yield.p99.steps"},
+	Run:         runYield,
 }
 
 func runYield(ctx context.Context, b *Bench) error {
-	f, err := b.fleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, Engine: fleet.Engine{Slots: harmSlots}})
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, Engine: fleet.Engine{Slots: harmSlots}})
 	if err != nil {
 		return err
 	}
-	defer b.end(f)
+	defer b.stopFleet(f)
 	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherKey})
 	for run := range b.Config.Runs {
 		name := fmt.Sprintf("yield%d", run)
-		alone := loneCalls(ctx, f, name+"a")
-		filler, err := uploadFiller(ctx, batch, name)
+		alone := runLoneCalls(ctx, f, name+"a")
+		job, err := uploadBackgroundJob(ctx, batch, name)
 		if err != nil {
 			return err
 		}
-		time.Sleep(fillSettle)
+		time.Sleep(fillWarmup)
 		before, err := f.EngineTotals(ctx, f.Engines[0])
 		if err != nil {
 			return err
 		}
 		start := time.Now()
-		full := loneCalls(ctx, f, name+"f")
+		full := runLoneCalls(ctx, f, name+"f")
 		after, err := f.EngineTotals(ctx, f.Engines[0])
 		if err != nil {
 			return err
 		}
 		step := time.Since(start).Seconds() * 1000 / float64(after.Steps-before.Steps)
-		b.say("   alone: %s", alone)
-		b.say("   full:  %s; a step takes %.1f ms", full, step)
-		b.add("yield.p99.steps", max(0, full.First.Ms(99)-alone.First.Ms(99))/step)
-		if err := batch.Cancel(ctx, filler); err != nil {
+		b.printf("   alone: %s", alone)
+		b.printf("   full:  %s; a step takes %.1f ms", full, step)
+		b.addFigure("yield.p99.steps", max(0, full.First.Ms(99)-alone.First.Ms(99))/step)
+		if err := batch.Cancel(ctx, job); err != nil {
 			return err
 		}
 		if err := waitIdle(ctx, f); err != nil {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// loneCalls come one at a time at a spacing that shares no period with the steps.
-func loneCalls(ctx context.Context, f *fleet.Fleet, name string) *load.Report {
+// runLoneCalls sends single calls at an interval that shares no period with the steps.
+func runLoneCalls(ctx context.Context, f *fleet.Fleet, name string) *load.Report {
 	mix := load.Mix{Model: fleet.Model, OwnBytes: 60, MinTokens: yieldTokens, Name: name}
 	schedule := make([]time.Duration, yieldCalls)
 	for i := range schedule {
--- a/lab/pkg/engine/stream_writer.go
+++ b/lab/pkg/engine/stream_writer.go
@@ -84,7 +84,7 @@
 		if t.faults.Cut && n > half {
 			panic(http.ErrAbortHandler)
 		}
-		t.appendEvent(t.reorderedEvent(n))
+		t.append(t.reorderedEvent(n))
 	}
 	if _, err := t.response.Write(t.buffer); err != nil {
 		return false
@@ -107,7 +107,7 @@
 	return n - 1
 }
 
-func (t *streamWriter) appendEvent(n int) {
+func (t *streamWriter) append(n int) {
 	if t.faults.Garbage && n == 2 {
 		t.buffer = append(t.buffer, garbageBytes...)
 		return
