--- a/lab/pkg/bench/arm.go
+++ b/lab/pkg/bench/arm.go
@@ -29,7 +29,7 @@
 }
 
 func (a *arm) checkSuccessShare() error {
-	if float64(a.report.Whole) < minSuccessShare*float64(a.report.Calls) {
+	if float64(a.report.Complete) < minSuccessShare*float64(a.report.Calls) {
 		return fmt.Errorf("%s: %w", a.report, errCallsFailed)
 	}
 	return nil
--- a/lab/pkg/bench/bench.go
+++ b/lab/pkg/bench/bench.go
@@ -113,7 +113,7 @@
 			if err != nil {
 				reason = strings.SplitN(err.Error(), "\n", 2)[0]
 			}
-			b.Summary.Miss(name, reason)
+			b.Summary.MarkMissing(name, reason)
 		}
 	}
 	b.printf("   took %.1f s", time.Since(start).Seconds())
--- a/lab/pkg/bench/death.go
+++ b/lab/pkg/bench/death.go
@@ -63,13 +63,13 @@
 	time.AfterFunc(deathAt, func() { killed <- killVM(f) })
 	report := load.Run(ctx, load.Config{
 		Target: f.Target, Make: overloadMix(fmt.Sprintf("death%d", run)).Make, Schedule: schedule, Deadline: time.Minute,
-		Each: func(n int, o load.Outcome) { seen.record(schedule[n], o) },
+		OnOutcome: func(n int, o load.Outcome) { seen.record(schedule[n], o) },
 	})
 	if err := <-killed; err != nil {
 		return err
 	}
 	b.printf("   %s", report)
-	b.addFigure("death.lost", float64(report.Calls-report.Whole))
+	b.addFigure("death.lost", float64(report.Calls-report.Complete))
 	b.addFigure("death.recover.s", seen.recovery().Seconds())
 	if run == 0 {
 		b.writePicture("death", seen.picture())
@@ -87,8 +87,8 @@
 func (s *firstTokenTimes) record(at time.Duration, o load.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o.Whole {
-		s.windows[min(int(at/deathWindow), len(s.windows)-1)].Record(o.First)
+	if o.Complete {
+		s.windows[min(int(at/deathWindow), len(s.windows)-1)].Record(o.FirstToken)
 	}
 }
 
--- a/lab/pkg/bench/overhead.go
+++ b/lab/pkg/bench/overhead.go
@@ -51,19 +51,19 @@
 		}
 		b.printf("   direct:  %s", direct.report)
 		b.printf("   through: %s", through.report)
-		b.addFigure("overhead.ttft.p50.ms", through.report.First.Ms(50)-direct.report.First.Ms(50))
-		b.addFigure("overhead.ttft.p99.ms", through.report.First.Ms(99)-direct.report.First.Ms(99))
-		b.addFigure("overhead.itl.p95.ms", through.report.Gaps.Ms(95)-direct.report.Gaps.Ms(95))
+		b.addFigure("overhead.ttft.p50.ms", through.report.FirstToken.Ms(50)-direct.report.FirstToken.Ms(50))
+		b.addFigure("overhead.ttft.p99.ms", through.report.FirstToken.Ms(99)-direct.report.FirstToken.Ms(99))
+		b.addFigure("overhead.itl.p95.ms", through.report.TokenGaps.Ms(95)-direct.report.TokenGaps.Ms(95))
 		if run == 0 {
 			b.writePicture("overhead", quantilePicture("First token: engine directly, and through the system",
-				namedHistogram{"directly", direct.report.First}, namedHistogram{"through", through.report.First}))
+				namedHistogram{"directly", direct.report.FirstToken}, namedHistogram{"through", through.report.FirstToken}))
 		}
 	}
 	return nil
 }
 
 func runStreams(ctx context.Context, target func(int) load.Target, name string) *load.Report {
-	mix := load.Mix{Model: fleet.Model, OwnBytes: 200, MinTokens: overheadTokens, Name: name}
+	mix := load.Mix{Model: fleet.Model, UniqueBytes: 200, MinTokens: overheadTokens, Name: name}
 	schedule := make([]time.Duration, overheadStreams)
 	for i := range schedule {
 		schedule[i] = time.Duration(i) * overheadSpacing
--- a/lab/pkg/bench/overload.go
+++ b/lab/pkg/bench/overload.go
@@ -63,7 +63,7 @@
 		return err
 	}
 	b.addFigure("overload2.attempts", 1+ratio(retries, float64(report.Calls)))
-	b.addFigure("overload2.engine.runs", ratio(float64(after-before), float64(report.Whole)))
+	b.addFigure("overload2.engine.runs", ratio(float64(after-before), float64(report.Complete)))
 	if run == 0 {
 		resending, good := runAtRate(ctx, f, fmt.Sprintf("again%d", run), 2*capacity, b.Config.Seed+1, 3)
 		b.printf("   twice, callers resending: %s", resending)
@@ -76,7 +76,7 @@
 }
 
 func overloadMix(name string) load.Mix {
-	return load.Mix{Model: fleet.Model, OwnBytes: 200, MinTokens: harmTokensMin, MaxTokens: harmTokensMax, Name: name}
+	return load.Mix{Model: fleet.Model, UniqueBytes: 200, MinTokens: harmTokensMin, MaxTokens: harmTokensMax, Name: name}
 }
 
 // runAtRate runs calls at the given rate. It also returns the goodput: the calls per
@@ -88,8 +88,8 @@
 	var inTime atomic.Int64
 	report = load.Run(ctx, load.Config{
 		Target: f.Target, Make: overloadMix(name).Make, Schedule: schedule, Deadline: overloadDeadline, Resends: resends,
-		Each: func(n int, o load.Outcome) {
-			if o.Whole && o.Total <= overloadDeadline && schedule[n] >= overloadWarmup {
+		OnOutcome: func(n int, o load.Outcome) {
+			if o.Complete && o.Total <= overloadDeadline && schedule[n] >= overloadWarmup {
 				inTime.Add(1)
 			}
 		},
--- a/lab/pkg/bench/processor.go
+++ b/lab/pkg/bench/processor.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nodeCosts{}, err
 	}
-	mix := load.Mix{Model: fleet.Model, OwnBytes: 200, MinTokens: tokens, Name: name}
+	mix := load.Mix{Model: fleet.Model, UniqueBytes: 200, MinTokens: tokens, Name: name}
 	report := load.Run(ctx, load.Config{
 		Target: f.Target, Make: mix.Make, Deadline: time.Minute,
 		Schedule: load.Poisson(rate).Schedule(processorDuration, b.Config.Seed),
--- a/lab/pkg/bench/yield.go
+++ b/lab/pkg/bench/yield.go
@@ -55,7 +55,7 @@
 		step := time.Since(start).Seconds() * 1000 / float64(after.Steps-before.Steps)
 		b.printf("   alone: %s", alone)
 		b.printf("   full:  %s; a step takes %.1f ms", full, step)
-		b.addFigure("yield.p99.steps", max(0, full.First.Ms(99)-alone.First.Ms(99))/step)
+		b.addFigure("yield.p99.steps", max(0, full.FirstToken.Ms(99)-alone.FirstToken.Ms(99))/step)
 		if err := batch.Cancel(ctx, job); err != nil {
 			return err
 		}
@@ -68,7 +68,7 @@
 
 // runLoneCalls sends single calls at an interval that shares no period with the steps.
 func runLoneCalls(ctx context.Context, f *fleet.Fleet, name string) *load.Report {
-	mix := load.Mix{Model: fleet.Model, OwnBytes: 60, MinTokens: yieldTokens, Name: name}
+	mix := load.Mix{Model: fleet.Model, UniqueBytes: 60, MinTokens: yieldTokens, Name: name}
 	schedule := make([]time.Duration, yieldCalls)
 	for i := range schedule {
 		schedule[i] = time.Duration(i) * yieldSpacing
--- a/lab/pkg/caller/caller.go
+++ b/lab/pkg/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller makes a team's batch and plain-service calls to a gateway.
-// Streamed calls are in package load.
+// Package caller is a client for a team's batch and plain-service calls to a gateway.
+// Streamed calls are made by package load.
 package caller
 
 import (
@@ -16,28 +16,29 @@
 	"github.com/pkg/errors"
 )
 
-// Paths and headers of the gateway's surface.
+// Paths and headers of the gateway's HTTP API, and limits of this client.
 const (
-	jobsPath         = "/v1/batches"
-	plainPath        = "/svc/"
-	headerIdempotent = "X-Idempotent"
-	headerRequestID  = "X-Request-Id"
-	resultLineMost   = 4 << 20
-	errorMost        = 64 << 10
-	defaultMaxTokens = 8
+	jobsPath           = "/v1/batches"
+	plainPath          = "/svc/"
+	headerIdempotent   = "X-Idempotent"
+	headerRequestID    = "X-Request-Id"
+	maxResultLineBytes = 4 << 20
+	maxErrorBytes      = 64 << 10
+	defaultMaxTokens   = 8
 )
 
-// ErrRefused is an answer that isn't a success; ErrCut is an answer without its end.
+// ErrRefused is a response other than a success. ErrTruncated is a response without
+// its end.
 var (
-	ErrRefused = errors.New("refused")
-	ErrCut     = errors.New("answer cut short")
+	ErrRefused   = errors.New("refused")
+	ErrTruncated = errors.New("response truncated")
 )
 
-// RefusalError is the gateway's answer when it refuses. It wraps ErrRefused.
+// RefusalError is a refusal by the gateway. It wraps ErrRefused.
 type RefusalError struct {
 	Status int
 	Reason string
-	// Run says whether the request was run: no, yes or unknown.
+	// Run reports whether the request was run: no, yes or unknown.
 	Run  string
 	Text string
 }
@@ -48,19 +49,19 @@
 
 func (r *RefusalError) Unwrap() error { return ErrRefused }
 
-// Config is who calls whom.
+// Config sets the gateway URL and the team's API key.
 type Config struct {
 	URL    string
 	Key    string
 	Client *http.Client
 }
 
-// Caller is one team at one gateway.
+// Caller sends the requests of one team to one gateway.
 type Caller struct {
 	config Config
 }
 
-// New makes a caller.
+// New returns a Caller. The default client is http.DefaultClient.
 func New(config Config) *Caller {
 	if config.Client == nil {
 		config.Client = http.DefaultClient
@@ -68,7 +69,7 @@
 	return &Caller{config: config}
 }
 
-// Job is a job's state as the gateway tells it.
+// Job is a job's state as returned by the gateway.
 type Job struct {
 	ID     string `json:"id"`
 	Key    string `json:"key"`
@@ -105,7 +106,7 @@
 	Content string `json:"content"`
 }
 
-// ItemLine is one line of an upload.
+// ItemLine returns one line of a job upload.
 func ItemLine(id, model, prompt string, tokens int) string {
 	if tokens == 0 {
 		tokens = defaultMaxTokens
@@ -117,72 +118,72 @@
 	return string(text) + "\n"
 }
 
-// Upload brings a job under the caller's own key.
+// Upload uploads a job under the given job key.
 func (c *Caller) Upload(ctx context.Context, service, key string, lines io.Reader) (Job, error) {
 	query := url.Values{"service": {service}, "key": {key}}
-	request, err := c.request(ctx, http.MethodPost, jobsPath+"?"+query.Encode(), lines)
+	request, err := c.newRequest(ctx, http.MethodPost, jobsPath+"?"+query.Encode(), lines)
 	if err != nil {
 		return Job{}, err
 	}
 	request.Header.Set("Content-Type", "application/jsonl")
-	return c.job(request)
+	return c.doJob(request)
 }
 
-// Status reads a job's state.
+// Status returns a job's state.
 func (c *Caller) Status(ctx context.Context, id string) (Job, error) {
-	request, err := c.request(ctx, http.MethodGet, jobsPath+"/"+id, nil)
+	request, err := c.newRequest(ctx, http.MethodGet, jobsPath+"/"+id, nil)
 	if err != nil {
 		return Job{}, err
 	}
-	return c.job(request)
+	return c.doJob(request)
 }
 
 // Cancel cancels a job.
 func (c *Caller) Cancel(ctx context.Context, id string) error {
-	request, err := c.request(ctx, http.MethodPost, jobsPath+"/"+id+"/cancel", nil)
+	request, err := c.newRequest(ctx, http.MethodPost, jobsPath+"/"+id+"/cancel", nil)
 	if err != nil {
 		return err
 	}
-	_, err = c.job(request)
+	_, err = c.doJob(request)
 	return err
 }
 
-// resultLine is a result, or the line that closes the results.
+// resultLine is a result or the end line of the results.
 type resultLine struct {
 	Result
 	End   bool   `json:"end"`
 	Count uint64 `json:"count"`
 }
 
-// Results reads what is decided from an index on, in order. Results without
-// their closing line were cut short, which is ErrCut.
+// Results reads the results from an index on, in order, and passes each to the each
+// function. Results without their end line are truncated and yield ErrTruncated.
 func (c *Caller) Results(ctx context.Context, id string, from uint64, each func(Result) error) error {
 	path := jobsPath + "/" + id + "/results?from=" + strconv.FormatUint(from, 10)
-	request, err := c.request(ctx, http.MethodGet, path, nil)
+	request, err := c.newRequest(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
-	answer, err := c.do(request)
+	response, err := c.do(request)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	return readResults(answer.Body, each)
+	defer func() { _ = response.Body.Close() }()
+	return readResults(response.Body, each)
 }
 
 func readResults(body io.Reader, each func(Result) error) error {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, resultLineMost)
+	lines.Buffer(nil, maxResultLineBytes)
 	for count := uint64(0); lines.Scan(); count++ {
 		var line resultLine
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
-			return fmt.Errorf("result line %q: %w", lines.Text(), err)
+			return fmt.Errorf("parse result line %q: %w", lines.Text(), err)
 		}
 		if line.End {
 			return checkEnd(line, count)
 		}
 		if line.CustomID == "" {
-			return fmt.Errorf("%s: %w", lines.Text(), ErrCut)
+			return fmt.Errorf("%s: %w", lines.Text(), ErrTruncated)
 		}
 		if err := each(line.Result); err != nil {
 			return err
@@ -191,17 +192,17 @@
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("read results: %w", err)
 	}
-	return ErrCut
+	return ErrTruncated
 }
 
 func checkEnd(line resultLine, count uint64) error {
 	if line.Count != count {
-		return fmt.Errorf("%d of %d results: %w", count, line.Count, ErrCut)
+		return fmt.Errorf("%d of %d results: %w", count, line.Count, ErrTruncated)
 	}
 	return nil
 }
 
-// Echo is what the stand-in of a plain service answers.
+// Echo is the response of the plain-service simulator.
 type Echo struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
@@ -209,61 +210,61 @@
 	Run    int    `json:"run"`
 }
 
-// Plain is one call of a plain service.
-type Plain struct {
+// PlainCall is one call of a plain service.
+type PlainCall struct {
 	Service string
 	Path    string
 	Body    string
-	// ID is the caller's own id of the request.
+	// ID is the request id chosen by the caller.
 	ID string
-	// Once marks it non-idempotent.
-	Once bool
+	// NonIdempotent marks the call as non-idempotent with X-Idempotent: false.
+	NonIdempotent bool
 }
 
-// CallPlain calls a plain service.
-func (c *Caller) CallPlain(ctx context.Context, call Plain) (Echo, error) {
-	request, err := c.request(ctx, http.MethodPost, plainPath+call.Service+call.Path, bytes.NewReader([]byte(call.Body)))
+// CallPlain calls a plain service and returns its response.
+func (c *Caller) CallPlain(ctx context.Context, call PlainCall) (Echo, error) {
+	request, err := c.newRequest(ctx, http.MethodPost, plainPath+call.Service+call.Path, bytes.NewReader([]byte(call.Body)))
 	if err != nil {
 		return Echo{}, err
 	}
 	request.Header.Set(headerRequestID, call.ID)
-	if call.Once {
+	if call.NonIdempotent {
 		request.Header.Set(headerIdempotent, "false")
 	}
-	answer, err := c.do(request)
+	response, err := c.do(request)
 	if err != nil {
 		return Echo{}, err
 	}
-	defer func() { _ = answer.Body.Close() }()
+	defer func() { _ = response.Body.Close() }()
 	var echo Echo
-	if err := json.NewDecoder(answer.Body).Decode(&echo); err != nil {
-		return Echo{}, fmt.Errorf("answer of %s: %w", call.Service, err)
+	if err := json.NewDecoder(response.Body).Decode(&echo); err != nil {
+		return Echo{}, fmt.Errorf("parse response of %s: %w", call.Service, err)
 	}
 	return echo, nil
 }
 
-func (c *Caller) request(ctx context.Context, method, path string, body io.Reader) (*http.Request, error) {
-	// A plain reader keeps the client from rewinding the body and resending it.
+func (c *Caller) newRequest(ctx context.Context, method, path string, body io.Reader) (*http.Request, error) {
+	// The body is wrapped so that the HTTP client can't rewind it and resend the request.
 	if body != nil {
 		body = io.NopCloser(body)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, c.config.URL+path, body)
 	if err != nil {
-		return nil, fmt.Errorf("make request: %w", err)
+		return nil, fmt.Errorf("create request: %w", err)
 	}
 	request.Header.Set("Authorization", "Bearer "+c.config.Key)
 	return request, nil
 }
 
-func (c *Caller) job(request *http.Request) (Job, error) {
-	answer, err := c.do(request)
+func (c *Caller) doJob(request *http.Request) (Job, error) {
+	response, err := c.do(request)
 	if err != nil {
 		return Job{}, err
 	}
-	defer func() { _ = answer.Body.Close() }()
+	defer func() { _ = response.Body.Close() }()
 	var job Job
-	if err := json.NewDecoder(answer.Body).Decode(&job); err != nil {
-		return Job{}, fmt.Errorf("job answer: %w", err)
+	if err := json.NewDecoder(response.Body).Decode(&job); err != nil {
+		return Job{}, fmt.Errorf("parse job response: %w", err)
 	}
 	return job, nil
 }
@@ -275,18 +276,18 @@
 	} `json:"error"`
 }
 
-// do sends; an answer above 299 becomes a *RefusalError.
+// do sends a request. A response status above 299 becomes a *RefusalError.
 func (c *Caller) do(request *http.Request) (*http.Response, error) {
-	answer, err := c.config.Client.Do(request)
+	response, err := c.config.Client.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("call: %w", err)
+		return nil, fmt.Errorf("send request: %w", err)
 	}
-	if answer.StatusCode < http.StatusMultipleChoices {
-		return answer, nil
+	if response.StatusCode < http.StatusMultipleChoices {
+		return response, nil
 	}
-	defer func() { _ = answer.Body.Close() }()
-	text, _ := io.ReadAll(io.LimitReader(answer.Body, errorMost))
-	refusal := &RefusalError{Status: answer.StatusCode, Text: string(text)}
+	defer func() { _ = response.Body.Close() }()
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
+	refusal := &RefusalError{Status: response.StatusCode, Text: string(text)}
 	var body refusalBody
 	if json.Unmarshal(text, &body) == nil {
 		refusal.Reason, refusal.Run = body.Error.Reason, body.Error.Run
@@ -302,7 +303,7 @@
 	} `json:"choices"`
 }
 
-// Text is the generated text in a result's body.
+// Text returns the generated text of the result.
 func (r Result) Text() string {
 	var body completion
 	if json.Unmarshal(r.Body, &body) != nil || len(body.Choices) == 0 {
--- a/lab/pkg/caller/results_test.go
+++ b/lab/pkg/caller/results_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A connection that breaks between two lines looks like the end of a shorter
-// file. Only the closing line, with the right count, makes results whole.
-func TestResultsWithoutTheirEndAreCut(t *testing.T) {
+// Guards against accepting truncated results. A connection that breaks between two
+// lines looks like the end of a shorter file. Results are complete only with an end
+// line that has the right count.
+func TestResultsWithoutEndLineAreTruncated(t *testing.T) {
 	const first = `{"index":0,"custom_id":"a","outcome":"done","body":{"choices":[{"message":{"content":" x"}}]}}` + "\n"
 	scenarios := []struct {
 		name string
@@ -17,11 +18,11 @@
 		read int
 		err  error
 	}{
-		{"whole", first + `{"end":true,"count":1}` + "\n", 1, nil},
-		{"no end", first, 1, ErrCut},
-		{"fewer than counted", first + `{"end":true,"count":2}` + "\n", 1, ErrCut},
-		{"error in the middle", first + `{"error":{"reason":"control-unavailable"}}` + "\n", 1, ErrCut},
-		{"empty", "", 0, ErrCut},
+		{"complete", first + `{"end":true,"count":1}` + "\n", 1, nil},
+		{"no end", first, 1, ErrTruncated},
+		{"fewer than counted", first + `{"end":true,"count":2}` + "\n", 1, ErrTruncated},
+		{"error in the middle", first + `{"error":{"reason":"control-unavailable"}}` + "\n", 1, ErrTruncated},
+		{"empty", "", 0, ErrTruncated},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/lab/pkg/load/caller.go
+++ b/lab/pkg/load/call.go
@@ -15,29 +15,29 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of an answer.
+// Errors of a response.
 var (
-	// ErrCut means that the stream ended without its end mark.
-	ErrCut = errors.New("answer cut short")
+	// ErrTruncated means that the stream ended without its end marker.
+	ErrTruncated = errors.New("response truncated")
 	// ErrInStream means that the stream carried an explicit error.
-	ErrInStream = errors.New("error in the answer")
+	ErrInStream = errors.New("error event in the stream")
 )
 
 const (
-	doneMark  = "[DONE]"
-	errorMost = 64 << 10
+	doneMarker    = "[DONE]"
+	maxErrorBytes = 64 << 10
 )
 
-// Target is where calls go.
+// Target is the server that calls are sent to.
 type Target struct {
-	// URL is the base, without the path.
+	// URL is the base URL without a path.
 	URL string
-	// Key is the team's key; empty towards an engine itself.
+	// Key is the team's API key. It is empty for direct calls to an engine.
 	Key    string
 	Client *http.Client
 }
 
-// NewClient is an HTTP client with enough kept connections for a load run.
+// NewClient returns an HTTP client that keeps up to the given number of idle connections.
 func NewClient(connections int) *http.Client {
 	transport := &http.Transport{
 		MaxIdleConns: connections, MaxIdleConnsPerHost: connections,
@@ -46,24 +46,24 @@
 	return &http.Client{Transport: transport}
 }
 
-// Outcome is what one call brought. Times count from its scheduled start.
+// Outcome is the result of one call. Times are measured from its scheduled start.
 type Outcome struct {
 	ID     string
 	Status int
-	// Reason and Run are the refusal's own words.
+	// Reason and Run are copied from the refusal's body.
 	Reason     string
 	Run        string
 	RetryAfter time.Duration
-	First      time.Duration
+	FirstToken time.Duration
 	Total      time.Duration
-	// Gaps are the times between tokens.
-	Gaps   []time.Duration
-	Tokens int
-	Text   string
-	// Whole is true only after finish reason and end mark.
-	Whole bool
-	Err   error
-	// Sends counts this caller's own sends of the request.
+	// TokenGaps are the intervals between consecutive tokens.
+	TokenGaps []time.Duration
+	Tokens    int
+	Text      string
+	// Complete is true only if both the finish reason and the end marker were received.
+	Complete bool
+	Err      error
+	// Sends is how often this caller sent the request.
 	Sends int
 }
 
@@ -91,32 +91,32 @@
 	Error   json.RawMessage `json:"error"`
 }
 
-// Call makes one streamed call; times count from scheduled.
+// Call makes one streamed call. Times are measured from scheduled.
 func (t Target) Call(ctx context.Context, request Request, scheduled time.Time) Outcome {
 	outcome := Outcome{ID: request.ID, Sends: 1}
-	answer, err := t.send(ctx, request)
+	response, err := t.send(ctx, request)
 	if err != nil {
 		outcome.Err = err
 		outcome.Total = time.Since(scheduled)
 		return outcome
 	}
-	defer func() { _ = answer.Body.Close() }()
-	outcome.Status = answer.StatusCode
-	if answer.StatusCode == http.StatusOK {
-		outcome.Err = outcome.read(answer.Body, scheduled)
+	defer func() { _ = response.Body.Close() }()
+	outcome.Status = response.StatusCode
+	if response.StatusCode == http.StatusOK {
+		outcome.Err = outcome.readStream(response.Body, scheduled)
 	} else {
-		outcome.refused(answer)
+		outcome.readRefusal(response)
 	}
 	outcome.Total = time.Since(scheduled)
 	return outcome
 }
 
 func (t Target) send(ctx context.Context, request Request) (*http.Response, error) {
-	// The body is wrapped so that the client can't rewind and resend it by itself.
+	// The body is wrapped so that the HTTP client can't rewind it and resend the request.
 	body := io.NopCloser(bytes.NewReader(request.Body))
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, t.URL+request.Path, body)
 	if err != nil {
-		return nil, fmt.Errorf("make request: %w", err)
+		return nil, fmt.Errorf("create request: %w", err)
 	}
 	r.ContentLength = int64(len(request.Body))
 	r.Header.Set("Content-Type", "application/json")
@@ -127,15 +127,15 @@
 	if t.Key != "" {
 		r.Header.Set("Authorization", "Bearer "+t.Key)
 	}
-	answer, err := t.Client.Do(r)
+	response, err := t.Client.Do(r)
 	if err != nil {
-		return nil, fmt.Errorf("call: %w", err)
+		return nil, fmt.Errorf("send request: %w", err)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// read takes the stream in. Only the parts that the measures need are parsed.
-func (o *Outcome) read(body io.Reader, scheduled time.Time) error {
+// readStream reads the event stream. It parses only the fields needed for measuring.
+func (o *Outcome) readStream(body io.Reader, scheduled time.Time) error {
 	reader := bufio.NewReader(body)
 	var text strings.Builder
 	defer func() { o.Text = text.String() }()
@@ -143,19 +143,19 @@
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
-			return o.cut(err)
+			return o.truncated(err)
 		}
 		data, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("data: "))
 		if !ok {
 			continue
 		}
-		if string(data) == doneMark {
-			o.Whole = finished
+		if string(data) == doneMarker {
+			o.Complete = finished
 			return nil
 		}
 		var e event
 		if err := json.Unmarshal(data, &e); err != nil {
-			return fmt.Errorf("event %q: %w", data, err)
+			return fmt.Errorf("parse event %q: %w", data, err)
 		}
 		if len(e.Error) > 0 {
 			o.Reason = reasonOf(e.Error)
@@ -168,27 +168,27 @@
 		finished = finished || choice.FinishReason != nil
 		if piece := choice.Delta.Content + choice.Text; piece != "" {
 			now := time.Since(scheduled)
-			o.token(now, last)
+			o.recordToken(now, last)
 			last = now
 			text.WriteString(piece)
 		}
 	}
 }
 
-func (o *Outcome) cut(err error) error {
+func (o *Outcome) truncated(err error) error {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("after %d tokens: %w", o.Tokens, err)
 	}
-	return fmt.Errorf("after %d tokens: %w", o.Tokens, ErrCut)
+	return fmt.Errorf("after %d tokens: %w", o.Tokens, ErrTruncated)
 }
 
-func (o *Outcome) token(now, last time.Duration) {
+func (o *Outcome) recordToken(now, last time.Duration) {
 	o.Tokens++
 	if o.Tokens == 1 {
-		o.First = now
+		o.FirstToken = now
 		return
 	}
-	o.Gaps = append(o.Gaps, now-last)
+	o.TokenGaps = append(o.TokenGaps, now-last)
 }
 
 type refusalError struct {
@@ -201,8 +201,8 @@
 	Error json.RawMessage `json:"error"`
 }
 
-func (o *Outcome) refused(answer *http.Response) {
-	text, _ := io.ReadAll(io.LimitReader(answer.Body, errorMost))
+func (o *Outcome) readRefusal(response *http.Response) {
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	var body refusalBody
 	if json.Unmarshal(text, &body) == nil {
 		o.Reason = reasonOf(body.Error)
@@ -212,14 +212,14 @@
 		}
 	}
 	if o.Reason == "" {
-		o.Reason = "status-" + strconv.Itoa(answer.StatusCode)
+		o.Reason = "status-" + strconv.Itoa(response.StatusCode)
 	}
-	if seconds, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64); err == nil {
+	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
 		o.RetryAfter = time.Duration(seconds * float64(time.Second))
 	}
 }
 
-// reasonOf finds the machine-readable reason; engines have a type only.
+// reasonOf returns the machine-readable reason of an error. Engines set only a type.
 func reasonOf(raw json.RawMessage) string {
 	var detail refusalError
 	if json.Unmarshal(raw, &detail) != nil {
--- a/lab/pkg/load/doc.go
+++ b/lab/pkg/load/doc.go
@@ -1,5 +1,5 @@
-// Package load is an open-loop load generator for OpenAI-style calls. Requests
-// start by a seeded schedule whatever the answers do, and every latency counts
-// from the scheduled time, so a system that stalls can't hide the requests that
-// it held up (no coordinated omission).
+// Package load is an open-loop load generator for OpenAI-style calls. Requests start
+// on a seeded schedule regardless of responses, and every latency is measured from
+// the scheduled time. A stall therefore counts for each delayed request, which avoids
+// coordinated omission.
 package load
--- a/lab/pkg/load/load_test.go
+++ b/lab/pkg/load/load_test.go
@@ -12,7 +12,7 @@
 	"toucanhinge.example/lab/pkg/engine"
 )
 
-func target(t *testing.T, config engine.Config) Target {
+func startTarget(t *testing.T, config engine.Config) Target {
 	t.Helper()
 	e := engine.New(config)
 	ctx, stop := context.WithCancel(context.Background())
@@ -23,8 +23,8 @@
 	return Target{URL: server.URL, Client: NewClient(64)}
 }
 
-func TestScheduleIsSeededAndKeepsItsMean(t *testing.T) {
-	for _, shape := range []Shape{Poisson(1), Agence, Heredia} {
+func TestScheduleIsDeterministicWithGivenMean(t *testing.T) {
+	for _, shape := range []Shape{Poisson(1), FrequentBursts, RareBursts} {
 		shape = shape.WithMean(200)
 		first := shape.Schedule(5*time.Minute, 7)
 		require.Equal(t, first, shape.Schedule(5*time.Minute, 7))
@@ -33,39 +33,39 @@
 	}
 }
 
-func TestWholeAnswersAreMeasured(t *testing.T) {
-	there := target(t, engine.Config{Timing: engine.Timing{Speed: 20}})
-	mix := Mix{Model: "m", OwnBytes: 60, MinTokens: 5, MaxTokens: 5, Name: "w"}
+func TestCompleteResponsesAreMeasured(t *testing.T) {
+	target := startTarget(t, engine.Config{Timing: engine.Timing{Speed: 20}})
+	mix := Mix{Model: "m", UniqueBytes: 60, MinTokens: 5, MaxTokens: 5, Name: "w"}
 	report := Run(context.Background(), Config{
-		Target: func(int) Target { return there }, Make: mix.Make, Schedule: Poisson(100).Schedule(200*time.Millisecond, 1),
+		Target: func(int) Target { return target }, Make: mix.Make, Schedule: Poisson(100).Schedule(200*time.Millisecond, 1),
 	})
 	require.Positive(t, report.Calls)
-	require.Equal(t, report.Calls, report.Whole, report.String())
+	require.Equal(t, report.Calls, report.Complete, report.String())
 	require.Equal(t, report.Calls*5, report.Tokens)
-	require.Equal(t, int64(report.Calls*4), report.Gaps.Count())
+	require.Equal(t, int64(report.Calls*4), report.TokenGaps.Count())
 }
 
-// The server stalls on the first of ten calls which a closed loop would make
-// one after the other: only one of its latencies would show the stall. The open
-// loop starts all ten by the schedule, and each shows how long it was held up.
+// Guards against coordinated omission. The server stalls while ten calls are
+// scheduled. A closed loop would send them one after the other and record the stall in
+// only one latency. The open loop starts all ten on schedule, and each must record it.
 func TestStallIsCountedForEveryScheduledCall(t *testing.T) {
-	free := make(chan struct{})
+	unblock := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		<-free
+		<-unblock
 		_, _ = w.Write([]byte("data: {\"choices\":[{\"delta\":{\"content\":\" a\"},\"finish_reason\":\"length\"}]}\n\ndata: [DONE]\n\n"))
 	}))
 	defer server.Close()
-	time.AfterFunc(300*time.Millisecond, func() { close(free) })
+	time.AfterFunc(300*time.Millisecond, func() { close(unblock) })
 	report := Run(context.Background(), Config{
 		Target:   func(int) Target { return Target{URL: server.URL, Client: NewClient(10)} },
-		Make:     Mix{OwnBytes: 1, MinTokens: 1, Name: "s"}.Make,
+		Make:     Mix{UniqueBytes: 1, MinTokens: 1, Name: "s"}.Make,
 		Schedule: make([]time.Duration, 10),
 	})
-	require.Equal(t, 10, report.Whole)
-	require.Greater(t, report.First.Ms(5), 200.0)
+	require.Equal(t, 10, report.Complete)
+	require.Greater(t, report.FirstToken.Ms(5), 200.0)
 }
 
-func TestRefusalsAndCutsAreTold(t *testing.T) {
+func TestRefusalsAndTruncationsAreReported(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		faults engine.Faults
@@ -81,12 +81,12 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			there := target(t, engine.Config{Timing: engine.Timing{Speed: 20}, Faults: s.faults})
+			target := startTarget(t, engine.Config{Timing: engine.Timing{Speed: 20}, Faults: s.faults})
 			report := Run(context.Background(), Config{
-				Target: func(int) Target { return there }, Make: Mix{OwnBytes: 9, MinTokens: 4, Name: "f"}.Make,
+				Target: func(int) Target { return target }, Make: Mix{UniqueBytes: 9, MinTokens: 4, Name: "f"}.Make,
 				Schedule: []time.Duration{0}, Resends: 2,
 			})
-			require.Zero(t, report.Whole)
+			require.Zero(t, report.Complete)
 			s.check(t, report)
 		})
 	}
--- a/lab/pkg/load/report.go
+++ b/lab/pkg/load/report.go
@@ -11,64 +11,64 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of the histograms in microseconds: up to ten minutes, three digits.
+// Range of the histograms in microseconds, up to ten minutes, with three significant digits.
 const (
-	lowest  = 1
-	highest = 600_000_000
-	digits  = 3
+	minMicros         = 1
+	maxMicros         = 600_000_000
+	significantDigits = 3
 )
 
-// Histogram counts durations.
+// Histogram records durations.
 type Histogram struct {
 	inner *hdrhistogram.Histogram
 }
 
-// NewHistogram is an empty one.
+// NewHistogram returns an empty histogram.
 func NewHistogram() *Histogram {
-	return &Histogram{inner: hdrhistogram.New(lowest, highest, digits)}
+	return &Histogram{inner: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 }
 
-// Record counts one duration.
+// Record adds one duration.
 func (h *Histogram) Record(d time.Duration) {
-	_ = h.inner.RecordValue(min(max(d.Microseconds(), lowest), highest))
+	_ = h.inner.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros))
 }
 
-// Ms is a quantile (0 to 100) in milliseconds.
+// Ms returns a quantile (0 to 100) in milliseconds.
 func (h *Histogram) Ms(quantile float64) float64 {
 	return float64(h.inner.ValueAtQuantile(quantile)) / 1000
 }
 
-// Count is how many durations were counted.
+// Count returns the number of recorded durations.
 func (h *Histogram) Count() int64 { return h.inner.TotalCount() }
 
-// Merge adds what another histogram counted.
+// Merge adds the durations of another histogram.
 func (h *Histogram) Merge(other *Histogram) { h.inner.Merge(other.inner) }
 
-// Report is what a run brought.
+// Report aggregates the outcomes of a run.
 type Report struct {
-	mu     sync.Mutex
-	inTime time.Duration
-	// First and Gaps are of whole answers; Refusals of refused calls.
-	First    *Histogram
-	Gaps     *Histogram
-	Total    *Histogram
-	Refusals *Histogram
-	Calls    int
-	Whole    int
-	// InTime counts the whole answers that came before their deadline.
+	mu       sync.Mutex
+	deadline time.Duration
+	// FirstToken, TokenGaps and Total cover complete responses. Refusals covers refused calls.
+	FirstToken *Histogram
+	TokenGaps  *Histogram
+	Total      *Histogram
+	Refusals   *Histogram
+	Calls      int
+	Complete   int
+	// InTime counts the complete responses received before their deadline.
 	InTime int
 	Tokens int
-	// InTimeTokens counts the tokens of these.
+	// InTimeTokens counts the tokens of the responses counted by InTime.
 	InTimeTokens int
 	Sends        int
 	Reasons      map[string]int
 	Errors       map[string]int
-	Length       time.Duration
+	Duration     time.Duration
 }
 
-func newReport(inTime time.Duration) *Report {
+func newReport(deadline time.Duration) *Report {
 	return &Report{
-		inTime: inTime, First: NewHistogram(), Gaps: NewHistogram(), Total: NewHistogram(), Refusals: NewHistogram(),
+		deadline: deadline, FirstToken: NewHistogram(), TokenGaps: NewHistogram(), Total: NewHistogram(), Refusals: NewHistogram(),
 		Reasons: make(map[string]int), Errors: make(map[string]int),
 	}
 }
@@ -79,8 +79,8 @@
 	r.Calls++
 	r.Sends += o.Sends
 	switch {
-	case o.Whole:
-		r.addWhole(o)
+	case o.Complete:
+		r.addComplete(o)
 	case o.Status >= 400:
 		r.Reasons[o.Reason]++
 		r.Refusals.Record(o.Total)
@@ -89,15 +89,15 @@
 	}
 }
 
-// failure names what went wrong, in few words, so that equal failures add up.
+// failure returns a short description of the failure, used to count equal failures.
 func (o Outcome) failure() string {
 	switch {
 	case errors.Is(o.Err, context.DeadlineExceeded):
-		return "caller gave up"
+		return "caller timed out"
 	case errors.Is(o.Err, ErrInStream):
-		return "broken off: " + o.Reason
-	case errors.Is(o.Err, ErrCut):
-		return "cut short"
+		return "error in stream: " + o.Reason
+	case errors.Is(o.Err, ErrTruncated):
+		return "truncated"
 	case o.Err == nil:
 		return "ended without finish reason"
 	default:
@@ -105,21 +105,21 @@
 	}
 }
 
-func (r *Report) addWhole(o Outcome) {
-	r.Whole++
+func (r *Report) addComplete(o Outcome) {
+	r.Complete++
 	r.Tokens += o.Tokens
-	r.First.Record(o.First)
+	r.FirstToken.Record(o.FirstToken)
 	r.Total.Record(o.Total)
-	for _, g := range o.Gaps {
-		r.Gaps.Record(g)
+	for _, g := range o.TokenGaps {
+		r.TokenGaps.Record(g)
 	}
-	if r.inTime == 0 || o.Total <= r.inTime {
+	if r.deadline == 0 || o.Total <= r.deadline {
 		r.InTime++
 		r.InTimeTokens += o.Tokens
 	}
 }
 
-// Failed counts calls that ended neither whole nor with a refusal.
+// Failed returns the number of calls that neither completed nor were refused.
 func (r *Report) Failed() int {
 	n := 0
 	for _, count := range r.Errors {
@@ -128,19 +128,19 @@
 	return n
 }
 
-// Merge adds another run of the same kind.
+// Merge adds the report of another run of the same kind.
 func (r *Report) Merge(o *Report) {
-	r.First.Merge(o.First)
-	r.Gaps.Merge(o.Gaps)
+	r.FirstToken.Merge(o.FirstToken)
+	r.TokenGaps.Merge(o.TokenGaps)
 	r.Total.Merge(o.Total)
 	r.Refusals.Merge(o.Refusals)
 	r.Calls += o.Calls
-	r.Whole += o.Whole
+	r.Complete += o.Complete
 	r.InTime += o.InTime
 	r.Tokens += o.Tokens
 	r.InTimeTokens += o.InTimeTokens
 	r.Sends += o.Sends
-	r.Length += o.Length
+	r.Duration += o.Duration
 	for k, n := range o.Reasons {
 		r.Reasons[k] += n
 	}
@@ -150,12 +150,12 @@
 }
 
 func (r *Report) String() string {
-	text := fmt.Sprintf("%d calls, %d whole, first token p50 %.1f p99 %.1f ms, between tokens p95 %.1f ms, %d tokens",
-		r.Calls, r.Whole, r.First.Ms(50), r.First.Ms(99), r.Gaps.Ms(95), r.Tokens)
-	return text + listed("refused", r.Reasons) + listed("failed", r.Errors)
+	text := fmt.Sprintf("%d calls, %d complete, first token p50 %.1f p99 %.1f ms, between tokens p95 %.1f ms, %d tokens",
+		r.Calls, r.Complete, r.FirstToken.Ms(50), r.FirstToken.Ms(99), r.TokenGaps.Ms(95), r.Tokens)
+	return text + formatCounts("refused", r.Reasons) + formatCounts("failed", r.Errors)
 }
 
-func listed(title string, counts map[string]int) string {
+func formatCounts(title string, counts map[string]int) string {
 	names := make([]string, 0, len(counts))
 	for name := range counts {
 		names = append(names, name)
--- a/lab/pkg/load/request.go
+++ b/lab/pkg/load/request.go
@@ -13,7 +13,7 @@
 	Path      string
 	Body      []byte
 	MaxTokens int
-	// DeadlineMs is told to the gateway; 0 tells none.
+	// DeadlineMs is sent to the gateway as the request's deadline; 0 sends none.
 	DeadlineMs int64
 }
 
@@ -29,33 +29,33 @@
 	Stream    bool          `json:"stream"`
 }
 
-// Mix is what requests look like.
+// Mix describes the generated requests.
 type Mix struct {
 	Model string
-	// Prefixes is how many different long beginnings prompts share (a team's
-	// instructions); 0 means none is shared.
+	// Prefixes is the number of different long prefixes shared by prompts, such as a
+	// team's instructions; 0 means no shared prefix.
 	Prefixes int
-	// PrefixBytes and OwnBytes are the sizes of the shared and the own part.
+	// PrefixBytes and UniqueBytes are the sizes of the shared and the unique part of a prompt.
 	PrefixBytes int
-	OwnBytes    int
-	// MinTokens and MaxTokens bound the answers' lengths.
+	UniqueBytes int
+	// MinTokens and MaxTokens limit the response length.
 	MinTokens int
 	MaxTokens int
-	// Name begins every request id.
+	// Name is the prefix of every request id.
 	Name string
 	Seed uint64
 }
 
 const filler = "the line runs along the parcel and the commune asks when crews may enter "
 
-// Make is the n-th request of the mix; the same n gives the same request.
+// Make returns the n-th request of the mix. Equal n and Mix give equal requests.
 func (m Mix) Make(n int) Request {
 	random := rand.New(rand.NewPCG(m.Seed, uint64(n)))
 	prompt := ""
 	if m.Prefixes > 0 {
-		prompt = fit(fmt.Sprintf("instructions %d: ", random.IntN(m.Prefixes)), m.PrefixBytes)
+		prompt = padTo(fmt.Sprintf("instructions %d: ", random.IntN(m.Prefixes)), m.PrefixBytes)
 	}
-	prompt += fit(fmt.Sprintf(" question %s %d ", m.Name, n), m.OwnBytes)
+	prompt += padTo(fmt.Sprintf(" question %s %d ", m.Name, n), m.UniqueBytes)
 	tokens := m.MinTokens
 	if m.MaxTokens > m.MinTokens {
 		tokens += random.IntN(m.MaxTokens - m.MinTokens + 1)
@@ -63,7 +63,7 @@
 	return Chat(fmt.Sprintf("%s-%d", m.Name, n), m.Model, prompt, tokens)
 }
 
-// Chat is one streamed chat call with one user message.
+// Chat returns a streamed chat request with one user message.
 func Chat(id, model, prompt string, tokens int) Request {
 	body, _ := json.Marshal(chatBody{
 		Model: model, Messages: []chatMessage{{Role: "user", Content: prompt}}, MaxTokens: tokens, Stream: true,
@@ -71,7 +71,7 @@
 	return Request{ID: id, Path: "/v1/chat/completions", Body: body, MaxTokens: tokens}
 }
 
-func fit(start string, size int) string {
+func padTo(start string, size int) string {
 	if size <= len(start) {
 		return start
 	}
--- a/lab/pkg/load/run.go
+++ b/lab/pkg/load/run.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Config is one run of load.
+// Config configures a load run.
 type Config struct {
-	// Target is asked for each request, so that a run can spread over gateways.
+	// Target returns the target of request n, so that a run can spread over gateways.
 	Target   func(n int) Target
 	Schedule []time.Duration
 	Make     func(n int) Request
-	// Deadline is when the whole answer is wanted, from the scheduled time. The
-	// gateway is told of it; the caller itself waits a little longer, so that it
-	// sees what the system makes of it. 0 means none.
+	// Deadline is the time limit for the complete response, from the scheduled time.
+	// It is sent to the gateway. The caller waits callerGrace longer, so that it
+	// observes how the system handles the deadline. 0 means no deadline.
 	Deadline time.Duration
-	// Resends is how often a caller sends again after a refusal, waiting as
-	// Retry-After says; 0 means that it gives up.
+	// Resends is how often a caller resends a refused request. It waits for the
+	// time given by Retry-After before each resend.
 	Resends int
-	// Each, when set, sees every outcome; it is called from many goroutines.
-	Each func(n int, o Outcome)
+	// OnOutcome, if set, is called with every outcome, from many goroutines.
+	OnOutcome func(n int, o Outcome)
 }
 
-// Run makes all calls of the schedule and waits for the last.
+// Run makes all scheduled calls and waits until they have ended.
 func Run(ctx context.Context, config Config) *Report {
 	report := newReport(config.Deadline)
 	var calls sync.WaitGroup
@@ -34,20 +34,20 @@
 			break
 		}
 		calls.Go(func() {
-			outcome := config.one(ctx, n, scheduled)
+			outcome := config.callWithResends(ctx, n, scheduled)
 			report.add(outcome)
-			if config.Each != nil {
-				config.Each(n, outcome)
+			if config.OnOutcome != nil {
+				config.OnOutcome(n, outcome)
 			}
 		})
 	}
 	calls.Wait()
-	report.Length = time.Since(start)
+	report.Duration = time.Since(start)
 	return report
 }
 
-// grace is how much longer than its deadline a caller waits.
-const grace = 2 * time.Second
+// callerGrace is how long a caller waits after the deadline.
+const callerGrace = 2 * time.Second
 
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	wait := time.Until(at)
@@ -64,10 +64,10 @@
 	}
 }
 
-// one makes one call, with the caller's own resends.
-func (c Config) one(ctx context.Context, n int, scheduled time.Time) Outcome {
+// callWithResends makes one call and resends it after refusals.
+func (c Config) callWithResends(ctx context.Context, n int, scheduled time.Time) Outcome {
 	if c.Deadline > 0 {
-		bounded, stop := context.WithDeadline(ctx, scheduled.Add(c.Deadline+grace))
+		bounded, stop := context.WithDeadline(ctx, scheduled.Add(c.Deadline+callerGrace))
 		defer stop()
 		ctx = bounded
 	}
--- a/lab/pkg/plots/plots.go
+++ b/lab/pkg/plots/plots.go
@@ -1,4 +1,4 @@
-// Package plots draws the bench's pictures.
+// Package plots draws line plots.
 package plots
 
 import (
@@ -15,25 +15,25 @@
 	height = 4 * vg.Inch
 )
 
-// Point is one point of a line.
+// Point is a point of a line.
 type Point struct{ X, Y float64 }
 
-// Line is one named line.
+// Line is a named line of a plot.
 type Line struct {
 	Name   string
 	Points []Point
 }
 
-// Picture is what to draw.
+// Picture describes a plot.
 type Picture struct {
 	Title string
 	X, Y  string
 	Lines []Line
-	// LogY draws the ordinate in decades; every value must then be above 0.
+	// LogY makes the Y axis logarithmic. All values must then be above 0.
 	LogY bool
 }
 
-// Write draws the picture into a PNG file.
+// Write writes the plot to a PNG file.
 func (p Picture) Write(file string) error {
 	canvas := plot.New()
 	canvas.Title.Text = p.Title
@@ -45,12 +45,12 @@
 	}
 	for i, l := range p.Lines {
 		points := make(plotter.XYs, len(l.Points))
-		for k, at := range l.Points {
-			points[k] = plotter.XY{X: at.X, Y: at.Y}
+		for k, point := range l.Points {
+			points[k] = plotter.XY{X: point.X, Y: point.Y}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
-			return fmt.Errorf("line %s: %w", l.Name, err)
+			return fmt.Errorf("create line %s: %w", l.Name, err)
 		}
 		line.Color = plotutil.Color(i)
 		line.Dashes = plotutil.Dashes(i)
@@ -59,7 +59,7 @@
 	}
 	canvas.Add(plotter.NewGrid())
 	if err := canvas.Save(width, height, file); err != nil {
-		return fmt.Errorf("save picture: %w", err)
+		return fmt.Errorf("save plot: %w", err)
 	}
 	return nil
 }
--- a/lab/pkg/summary/summary.go
+++ b/lab/pkg/summary/summary.go
@@ -1,5 +1,5 @@
-// Package summary collects the figures of a bench run under fixed names, keeps
-// the median of several runs, and writes them as one flat JSON object.
+// Package summary collects the figures of a bench run under fixed names, computes
+// medians over several runs, and writes them as one flat JSON object.
 package summary
 
 import (
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 )
 
-// Names are the figures that a whole bench run is to bring, in the order of the table.
-var Names = []string{
+// FigureNames lists the figures of a full bench run in the order of the table.
+var FigureNames = []string{
 	"overhead.ttft.p50.ms", "overhead.ttft.p99.ms", "overhead.itl.p95.ms",
 	"gateway.cpu.request.us", "gateway.cpu.token.us", "sidecar.cpu.request.us", "sidecar.cpu.token.us",
 	"gateway.rss.mb", "sidecar.rss.mb", "control.rss.mb", "sidecar.control.bytes", "gateway.control.bytes",
@@ -23,27 +23,28 @@
 	"death.lost", "death.recover.s",
 }
 
-// Summary holds what was measured so far.
+// Summary holds the values measured so far.
 type Summary struct {
 	values map[string][]float64
-	// reasons says why a figure could not be measured.
+	// reasons maps a missing figure to the reason why it was not measured.
 	reasons map[string]string
 }
 
-// New is an empty summary.
+// New returns an empty summary.
 func New() *Summary {
 	return &Summary{values: make(map[string][]float64), reasons: make(map[string]string)}
 }
 
-// Add notes one run's value of a figure.
+// Add records the value of a figure for one run.
 func (s *Summary) Add(name string, value float64) {
 	s.values[name] = append(s.values[name], value)
 }
 
-// Miss notes why a figure is left out.
-func (s *Summary) Miss(name, reason string) { s.reasons[name] = reason }
+// MarkMissing records why a figure was not measured.
+func (s *Summary) MarkMissing(name, reason string) { s.reasons[name] = reason }
 
-// Median is the figure's median over the runs made.
+// Median returns the median of a figure over all runs. It returns false if the figure
+// has no value.
 func (s *Summary) Median(name string) (float64, bool) {
 	values := append([]float64(nil), s.values[name]...)
 	if len(values) == 0 {
@@ -57,7 +58,7 @@
 	return (values[middle-1] + values[middle]) / 2, true
 }
 
-// WriteFile writes the medians as one flat object of names to numbers.
+// WriteFile writes the medians as a flat JSON object that maps names to numbers.
 func (s *Summary) WriteFile(file string) error {
 	flat := make(map[string]float64, len(s.values))
 	for name := range s.values {
@@ -73,7 +74,8 @@
 	return nil
 }
 
-// Print writes the table: median, spread and number of runs, and what is left out.
+// Print writes a table with the median, the lowest and highest value and the number of
+// runs of each figure, and the reasons for missing figures.
 func (s *Summary) Print(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "figure\tmedian\tlowest\thighest\truns")
@@ -97,10 +99,10 @@
 	return nil
 }
 
-// ordered is the fixed names, then whatever else was measured.
+// ordered returns FigureNames, followed by the sorted names of other measured figures.
 func (s *Summary) ordered() []string {
-	known := make(map[string]bool, len(Names))
-	for _, name := range Names {
+	known := make(map[string]bool, len(FigureNames))
+	for _, name := range FigureNames {
 		known[name] = true
 	}
 	var others []string
@@ -110,5 +112,5 @@
 		}
 	}
 	sort.Strings(others)
-	return append(append([]string(nil), Names...), others...)
+	return append(append([]string(nil), FigureNames...), others...)
 }
--- a/lab/pkg/summary/summary_test.go
+++ b/lab/pkg/summary/summary_test.go
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestMediansAndWhatIsLeftOut(t *testing.T) {
+func TestMediansAndMissingFigures(t *testing.T) {
 	s := New()
 	for _, v := range []float64{9, 1, 2} {
 		s.Add("items.onegroup", v)
 	}
 	s.Add("own.figure", 4)
 	s.Add("own.figure", 6)
-	s.Miss("restart.ms", "control did not come back")
+	s.MarkMissing("restart.ms", "control did not come back")
 	file := filepath.Join(t.TempDir(), "summary.json")
 	require.NoError(t, s.WriteFile(file))
 	text, err := os.ReadFile(file)
