--- a/lab/pkg/load/run.go
+++ b/lab/pkg/load/run.go
@@ -17,7 +17,7 @@
 	// observes how the system handles the deadline. 0 means no deadline.
 	Deadline time.Duration
 	// Resends is how often a caller resends a refused request. It waits for the
-	// time given by Retry-After before each resend.
+	// time given by Retry-After before each resend. 0 means no resends.
 	Resends int
 	// OnOutcome, if set, is called with every outcome, from many goroutines.
 	OnOutcome func(n int, o Outcome)
