--- a/lab/pkg/bench/config_changes.go
+++ b/lab/pkg/bench/config_changes.go
@@ -11,7 +11,7 @@
 
 	"toucanhinge.example/common/pkg/control"
 	"toucanhinge.example/common/pkg/web"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/lab/pkg/fleet"
 	"toucanhinge.example/lab/pkg/load"
 )
@@ -111,7 +111,7 @@
 		client := control.New(control.Config{Addresses: f.ControlAddresses(), HTTP: web.NewClient()})
 		w := control.NewWatcher(control.WatcherConfig{
 			Client: client, Process: fmt.Sprintf("watcher-%d", n), Logger: log.NewNopLogger(),
-			Changed: func(w *world.Fleet) { a.record(n, w.Version) },
+			Changed: func(w *fleetconfig.Fleet) { a.record(n, w.Version) },
 		})
 		wg.Go(func() { w.Run(ctx) })
 		select {
--- a/sidecar/pkg/app/app.go
+++ b/sidecar/pkg/app/app.go
@@ -171,13 +171,13 @@
 	case <-ctx.Done():
 		return
 	}
-	p.config.Orders.Tell(order.Started{})
+	p.config.Orders.Submit(order.ConfigConfirmed{})
 	p.config.Watching.tellOrder()
-	p.config.Puller.Groups(p.config.Watching.watcher.Groups())
+	p.config.Puller.SetGroupCount(p.config.Watching.watcher.Groups())
 	if p.config.Leaver.leaving() {
 		return
 	}
-	p.config.Puller.Open(p.config.Settings.Kind == config.KindModel && p.config.Settings.Batch.Slots > 0)
+	p.config.Puller.SetOpen(p.config.Settings.Kind == config.KindModel && p.config.Settings.Batch.Slots > 0)
 	p.config.Status.Ready()
 	level.Info(p.config.Logger).Log(logs.KeyEvent, "ready", "version", p.config.Watching.watcher.Fleet().Version)
 }
--- a/sidecar/pkg/app/leaver.go
+++ b/sidecar/pkg/app/leaver.go
@@ -67,8 +67,8 @@
 		level.Info(v.logger).Log(logs.KeyEvent, "leaving", "reason", reason)
 		close(v.leaves)
 		v.status.NotReady("leaving")
-		v.puller.Open(false)
-		v.dispatcher.Tell(admit.Leave{})
+		v.puller.SetOpen(false)
+		v.dispatcher.Tell(admit.Drain{})
 		v.beat()
 		go v.drain()
 	})
@@ -92,7 +92,7 @@
 
 func (v *leaver) awaitReturns() {
 	end := time.Now().Add(returnWait)
-	for v.puller.Held() > 0 && time.Now().Before(end) {
+	for v.puller.LeaseCount() > 0 && time.Now().Before(end) {
 		time.Sleep(drainLook)
 	}
 }
--- a/sidecar/pkg/app/parts.go
+++ b/sidecar/pkg/app/parts.go
@@ -71,8 +71,8 @@
 
 func newDispatcher(s config.Settings, c clock.Clock, set *metrics.Set) *dispatch.Dispatcher {
 	machine := admit.New(admit.Config{
-		Policy: admit.Policy(s.Batch.Policy), Slots: s.Engine.Slots, Floor: s.Engine.Floor,
-		Queue: s.Online.Queue, BatchSlots: s.Batch.Slots, PrefillTokens: s.Batch.PrefillTokens, Weight: s.Batch.Weight,
+		Policy: admit.Policy(s.Batch.Policy), Slots: s.Engine.Slots, MinSlots: s.Engine.Floor,
+		QueueLimit: s.Online.Queue, BatchSlots: s.Batch.Slots, MaxPrefillTokens: s.Batch.PrefillTokens, BatchWeight: s.Batch.Weight,
 		BurstWindow: clock.Millis(s.Batch.BurstWindow), BurstHalfLife: clock.Millis(s.Batch.BurstHalfLife),
 	})
 	return dispatch.New(dispatch.Config{
@@ -94,7 +94,7 @@
 	p := probe.New(probe.Config{
 		Clock: c, Logger: l, Period: clock.Millis(s.Engine.Poll).Duration(), Failed: s.Engine.Failed,
 		Poll:    poll,
-		Foreign: func(slots int) { d.Tell(admit.Foreign{Slots: slots}) },
+		Foreign: func(slots int) { d.Tell(admit.ForeignLoad{Slots: slots}) },
 		Health:  g.setHealthy,
 	})
 	d.Watch(p.Own)
@@ -123,8 +123,8 @@
 
 func loadOf(s admit.Snapshot, slots int) *toucanhingev1.Load {
 	return &toucanhingev1.Load{
-		Running: uint32(s.Online), Queued: uint32(s.Queued), Slots: uint32(slots), Foreign: uint32(s.Foreign),
-		Batch: uint32(s.Batch), WaitMs: uint32(s.Wait), Leaving: s.Leaving, Healthy: s.Closed == "",
+		Running: uint32(s.Online), Queued: uint32(s.Queued), Slots: uint32(slots), Foreign: uint32(s.ForeignSlots),
+		Batch: uint32(s.Batch), WaitMs: uint32(s.ExpectedWait), Leaving: s.Draining, Healthy: s.CloseReason == "",
 	}
 }
 
@@ -134,24 +134,24 @@
 ) *work.Puller {
 	return work.New(work.Config{
 		Clock: c, Logger: l, Control: client, Dispatcher: d, Engine: e,
-		Keeper: work.KeeperConfig{
-			Most: s.Batch.Slots + s.Batch.Local, Ask: s.Batch.Ask,
-			Flush: clock.Millis(s.Batch.Flush), FlushMost: s.Batch.FlushItems,
+		Leases: work.LeaseManagerConfig{
+			MaxItems: s.Batch.Slots + s.Batch.Local, MaxPerRequest: s.Batch.Ask,
+			FlushDelay: clock.Millis(s.Batch.Flush), FlushSize: s.Batch.FlushItems,
 		},
-		Name: s.Name, Incarnation: uint64(i), Service: s.Service, ResultBytes: s.Batch.ResultBytes,
-		Unreachable: p.Suspect, Noted: n.item,
+		Name: s.Name, Incarnation: uint64(i), Service: s.Service, MaxResultBytes: s.Batch.ResultBytes,
+		OnUnreachable: p.Suspect, RecordEvent: n.item,
 	})
 }
 
 func newOrders(s config.Settings, c clock.Clock, l log.Logger, e *engine.Client, d *dispatch.Dispatcher, g *gate, n *notes) *order.Runner {
 	return order.NewRunner(order.RunnerConfig{
-		Clock: c, Logger: l, Machine: order.New(order.Config{Poll: orderPoll, Recheck: clock.Millis(s.Engine.Recheck)}),
+		Clock: c, Logger: l, Machine: order.New(order.Config{PollInterval: orderPoll, RecheckInterval: clock.Millis(s.Engine.Recheck)}),
 		Read: e.Held, Send: e.Send, Gate: g.setOpen,
 		Idle: func() bool {
 			snapshot := d.Snapshot()
 			return snapshot.Online == 0 && snapshot.Queued == 0 && snapshot.Batch == 0
 		},
-		Noted: n.order,
+		RecordEvent: n.order,
 	})
 }
 
--- a/sidecar/pkg/entry/handler_test.go
+++ b/sidecar/pkg/entry/handler_test.go
@@ -208,7 +208,7 @@
 		{"time ran out on the way", func(_ *testing.T, _ *fixture, r *toucanhingev1.RunRequest) { r.BudgetMs = -5 }, "deadline", toucanhingev1.Ran_RAN_NO, 0},
 		{"no path", func(_ *testing.T, _ *fixture, r *toucanhingev1.RunRequest) { r.Path = "x" }, "malformed", toucanhingev1.Ran_RAN_NO, 0},
 		{"no id", func(_ *testing.T, _ *fixture, r *toucanhingev1.RunRequest) { r.RequestId = "" }, "malformed", toucanhingev1.Ran_RAN_NO, 0},
-		{"leaving", func(_ *testing.T, f *fixture, _ *toucanhingev1.RunRequest) { f.d.Tell(admit.Leave{}) }, "leaving", toucanhingev1.Ran_RAN_NO, 0},
+		{"leaving", func(_ *testing.T, f *fixture, _ *toucanhingev1.RunRequest) { f.d.Tell(admit.Drain{}) }, "leaving", toucanhingev1.Ran_RAN_NO, 0},
 		{"unhealthy", func(_ *testing.T, f *fixture, _ *toucanhingev1.RunRequest) {
 			f.d.Tell(admit.Gate{Reason: admit.ReasonUnhealthy})
 		}, "unhealthy", toucanhingev1.Ran_RAN_NO, 0},
--- a/sidecar/pkg/entry/runner.go
+++ b/sidecar/pkg/entry/runner.go
@@ -39,7 +39,7 @@
 		return
 	}
 	sound := h.runStarted(t)
-	h.config.Dispatcher.Tell(admit.Finished{ID: t.id, Sound: sound})
+	h.config.Dispatcher.Tell(admit.Finished{ID: t.id, Complete: sound})
 }
 
 // admitted waits for the machine's decision.
@@ -56,7 +56,7 @@
 	if verdict.Verb == admit.Start {
 		return true
 	}
-	h.refuse(t, verdict.Reason, toucanhingev1.Ran_RAN_NO, verdict.Retry)
+	h.refuse(t, verdict.Reason, toucanhingev1.Ran_RAN_NO, verdict.RetryAfter)
 	return false
 }
 
--- a/sidecar/pkg/probe/probe.go
+++ b/sidecar/pkg/probe/probe.go
@@ -55,7 +55,7 @@
 func (p *Probe) Own(now clock.Millis, count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.foreign.Own(now, count)
+	p.foreign.RecordOwn(now, count)
 }
 
 // Suspect tells that the engine could not be reached, so that it counts as
@@ -105,7 +105,7 @@
 	p.set(true, "")
 	now := p.config.Clock.Now()
 	p.mu.Lock()
-	slots := p.foreign.Report(now, report.AsOf, report.InFlight)
+	slots := p.foreign.Estimate(now, report.AsOf, report.InFlight)
 	p.mu.Unlock()
 	p.config.Foreign(slots)
 }
