--- a/sidecar/main.go
+++ b/sidecar/main.go
@@ -1,5 +1,5 @@
-// The sidecar stands before one model engine or plain service: the only way of
-// the system to it.
+// The sidecar runs beside one model engine or plain service. All requests of the system to
+// that engine or service go through the sidecar.
 package main
 
 import (
@@ -10,7 +10,7 @@
 
 func main() {
 	program.Program[config.Settings]{
-		Description: "sidecar: the way of toucanhinge to one engine or plain service",
+		Description: "sidecar: connects toucanhinge to one engine or plain service",
 		Load:        config.Load,
 		Run:         app.Run,
 	}.Main()
--- a/sidecar/pkg/app/app.go
+++ b/sidecar/pkg/app/app.go
@@ -1,4 +1,4 @@
-// Package app joins the parts of the sidecar and runs them.
+// Package app assembles the components of the sidecar and runs them.
 package app
 
 import (
@@ -30,74 +30,74 @@
 	"toucanhinge.example/sidecar/pkg/work"
 )
 
-// sweepPeriod is how often answers that nobody reads are looked for.
-const sweepPeriod = 100 * time.Millisecond
+// sweepInterval is how often expired and unread answers are removed.
+const sweepInterval = 100 * time.Millisecond
 
-// stopSlack is added to the drain time before a stop is cut off.
-const stopSlack = 30 * time.Second
+// stopMargin is added to the drain time to get the timeout of a stop.
+const stopMargin = 30 * time.Second
 
-// Run runs the sidecar until a termination signal or a drain; a planned end is
-// no error.
+// Run runs the sidecar until a termination signal or a drain. A planned shutdown is no
+// error.
 func Run(s config.Settings) error {
 	gin.SetMode(gin.ReleaseMode)
-	limit := clock.Millis(s.Drain.Finish).Duration() + stopSlack
+	stopTimeout := clock.Millis(s.Drain.FinishMS).Duration() + stopMargin
 	a := fx.New(
 		fx.NopLogger,
-		fx.StopTimeout(limit),
+		fx.StopTimeout(stopTimeout),
 		fx.Supply(s),
 		fx.Provide(
-			newClock, newIncarnation, newLogger, newMetrics, newBook, newHTTP, newControl, newEngine, newStatus,
-			newCounters, newNotes, newDispatcher, newGate, newProbe, newWatching, newHandler, newPuller, newOrders,
-			newLeaver, newBeater, newProcess,
+			newClock, newIncarnation, newLogger, newMetrics, newRecordLog, newHTTPClient, newControlClient, newEngineClient, newStatus,
+			newCounters, newRecorder, newDispatcher, newGate, newProbe, newConfigWatcher, newHandler, newPuller, newOrderRunner,
+			newDrainer, newHeartbeater, newProcess,
 		),
 		fx.Invoke(func(lifecycle fx.Lifecycle, p *process) {
 			lifecycle.Append(fx.Hook{OnStart: p.start, OnStop: p.stop})
 		}),
 	)
 	if err := a.Err(); err != nil {
-		return fmt.Errorf("join the parts: %w", err)
+		return fmt.Errorf("assemble the sidecar: %w", err)
 	}
 	if err := a.Start(context.Background()); err != nil {
-		return fmt.Errorf("start: %w", err)
+		return fmt.Errorf("start the sidecar: %w", err)
 	}
 	<-a.Wait()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := a.Stop(ctx); err != nil {
-		return fmt.Errorf("stop: %w", err)
+		return fmt.Errorf("stop the sidecar: %w", err)
 	}
 	return nil
 }
 
-// processConfig is what a process is made of.
+// processConfig holds the components of a process.
 type processConfig struct {
 	fx.In
 
-	Settings   config.Settings
-	Clock      clock.Clock
-	Logger     log.Logger
-	Metrics    *metrics.Set
-	Counters   *counters
-	Book       *record.Log
-	Status     *health.Status
-	Dispatcher *dispatch.Dispatcher
-	Probe      *probe.Probe
-	Watching   *watching
-	Handler    *entry.Handler
-	Puller     *work.Puller
-	Orders     *order.Runner
-	Leaver     *leaver
-	Beater     *control.Heartbeater
+	Settings      config.Settings
+	Clock         clock.Clock
+	Logger        log.Logger
+	Metrics       *metrics.Set
+	Counters      *counters
+	Records       *record.Log
+	Status        *health.Status
+	Dispatcher    *dispatch.Dispatcher
+	Probe         *probe.Probe
+	ConfigWatcher *configWatcher
+	Handler       *entry.Handler
+	Puller        *work.Puller
+	Orders        *order.Runner
+	Drainer       *drainer
+	Heartbeater   *control.Heartbeater
 }
 
-// process runs the duties, each on its goroutine.
+// process runs the background tasks, each in its own goroutine.
 type process struct {
-	config  processConfig
-	duties  sync.WaitGroup
-	serving sync.WaitGroup
-	cancel  context.CancelFunc
-	entry   *web.Server
-	admin   *web.Server
+	config        processConfig
+	tasks         sync.WaitGroup
+	serving       sync.WaitGroup
+	cancel        context.CancelFunc
+	gatewayServer *web.Server
+	adminServer   *web.Server
 }
 
 func newProcess(c processConfig) *process {
@@ -105,19 +105,20 @@
 }
 
 func (p *process) start(context.Context) error {
-	p.config.Watching.orders = p.config.Orders
-	p.config.Watching.leave = p.config.Leaver.leave
-	p.config.Leaver.beat = p.config.Beater.Trigger
-	p.config.Counters.watch(p.config.Dispatcher)
+	p.config.ConfigWatcher.orders = p.config.Orders
+	p.config.ConfigWatcher.drain = p.config.Drainer.start
+	p.config.Drainer.triggerBeat = p.config.Heartbeater.Trigger
+	p.config.Counters.registerAdmissionMetrics(p.config.Dispatcher)
 	if err := p.listen(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
-	for _, duty := range []func(context.Context){
-		p.config.Dispatcher.Run, p.config.Probe.Run, p.config.Watching.watcher.Run, p.config.Beater.Run, p.config.Puller.Run, p.sweep, p.begin,
+	for _, task := range []func(context.Context){
+		p.config.Dispatcher.Run, p.config.Probe.Run, p.config.ConfigWatcher.watcher.Run, p.config.Heartbeater.Run,
+		p.config.Puller.Run, p.sweep, p.openWhenConfigured,
 	} {
-		p.run(ctx, duty)
+		p.run(ctx, task)
 	}
 	if takesOrders(p.config.Settings) {
 		p.run(ctx, p.config.Orders.Run)
@@ -125,11 +126,11 @@
 	return nil
 }
 
-func (p *process) run(ctx context.Context, duty func(context.Context)) {
-	p.duties.Add(1)
+func (p *process) run(ctx context.Context, task func(context.Context)) {
+	p.tasks.Add(1)
 	go func() {
-		defer p.duties.Done()
-		duty(ctx)
+		defer p.tasks.Done()
+		task(ctx)
 	}()
 }
 
@@ -137,13 +138,13 @@
 	mux := http.NewServeMux()
 	mux.Handle(p.config.Handler.Mount())
 	var err error
-	if p.entry, err = web.Listen(p.config.Settings.Listen, mux); err != nil {
-		return fmt.Errorf("gateways: %w", err)
+	if p.gatewayServer, err = web.Listen(p.config.Settings.Listen, mux); err != nil {
+		return fmt.Errorf("listen for gateways: %w", err)
 	}
-	if p.admin, err = web.Listen(p.config.Settings.AdminListen, p.adminRouter()); err != nil {
-		return fmt.Errorf("operators: %w", err)
+	if p.adminServer, err = web.Listen(p.config.Settings.AdminListen, p.adminRouter()); err != nil {
+		return fmt.Errorf("listen for operators: %w", err)
 	}
-	for _, server := range []*web.Server{p.entry, p.admin} {
+	for _, server := range []*web.Server{p.gatewayServer, p.adminServer} {
 		p.serving.Add(1)
 		go func() {
 			defer p.serving.Done()
@@ -159,31 +160,31 @@
 	router := gin.New()
 	router.Use(gin.Recovery())
 	p.config.Status.Mount(router, p.config.Metrics.Registry)
-	path, handler := toucanhingev1connect.NewExplainServiceHandler(p.config.Book)
+	path, handler := toucanhingev1connect.NewExplainServiceHandler(p.config.Records)
 	router.Any(path+"*call", gin.WrapH(handler))
 	return router
 }
 
-// begin opens the endpoint once the configuration is known.
-func (p *process) begin(ctx context.Context) {
+// openWhenConfigured opens the endpoint once the configuration is known.
+func (p *process) openWhenConfigured(ctx context.Context) {
 	select {
-	case <-p.config.Watching.watcher.Started():
+	case <-p.config.ConfigWatcher.watcher.Started():
 	case <-ctx.Done():
 		return
 	}
 	p.config.Orders.Tell(order.Started{})
-	p.config.Watching.tellOrder()
-	p.config.Puller.Groups(p.config.Watching.watcher.Groups())
-	if p.config.Leaver.leaving() {
+	p.config.ConfigWatcher.submitOrder()
+	p.config.Puller.Groups(p.config.ConfigWatcher.watcher.Groups())
+	if p.config.Drainer.isDraining() {
 		return
 	}
 	p.config.Puller.Open(p.config.Settings.Kind == config.KindModel && p.config.Settings.Batch.Slots > 0)
 	p.config.Status.Ready()
-	level.Info(p.config.Logger).Log(logs.KeyEvent, "ready", "version", p.config.Watching.watcher.Fleet().Version)
+	level.Info(p.config.Logger).Log(logs.KeyEvent, "ready", "version", p.config.ConfigWatcher.watcher.Fleet().Version)
 }
 
 func (p *process) sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepPeriod)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -195,30 +196,32 @@
 	}
 }
 
-// stop drains, also when a signal came, then ends the duties.
+// stop drains the sidecar, also after a signal, then ends the background tasks.
 func (p *process) stop(ctx context.Context) error {
-	p.config.Leaver.leave("signal")
+	p.config.Drainer.start("signal")
 	select {
-	case <-p.config.Leaver.left:
+	case <-p.config.Drainer.drained:
 	case <-ctx.Done():
 	}
-	err := p.entry.Shutdown(ctx)
+	err := p.gatewayServer.Shutdown(ctx)
 	p.cancel()
-	p.duties.Wait()
-	if adminErr := p.admin.Shutdown(ctx); err == nil {
+	p.tasks.Wait()
+	if adminErr := p.adminServer.Shutdown(ctx); err == nil {
 		err = adminErr
 	}
 	p.serving.Wait()
 	if err != nil {
-		return fmt.Errorf("stop serving: %w", err)
+		return fmt.Errorf("shut down the servers: %w", err)
 	}
 	return nil
 }
 
-func newBeater(s config.Settings, l log.Logger, c *control.Client, i incarnation, w *watching, o *order.Runner, v *leaver) *control.Heartbeater {
+func newHeartbeater(
+	s config.Settings, l log.Logger, c *control.Client, i incarnation, w *configWatcher, o *order.Runner, d *drainer,
+) *control.Heartbeater {
 	request := func() *toucanhingev1.BeatRequest {
 		state := toucanhingev1.MemberState_MEMBER_STATE_READY
-		if v.leaving() {
+		if d.isDraining() {
 			state = toucanhingev1.MemberState_MEMBER_STATE_LEAVING
 		}
 		return &toucanhingev1.BeatRequest{
@@ -232,6 +235,6 @@
 	}
 	return control.NewHeartbeater(control.HeartbeaterConfig{
 		Client: c, Logger: l, Request: request, Accepted: w.watcher.RaiseMinVersion,
-		Superseded: func() { v.leave("superseded") },
+		Superseded: func() { d.start("superseded") },
 	})
 }
--- a/sidecar/pkg/app/app_test.go
+++ b/sidecar/pkg/app/app_test.go
@@ -17,13 +17,13 @@
 	"toucanhinge.example/sidecar/pkg/config"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 type fixture struct {
 	settings config.Settings
 	control  *fakeControl
 	engine   *fakeEngine
-	calls    toucanhingev1connect.EndpointServiceClient
+	client   toucanhingev1connect.EndpointServiceClient
 	ended    chan error
 }
 
@@ -37,11 +37,11 @@
 	s.Control = []string{address}
 	s.Listen, s.AdminListen = loopback.Address(t, 0), loopback.Address(t, 1)
 	s.Engine.Slots, s.Batch.Slots = 2, 2
-	s.Drain.Linger = 10
+	s.Drain.LingerMS = 10
 	s.LogLevel = "error"
 	f.engine, s.Engine.URL = newFakeEngine(t)
 	f.settings = s
-	f.calls = toucanhingev1connect.NewEndpointServiceClient(web.NewClient(), "http://"+s.Listen)
+	f.client = toucanhingev1connect.NewEndpointServiceClient(web.NewClient(), "http://"+s.Listen)
 	go func() { f.ended <- Run(s) }()
 	require.Eventually(t, func() bool {
 		r, err := http.Get("http://" + s.AdminListen + "/readyz")
@@ -50,17 +50,17 @@
 		}
 		defer func() { _ = r.Body.Close() }()
 		return r.StatusCode == http.StatusOK
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	require.Eventually(t, func() bool {
-		r, err := f.calls.Report(context.Background(), connect.NewRequest(&toucanhingev1.ReportRequest{}))
+		r, err := f.client.Report(context.Background(), connect.NewRequest(&toucanhingev1.ReportRequest{}))
 		return err == nil && r.Msg.GetLoad().GetHealthy()
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	return f
 }
 
 func (f *fixture) drain(t *testing.T) {
 	t.Helper()
-	f.control.put(&toucanhingev1.Entry{
+	f.control.putEntry(&toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_DRAIN, Name: "vm1",
 		Body: &toucanhingev1.Entry_Drain{Drain: &toucanhingev1.Drain{}},
 	})
@@ -71,8 +71,8 @@
 	select {
 	case err := <-f.ended:
 		require.NoError(t, err)
-	case <-time.After(patience):
-		t.Fatal("the sidecar did not end")
+	case <-time.After(waitTimeout):
+		t.Fatal("the sidecar did not exit")
 	}
 }
 
@@ -84,9 +84,9 @@
 	}
 }
 
-func frames(t *testing.T, f *fixture, r *toucanhingev1.RunRequest) []*toucanhingev1.Frame {
+func runFrames(t *testing.T, f *fixture, r *toucanhingev1.RunRequest) []*toucanhingev1.Frame {
 	t.Helper()
-	stream, err := f.calls.Run(context.Background(), connect.NewRequest(r))
+	stream, err := f.client.Run(context.Background(), connect.NewRequest(r))
 	require.NoError(t, err)
 	var found []*toucanhingev1.Frame
 	for stream.Receive() {
@@ -96,9 +96,9 @@
 	return found
 }
 
-func TestOnlineStreamAndPlainCall(t *testing.T) {
+func TestOnlineStreamAndPlainServiceCall(t *testing.T) {
 	f := startApp(t, config.KindModel)
-	found := frames(t, f, chatRequest("r1"))
+	found := runFrames(t, f, chatRequest("r1"))
 	require.Len(t, found, 5)
 	require.Equal(t, uint32(200), found[0].GetHead().GetStatus())
 	require.NotNil(t, found[0].GetLoad())
@@ -113,7 +113,7 @@
 	f.awaitEnd(t)
 
 	p := startApp(t, config.KindPlain)
-	found = frames(t, p, &toucanhingev1.RunRequest{
+	found = runFrames(t, p, &toucanhingev1.RunRequest{
 		RequestId: "r2", Attempt: 1, Team: "d", Method: http.MethodPost, Path: "/plain", Body: []byte("x"), BudgetMs: 5_000,
 	})
 	require.Len(t, found, 3)
@@ -134,22 +134,21 @@
 	}
 	f.control.mu.Unlock()
 	require.Eventually(t, func() bool {
-		return f.control.completed(toucanhingev1.Outcome_OUTCOME_DONE) == 50
-	}, patience, 10*time.Millisecond)
-	require.Contains(t, string(f.control.done[0].GetBody()), `"content":"t1t2t3"`)
+		return f.control.completedCount(toucanhingev1.Outcome_OUTCOME_DONE) == 50
+	}, waitTimeout, 10*time.Millisecond)
+	require.Contains(t, string(f.control.completions[0].GetBody()), `"content":"t1t2t3"`)
 	f.drain(t)
 	f.awaitEnd(t)
 }
 
-// An operator drains the VM while one caller's stream is under way and batch
-// items run. The caller reads its whole answer; control hears of the leaving at
-// once and gets the items back; a new request is refused as not run; then the
-// process ends by itself. A drain that cut the stream would leave the caller
-// with half an answer.
+// A VM is drained while a caller's stream and batch items run. The caller receives its
+// whole answer, control learns of the drain at once and gets the items back, a new request
+// is refused as not run, and then the process exits. A drain that cut the stream would
+// leave the caller with a truncated answer.
 func TestDrainFinishesStreamsAndReturnsItems(t *testing.T) {
 	f := startApp(t, config.KindModel)
-	release := f.engine.hold()
-	stream, err := f.calls.Run(context.Background(), connect.NewRequest(chatRequest("r1")))
+	release := f.engine.holdStream()
+	stream, err := f.client.Run(context.Background(), connect.NewRequest(chatRequest("r1")))
 	require.NoError(t, err)
 	require.True(t, stream.Receive())
 	require.True(t, stream.Receive())
@@ -159,16 +158,16 @@
 	})
 	f.control.mu.Unlock()
 	require.Eventually(t, func() bool {
-		r, err := f.calls.Report(context.Background(), connect.NewRequest(&toucanhingev1.ReportRequest{}))
+		r, err := f.client.Report(context.Background(), connect.NewRequest(&toucanhingev1.ReportRequest{}))
 		return err == nil && r.Msg.GetLoad().GetBatch() == 1
-	}, patience, 5*time.Millisecond)
+	}, waitTimeout, 5*time.Millisecond)
 
 	f.drain(t)
 	require.Eventually(t, func() bool {
 		return f.control.lastState() == toucanhingev1.MemberState_MEMBER_STATE_LEAVING &&
-			f.control.completed(toucanhingev1.Outcome_OUTCOME_RETURNED) == 1
-	}, patience, 5*time.Millisecond)
-	refused := frames(t, f, chatRequest("r2"))
+			f.control.completedCount(toucanhingev1.Outcome_OUTCOME_RETURNED) == 1
+	}, waitTimeout, 5*time.Millisecond)
+	refused := runFrames(t, f, chatRequest("r2"))
 	require.Equal(t, "leaving", refused[0].GetRefusal().GetReason())
 	require.Equal(t, toucanhingev1.Ran_RAN_NO, refused[0].GetRefusal().GetRan())
 
@@ -182,31 +181,31 @@
 	f.awaitEnd(t)
 }
 
-// An operator orders another model while a caller's stream is under way. New
-// requests are refused at once as not run, the stream ends whole, only then does
-// the engine get the order; when it has loaded, the endpoint takes work again.
-// Loading under a stream would cut it; taking work meanwhile would fail it.
-func TestOrderWaitsForTheStream(t *testing.T) {
+// Another model is ordered while a caller's stream runs. New requests are refused at once
+// as not run, the stream ends complete, and only then is the order sent to the engine. The
+// endpoint accepts work again once the model is loaded. Loading during a stream would cut
+// it, and requests accepted during loading would fail.
+func TestOrderWaitsForRunningStream(t *testing.T) {
 	f := startApp(t, config.KindModel)
-	release := f.engine.hold()
-	stream, err := f.calls.Run(context.Background(), connect.NewRequest(chatRequest("r1")))
+	release := f.engine.holdStream()
+	stream, err := f.client.Run(context.Background(), connect.NewRequest(chatRequest("r1")))
 	require.NoError(t, err)
 	require.True(t, stream.Receive())
-	f.control.put(&toucanhingev1.Entry{
+	f.control.putEntry(&toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_ORDER, Name: "e1",
 		Body: &toucanhingev1.Entry_Order{Order: &toucanhingev1.Order{
 			Endpoint: "e1", Kind: toucanhingev1.OrderKind_ORDER_KIND_LOAD_MODEL, Model: "other",
 		}},
 	})
 	healthy := func() bool {
-		r, err := f.calls.Report(context.Background(), connect.NewRequest(&toucanhingev1.ReportRequest{}))
+		r, err := f.client.Report(context.Background(), connect.NewRequest(&toucanhingev1.ReportRequest{}))
 		return err == nil && r.Msg.GetLoad().GetHealthy()
 	}
-	require.Eventually(t, func() bool { return !healthy() }, patience, 5*time.Millisecond)
-	refused := frames(t, f, chatRequest("r2"))
+	require.Eventually(t, func() bool { return !healthy() }, waitTimeout, 5*time.Millisecond)
+	refused := runFrames(t, f, chatRequest("r2"))
 	require.Equal(t, "loading", refused[0].GetRefusal().GetReason())
 	require.Equal(t, toucanhingev1.Ran_RAN_NO, refused[0].GetRefusal().GetRan())
-	require.Zero(t, f.engine.order(false))
+	require.Zero(t, f.engine.orderCount(false))
 	release()
 	var last *toucanhingev1.Frame
 	for stream.Receive() {
@@ -214,20 +213,21 @@
 	}
 	require.Equal(t, uint64(3), last.GetEnd().GetFrames())
 	require.Empty(t, last.GetEnd().GetError())
-	require.Eventually(t, func() bool { return f.engine.order(false) == 1 }, patience, 5*time.Millisecond)
-	require.False(t, healthy(), "open while the engine loads")
-	f.engine.order(true)
-	require.Eventually(t, healthy, patience, 5*time.Millisecond)
-	require.Equal(t, 1, f.engine.order(false))
-
-	f.explains(t, "r2", "refused", "loading, ran no")
-	f.explains(t, "e1", "order-taken", "load_model number 2")
+	require.Eventually(t, func() bool { return f.engine.orderCount(false) == 1 }, waitTimeout, 5*time.Millisecond)
+	require.False(t, healthy(), "healthy while the engine loads")
+	f.engine.orderCount(true)
+	require.Eventually(t, healthy, waitTimeout, 5*time.Millisecond)
+	require.Equal(t, 1, f.engine.orderCount(false))
+
+	f.requireExplained(t, "r2", "refused", "loading, ran no")
+	f.requireExplained(t, "e1", "order-taken", "load_model number 2")
 	f.drain(t)
 	f.awaitEnd(t)
 }
 
-// explains looks a happening up on the operators' port, and its counter.
-func (f *fixture) explains(t *testing.T, id, event, detail string) {
+// requireExplained requires an event in the explain call's records, and the refusal
+// counter in the metrics.
+func (f *fixture) requireExplained(t *testing.T, id, event, detail string) {
 	t.Helper()
 	operators := toucanhingev1connect.NewExplainServiceClient(web.NewClient(), "http://"+f.settings.AdminListen)
 	reply, err := operators.Explain(context.Background(), connect.NewRequest(&toucanhingev1.ExplainRequest{Id: id}))
--- a/sidecar/pkg/app/watching.go
+++ b/sidecar/pkg/app/config_watcher.go
@@ -14,41 +14,43 @@
 	"toucanhinge.example/sidecar/pkg/order"
 )
 
-// watching follows the configuration and tells the parts what concerns them.
-type watching struct {
+// configWatcher follows the configuration and passes changes on to the components.
+type configWatcher struct {
 	settings    config.Settings
 	incarnation incarnation
 	dispatcher  *dispatch.Dispatcher
 	watcher     *control.Watcher
-	// orders and leave are set before the watcher runs.
+	// orders and drain are set before the watcher runs.
 	orders *order.Runner
-	leave  func(reason string)
+	drain  func(reason string)
 	fleet  atomic.Pointer[world.Fleet]
 }
 
-func newWatching(s config.Settings, l log.Logger, client *control.Client, d *dispatch.Dispatcher, i incarnation) *watching {
-	w := &watching{settings: s, incarnation: i, dispatcher: d}
+func newConfigWatcher(
+	s config.Settings, l log.Logger, client *control.Client, d *dispatch.Dispatcher, i incarnation,
+) *configWatcher {
+	w := &configWatcher{settings: s, incarnation: i, dispatcher: d}
 	w.fleet.Store(world.Empty())
-	w.watcher = control.NewWatcher(control.WatcherConfig{Client: client, Process: s.Name, Logger: l, Changed: w.changed})
+	w.watcher = control.NewWatcher(control.WatcherConfig{Client: client, Process: s.Name, Logger: l, Changed: w.apply})
 	return w
 }
 
-func (w *watching) changed(fleet *world.Fleet) {
+func (w *configWatcher) apply(fleet *world.Fleet) {
 	w.fleet.Store(fleet)
 	if service, found := fleet.Service(w.settings.Service); found {
-		w.dispatcher.Tell(admit.Weigh{Weight: int(service.GetBatchWeight())})
+		w.dispatcher.Submit(admit.Weigh{Weight: int(service.GetBatchWeight())})
 	}
-	w.tellOrder()
+	w.submitOrder()
 	switch {
 	case fleet.Drained(w.settings.Name, w.settings.VM):
-		w.leave("drain")
+		w.drain("drain")
 	case w.markedLeaving(fleet):
-		w.leave("marked-leaving")
+		w.drain("marked-leaving")
 	}
 }
 
-// tellOrder hands on the newest order for this endpoint.
-func (w *watching) tellOrder() {
+// submitOrder submits the newest order for this endpoint.
+func (w *configWatcher) submitOrder() {
 	e, found := w.fleet.Load().Entry(toucanhingev1.Kind_KIND_ORDER, w.settings.Name)
 	if !found || !takesOrders(w.settings) {
 		return
@@ -58,9 +60,9 @@
 	}
 }
 
-// markedLeaving says whether control lists this very process as leaving. An
-// entry of an earlier process of this name says nothing about this one.
-func (w *watching) markedLeaving(fleet *world.Fleet) bool {
+// markedLeaving reports whether control lists this process as leaving. An entry of an
+// earlier process with the same name is ignored.
+func (w *configWatcher) markedLeaving(fleet *world.Fleet) bool {
 	e, found := fleet.Entry(toucanhingev1.Kind_KIND_MEMBER, w.settings.Name)
 	if !found {
 		return false
@@ -69,7 +71,7 @@
 	return m.GetIncarnation() == uint64(w.incarnation) && m.GetState() == toucanhingev1.MemberState_MEMBER_STATE_LEAVING
 }
 
-func (w *watching) teamWeight(team string) int {
+func (w *configWatcher) teamWeight(team string) int {
 	e, found := w.fleet.Load().Entry(toucanhingev1.Kind_KIND_TEAM, team)
 	if !found {
 		return 1
--- a/sidecar/pkg/app/fakes_test.go
+++ b/sidecar/pkg/app/fakes_test.go
@@ -24,18 +24,18 @@
 type fakeControl struct {
 	toucanhingev1connect.UnimplementedFleetServiceHandler
 	toucanhingev1connect.UnimplementedWorkServiceHandler
-	mu      sync.Mutex
-	entries []*toucanhingev1.Entry
-	version uint64
-	changed chan struct{}
-	items   []*toucanhingev1.LeasedItem
-	done    map[uint64]*toucanhingev1.Completion
-	members []*toucanhingev1.Member
+	mu          sync.Mutex
+	entries     []*toucanhingev1.Entry
+	version     uint64
+	changed     chan struct{}
+	items       []*toucanhingev1.LeasedItem
+	completions map[uint64]*toucanhingev1.Completion
+	members     []*toucanhingev1.Member
 }
 
 func newFakeControl(t *testing.T) (*fakeControl, string) {
 	t.Helper()
-	c := &fakeControl{version: 1, changed: make(chan struct{}), done: map[uint64]*toucanhingev1.Completion{}}
+	c := &fakeControl{version: 1, changed: make(chan struct{}), completions: map[uint64]*toucanhingev1.Completion{}}
 	mux := http.NewServeMux()
 	mux.Handle(toucanhingev1connect.NewFleetServiceHandler(c))
 	mux.Handle(toucanhingev1connect.NewWorkServiceHandler(c))
@@ -52,7 +52,7 @@
 	return c, s.Address()
 }
 
-func (c *fakeControl) put(e *toucanhingev1.Entry) {
+func (c *fakeControl) putEntry(e *toucanhingev1.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version++
@@ -131,17 +131,17 @@
 	defer c.mu.Unlock()
 	answer := &toucanhingev1.CompleteResponse{}
 	for _, completion := range r.Msg.GetCompletions() {
-		c.done[completion.GetIndex()] = completion
+		c.completions[completion.GetIndex()] = completion
 		answer.Verdicts = append(answer.Verdicts, toucanhingev1.Verdict_VERDICT_ACCEPTED)
 	}
 	return connect.NewResponse(answer), nil
 }
 
-func (c *fakeControl) completed(outcome toucanhingev1.Outcome) int {
+func (c *fakeControl) completedCount(outcome toucanhingev1.Outcome) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	count := 0
-	for _, completion := range c.done {
+	for _, completion := range c.completions {
 		if completion.GetOutcome() == outcome {
 			count++
 		}
@@ -149,13 +149,13 @@
 	return count
 }
 
-// fakeEngine streams three tokens; while held it stops after the first.
+// fakeEngine streams three tokens. While it is held, it pauses after the first one.
 type fakeEngine struct {
 	mu      sync.Mutex
 	posts   []string
 	release chan struct{}
-	held    engine.Held
-	ordered int
+	state   engine.State
+	orders  int
 }
 
 func newFakeEngine(t *testing.T) (*fakeEngine, string) {
@@ -173,14 +173,14 @@
 	mux.HandleFunc("GET /orders", func(w http.ResponseWriter, _ *http.Request) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(e.held)
+		_ = json.NewEncoder(w).Encode(e.state)
 	})
 	mux.HandleFunc("POST /orders", func(_ http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		_ = json.NewDecoder(r.Body).Decode(&e.held)
-		e.held.Loading = true
-		e.ordered++
+		_ = json.NewDecoder(r.Body).Decode(&e.state)
+		e.state.Loading = true
+		e.orders++
 	})
 	mux.HandleFunc("POST /streams/{id}/{how}", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	s := httptest.NewServer(mux)
@@ -188,17 +188,18 @@
 	return e, s.URL
 }
 
-// order tells how many orders came, and ends the loading when asked.
-func (e *fakeEngine) order(loaded bool) int {
+// orderCount returns the number of received orders. If loaded is true, it ends the loading
+// first.
+func (e *fakeEngine) orderCount(loaded bool) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if loaded {
-		e.held.Loading = false
+		e.state.Loading = false
 	}
-	return e.ordered
+	return e.orders
 }
 
-func (e *fakeEngine) hold() (release func()) {
+func (e *fakeEngine) holdStream() (release func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	held := make(chan struct{})
--- a/sidecar/pkg/app/gate.go
+++ b/sidecar/pkg/app/gate.go
@@ -8,8 +8,8 @@
 	"toucanhinge.example/sidecar/pkg/dispatch"
 )
 
-// gate joins the reasons for which no new work is let in: the engine does not
-// answer, or loads weights by an order.
+// gate combines the reasons for refusing new work: the engine is unhealthy, or it loads
+// weights after an order.
 type gate struct {
 	mu         sync.Mutex
 	dispatcher *dispatch.Dispatcher
@@ -17,10 +17,10 @@
 	loading    bool
 }
 
-// newGate starts closed: nothing is known of the engine yet.
+// newGate returns a closed gate, because the engine's state is not known yet.
 func newGate(s config.Settings, dispatcher *dispatch.Dispatcher) *gate {
 	g := &gate{dispatcher: dispatcher, unhealthy: true, loading: takesOrders(s)}
-	g.apply()
+	g.update()
 	return g
 }
 
@@ -28,31 +28,31 @@
 	return s.Kind == config.KindModel && s.Engine.Orders
 }
 
-// setHealthy tells whether the engine answers.
+// setHealthy sets whether the engine is healthy.
 func (g *gate) setHealthy(healthy bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.unhealthy = !healthy
-	g.apply()
+	g.update()
 }
 
-// setOpen tells whether orders let work in. When it returns, the machine has
-// taken it in: what counts as running after that includes all that was started.
+// setOpen sets whether orders allow new work. It returns once the machine has applied the
+// change, so that the running count afterwards includes everything that was started.
 func (g *gate) setOpen(open bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.loading = !open
-	g.apply()
+	g.update()
 	g.dispatcher.Flush()
 }
 
-func (g *gate) apply() {
+func (g *gate) update() {
 	switch {
 	case g.loading:
-		g.dispatcher.Tell(admit.Gate{Reason: admit.ReasonLoading})
+		g.dispatcher.Submit(admit.Gate{Reason: admit.ReasonLoading})
 	case g.unhealthy:
-		g.dispatcher.Tell(admit.Gate{Reason: admit.ReasonUnhealthy})
+		g.dispatcher.Submit(admit.Gate{Reason: admit.ReasonUnhealthy})
 	default:
-		g.dispatcher.Tell(admit.Gate{Open: true})
+		g.dispatcher.Submit(admit.Gate{Open: true})
 	}
 }
--- a/sidecar/pkg/app/parts.go
+++ b/sidecar/pkg/app/providers.go
@@ -28,13 +28,13 @@
 	"toucanhinge.example/sidecar/pkg/work"
 )
 
-// program names this process in logs and metrics.
+// program is the name of this process in logs and metrics.
 const program = "sidecar"
 
-// pollTimeout ends a poll of an engine that froze.
+// pollTimeout limits a poll, because the engine may be frozen.
 const pollTimeout = 500 * time.Millisecond
 
-// incarnation grows with each start of this process.
+// incarnation increases with each start of this process.
 type incarnation uint64
 
 func newClock() clock.Clock {
@@ -53,31 +53,31 @@
 	return metrics.New(program)
 }
 
-func newBook(s config.Settings, c clock.Clock) *record.Log {
+func newRecordLog(s config.Settings, c clock.Clock) *record.Log {
 	return record.New(record.Config{Clock: c, Process: s.Name, Size: s.Records})
 }
 
-func newHTTP() *http.Client {
+func newHTTPClient() *http.Client {
 	return web.NewClient()
 }
 
-func newControl(s config.Settings, client *http.Client, set *metrics.Set) *control.Client {
+func newControlClient(s config.Settings, client *http.Client, set *metrics.Set) *control.Client {
 	return control.New(control.Config{Addresses: s.Control, HTTP: client, Retried: set.Retried})
 }
 
-func newEngine(s config.Settings) *engine.Client {
+func newEngineClient(s config.Settings) *engine.Client {
 	return engine.New(engine.Config{URL: s.Engine.URL, Connections: s.Engine.Slots})
 }
 
 func newDispatcher(s config.Settings, c clock.Clock, set *metrics.Set) *dispatch.Dispatcher {
 	machine := admit.New(admit.Config{
-		Policy: admit.Policy(s.Batch.Policy), Slots: s.Engine.Slots, Floor: s.Engine.Floor,
-		Queue: s.Online.Queue, BatchSlots: s.Batch.Slots, PrefillTokens: s.Batch.PrefillTokens, Weight: s.Batch.Weight,
-		BurstWindow: clock.Millis(s.Batch.BurstWindow), BurstHalfLife: clock.Millis(s.Batch.BurstHalfLife),
+		Policy: admit.Policy(s.Batch.Policy), Slots: s.Engine.Slots, Floor: s.Engine.MinSlots,
+		Queue: s.Online.QueueLimit, BatchSlots: s.Batch.Slots, PrefillTokens: s.Batch.PrefillTokens, Weight: s.Batch.Weight,
+		BurstWindow: clock.Millis(s.Batch.BurstWindowMS), BurstHalfLife: clock.Millis(s.Batch.BurstHalfLifeMS),
 	})
 	return dispatch.New(dispatch.Config{
 		Clock: c, Machine: machine,
-		Ring: ring.Config{Size: s.Online.Ring, Refused: set.Refused.WithLabelValues(placeRing, "full")},
+		Ring: ring.Config{Size: s.Online.RingSize, Refused: set.Refused.WithLabelValues(refusedAtRing, "full")},
 	})
 }
 
@@ -86,42 +86,42 @@
 		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		defer cancel()
 		if s.Kind == config.KindPlain {
-			return probe.Report{AsOf: c.Now()}, e.Reach(ctx)
+			return probe.Report{AsOf: c.Now()}, e.CheckReachable(ctx)
 		}
 		load, err := e.Load(ctx)
 		return probe.Report{InFlight: load.Running + load.Waiting, AsOf: clock.Millis(load.AsOfMs)}, err
 	}
 	p := probe.New(probe.Config{
-		Clock: c, Logger: l, Period: clock.Millis(s.Engine.Poll).Duration(), Failed: s.Engine.Failed,
-		Poll:    poll,
-		Foreign: func(slots int) { d.Tell(admit.Foreign{Slots: slots}) },
-		Health:  g.setHealthy,
+		Clock: c, Logger: l, Interval: clock.Millis(s.Engine.PollMS).Duration(), FailureThreshold: s.Engine.FailedPolls,
+		Poll:           poll,
+		OnForeignSlots: func(slots int) { d.Submit(admit.Foreign{Slots: slots}) },
+		OnHealth:       g.setHealthy,
 	})
-	d.Watch(p.Own)
+	d.ObserveRunning(p.RecordOwn)
 	return p
 }
 
 func newHandler(
-	s config.Settings, c clock.Clock, e *engine.Client, d *dispatch.Dispatcher, n *notes, i incarnation, w *watching, p *probe.Probe,
+	s config.Settings, c clock.Clock, e *engine.Client, d *dispatch.Dispatcher, r *recorder, i incarnation, w *configWatcher, p *probe.Probe,
 ) *entry.Handler {
 	return entry.New(entry.Config{
 		Clock: c, Dispatcher: d, Engine: e, Endpoint: s.Name, Incarnation: uint64(i), Model: s.Kind == config.KindModel,
-		KeepBytes: s.Online.KeepBytes, KeepTotal: s.Online.KeepTotal, Keep: clock.Millis(s.Online.Keep),
-		Memory:     plain.MemoryConfig{Size: s.Online.Once, Keep: clock.Millis(s.Online.OnceKeep)},
-		Load:       func() *toucanhingev1.Load { return loadOf(d.Snapshot(), s.Engine.Slots) },
+		MaxAnswerBytes: s.Online.KeepBytes, MaxRetainedBytes: s.Online.KeepTotalBytes, Retention: clock.Millis(s.Online.KeepMS),
+		Dedup:      plain.Config{MaxRequests: s.Online.OnceRequests, Retention: clock.Millis(s.Online.OnceKeepMS)},
+		Load:       func() *toucanhingev1.Load { return newLoad(d.Snapshot(), s.Engine.Slots) },
 		TeamWeight: w.teamWeight,
-		Refused: func(requestID string, reason admit.Reason, ran toucanhingev1.Ran) {
+		OnRefused: func(requestID string, reason admit.Reason, ran toucanhingev1.Ran) {
 			if reason == entry.ReasonUnreachable {
-				p.Suspect()
+				p.ReportUnreachable()
 			}
-			n.refused(requestID, reason, ran)
+			r.refused(requestID, reason, ran)
 		},
-		Started: n.started,
-		Ended:   n.ended,
+		OnStarted: r.started,
+		OnEnded:   r.ended,
 	})
 }
 
-func loadOf(s admit.Snapshot, slots int) *toucanhingev1.Load {
+func newLoad(s admit.Snapshot, slots int) *toucanhingev1.Load {
 	return &toucanhingev1.Load{
 		Running: uint32(s.Online), Queued: uint32(s.Queued), Slots: uint32(slots), Foreign: uint32(s.Foreign),
 		Batch: uint32(s.Batch), WaitMs: uint32(s.Wait), Leaving: s.Leaving, Healthy: s.Closed == "",
@@ -130,33 +130,33 @@
 
 func newPuller(
 	s config.Settings, c clock.Clock, l log.Logger, client *control.Client, d *dispatch.Dispatcher,
-	e *engine.Client, p *probe.Probe, n *notes, i incarnation,
+	e *engine.Client, p *probe.Probe, r *recorder, i incarnation,
 ) *work.Puller {
 	return work.New(work.Config{
 		Clock: c, Logger: l, Control: client, Dispatcher: d, Engine: e,
 		Keeper: work.KeeperConfig{
-			Most: s.Batch.Slots + s.Batch.Local, Ask: s.Batch.Ask,
-			Flush: clock.Millis(s.Batch.Flush), FlushMost: s.Batch.FlushItems,
+			Most: s.Batch.Slots + s.Batch.LocalItems, Ask: s.Batch.MaxPerLease,
+			Flush: clock.Millis(s.Batch.FlushMS), FlushMost: s.Batch.FlushItems,
 		},
 		Name: s.Name, Incarnation: uint64(i), Service: s.Service, ResultBytes: s.Batch.ResultBytes,
-		Unreachable: p.Suspect, Noted: n.item,
+		Unreachable: p.ReportUnreachable, Noted: r.item,
 	})
 }
 
-func newOrders(s config.Settings, c clock.Clock, l log.Logger, e *engine.Client, d *dispatch.Dispatcher, g *gate, n *notes) *order.Runner {
+func newOrderRunner(s config.Settings, c clock.Clock, l log.Logger, e *engine.Client, d *dispatch.Dispatcher, g *gate, r *recorder) *order.Runner {
 	return order.NewRunner(order.RunnerConfig{
-		Clock: c, Logger: l, Machine: order.New(order.Config{Poll: orderPoll, Recheck: clock.Millis(s.Engine.Recheck)}),
-		Read: e.Held, Send: e.Send, Gate: g.setOpen,
+		Clock: c, Logger: l, Machine: order.New(order.Config{Poll: orderPollInterval, Recheck: clock.Millis(s.Engine.RecheckMS)}),
+		Read: e.State, Send: e.SendOrder, Gate: g.setOpen,
 		Idle: func() bool {
 			snapshot := d.Snapshot()
 			return snapshot.Online == 0 && snapshot.Queued == 0 && snapshot.Batch == 0
 		},
-		Noted: n.order,
+		Noted: r.order,
 	})
 }
 
-// orderPoll is how often an engine that loads is asked whether it is done.
-const orderPoll = clock.Millis(200)
+// orderPollInterval is how often a loading engine is polled for its state.
+const orderPollInterval = clock.Millis(200)
 
 func newStatus() *health.Status {
 	return health.New()
--- a/sidecar/pkg/config/config_test.go
+++ b/sidecar/pkg/config/config_test.go
@@ -12,7 +12,7 @@
 	"toucanhinge.example/common/pkg/settings"
 )
 
-const good = `
+const validSettings = `
 name = "e1"
 vm = "vm1"
 data_centre = "agdal"
@@ -22,15 +22,15 @@
 url = "http://127.0.0.1:2"
 `
 
-// Each fault is named by its key.
-func TestFaultsNameTheirKey(t *testing.T) {
+// Each invalid setting is reported under its key.
+func TestInvalidSettingsNameKey(t *testing.T) {
 	scenarios := []struct {
 		name string
 		old  string
 		text string
 		key  string
 	}{
-		{"good", "", "", ""},
+		{"valid", "", "", ""},
 		{"no name", `name = "e1"`, ``, "name"},
 		{"no control", `control = ["127.0.0.1:1"]`, ``, "control"},
 		{"control by host name", "127.0.0.1:1", "control:1", "control"},
@@ -41,7 +41,7 @@
 		{"no slots", "[engine]", "[engine]\nslots = 0\nfloor = 0", "engine.slots"},
 		{"floor above slots", "[engine]", "[engine]\nfloor = 99", "engine.floor"},
 		{"policy", "[engine]", "[batch]\npolicy = 'greedy'\n[engine]", "batch.policy"},
-		{"fixed takes all", "[engine]", "[batch]\npolicy = 'fixed'\n[engine]", "batch.slots"},
+		{"fixed policy with all slots", "[engine]", "[batch]\npolicy = 'fixed'\n[engine]", "batch.slots"},
 		{"weight", "[engine]", "[batch]\nweight = 101\n[engine]", "batch.weight"},
 		{"unknown key", "[engine]", "[engine]\nslot = 1", "engine.slot"},
 		{"wrong type", `name = "e1"`, "name = 1", "name"},
@@ -49,16 +49,16 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "s.toml")
-			require.NoError(t, os.WriteFile(file, []byte(strings.Replace(good, s.old, s.text, 1)), 0o600))
+			require.NoError(t, os.WriteFile(file, []byte(strings.Replace(validSettings, s.old, s.text, 1)), 0o600))
 			_, err := Load(file)
 			if s.key == "" {
 				require.NoError(t, err)
 				return
 			}
-			var faults *settings.Error
-			require.True(t, errors.As(err, &faults), "%v", err)
-			require.Len(t, faults.Faults, 1, "%v", err)
-			require.Equal(t, s.key, faults.Faults[0].Key)
+			var invalid *settings.Error
+			require.True(t, errors.As(err, &invalid), "%v", err)
+			require.Len(t, invalid.Faults, 1, "%v", err)
+			require.Equal(t, s.key, invalid.Faults[0].Key)
 		})
 	}
 }
--- a/sidecar/pkg/config/page_test.go
+++ b/sidecar/pkg/config/reference_page_test.go
@@ -10,9 +10,9 @@
 	"toucanhinge.example/common/pkg/settings"
 )
 
-// The settings page is written from the code; with TOUCANHINGE_UPDATE set, this
-// test writes it instead of comparing.
-func TestReferencePage(t *testing.T) {
+// The settings page is generated from the code. If TOUCANHINGE_UPDATE is set, this test
+// writes the page instead of comparing it.
+func TestReferencePageIsCurrent(t *testing.T) {
 	update := os.Getenv("TOUCANHINGE_UPDATE") != ""
 	require.NoError(t, settings.CheckPage("../../../docs/CONFIG.md", "sidecar", Defaults(), update))
 }
--- a/sidecar/pkg/dispatch/dispatcher.go
+++ b/sidecar/pkg/dispatch/dispatcher.go
@@ -1,5 +1,5 @@
-// Package dispatch runs the admission machine: one goroutine takes events from
-// a bounded ring, steps the machine and hands each action to whoever waits for it.
+// Package dispatch runs the admission machine: one goroutine receives events from a
+// bounded ring, steps the machine and delivers each action to its request or item.
 package dispatch
 
 import (
@@ -12,14 +12,14 @@
 	"toucanhinge.example/sidecar/pkg/admit"
 )
 
-// tickPeriod is how often waiting requests and items are looked at without an
-// event. It bounds how late a request hears that its deadline has passed.
-const tickPeriod = 10 * time.Millisecond
+// tickInterval is how often the machine is stepped without an event while requests or
+// items wait. It limits how late a request is refused after its deadline.
+const tickInterval = 10 * time.Millisecond
 
-// idlePeriod is the same while nothing waits.
-const idlePeriod = 200 * time.Millisecond
+// idleTickInterval is the tick interval while nothing waits.
+const idleTickInterval = 200 * time.Millisecond
 
-// Deliver takes the actions about one request or item. It must not block.
+// Deliver receives the actions for one request or item. It must not block.
 type Deliver func(admit.Action)
 
 type envelope struct {
@@ -29,103 +29,103 @@
 	done    chan struct{}
 }
 
-// Config describes a dispatcher.
+// Config holds the dispatcher's settings and dependencies.
 type Config struct {
 	Clock   clock.Clock
 	Machine *admit.Machine
-	// Ring is the most events that wait for the machine.
+	// Ring configures the queue of events for the machine.
 	Ring ring.Config
 }
 
-// Dispatcher owns the machine.
+// Dispatcher owns the admission machine.
 type Dispatcher struct {
-	config   Config
-	events   *ring.Ring[envelope]
-	deliver  map[admit.ID]Deliver
-	snapshot atomic.Pointer[admit.Snapshot]
-	next     atomic.Uint64
-	// watch is told how many requests of ours the engine has.
-	watch func(now clock.Millis, count int)
-	// alive ends with Run.
-	alive context.Context
-	stop  context.CancelFunc
+	config       Config
+	events       *ring.Ring[envelope]
+	deliverFuncs map[admit.ID]Deliver
+	snapshot     atomic.Pointer[admit.Snapshot]
+	lastID       atomic.Uint64
+	// observeRunning is called with the number of this sidecar's requests at the engine.
+	observeRunning func(now clock.Millis, count int)
+	// runCtx ends when Run returns.
+	runCtx    context.Context
+	cancelRun context.CancelFunc
 }
 
-// New makes a dispatcher; nothing moves until Run.
+// New returns a dispatcher. It handles events once Run is called.
 func New(config Config) *Dispatcher {
 	d := &Dispatcher{
-		config:  config,
-		events:  ring.New[envelope](config.Ring),
-		deliver: map[admit.ID]Deliver{},
+		config:       config,
+		events:       ring.New[envelope](config.Ring),
+		deliverFuncs: map[admit.ID]Deliver{},
 	}
-	d.alive, d.stop = context.WithCancel(context.Background())
+	d.runCtx, d.cancelRun = context.WithCancel(context.Background())
 	first := config.Machine.Snapshot(config.Clock.Now())
 	d.snapshot.Store(&first)
 	return d
 }
 
-// Watch tells how many requests we have at the engine after each step. It must
-// be set before Run.
-func (d *Dispatcher) Watch(watch func(now clock.Millis, count int)) {
-	d.watch = watch
+// ObserveRunning sets a function that is called after each step with the number of this
+// sidecar's requests at the engine. It must be called before Run.
+func (d *Dispatcher) ObserveRunning(observe func(now clock.Millis, count int)) {
+	d.observeRunning = observe
 }
 
-// NextID returns an id that was never given out before.
+// NextID returns a new unique ID.
 func (d *Dispatcher) NextID() admit.ID {
-	return admit.ID(d.next.Add(1))
+	return admit.ID(d.lastID.Add(1))
 }
 
-// Ask hands in a new online request. False means that the ring is full and
-// the request was not taken; otherwise deliver gets exactly one Start or Refuse.
-func (d *Dispatcher) Ask(arrive admit.Arrive, deliver Deliver) bool {
+// SubmitRequest submits a new online request. It returns false if the ring is full or the
+// dispatcher has stopped. Otherwise deliver receives exactly one Start or Refuse.
+func (d *Dispatcher) SubmitRequest(arrival admit.Arrive, deliver Deliver) bool {
 	select {
-	case <-d.alive.Done():
+	case <-d.runCtx.Done():
 		return false
 	default:
 	}
-	return d.events.Offer(envelope{event: arrive, id: arrive.ID, deliver: deliver})
+	return d.events.Offer(envelope{event: arrival, id: arrival.ID, deliver: deliver})
 }
 
-// Offer hands in a batch item; deliver gets what is to be done with it until
-// its Finished is told or it gets Return.
-func (d *Dispatcher) Offer(offer admit.Offer, deliver Deliver) {
-	d.put(envelope{event: offer, id: offer.ID, deliver: deliver})
+// SubmitItem submits a batch item. deliver receives its actions until Finished is
+// submitted or a Return is delivered.
+func (d *Dispatcher) SubmitItem(item admit.Offer, deliver Deliver) {
+	d.enqueue(envelope{event: item, id: item.ID, deliver: deliver})
 }
 
-// Tell hands in any other event. It waits for room: an end that was lost would
-// leave its slot taken for good.
-func (d *Dispatcher) Tell(event admit.Event) {
-	d.put(envelope{event: event})
+// Submit submits any other event. It blocks while the ring is full, because a lost
+// Finished event would leak a slot.
+func (d *Dispatcher) Submit(event admit.Event) {
+	d.enqueue(envelope{event: event})
 }
 
-// Flush returns once everything handed in before was stepped.
+// Flush blocks until all events that were submitted earlier have been handled.
 func (d *Dispatcher) Flush() {
 	done := make(chan struct{})
-	d.put(envelope{event: admit.Tick{}, done: done})
+	d.enqueue(envelope{event: admit.Tick{}, done: done})
 	select {
 	case <-done:
-	case <-d.alive.Done():
+	case <-d.runCtx.Done():
 	}
 }
 
-// put waits for room until the dispatcher stops, so that nobody waits for a
-// ring that nobody reads.
-func (d *Dispatcher) put(e envelope) {
+// enqueue blocks while the ring is full. It returns when the dispatcher stops, because the
+// ring is not read after that.
+func (d *Dispatcher) enqueue(e envelope) {
 	if d.events.Offer(e) {
 		return
 	}
-	_ = d.events.Put(d.alive, e)
+	_ = d.events.Put(d.runCtx, e)
 }
 
-// Snapshot is the machine's state after its last step.
+// Snapshot returns the machine's state after its last step.
 func (d *Dispatcher) Snapshot() admit.Snapshot {
 	return *d.snapshot.Load()
 }
 
 // Run steps the machine until the context ends.
 func (d *Dispatcher) Run(ctx context.Context) {
-	defer d.stop()
-	timer := time.NewTimer(tickPeriod)
+	defer d.cancelRun()
+	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -136,43 +136,43 @@
 		case <-timer.C:
 			d.handle(envelope{event: admit.Tick{}})
 		}
-		// Each event steps the machine too, so putting the tick off loses nothing.
+		// Each event steps the machine too, so resetting the timer delays no work.
 		if s := d.Snapshot(); s.Queued+s.Waiting+s.Halted > 0 {
-			timer.Reset(tickPeriod)
+			timer.Reset(tickInterval)
 		} else {
-			timer.Reset(idlePeriod)
+			timer.Reset(idleTickInterval)
 		}
 	}
 }
 
 func (d *Dispatcher) handle(e envelope) {
 	if e.deliver != nil {
-		d.deliver[e.id] = e.deliver
+		d.deliverFuncs[e.id] = e.deliver
 	}
 	now := d.config.Clock.Now()
 	for _, a := range d.config.Machine.Step(now, e.event) {
-		d.hand(a)
+		d.deliverAction(a)
 	}
 	if f, finished := e.event.(admit.Finished); finished {
-		delete(d.deliver, f.ID)
+		delete(d.deliverFuncs, f.ID)
 	}
 	s := d.config.Machine.Snapshot(now)
 	d.snapshot.Store(&s)
-	if d.watch != nil {
-		d.watch(now, s.Online+s.Batch)
+	if d.observeRunning != nil {
+		d.observeRunning(now, s.Online+s.Batch)
 	}
 	if e.done != nil {
 		close(e.done)
 	}
 }
 
-func (d *Dispatcher) hand(a admit.Action) {
-	deliver, found := d.deliver[a.ID]
+func (d *Dispatcher) deliverAction(a admit.Action) {
+	deliver, found := d.deliverFuncs[a.ID]
 	if !found {
 		return
 	}
 	if a.Verb == admit.Refuse || a.Verb == admit.Return {
-		delete(d.deliver, a.ID)
+		delete(d.deliverFuncs, a.ID)
 	}
 	deliver(a)
 }
--- a/sidecar/pkg/dispatch/dispatcher_test.go
+++ b/sidecar/pkg/dispatch/dispatcher_test.go
@@ -12,55 +12,55 @@
 	"toucanhinge.example/sidecar/pkg/admit"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-func dispatcher(size int) *Dispatcher {
+func newDispatcher(size int) *Dispatcher {
 	machine := admit.New(admit.Config{Policy: admit.Yield, Slots: 1, Queue: 8, Floor: 1, BatchSlots: 1})
 	return New(Config{Clock: clock.System(), Machine: machine, Ring: ring.Config{Size: size}})
 }
 
-func (d *Dispatcher) ask(deadline clock.Millis, actions chan admit.Action) (admit.ID, bool) {
+func (d *Dispatcher) submitRequest(deadline clock.Millis, actions chan admit.Action) (admit.ID, bool) {
 	id := d.NextID()
-	return id, d.Ask(admit.Arrive{ID: id, Deadline: deadline}, func(a admit.Action) { actions <- a })
+	return id, d.SubmitRequest(admit.Arrive{ID: id, Deadline: deadline}, func(a admit.Action) { actions <- a })
 }
 
-// The machine's goroutine falls behind. A request that finds the ring full is
-// turned away at once instead of waiting unseen.
-func TestFullRingRefuses(t *testing.T) {
-	d := dispatcher(1)
+// When the machine lags and the ring is full, a request must be refused at once instead of
+// waiting outside the queue.
+func TestFullRingRefusesRequest(t *testing.T) {
+	d := newDispatcher(1)
 	actions := make(chan admit.Action, 4)
-	_, taken := d.ask(1<<50, actions)
-	require.True(t, taken)
-	_, taken = d.ask(1<<50, actions)
-	require.False(t, taken)
+	_, accepted := d.submitRequest(1<<50, actions)
+	require.True(t, accepted)
+	_, accepted = d.submitRequest(1<<50, actions)
+	require.False(t, accepted)
 }
 
-// A request waits behind one that never ends. Nothing else happens, yet it hears
-// that its deadline passed; then the process stops and takes nothing more.
-func TestDeadlineWithoutEvents(t *testing.T) {
-	d := dispatcher(16)
+// A queued request must be refused at its deadline even if no other event arrives. After
+// the dispatcher has stopped, it refuses requests.
+func TestQueuedRequestExpiresWithoutEvents(t *testing.T) {
+	d := newDispatcher(16)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); d.Run(ctx) }()
 	actions := make(chan admit.Action, 4)
-	first, _ := d.ask(1<<50, actions)
+	first, _ := d.submitRequest(1<<50, actions)
 	require.Equal(t, admit.Action{Verb: admit.Start, ID: first}, <-actions)
-	second, _ := d.ask(clock.System().Now()+50, actions)
+	second, _ := d.submitRequest(clock.System().Now()+50, actions)
 	select {
 	case a := <-actions:
 		require.Equal(t, second, a.ID)
 		require.Equal(t, admit.Refuse, a.Verb)
 		require.Equal(t, admit.ReasonDeadline, a.Reason)
-	case <-time.After(patience):
-		t.Fatal("the waiting request heard nothing")
+	case <-time.After(waitTimeout):
+		t.Fatal("the queued request was not refused")
 	}
-	d.Tell(admit.Finished{ID: first})
+	d.Submit(admit.Finished{ID: first})
 	d.Flush()
 	require.Zero(t, d.Snapshot().Online)
 	cancel()
 	<-done
-	_, taken := d.ask(1<<50, actions)
-	require.False(t, taken)
-	d.Tell(admit.Tick{})
+	_, accepted := d.submitRequest(1<<50, actions)
+	require.False(t, accepted)
+	d.Submit(admit.Tick{})
 	d.Flush()
 }
--- a/sidecar/pkg/engine/cause.go
+++ b/sidecar/pkg/engine/cause.go
@@ -6,14 +6,15 @@
 	"github.com/pkg/errors"
 )
 
-// Cause turns an error into the short reason that is shown and kept.
+// Cause returns the short reason for an error, as shown to operators and stored in
+// records.
 func Cause(err error) string {
 	switch {
 	case errors.Is(err, ErrGap):
 		return "gap"
 	case errors.Is(err, ErrShort):
 		return "short"
-	case errors.Is(err, ErrGarbage), errors.Is(err, ErrLine):
+	case errors.Is(err, ErrMalformed), errors.Is(err, ErrLineTooLong):
 		return "garbage"
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return "cut"
--- a/sidecar/pkg/engine/client.go
+++ b/sidecar/pkg/engine/client.go
@@ -1,6 +1,6 @@
-// Package engine speaks to the model engine beside this process. It never
-// resends a request on its own, and what the engine answers late, out of order,
-// short, doubled or garbled ends either whole or with an explicit error.
+// Package engine is a client for the model engine or plain service behind this sidecar. It
+// never resends a request. An answer that arrives late, out of order, truncated,
+// duplicated or malformed ends either complete or with an explicit error.
 package engine
 
 import (
@@ -19,62 +19,62 @@
 	"github.com/pkg/errors"
 )
 
-// RequestID names a stream towards the engine.
-const RequestID = "X-Request-Id"
+// RequestIDHeader carries the stream ID to the engine.
+const RequestIDHeader = "X-Request-Id"
 
-// Limits of calls that are not answers.
+// Limits of control calls.
 const (
-	controlTimeout = 2 * time.Second
-	controlBytes   = 1 << 20
-	dialTimeout    = 2 * time.Second
-	idleTimeout    = 30 * time.Second
+	controlTimeout  = 2 * time.Second
+	maxControlBytes = 1 << 20
+	dialTimeout     = 2 * time.Second
+	idleTimeout     = 30 * time.Second
 )
 
-// StatusError is an answer of the engine that says no.
+// StatusError is an error status that the engine returned.
 type StatusError struct {
 	Status int
 	Body   string
 }
 
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("the engine answered %d: %s", e.Status, e.Body)
+	return fmt.Sprintf("engine returned status %d: %s", e.Status, e.Body)
 }
 
-// Config describes the client.
+// Config holds the client's settings.
 type Config struct {
-	// URL is where the engine or service listens, http://IP:port.
+	// URL is the address of the engine or service, http://IP:port.
 	URL string
-	// Connections bounds idle connections kept for idempotent calls.
+	// Connections limits the idle connections that are kept for idempotent calls.
 	Connections int
 }
 
 // Client calls one engine.
 type Client struct {
-	url    string
-	reused *http.Client
-	fresh  *http.Client
+	url      string
+	pooled   *http.Client
+	unpooled *http.Client
 }
 
-// New makes a client; it connects on first use.
+// New returns a client. It connects on first use.
 func New(config Config) *Client {
 	return &Client{
-		url:    strings.TrimSuffix(config.URL, "/"),
-		reused: newHTTP(config.Connections, false),
-		fresh:  newHTTP(0, true),
+		url:      strings.TrimSuffix(config.URL, "/"),
+		pooled:   newHTTPClient(config.Connections, false),
+		unpooled: newHTTPClient(0, true),
 	}
 }
 
-// newHTTP makes a client that never resends. Go's transport repeats a request
-// whose reused connection died, also one that the server had read already, if
-// it seems idempotent or bears an Idempotency-Key. On a fresh connection it
-// never does, so calls that may run only once each get their own; the others
-// run twice at worst on a connection that closed while idle.
-func newHTTP(connections int, fresh bool) *http.Client {
+// newHTTPClient returns a client that never resends a request of its own accord. Go's
+// transport retries a request whose reused connection died, even if the server has read
+// it, when the request seems idempotent or has an Idempotency-Key header. It never does so
+// on a new connection, so each call that must run at most once gets its own connection.
+// Other calls run twice only if an idle connection closed.
+func newHTTPClient(connections int, disableKeepAlives bool) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: 15 * time.Second}
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
-			DisableKeepAlives:   fresh,
+			DisableKeepAlives:   disableKeepAlives,
 			DisableCompression:  true,
 			MaxIdleConnsPerHost: max(connections, 4),
 			IdleConnTimeout:     idleTimeout,
@@ -91,40 +91,40 @@
 	Value string
 }
 
-// Call is one request for the engine or plain service.
+// Call is one request to the engine or plain service.
 type Call struct {
-	// ID names the stream at the engine; empty for a plain service.
+	// ID identifies the stream at the engine; empty for a plain service.
 	ID      string
 	Method  string
 	Path    string
 	Headers []Header
 	Body    []byte
-	// Once forbids a second run.
-	Once bool
+	// AtMostOnce forbids a second run.
+	AtMostOnce bool
 }
 
-// Answer is an open answer; the caller closes its body, or calls Release.
+// Answer is an open response. The caller must close its body or call Release.
 type Answer struct {
 	Status  int
 	Headers http.Header
 	Body    io.ReadCloser
-	// detach parts the call from the context that it was made under.
+	// detach decouples the call from the context that it was opened with.
 	detach func() bool
 }
 
-// Streams says whether the body holds server-sent events.
-func (a *Answer) Streams() bool {
+// IsEventStream reports whether the body contains server-sent events.
+func (a *Answer) IsEventStream() bool {
 	return strings.HasPrefix(a.Headers.Get("Content-Type"), "text/event-stream")
 }
 
-// Open sends the call and waits for the head of its answer. Sent tells, also
-// with an error, whether any byte may have reached the other side: if not, it
+// Open sends the call and waits for the response headers. The result sent reports, also
+// with an error, whether any byte may have reached the server. If it is false, the request
 // was certainly not run.
 func (c *Client) Open(ctx context.Context, call Call) (answer *Answer, sent bool, err error) {
 	var connected atomic.Bool
-	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	detach := context.AfterFunc(ctx, cancel)
-	traced := httptrace.WithClientTrace(inner, &httptrace.ClientTrace{
+	traced := httptrace.WithClientTrace(callCtx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	request, err := http.NewRequestWithContext(traced, call.Method, c.url+call.Path, bytes.NewReader(call.Body))
@@ -135,60 +135,60 @@
 	// Without GetBody the transport can't send the body a second time.
 	request.GetBody = nil
 	setHeaders(request.Header, call)
-	client := c.reused
-	if call.Once {
-		client = c.fresh
+	client := c.pooled
+	if call.AtMostOnce {
+		client = c.unpooled
 	}
-	response, err := client.Do(request) //nolint:bodyclose // Answer hands the body on; its reader closes it.
+	response, err := client.Do(request) //nolint:bodyclose // The caller closes the body of Answer.
 	if err != nil {
 		cancel()
 		return nil, connected.Load(), fmt.Errorf("call the engine: %w", err)
 	}
-	return &Answer{Status: response.StatusCode, Headers: response.Header, Body: &body{response.Body, cancel}, detach: detach}, true, nil
+	return &Answer{Status: response.StatusCode, Headers: response.Header, Body: &cancelingBody{response.Body, cancel}, detach: detach}, true, nil
 }
 
-// body ends its call's context when it is closed.
-type body struct {
+// cancelingBody cancels the context of its call when it is closed.
+type cancelingBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
-func (b *body) Close() error {
+func (b *cancelingBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.cancel()
 	return err
 }
 
-// Limits of what may follow the end mark of a stream.
+// Limits of the data after the end mark of a stream.
 const (
-	drainBytes = 4 << 10
-	drainTime  = time.Second
+	maxDrainBytes = 4 << 10
+	drainTimeout  = time.Second
 )
 
-// Release reads what follows the end mark, so that the connection can be used
-// again: closed before its end, each answer would cost the next one a new
-// connection. It goes on beside, also after the call's context has ended, as the
-// answer is whole already and must not wait for it.
+// Release reads the remaining data after the end mark, so that the connection can be
+// reused. If the body were closed before its end, the next call would need a new
+// connection. Release runs in the background, also after the context of the call has
+// ended, because the complete answer must not wait for it.
 func (a *Answer) Release() {
 	a.detach()
 	go func() {
-		limit := time.AfterFunc(drainTime, func() { _ = a.Body.Close() })
-		defer limit.Stop()
-		_, _ = io.CopyN(io.Discard, a.Body, drainBytes)
+		timer := time.AfterFunc(drainTimeout, func() { _ = a.Body.Close() })
+		defer timer.Stop()
+		_, _ = io.CopyN(io.Discard, a.Body, maxDrainBytes)
 		_ = a.Body.Close()
 	}()
 }
 
-// hopByHop lists headers that belong to one connection only.
+// hopByHop lists headers that apply to a single connection.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Host": true, "Content-Length": true,
 	"Proxy-Connection": true, "Expect": true,
-	// Go's transport repeats requests that bear one of these by itself.
+	// Go's transport retries requests with one of these headers by itself.
 	"Idempotency-Key": true, "X-Idempotency-Key": true,
 }
 
-// HopByHop says whether a header must not be passed on.
+// HopByHop reports whether a header must not be forwarded.
 func HopByHop(name string) bool {
 	return hopByHop[http.CanonicalHeaderKey(name)]
 }
@@ -200,23 +200,23 @@
 		}
 	}
 	if call.ID != "" {
-		to.Set(RequestID, call.ID)
+		to.Set(RequestIDHeader, call.ID)
 	}
 }
 
-// Cancel ends a stream at the engine for good. A stream that the engine does
-// not know is no error: it ended before.
+// Cancel ends a stream at the engine permanently. A stream that the engine does not know
+// has already ended, which is no error.
 func (c *Client) Cancel(ctx context.Context, id string) error {
-	return c.stop(ctx, id, "cancel")
+	return c.stopStream(ctx, id, "cancel")
 }
 
-// Suspend takes a stream out of its slot; it can be resumed.
+// Suspend removes a stream from its slot. The stream can be resumed.
 func (c *Client) Suspend(ctx context.Context, id string) error {
-	return c.stop(ctx, id, "suspend")
+	return c.stopStream(ctx, id, "suspend")
 }
 
-func (c *Client) stop(ctx context.Context, id, how string) error {
-	_, err := c.control(ctx, http.MethodPost, "/streams/"+url.PathEscape(id)+"/"+how, nil)
+func (c *Client) stopStream(ctx context.Context, id, action string) error {
+	_, err := c.controlCall(ctx, http.MethodPost, "/streams/"+url.PathEscape(id)+"/"+action, nil)
 	var status *StatusError
 	if errors.As(err, &status) && status.Status == http.StatusNotFound {
 		return nil
@@ -224,15 +224,15 @@
 	return err
 }
 
-// Resume opens a stream again after an event number. StatusError 404 means that
-// the engine no longer holds it.
+// Resume reopens a stream after the given event number. A StatusError with status 404
+// means that the engine no longer retains the stream.
 func (c *Client) Resume(ctx context.Context, id string, after uint64) (*Answer, error) {
 	path := fmt.Sprintf("/streams/%s/resume?after=%d", url.PathEscape(id), after)
 	answer, _, err := c.Open(ctx, Call{Method: http.MethodGet, Path: path})
 	if err != nil {
-		return nil, fmt.Errorf("resume: %w", err)
+		return nil, fmt.Errorf("resume the stream: %w", err)
 	}
-	if answer.Status == http.StatusOK && answer.Streams() {
+	if answer.Status == http.StatusOK && answer.IsEventStream() {
 		return answer, nil
 	}
 	defer func() { _ = answer.Body.Close() }()
@@ -244,8 +244,8 @@
 	return strings.TrimSpace(string(text))
 }
 
-// control makes a short call and returns its bounded body.
-func (c *Client) control(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+// controlCall makes a short call and returns its body, limited to maxControlBytes.
+func (c *Client) controlCall(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	call := Call{Method: method, Path: path, Body: body, Headers: []Header{{Name: "Content-Type", Value: "application/json"}}}
@@ -254,9 +254,9 @@
 		return nil, err
 	}
 	defer func() { _ = answer.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, controlBytes))
+	text, err := io.ReadAll(io.LimitReader(answer.Body, maxControlBytes))
 	if err != nil {
-		return nil, fmt.Errorf("read %s: %w", path, err)
+		return nil, fmt.Errorf("read the response of %s: %w", path, err)
 	}
 	if answer.Status < 200 || answer.Status > 299 {
 		return text, &StatusError{Status: answer.Status, Body: excerpt(bytes.NewReader(text))}
--- a/sidecar/pkg/engine/contract_test.go
+++ b/sidecar/pkg/engine/contract_test.go
@@ -16,9 +16,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// script answers a stream request by writing raw bytes, then ends, cuts, or waits.
+// script is a scripted response to a stream request: raw bytes, then the end of the body
+// or a broken connection. A non-empty resume is the response to resume calls.
 type script struct {
 	raw    string
 	cut    bool
@@ -63,17 +64,17 @@
 
 func runStream(t *testing.T, c *Client) (text string, err error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	s := &Stream{
 		Client: c,
 		Call:   Call{ID: "r", Method: http.MethodPost, Path: "/v1/completions", Body: []byte("{}")},
-		Head:   func(int, http.Header) error { return nil },
-		Emit: func(e Event) error {
+		OnHead: func(int, http.Header) error { return nil },
+		OnEvent: func(e Event) error {
 			text += string(e.Data)
 			return nil
 		},
-		Body: func(piece []byte) error {
+		OnBody: func(piece []byte) error {
 			text += string(piece)
 			return nil
 		},
@@ -82,62 +83,63 @@
 	return text, err
 }
 
-// An engine answers in every wrong way. The caller either gets the whole answer
-// in order, or an error that says why: never a short or mixed answer without one.
+// Engines answer in many faulty ways. The caller must receive either the whole answer in
+// order or an error that names the fault, never a truncated or reordered answer without an
+// error.
 func TestStreamContract(t *testing.T) {
 	whole := event(1, "a") + event(2, "b") + event(3, "c") + event(4, DoneMark)
 	long := strings.Repeat("x", 100_000)
 	scenarios := []struct {
 		name   string
 		script script
-		wants  string
+		want   string
 		err    error
 	}{
 		{"whole", script{raw: whole}, "abc", nil},
 		{"without numbers", script{raw: "data: a\n\ndata: b\n\ndata: [DONE]\n\n"}, "ab", nil},
 		{"end mark without a number", script{raw: event(1, "a") + "data: [DONE]\n\n"}, "a", nil},
-		{"comments, blanks and carriage returns", script{raw: ": hello\r\n\r\nid:1\r\ndata:a\r\n\r\nid: 2\r\ndata: [DONE]\r\n\r\n"}, "a", nil},
+		{"comments, blank lines and carriage returns", script{raw: ": hello\r\n\r\nid:1\r\ndata:a\r\n\r\nid: 2\r\ndata: [DONE]\r\n\r\n"}, "a", nil},
 		{"several lines of data", script{raw: "id: 1\ndata: a\ndata: b\n\n" + event(2, DoneMark)}, "a\nb", nil},
 		{"a long event", script{raw: event(1, long) + event(2, DoneMark)}, long, nil},
 		{"out of order", script{raw: event(2, "b") + event(1, "a") + event(4, DoneMark) + event(3, "c")}, "abc", nil},
-		{"doubled", script{raw: event(1, "a") + event(1, "a") + event(2, "b") + event(2, "b") + event(3, DoneMark)}, "ab", nil},
+		{"duplicated events", script{raw: event(1, "a") + event(1, "a") + event(2, "b") + event(2, "b") + event(3, DoneMark)}, "ab", nil},
 		{"short", script{raw: event(1, "a")}, "a", ErrShort},
 		{"empty", script{}, "", ErrShort},
 		{"cut", script{raw: event(1, "a"), cut: true}, "a", io.ErrUnexpectedEOF},
 		{"cut inside an event", script{raw: event(1, "a") + "id: 2\ndata: b", cut: true}, "a", io.ErrUnexpectedEOF},
-		{"an event is missing", script{raw: event(1, "a") + event(3, "c") + event(4, DoneMark)}, "a", ErrGap},
-		{"garbage in the place of an event", script{raw: event(1, "a") + "data: \x00\xff<<\n\n" + event(3, "c") + event(4, DoneMark)}, "a", ErrGap},
-		{"a line without end", script{raw: "data: " + strings.Repeat("x", 2<<20)}, "", ErrLine},
+		{"missing event", script{raw: event(1, "a") + event(3, "c") + event(4, DoneMark)}, "a", ErrGap},
+		{"malformed event", script{raw: event(1, "a") + "data: \x00\xff<<\n\n" + event(3, "c") + event(4, DoneMark)}, "a", ErrGap},
+		{"line too long", script{raw: "data: " + strings.Repeat("x", 2<<20)}, "", ErrLineTooLong},
 		{"cut, then resumed", script{raw: event(1, "a"), cut: true, resume: whole}, "abc", nil},
 		{"short, then resumed", script{raw: event(1, "a") + event(2, "b"), resume: whole}, "abc", nil},
-		{"garbage, then resumed", script{raw: event(1, "a") + "data: <<\n\n" + event(3, "c"), resume: whole}, "abc", nil},
-		{"resumed with what came before", script{raw: event(1, "a") + event(2, "b"), cut: true, resume: event(2, "b") + event(3, "c") + event(4, DoneMark)}, "abc", nil},
-		{"short again and again", script{raw: event(1, "a"), resume: event(1, "a")}, "a", ErrShort},
+		{"malformed event, then resumed", script{raw: event(1, "a") + "data: <<\n\n" + event(3, "c"), resume: whole}, "abc", nil},
+		{"resumed with duplicate events", script{raw: event(1, "a") + event(2, "b"), cut: true, resume: event(2, "b") + event(3, "c") + event(4, DoneMark)}, "abc", nil},
+		{"short after every resume", script{raw: event(1, "a"), resume: event(1, "a")}, "a", ErrShort},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			c, resumes := serveScript(t, s.script)
 			text, err := runStream(t, c)
-			require.Equal(t, s.wants, text)
+			require.Equal(t, s.want, text)
 			if s.err == nil {
 				require.NoError(t, err)
 			} else {
 				require.ErrorIs(t, err, s.err)
 			}
-			require.LessOrEqual(t, resumes.Load(), int64(repairs))
+			require.LessOrEqual(t, resumes.Load(), int64(maxResumes))
 		})
 	}
 }
 
-// Whole streams, one after the other, go over one connection: a new one for each
-// would add its set-up to every first token.
-func TestConnectionIsUsedAgain(t *testing.T) {
+// Consecutive complete streams must share a connection, because setting up a new one would
+// delay each first token.
+func TestStreamsReuseConnection(t *testing.T) {
 	connections, idle := &atomic.Int64{}, &atomic.Int64{}
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, event(1, "a")+event(2, DoneMark))
 		_ = http.NewResponseController(w).Flush()
-		// The end of the body comes after the end mark has been read.
+		// The end of the body arrives after the end mark has been read.
 		time.Sleep(time.Millisecond)
 	}))
 	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
@@ -155,22 +157,22 @@
 	for n := range streams {
 		_, err := runStream(t, c)
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return idle.Load() > int64(n) }, patience, 2*time.Millisecond)
+		require.Eventually(t, func() bool { return idle.Load() > int64(n) }, waitTimeout, 2*time.Millisecond)
 	}
-	// Now and then the connection is still on its way back when the next one starts.
+	// The connection may not yet be idle again when the next stream starts.
 	require.Less(t, connections.Load(), int64(streams/2))
 }
 
-// A model's answer in one piece is passed on only when it is whole JSON.
-func TestWholeAnswerContract(t *testing.T) {
+// A model's unstreamed answer is forwarded only if it is complete JSON.
+func TestUnstreamedAnswerContract(t *testing.T) {
 	scenarios := []struct {
-		name  string
-		write func(http.ResponseWriter)
-		wants string
-		sound bool
+		name     string
+		write    func(http.ResponseWriter)
+		want     string
+		complete bool
 	}{
 		{"whole", func(w http.ResponseWriter) { _, _ = io.WriteString(w, `{"a":1}`) }, `{"a":1}`, true},
-		{"garbage", func(w http.ResponseWriter) { _, _ = io.WriteString(w, `{"a":`) }, "", false},
+		{"malformed", func(w http.ResponseWriter) { _, _ = io.WriteString(w, `{"a":`) }, "", false},
 		{"shorter than announced", func(w http.ResponseWriter) {
 			w.Header().Set("Content-Length", "4096")
 			_, _ = io.WriteString(w, `{"a":1}`)
@@ -188,25 +190,25 @@
 			t.Cleanup(server.Close)
 			text := ""
 			stream := &Stream{
-				Client: New(Config{URL: server.URL}), Call: Call{Method: http.MethodPost, Path: "/"}, Whole: 1_000,
-				Head: func(int, http.Header) error { return nil },
-				Body: func(piece []byte) error {
+				Client: New(Config{URL: server.URL}), Call: Call{Method: http.MethodPost, Path: "/"}, MaxBufferedBody: 1_000,
+				OnHead: func(int, http.Header) error { return nil },
+				OnBody: func(piece []byte) error {
 					text += string(piece)
 					return nil
 				},
 			}
 			err := stream.Run(context.Background())
-			require.Equal(t, s.wants, text)
-			require.Equal(t, s.sound, err == nil, "%v", err)
+			require.Equal(t, s.want, text)
+			require.Equal(t, s.complete, err == nil, "%v", err)
 		})
 	}
 }
 
-// A server reads a request whole, then closes the connection without an answer.
-// Whether it ran is unknown. Go's client sends such a request again by itself if
-// the connection was used before and the request bears an Idempotency-Key; the
-// service would run it twice. The server counts what reaches it.
-func TestNothingIsSentTwice(t *testing.T) {
+// The server reads a whole request, then closes the connection without a response, so it
+// is unknown whether the request ran. Go's client resends such a request if the connection
+// was reused and the request has an Idempotency-Key header, and the service would run it
+// twice. The server counts the requests that it receives.
+func TestClientNeverResendsRequest(t *testing.T) {
 	scenarios := []struct {
 		name    string
 		method  string
@@ -237,11 +239,11 @@
 			}))
 			t.Cleanup(server.Close)
 			c := New(Config{URL: server.URL})
-			warm, _, err := c.Open(context.Background(), Call{Method: http.MethodGet, Path: "/warm", Once: s.once})
+			warm, _, err := c.Open(context.Background(), Call{Method: http.MethodGet, Path: "/warm", AtMostOnce: s.once})
 			require.NoError(t, err)
 			_, _ = io.Copy(io.Discard, warm.Body)
 			_ = warm.Body.Close()
-			call := Call{Method: s.method, Path: "/", Headers: s.headers, Body: []byte(s.body), Once: s.once}
+			call := Call{Method: s.method, Path: "/", Headers: s.headers, Body: []byte(s.body), AtMostOnce: s.once}
 			_, sent, err := c.Open(context.Background(), call)
 			require.Error(t, err)
 			require.True(t, sent, "it may have run")
@@ -250,18 +252,18 @@
 	}
 }
 
-// An event is lost and the engine goes on and on. The answer can't become whole
-// any more, and holding all that follows would fill the memory.
-func TestSorterHoldsLittle(t *testing.T) {
+// After a lost event, the engine keeps sending. The answer can't become complete any more,
+// and holding all further events would exhaust the memory.
+func TestSorterLimitsHeldEvents(t *testing.T) {
 	s := NewSorter(0)
 	emit := func(Event) error { return nil }
-	for id := uint64(2); id < heldMost+2; id++ {
+	for id := uint64(2); id < maxHeldEvents+2; id++ {
 		require.NoError(t, s.Add(Event{ID: id}, emit))
 	}
-	require.ErrorIs(t, s.Add(Event{ID: heldMost + 2}, emit), ErrGap)
+	require.ErrorIs(t, s.Add(Event{ID: maxHeldEvents + 2}, emit), ErrGap)
 }
 
-func TestUnreachableIsNotSent(t *testing.T) {
+func TestUnreachableEngineReportsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
@@ -271,7 +273,7 @@
 	require.False(t, sent)
 }
 
-func TestControlCalls(t *testing.T) {
+func TestSendOrderResults(t *testing.T) {
 	scenarios := []struct {
 		name    string
 		status  int
@@ -280,10 +282,10 @@
 		refused bool
 		err     error
 	}{
-		{"taken", 200, `{}`, 7, false, nil},
+		{"accepted", 200, `{}`, 7, false, nil},
 		{"refused", 409, `{"fence":9}`, 9, true, nil},
-		{"refused with garbage", 409, `<<`, 0, false, ErrGarbage},
-		{"broken", 500, `no`, 0, false, &StatusError{}},
+		{"refused with malformed body", 409, `<<`, 0, false, ErrMalformed},
+		{"server error", 500, `no`, 0, false, &StatusError{}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -292,7 +294,7 @@
 				_, _ = io.WriteString(w, s.body)
 			}))
 			t.Cleanup(server.Close)
-			held, refused, err := New(Config{URL: server.URL}).Send(context.Background(), Order{Fence: 7})
+			held, refused, err := New(Config{URL: server.URL}).SendOrder(context.Background(), Order{Fence: 7})
 			require.Equal(t, s.held, held)
 			require.Equal(t, s.refused, refused)
 			var status *StatusError
@@ -308,11 +310,11 @@
 	}
 }
 
-func TestLoadReportGarbage(t *testing.T) {
+func TestMalformedLoadReport(t *testing.T) {
 	for _, body := range []string{`{"running":`, `[]`, `{"running":-3}`, `{"running":"x"}`} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }))
 		_, err := New(Config{URL: server.URL}).Load(context.Background())
-		require.ErrorIs(t, err, ErrGarbage, body)
+		require.ErrorIs(t, err, ErrMalformed, body)
 		server.Close()
 	}
 }
--- a/sidecar/pkg/engine/control.go
+++ b/sidecar/pkg/engine/control_calls.go
@@ -11,10 +11,10 @@
 	"github.com/pkg/errors"
 )
 
-// ErrGarbage is an answer that can't be understood.
-var ErrGarbage = errors.New("the engine's answer makes no sense")
+// ErrMalformed reports a response that can't be decoded or is invalid.
+var ErrMalformed = errors.New("malformed response from the engine")
 
-// Load is the engine's report of itself; it lags behind the truth.
+// Load is the engine's own load report. It lags behind the actual load.
 type Load struct {
 	Running       int   `json:"running"`
 	Waiting       int   `json:"waiting"`
@@ -23,44 +23,44 @@
 	AsOfMs        int64 `json:"as_of_ms"`
 }
 
-// Load asks for the report.
+// Load fetches the load report.
 func (c *Client) Load(ctx context.Context) (Load, error) {
 	var load Load
 	if err := c.get(ctx, "/load", &load); err != nil {
 		return Load{}, err
 	}
 	if load.Running < 0 || load.Waiting < 0 {
-		return Load{}, fmt.Errorf("load report: %w", ErrGarbage)
+		return Load{}, fmt.Errorf("load report has negative counts: %w", ErrMalformed)
 	}
 	return load, nil
 }
 
-// Reach tries whether the port takes connections. Plain services have no call
-// that we could make without running something.
-func (c *Client) Reach(ctx context.Context) error {
+// CheckReachable checks whether the port accepts connections. Plain services have no call
+// that could be made without running something.
+func (c *Client) CheckReachable(ctx context.Context) error {
 	dialer := &net.Dialer{}
 	connection, err := dialer.DialContext(ctx, "tcp", strings.TrimPrefix(c.url, "http://"))
 	if err != nil {
-		return fmt.Errorf("reach the service: %w", err)
+		return fmt.Errorf("connect to the service: %w", err)
 	}
 	if err := connection.Close(); err != nil {
-		return fmt.Errorf("leave the service: %w", err)
+		return fmt.Errorf("close the connection to the service: %w", err)
 	}
 	return nil
 }
 
 func (c *Client) get(ctx context.Context, path string, target any) error {
-	text, err := c.control(ctx, http.MethodGet, path, nil)
+	text, err := c.controlCall(ctx, http.MethodGet, path, nil)
 	if err != nil {
-		return fmt.Errorf("ask %s: %w", path, err)
+		return fmt.Errorf("get %s: %w", path, err)
 	}
 	if err := json.Unmarshal(text, target); err != nil {
-		return fmt.Errorf("read %s: %w: %w", path, ErrGarbage, err)
+		return fmt.Errorf("decode %s: %w: %w", path, ErrMalformed, err)
 	}
 	return nil
 }
 
-// Order tells the engine what to be.
+// Order is an order to the engine to load a model or adapter or to change its role.
 type Order struct {
 	Fence   uint64 `json:"fence"`
 	Kind    string `json:"kind"`
@@ -70,8 +70,8 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// Held is what the engine says it is.
-type Held struct {
+// State is what the engine reports about its loaded model and its role.
+type State struct {
 	Fence   uint64 `json:"fence"`
 	Model   string `json:"model"`
 	Adapter string `json:"adapter"`
@@ -84,19 +84,19 @@
 	Fence uint64 `json:"fence"`
 }
 
-// Send gives the engine an order. An engine that refuses it names the higher
-// number that it holds; refused is then true.
-func (c *Client) Send(ctx context.Context, order Order) (held uint64, refused bool, err error) {
+// SendOrder sends an order to the engine. If the engine refuses it, refused is true and
+// held is the higher fence that the engine has.
+func (c *Client) SendOrder(ctx context.Context, order Order) (held uint64, refused bool, err error) {
 	body, err := json.Marshal(order)
 	if err != nil {
-		return 0, false, fmt.Errorf("write the order: %w", err)
+		return 0, false, fmt.Errorf("encode the order: %w", err)
 	}
-	text, err := c.control(ctx, http.MethodPost, "/orders", body)
+	text, err := c.controlCall(ctx, http.MethodPost, "/orders", body)
 	var status *StatusError
 	if errors.As(err, &status) && status.Status == http.StatusConflict {
 		var fence fenceBody
 		if jsonErr := json.Unmarshal(text, &fence); jsonErr != nil {
-			return 0, false, fmt.Errorf("read the refusal: %w", ErrGarbage)
+			return 0, false, fmt.Errorf("decode the refusal of the order: %w", ErrMalformed)
 		}
 		return fence.Fence, true, nil
 	}
@@ -106,9 +106,9 @@
 	return order.Fence, false, nil
 }
 
-// Held reads back what the engine is.
-func (c *Client) Held(ctx context.Context) (Held, error) {
-	var held Held
-	err := c.get(ctx, "/orders", &held)
-	return held, err
+// State fetches the engine's state.
+func (c *Client) State(ctx context.Context) (State, error) {
+	var state State
+	err := c.get(ctx, "/orders", &state)
+	return state, err
 }
--- a/sidecar/pkg/engine/event.go
+++ b/sidecar/pkg/engine/event.go
@@ -10,48 +10,50 @@
 	"github.com/pkg/errors"
 )
 
-// DoneMark is the data of the event that ends a whole stream.
+// DoneMark is the data of the event that ends a complete stream.
 const DoneMark = "[DONE]"
 
-// lineMost bounds one line of a stream; a longer one is garbage.
-const lineMost = 1 << 20
+// maxLineBytes limits one line of a stream. A longer line is malformed.
+const maxLineBytes = 1 << 20
 
-// scanBytes holds some events; longer lines are put together aside.
-const scanBytes = 4 << 10
+// scanBufferBytes is the size of the read buffer, which holds several events. Longer lines
+// are assembled in a separate buffer.
+const scanBufferBytes = 4 << 10
 
-// ErrLine is an event that is longer than any sound one.
-var ErrLine = errors.New("a line of the stream is too long")
+// ErrLineTooLong reports a line that is longer than any valid one.
+var ErrLineTooLong = errors.New("line of the event stream is too long")
 
-// Event is one server-sent event. Its data is a copy that may be kept.
+// Event is one server-sent event. Its data is a copy that the caller may retain.
 type Event struct {
-	// ID is the event's number, from 1; 0 when it bears none.
+	// ID is the event's number, starting at 1; 0 if the event has none.
 	ID   uint64
 	Data []byte
 }
 
-// Done says whether this event ends a whole stream.
+// Done reports whether this event ends a complete stream.
 func (e Event) Done() bool {
 	return string(e.Data) == DoneMark
 }
 
-// Scanner reads server-sent events. We keep only what engines send: ids and data.
+// Scanner reads server-sent events. It parses only the fields that engines send, id and
+// data.
 type Scanner struct {
 	in *bufio.Reader
 }
 
-// NewScanner reads events from a body.
+// NewScanner returns a scanner that reads from a body.
 func NewScanner(body io.Reader) *Scanner {
-	return &Scanner{in: bufio.NewReaderSize(body, scanBytes)}
+	return &Scanner{in: bufio.NewReaderSize(body, scanBufferBytes)}
 }
 
-// Next returns the next event that has data. At the end of the body it returns
-// io.EOF; an event that the end cuts off is dropped, since it can't be told
-// from a shortened one.
+// Next returns the next event that has data. It returns io.EOF at the end of the body. An
+// event that is cut off by the end is dropped, because it can't be told apart from a
+// truncated one.
 func (s *Scanner) Next() (Event, error) {
 	var e Event
 	found := false
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if err != nil {
 			return Event{}, err
 		}
@@ -61,7 +63,7 @@
 			}
 			continue
 		}
-		if data, isData := field(line, "data:"); isData {
+		if data, isData := cutField(line, "data:"); isData {
 			if found {
 				e.Data = append(e.Data, '\n')
 			}
@@ -69,13 +71,13 @@
 			found = true
 			continue
 		}
-		if id, isID := field(line, "id:"); isID {
-			e.ID = number(id)
+		if id, isID := cutField(line, "id:"); isID {
+			e.ID = parseID(id)
 		}
 	}
 }
 
-func field(line []byte, name string) ([]byte, bool) {
+func cutField(line []byte, name string) ([]byte, bool) {
 	rest, found := bytes.CutPrefix(line, []byte(name))
 	if !found {
 		return nil, false
@@ -83,8 +85,8 @@
 	return bytes.TrimPrefix(rest, []byte(" ")), true
 }
 
-// number reads an event's id; anything else than a plain number counts as none.
-func number(text []byte) uint64 {
+// parseID parses an event's id. Anything but a decimal number counts as no id.
+func parseID(text []byte) uint64 {
 	n, err := strconv.ParseUint(string(text), 10, 64)
 	if err != nil {
 		return 0
@@ -92,11 +94,11 @@
 	return n
 }
 
-// line returns one line without its end; it is valid until the next call.
-func (s *Scanner) line() ([]byte, error) {
+// readLine returns one line without its line ending. It is valid until the next call.
+func (s *Scanner) readLine() ([]byte, error) {
 	line, err := s.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		line, err = s.longLine(line)
+		line, err = s.readLongLine(line)
 	}
 	if err != nil {
 		if errors.Is(err, io.EOF) {
@@ -108,16 +110,16 @@
 	return bytes.TrimSuffix(line, []byte("\r")), nil
 }
 
-func (s *Scanner) longLine(start []byte) ([]byte, error) {
-	whole := append([]byte(nil), start...)
+func (s *Scanner) readLongLine(start []byte) ([]byte, error) {
+	line := append([]byte(nil), start...)
 	for {
 		more, err := s.in.ReadSlice('\n')
-		whole = append(whole, more...)
-		if len(whole) > lineMost {
-			return nil, ErrLine
+		line = append(line, more...)
+		if len(line) > maxLineBytes {
+			return nil, ErrLineTooLong
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
-			return whole, err
+			return line, err
 		}
 	}
 }
--- a/sidecar/pkg/engine/sorter.go
+++ b/sidecar/pkg/engine/sorter.go
@@ -2,74 +2,74 @@
 
 import "github.com/pkg/errors"
 
-// heldMost bounds events that wait for an earlier one. Engines swap neighbours
-// at most; a longer gap is a lost event.
-const heldMost = 32
+// maxHeldEvents limits the events that wait for an earlier one. Engines swap adjacent
+// events at most, so a longer gap means that an event was lost.
+const maxHeldEvents = 32
 
-// ErrGap says that an event of the stream is missing.
-var ErrGap = errors.New("an event of the stream is missing")
+// ErrGap reports that an event of the stream is missing.
+var ErrGap = errors.New("event of the stream is missing")
 
-// Sorter puts a stream's events back in order by their numbers and drops
-// doubled ones. An answer put together in the order of arrival would look whole
-// and be wrong. Without numbers the order of arrival is all there is.
+// Sorter restores the order of a stream's events by their numbers and drops duplicates. An
+// answer assembled in order of arrival would look complete and be wrong. Events without
+// numbers are emitted in order of arrival.
 type Sorter struct {
-	last     uint64
+	lastID   uint64
 	numbered bool
 	held     map[uint64]Event
 }
 
-// NewSorter makes a sorter for a stream that goes on after an event number.
+// NewSorter returns a sorter for a stream that continues after the given event number.
 func NewSorter(after uint64) *Sorter {
-	return &Sorter{last: after, numbered: after > 0, held: map[uint64]Event{}}
+	return &Sorter{lastID: after, numbered: after > 0, held: map[uint64]Event{}}
 }
 
-// Add takes one event and hands on what is now in order.
+// Add adds one event and emits all events that are now in order.
 func (s *Sorter) Add(e Event, emit func(Event) error) error {
 	if e.ID == 0 {
-		if s.numbered && e.Done() && !s.Gap() {
+		if s.numbered && e.Done() && !s.HasGap() {
 			return emit(e)
 		}
 		if s.numbered {
-			// Amid numbered events this is garbage; the number it took the
-			// place of shows up as a gap.
+			// Among numbered events, an event without a number is malformed. The number
+			// that it replaced shows up as a gap.
 			return nil
 		}
-		s.last++
-		e.ID = s.last
+		s.lastID++
+		e.ID = s.lastID
 		return emit(e)
 	}
 	s.numbered = true
-	if e.ID <= s.last {
+	if e.ID <= s.lastID {
 		return nil
 	}
-	if e.ID > s.last+1 {
+	if e.ID > s.lastID+1 {
 		s.held[e.ID] = e
-		if len(s.held) > heldMost {
+		if len(s.held) > maxHeldEvents {
 			return ErrGap
 		}
 		return nil
 	}
-	return s.release(e, emit)
+	return s.emitInOrder(e, emit)
 }
 
-func (s *Sorter) release(e Event, emit func(Event) error) error {
+func (s *Sorter) emitInOrder(e Event, emit func(Event) error) error {
 	for found := true; found; {
-		s.last = e.ID
+		s.lastID = e.ID
 		if err := emit(e); err != nil {
 			return err
 		}
-		e, found = s.held[s.last+1]
-		delete(s.held, s.last+1)
+		e, found = s.held[s.lastID+1]
+		delete(s.held, s.lastID+1)
 	}
 	return nil
 }
 
-// Last is the number of the last event handed on.
-func (s *Sorter) Last() uint64 {
-	return s.last
+// LastID returns the number of the last emitted event.
+func (s *Sorter) LastID() uint64 {
+	return s.lastID
 }
 
-// Gap says whether events wait for one that did not come.
-func (s *Sorter) Gap() bool {
+// HasGap reports whether events wait for a missing one.
+func (s *Sorter) HasGap() bool {
 	return len(s.held) > 0
 }
--- a/sidecar/pkg/engine/stream.go
+++ b/sidecar/pkg/engine/stream.go
@@ -10,57 +10,57 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of an answer that is not whole.
+// Errors of an incomplete answer.
 var (
-	ErrShort   = errors.New("the stream ended before its end mark")
-	ErrNotSent = errors.New("the engine could not be reached")
+	ErrShort   = errors.New("stream ended before its end mark")
+	ErrNotSent = errors.New("engine is unreachable")
 )
 
-// repairs bounds how often one stream is resumed after a fault of its
-// connection, so that an engine that garbles everything is given up on.
-const repairs = 2
+// maxResumes limits how often a stream is resumed after a connection fault, so that a
+// stream ends with an error if the engine corrupts every response.
+const maxResumes = 2
 
-// Stream runs one streamed answer and mends it by the engine's resume.
+// Stream reads one streamed answer and recovers from connection faults by resuming it.
 type Stream struct {
 	Client *Client
 	Call   Call
-	// Head is told the status and headers, once.
-	Head func(status int, headers http.Header) error
-	// Emit gets each event in order, once, without the end mark.
-	Emit func(Event) error
-	// Body gets the pieces of an answer that is no stream of events.
-	Body func(piece []byte) error
-	// Whole, when above 0, holds an answer of up to so many bytes until it is
-	// known to be whole JSON, and passes it on in one piece.
-	Whole int
-	// Mend, when set, says whether a broken stream may be resumed now: one that
-	// was suspended on purpose must not take its slot again.
-	Mend func() bool
-
-	sorter *Sorter
-	headed bool
-	sent   bool
+	// OnHead receives the status and headers once.
+	OnHead func(status int, headers http.Header) error
+	// OnEvent receives each event once and in order, without the end mark.
+	OnEvent func(Event) error
+	// OnBody receives the data of a response that is not an event stream.
+	OnBody func(piece []byte) error
+	// MaxBufferedBody, if above 0, buffers an unstreamed body of up to this many bytes
+	// until it is known to be complete JSON, and passes it on in one call of OnBody.
+	MaxBufferedBody int
+	// MayResume, if set, reports whether a broken stream may be resumed now. A stream that
+	// was suspended on purpose must not occupy its slot again.
+	MayResume func() bool
+
+	sorter       *Sorter
+	headReceived bool
+	sent         bool
 }
 
-// Last is the number of the last event that was emitted.
-func (s *Stream) Last() uint64 {
+// LastID returns the number of the last emitted event.
+func (s *Stream) LastID() uint64 {
 	if s.sorter == nil {
 		return 0
 	}
-	return s.sorter.Last()
+	return s.sorter.LastID()
 }
 
-// Sent says whether any byte may have reached the engine.
+// Sent reports whether any byte may have reached the engine.
 func (s *Stream) Sent() bool {
 	return s.sent
 }
 
-// Headed says whether the head of an answer came.
-func (s *Stream) Headed() bool {
-	return s.headed
+// HeadReceived reports whether response headers were received.
+func (s *Stream) HeadReceived() bool {
+	return s.headReceived
 }
 
-// Run starts the answer and returns nil only when it was whole.
+// Run starts the answer. It returns nil only if the answer was complete.
 func (s *Stream) Run(ctx context.Context) error {
 	s.sorter = NewSorter(0)
 	answer, sent, err := s.Client.Open(ctx, s.Call)
@@ -71,16 +71,16 @@
 		}
 		return err
 	}
-	if !answer.Streams() && s.Whole > 0 {
-		return s.holdBody(answer)
+	if !answer.IsEventStream() && s.MaxBufferedBody > 0 {
+		return s.bufferBody(answer)
 	}
-	if !answer.Streams() {
+	if !answer.IsEventStream() {
 		return s.copyBody(answer)
 	}
-	return s.follow(ctx, answer)
+	return s.readWithResume(ctx, answer)
 }
 
-// Resume goes on after the last event that this stream emitted.
+// Resume continues the stream after the given event number.
 func (s *Stream) Resume(ctx context.Context, after uint64) error {
 	s.sent = true
 	s.sorter = NewSorter(after)
@@ -88,37 +88,37 @@
 	if err != nil {
 		return err
 	}
-	return s.follow(ctx, answer)
+	return s.readWithResume(ctx, answer)
 }
 
-func (s *Stream) follow(ctx context.Context, answer *Answer) error {
+func (s *Stream) readWithResume(ctx context.Context, answer *Answer) error {
 	for try := 0; ; try++ {
 		err := s.read(answer)
-		if err == nil || ctx.Err() != nil || try == repairs || !s.mendable(err) {
+		if err == nil || ctx.Err() != nil || try == maxResumes || !s.resumable(err) {
 			return err
 		}
-		// The engine keeps a stream whose connection broke for a while, so a
-		// cut or garbled answer can go on without loss.
-		again, resumeErr := s.Client.Resume(ctx, s.Call.ID, s.Last())
+		// The engine retains a stream for a while after its connection broke, so a
+		// truncated or malformed answer can continue without loss.
+		resumed, resumeErr := s.Client.Resume(ctx, s.Call.ID, s.LastID())
 		if resumeErr != nil {
 			return err
 		}
-		s.sorter = NewSorter(s.Last())
-		answer = again
+		s.sorter = NewSorter(s.LastID())
+		answer = resumed
 	}
 }
 
-// sinkError wraps an error of our own side, which no resume can mend.
-type sinkError struct{ error }
+// callbackError wraps an error of a callback. Resuming can't recover from it.
+type callbackError struct{ error }
 
-func (e sinkError) Unwrap() error { return e.error }
+func (e callbackError) Unwrap() error { return e.error }
 
-func (s *Stream) mendable(err error) bool {
-	var sink sinkError
-	return s.Call.ID != "" && !errors.As(err, &sink) && (s.Mend == nil || s.Mend())
+func (s *Stream) resumable(err error) bool {
+	var callback callbackError
+	return s.Call.ID != "" && !errors.As(err, &callback) && (s.MayResume == nil || s.MayResume())
 }
 
-// read emits one connection's events; nil means the end mark came.
+// read emits the events of one connection. It returns nil if the end mark arrived.
 func (s *Stream) read(answer *Answer) error {
 	done := false
 	defer func() {
@@ -128,10 +128,10 @@
 		}
 		_ = answer.Body.Close()
 	}()
-	if !s.headed {
-		s.headed = true
-		if err := s.Head(answer.Status, answer.Headers); err != nil {
-			return sinkError{err}
+	if !s.headReceived {
+		s.headReceived = true
+		if err := s.OnHead(answer.Status, answer.Headers); err != nil {
+			return callbackError{err}
 		}
 	}
 	emit := func(e Event) error {
@@ -139,8 +139,8 @@
 			done = true
 			return nil
 		}
-		if err := s.Emit(e); err != nil {
-			return sinkError{err}
+		if err := s.OnEvent(e); err != nil {
+			return callbackError{err}
 		}
 		return nil
 	}
@@ -148,7 +148,7 @@
 	for !done {
 		e, err := scanner.Next()
 		if errors.Is(err, io.EOF) {
-			return s.ended()
+			return s.truncationError()
 		}
 		if err == nil {
 			err = s.sorter.Add(e, emit)
@@ -160,49 +160,50 @@
 	return nil
 }
 
-func (s *Stream) ended() error {
-	if s.sorter.Gap() {
+func (s *Stream) truncationError() error {
+	if s.sorter.HasGap() {
 		return ErrGap
 	}
 	return ErrShort
 }
 
-// holdBody passes on an answer only when it is whole. A model's answer cut
-// short or garbled could otherwise reach the caller with a good status.
-func (s *Stream) holdBody(answer *Answer) error {
+// bufferBody passes on an answer only if it is complete. Otherwise a truncated or
+// malformed model answer could reach the caller with a success status.
+func (s *Stream) bufferBody(answer *Answer) error {
 	defer func() { _ = answer.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, int64(s.Whole)+1))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, int64(s.MaxBufferedBody)+1))
 	if err != nil {
 		return fmt.Errorf("read the answer: %w", err)
 	}
-	if len(body) > s.Whole || !json.Valid(body) {
-		return fmt.Errorf("answer of %d bytes: %w", len(body), ErrGarbage)
+	if len(body) > s.MaxBufferedBody || !json.Valid(body) {
+		return fmt.Errorf("unstreamed answer of %d bytes is too large or no valid JSON: %w", len(body), ErrMalformed)
 	}
-	s.headed = true
-	if err := s.Head(answer.Status, answer.Headers); err != nil {
-		return sinkError{err}
+	s.headReceived = true
+	if err := s.OnHead(answer.Status, answer.Headers); err != nil {
+		return callbackError{err}
 	}
-	if err := s.Body(body); err != nil {
-		return sinkError{err}
+	if err := s.OnBody(body); err != nil {
+		return callbackError{err}
 	}
 	return nil
 }
 
-const pieceBytes = 32 << 10
+const copyBufferBytes = 32 << 10
 
-// copyBody passes on an answer that is no stream: an error, or a plain body.
+// copyBody passes on a response that is not an event stream, such as an error or a plain
+// body.
 func (s *Stream) copyBody(answer *Answer) error {
 	defer func() { _ = answer.Body.Close() }()
-	s.headed = true
-	if err := s.Head(answer.Status, answer.Headers); err != nil {
-		return sinkError{err}
+	s.headReceived = true
+	if err := s.OnHead(answer.Status, answer.Headers); err != nil {
+		return callbackError{err}
 	}
 	for {
-		piece := make([]byte, pieceBytes)
+		piece := make([]byte, copyBufferBytes)
 		n, err := answer.Body.Read(piece)
 		if n > 0 {
-			if sinkErr := s.Body(piece[:n]); sinkErr != nil {
-				return sinkError{sinkErr}
+			if callbackErr := s.OnBody(piece[:n]); callbackErr != nil {
+				return callbackError{callbackErr}
 			}
 		}
 		if errors.Is(err, io.EOF) {
--- a/sidecar/pkg/entry/answer.go
+++ b/sidecar/pkg/entry/answer.go
@@ -9,41 +9,42 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Errors of a reader.
+// Errors returned to the reader of an answer.
 var (
-	// errSuperseded ends a reader when another one took over its answer.
+	// errSuperseded ends a reader after another call attached to the same answer.
 	errSuperseded = errors.New("another call reads this answer now")
-	// errTrimmed says that the wanted frames are no longer held.
-	errTrimmed = errors.New("the frames are no longer held")
+	// errTrimmed reports that the requested pieces are no longer retained.
+	errTrimmed = errors.New("the requested frames are no longer retained")
 )
 
-// answer holds the pieces of one answer: the engine's side appends, one gateway
-// call at a time reads. A piece's place is its sequence number: the head is 0,
-// data counts from 1.
+// answer buffers the pieces of one answer. The engine side appends, and one gateway call
+// at a time reads. The index of a piece is its sequence number: the head is 0, data starts
+// at 1.
 //
-// Pieces stay for a while after they were read, since a connection that breaks
-// takes with it what was already handed to the kernel.
+// Pieces are retained for a while after they were read, because a broken connection also
+// loses the data that was already handed to the kernel.
 type answer struct {
 	mu     sync.Mutex
 	limit  int
 	pieces []piece
-	// first is the sequence number of pieces[0].
-	first uint64
-	bytes int
-	ended bool
-	// read is the sequence number that the reader wants next.
-	read   uint64
-	reader uint64
-	// changed is signalled when there is more to read, room to append, or
-	// another reader.
-	more chan struct{}
-	room chan struct{}
-	gone chan struct{}
+	// firstSequence is the sequence number of pieces[0].
+	firstSequence uint64
+	bytes         int
+	ended         bool
+	// nextRead is the sequence number that the reader reads next.
+	nextRead uint64
+	readerID uint64
+	// dataReady is signaled when pieces were appended or a reader attached, spaceFreed
+	// when the reader has read pieces. readerReplaced is closed when another reader
+	// attaches.
+	dataReady      chan struct{}
+	spaceFreed     chan struct{}
+	readerReplaced chan struct{}
 }
 
-// newAnswer makes an empty answer whose next piece has the given sequence number.
+// newAnswer returns an empty answer whose next piece has the given sequence number.
 func newAnswer(limit int, first uint64) *answer {
-	return &answer{limit: limit, first: first, more: make(chan struct{}, 1), room: make(chan struct{}, 1)}
+	return &answer{limit: limit, firstSequence: first, dataReady: make(chan struct{}, 1), spaceFreed: make(chan struct{}, 1)}
 }
 
 func signal(c chan struct{}) {
@@ -53,17 +54,17 @@
 	}
 }
 
-// append adds a piece; it waits while a slow reader is too far behind, so that
-// the engine's connection slows down in turn.
+// append adds a piece. It blocks while a slow reader lags too far behind, so that
+// backpressure reaches the engine's connection.
 func (a *answer) append(ctx context.Context, p piece) error {
 	for !a.tryAppend(p) {
 		select {
-		case <-a.room:
+		case <-a.spaceFreed:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	signal(a.more)
+	signal(a.dataReady)
 	return nil
 }
 
@@ -74,65 +75,65 @@
 		return true
 	}
 	a.trim(len(p.data))
-	if a.bytes > 0 && a.bytes+len(p.data) > a.limit && !p.last() {
+	if a.bytes > 0 && a.bytes+len(p.data) > a.limit && !p.isLast() {
 		return false
 	}
 	a.pieces = append(a.pieces, p)
 	a.bytes += len(p.data)
-	a.ended = p.last()
+	a.ended = p.isLast()
 	return true
 }
 
-// trim drops the oldest pieces that were read, as far as room is needed.
-func (a *answer) trim(more int) {
-	drop := 0
-	for drop < len(a.pieces) && a.first+uint64(drop) < a.read && a.bytes+more > a.limit {
-		a.bytes -= len(a.pieces[drop].data)
-		drop++
+// trim drops the oldest pieces that were read until newBytes more bytes fit within the limit.
+func (a *answer) trim(newBytes int) {
+	dropped := 0
+	for dropped < len(a.pieces) && a.firstSequence+uint64(dropped) < a.nextRead && a.bytes+newBytes > a.limit {
+		a.bytes -= len(a.pieces[dropped].data)
+		dropped++
 	}
-	if drop > 0 {
-		clear(a.pieces[:drop])
-		a.pieces = a.pieces[drop:]
-		a.first += uint64(drop)
+	if dropped > 0 {
+		clear(a.pieces[:dropped])
+		a.pieces = a.pieces[dropped:]
+		a.firstSequence += uint64(dropped)
 	}
 }
 
-// attach makes a new reader that starts at a sequence number; an older reader
-// is told to stop.
-func (a *answer) attach(from uint64) (reader uint64, gone <-chan struct{}, err error) {
+// attach registers a new reader that starts at the given sequence number and stops the
+// previous reader.
+func (a *answer) attach(from uint64) (reader uint64, replaced <-chan struct{}, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if from < a.first || (a.ended && from >= a.first+uint64(len(a.pieces))) {
+	if from < a.firstSequence || (a.ended && from >= a.firstSequence+uint64(len(a.pieces))) {
 		return 0, nil, errTrimmed
 	}
-	if a.gone != nil {
-		close(a.gone)
+	if a.readerReplaced != nil {
+		close(a.readerReplaced)
 	}
-	a.gone = make(chan struct{})
-	a.reader++
-	a.read = from
-	signal(a.more)
-	return a.reader, a.gone, nil
+	a.readerReplaced = make(chan struct{})
+	a.readerID++
+	a.nextRead = from
+	signal(a.dataReady)
+	return a.readerID, a.readerReplaced, nil
 }
 
-// attached says whether this reader is still the one that reads.
-func (a *answer) attached(reader uint64) bool {
+// isAttached reports whether the given reader is the current one.
+func (a *answer) isAttached(reader uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.reader == reader
+	return a.readerID == reader
 }
 
-// next appends the pieces that wait for the reader to batch and tells the
-// sequence number of the first; it waits for at least one.
-func (a *answer) next(ctx context.Context, reader uint64, gone <-chan struct{}, batch []piece) ([]piece, uint64, error) {
+// next appends the unread pieces to batch and returns them with the sequence number of the
+// first one. It blocks until at least one piece is available.
+func (a *answer) next(ctx context.Context, reader uint64, replaced <-chan struct{}, batch []piece) ([]piece, uint64, error) {
 	for {
-		found, from, err := a.take(reader, batch)
-		if err != nil || len(found) > 0 {
-			return found, from, err
+		read, from, err := a.readAvailable(reader, batch)
+		if err != nil || len(read) > 0 {
+			return read, from, err
 		}
 		select {
-		case <-a.more:
-		case <-gone:
+		case <-a.dataReady:
+		case <-replaced:
 			return nil, 0, errSuperseded
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
@@ -140,22 +141,22 @@
 	}
 }
 
-func (a *answer) take(reader uint64, batch []piece) ([]piece, uint64, error) {
+func (a *answer) readAvailable(reader uint64, batch []piece) ([]piece, uint64, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.reader != reader {
+	if a.readerID != reader {
 		return nil, 0, errSuperseded
 	}
-	from := a.read
-	if at := from - a.first; at < uint64(len(a.pieces)) {
-		batch = append(batch, a.pieces[at:]...)
-		a.read += uint64(len(batch))
-		signal(a.room)
+	from := a.nextRead
+	if start := from - a.firstSequence; start < uint64(len(a.pieces)) {
+		batch = append(batch, a.pieces[start:]...)
+		a.nextRead += uint64(len(batch))
+		signal(a.spaceFreed)
 	}
 	return batch, from, nil
 }
 
-// notRun says whether the answer is a refusal that was certainly not run.
+// notRun reports whether the answer is a refusal of a request that was certainly not run.
 func (a *answer) notRun() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -166,16 +167,16 @@
 	return last.refusal != nil && last.refusal.GetRan() == toucanhingev1.Ran_RAN_NO
 }
 
-// size is how many bytes the answer holds.
+// size returns the number of bytes that the answer retains.
 func (a *answer) size() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.bytes
 }
 
-// data counts the data pieces appended so far.
-func (a *answer) data() uint64 {
+// dataCount returns the number of data pieces appended so far.
+func (a *answer) dataCount() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return max(a.first+uint64(len(a.pieces)), 1) - 1
+	return max(a.firstSequence+uint64(len(a.pieces)), 1) - 1
 }
--- a/sidecar/pkg/entry/bench_test.go
+++ b/sidecar/pkg/entry/bench_test.go
@@ -16,10 +16,10 @@
 
 const benchTokens = 256
 
-// BenchmarkToken is the way of one token from the engine's connection to the
-// gateway's, both ends and the stand-in's writing included.
+// BenchmarkToken measures one token on its path from the engine's connection to the
+// gateway's connection, including both ends and the writes of the fake engine.
 func BenchmarkToken(b *testing.B) {
-	f := newFixture(b, func(c *Config) { c.Keep = 0 })
+	f := newFixture(b, func(c *Config) { c.Retention = 0 })
 	event := strings.Repeat("x", 200)
 	f.backend.answer = func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -33,7 +33,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for n := 0; n < b.N; n += benchTokens {
-		stream, err := f.calls.Run(context.Background(), connect.NewRequest(request(fmt.Sprint("r", n), 1)))
+		stream, err := f.client.Run(context.Background(), connect.NewRequest(request(fmt.Sprint("r", n), 1)))
 		require.NoError(b, err)
 		for stream.Receive() {
 			_ = stream.Msg()
@@ -42,10 +42,10 @@
 	}
 }
 
-// BenchmarkRequest is a request of one token, one after the other: the time that
-// the way through this process adds to a first token, and the stand-in's.
+// BenchmarkRequest measures sequential requests of one token: the time that this process
+// adds to a first token, plus the time of the fake engine.
 func BenchmarkRequest(b *testing.B) {
-	f := newFixture(b, func(c *Config) { c.Keep = 0 })
+	f := newFixture(b, func(c *Config) { c.Retention = 0 })
 	f.backend.answer = func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\nid: 2\ndata: [DONE]\n\n")
@@ -53,7 +53,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for n := range b.N {
-		stream, err := f.calls.Run(context.Background(), connect.NewRequest(request(fmt.Sprint("r", n), 1)))
+		stream, err := f.client.Run(context.Background(), connect.NewRequest(request(fmt.Sprint("r", n), 1)))
 		require.NoError(b, err)
 		for stream.Receive() {
 			_ = stream.Msg()
@@ -61,28 +61,28 @@
 	}
 }
 
-// BenchmarkScan is the reading of one event alone.
-func BenchmarkScan(b *testing.B) {
+// BenchmarkScanEvent measures reading one event.
+func BenchmarkScanEvent(b *testing.B) {
 	event := fmt.Sprintf("id: 7\ndata: %s\n\n", strings.Repeat("x", 200))
 	b.ReportAllocs()
-	s := engine.NewScanner(io.LimitReader(repeated(event), int64(b.N*len(event))))
+	s := engine.NewScanner(io.LimitReader(newRepeatingReader(event), int64(b.N*len(event))))
 	for range b.N {
 		_, err := s.Next()
 		require.NoError(b, err)
 	}
 }
 
-// repeated reads a text over and over.
-func repeated(text string) io.Reader {
-	return &repeater{text: text}
+// newRepeatingReader returns a reader that repeats a text endlessly.
+func newRepeatingReader(text string) io.Reader {
+	return &repeatingReader{text: text}
 }
 
-type repeater struct {
+type repeatingReader struct {
 	text string
 	at   int
 }
 
-func (r *repeater) Read(p []byte) (int, error) {
+func (r *repeatingReader) Read(p []byte) (int, error) {
 	n := copy(p, r.text[r.at:])
 	r.at = (r.at + n) % len(r.text)
 	return n, nil
--- a/sidecar/pkg/entry/fixture_test.go
+++ b/sidecar/pkg/entry/fixture_test.go
@@ -25,13 +25,13 @@
 )
 
 const (
-	patience = 20 * time.Second
-	look     = 2 * time.Millisecond
-	tokens   = 6
+	waitTimeout  = 20 * time.Second
+	pollInterval = 2 * time.Millisecond
+	tokenCount   = 6
 )
 
-// backend stands for the engine or plain service: it streams tokens, pausing
-// after the second until it is released, and counts what reaches it.
+// backend is a fake engine or plain service. It streams tokens, pauses after the second
+// one until the gate opens, and counts runs and cancels.
 type backend struct {
 	mu      sync.Mutex
 	runs    map[string]int
@@ -56,29 +56,29 @@
 		}
 		after := 0
 		_, _ = fmt.Sscan(r.URL.Query().Get("after"), &after)
-		b.stream(w, r, after+1)
+		b.writeStream(w, r, after+1)
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		b.mu.Lock()
-		b.runs[r.Header.Get(engine.RequestID)]++
+		b.runs[r.Header.Get(engine.RequestIDHeader)]++
 		answer := b.answer
 		b.mu.Unlock()
 		if answer != nil {
 			answer(w, r)
 			return
 		}
-		b.stream(w, r, 1)
+		b.writeStream(w, r, 1)
 	})
 	return mux
 }
 
-func (b *backend) stream(w http.ResponseWriter, r *http.Request, from int) {
+func (b *backend) writeStream(w http.ResponseWriter, r *http.Request, from int) {
 	b.mu.Lock()
 	gate := b.gate
 	b.mu.Unlock()
 	w.Header().Set("Content-Type", "text/event-stream")
-	for n := from; n <= tokens; n++ {
+	for n := from; n <= tokenCount; n++ {
 		if n == 3 && gate != nil {
 			select {
 			case <-gate:
@@ -89,39 +89,39 @@
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: t%d\n\n", n, n)
 		_ = http.NewResponseController(w).Flush()
 	}
-	_, _ = fmt.Fprintf(w, "id: %d\ndata: [DONE]\n\n", tokens+1)
+	_, _ = fmt.Fprintf(w, "id: %d\ndata: [DONE]\n\n", tokenCount+1)
 }
 
-func (b *backend) count(id string) int {
+func (b *backend) runCount(id string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs[id]
 }
 
-// total counts what reached it under any name.
-func (b *backend) total() int {
+// totalRuns returns the number of runs under any stream ID.
+func (b *backend) totalRuns() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	all := 0
+	total := 0
 	for _, runs := range b.runs {
-		all += runs
+		total += runs
 	}
-	return all
+	return total
 }
 
-func (b *backend) cancelled(id string) int {
+func (b *backend) cancelCount(id string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.cancels[id]
 }
 
 type fixture struct {
-	t       testing.TB
-	backend *backend
-	handler *Handler
-	calls   toucanhingev1connect.EndpointServiceClient
-	d       *dispatch.Dispatcher
-	url     string
+	t          testing.TB
+	backend    *backend
+	handler    *Handler
+	client     toucanhingev1connect.EndpointServiceClient
+	dispatcher *dispatch.Dispatcher
+	url        string
 }
 
 func newFixture(t testing.TB, change func(*Config)) *fixture {
@@ -134,37 +134,37 @@
 	})
 	f.url = server.URL
 	machine := admit.New(admit.Config{Policy: admit.Yield, Slots: 2, Floor: 1, Queue: 2, BatchSlots: 2, PrefillTokens: 9, BurstWindow: 50, BurstHalfLife: 9})
-	f.d = dispatch.New(dispatch.Config{Clock: clock.System(), Machine: machine, Ring: ring.Config{Size: 64}})
+	f.dispatcher = dispatch.New(dispatch.Config{Clock: clock.System(), Machine: machine, Ring: ring.Config{Size: 64}})
 	config := Config{
-		Clock: clock.System(), Dispatcher: f.d, Engine: engine.New(engine.Config{URL: server.URL}), Endpoint: "e1", Model: true,
-		KeepBytes: 64 << 10, KeepTotal: 1 << 20, Keep: 60_000, Memory: plain.MemoryConfig{Size: 100, Keep: 60_000},
+		Clock: clock.System(), Dispatcher: f.dispatcher, Engine: engine.New(engine.Config{URL: server.URL}), Endpoint: "e1", Model: true,
+		MaxAnswerBytes: 64 << 10, MaxRetainedBytes: 1 << 20, Retention: 60_000, Dedup: plain.Config{MaxRequests: 100, Retention: 60_000},
 		Load:       func() *toucanhingev1.Load { return &toucanhingev1.Load{Slots: 2} },
 		TeamWeight: func(string) int { return 1 },
-		Refused:    func(string, admit.Reason, toucanhingev1.Ran) {},
-		Started:    func(string, uint32) {},
-		Ended:      func(string, string) {},
+		OnRefused:  func(string, admit.Reason, toucanhingev1.Ran) {},
+		OnStarted:  func(string, uint32) {},
+		OnEnded:    func(string, string) {},
 	}
 	if change != nil {
 		change(&config)
 	}
 	f.handler = New(config)
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
-	duties.Add(1)
-	go func() { defer duties.Done(); f.d.Run(ctx) }()
+	var tasks sync.WaitGroup
+	tasks.Add(1)
+	go func() { defer tasks.Done(); f.dispatcher.Run(ctx) }()
 	mux := http.NewServeMux()
 	mux.Handle(f.handler.Mount())
 	entry, err := web.Listen("127.0.0.1:0", mux)
 	require.NoError(t, err)
-	duties.Add(1)
-	go func() { defer duties.Done(); _ = entry.Serve() }()
-	f.calls = toucanhingev1connect.NewEndpointServiceClient(web.NewClient(), "http://"+entry.Address())
+	tasks.Add(1)
+	go func() { defer tasks.Done(); _ = entry.Serve() }()
+	f.client = toucanhingev1connect.NewEndpointServiceClient(web.NewClient(), "http://"+entry.Address())
 	t.Cleanup(func() {
 		done, stop := context.WithCancel(context.Background())
 		stop()
 		_ = entry.Shutdown(done)
 		cancel()
-		duties.Wait()
+		tasks.Wait()
 	})
 	return f
 }
@@ -178,38 +178,38 @@
 
 // reader is one gateway's call.
 type reader struct {
-	t      testing.TB
-	stream *connect.ServerStreamForClient[toucanhingev1.Frame]
-	cancel context.CancelFunc
-	text   string
-	last   *toucanhingev1.Frame
-	next   uint64
+	t            testing.TB
+	stream       *connect.ServerStreamForClient[toucanhingev1.Frame]
+	cancel       context.CancelFunc
+	text         string
+	last         *toucanhingev1.Frame
+	nextSequence uint64
 }
 
 func (f *fixture) run(r *toucanhingev1.RunRequest) *reader {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	f.t.Cleanup(cancel)
-	stream, err := f.calls.Run(ctx, connect.NewRequest(r))
+	stream, err := f.client.Run(ctx, connect.NewRequest(r))
 	require.NoError(f.t, err)
-	return &reader{t: f.t, stream: stream, cancel: cancel, next: r.GetResumeAfter() + 1}
+	return &reader{t: f.t, stream: stream, cancel: cancel, nextSequence: r.GetResumeAfter() + 1}
 }
 
-// begin runs a call that gets no frame for a while.
-func (f *fixture) begin(r *toucanhingev1.RunRequest) <-chan *reader {
+// runAsync starts a call whose first frame is delayed.
+func (f *fixture) runAsync(r *toucanhingev1.RunRequest) <-chan *reader {
 	started := make(chan *reader, 1)
 	go func() { started <- f.run(r) }()
 	return started
 }
 
-// read takes frames until the last one or until so many data frames came.
-func (r *reader) read(most int) *reader {
+// read receives frames until the last frame or maxFrames data frames have arrived.
+func (r *reader) read(maxFrames int) *reader {
 	r.t.Helper()
-	for count := 0; count < most && r.stream.Receive(); {
+	for count := 0; count < maxFrames && r.stream.Receive(); {
 		r.last = r.stream.Msg()
 		if data := r.last.GetData(); data != nil {
-			require.Equal(r.t, r.next, r.last.GetSequence())
-			r.next++
+			require.Equal(r.t, r.nextSequence, r.last.GetSequence())
+			r.nextSequence++
 			r.text += string(data)
 			count++
 		}
@@ -217,37 +217,37 @@
 	return r
 }
 
-func (r *reader) all() *reader {
+func (r *reader) readAll() *reader {
 	r.t.Helper()
 	return r.read(1 << 30)
 }
 
-func (r *reader) whole(text string) {
+func (r *reader) requireComplete(text string) {
 	r.t.Helper()
 	require.Equal(r.t, text, r.text)
 	require.NotNil(r.t, r.last.GetEnd(), "%v", r.last)
 	require.Empty(r.t, r.last.GetEnd().GetError())
-	require.Equal(r.t, uint64(tokens), r.last.GetEnd().GetFrames())
+	require.Equal(r.t, uint64(tokenCount), r.last.GetEnd().GetFrames())
 }
 
-func (r *reader) refused(reason admit.Reason, ran toucanhingev1.Ran) {
+func (r *reader) requireRefused(reason admit.Reason, ran toucanhingev1.Ran) {
 	r.t.Helper()
 	require.Equal(r.t, string(reason), r.last.GetRefusal().GetReason())
 	require.Equal(r.t, ran, r.last.GetRefusal().GetRan())
 	require.NotNil(r.t, r.last.GetLoad())
 }
 
-func (f *fixture) eventually(holds func() bool) {
+func (f *fixture) eventually(condition func() bool) {
 	f.t.Helper()
-	require.Eventually(f.t, holds, patience, look)
+	require.Eventually(f.t, condition, waitTimeout, pollInterval)
 }
 
 const answerText = "t1t2t3t4t5t6"
 
-// from is the answer's text from a token on.
-func from(n int) string {
+// answerTextFrom returns the text of the answer starting at token n.
+func answerTextFrom(n int) string {
 	text := ""
-	for ; n <= tokens; n++ {
+	for ; n <= tokenCount; n++ {
 		text += fmt.Sprintf("t%d", n)
 	}
 	return text
--- a/sidecar/pkg/entry/handler.go
+++ b/sidecar/pkg/entry/handler.go
@@ -1,6 +1,6 @@
-// Package entry serves the gateways: it takes requests, has them admitted and
-// run, and streams their frames back. An answer is decoupled from the call that
-// reads it, so that a broken connection can be taken up again.
+// Package entry implements the endpoint service that gateways call. It admits and runs
+// requests and streams their frames back. Answers are buffered independently of the call
+// that reads them, so that a gateway can resume after a broken connection.
 package entry
 
 import (
@@ -23,7 +23,7 @@
 	"toucanhinge.example/sidecar/pkg/plain"
 )
 
-// Config describes the handler.
+// Config holds the handler's settings and dependencies.
 type Config struct {
 	Clock       clock.Clock
 	Dispatcher  *dispatch.Dispatcher
@@ -32,56 +32,57 @@
 	Incarnation uint64
 	// Model is true for a model engine, false for a plain service.
 	Model bool
-	// KeepBytes is held of one answer for resuming, KeepTotal of all ended ones.
-	KeepBytes int
-	KeepTotal int
-	// Keep is how long an answer waits for its reader to come back, and an
-	// ended one is held.
-	Keep   clock.Millis
-	Memory plain.MemoryConfig
-	Load   func() *toucanhingev1.Load
-	// TeamWeight is a team's share against others.
+	// MaxAnswerBytes limits the bytes retained of one answer for resuming,
+	// MaxRetainedBytes those of all ended answers.
+	MaxAnswerBytes   int
+	MaxRetainedBytes int
+	// Retention is how long a running answer without a reader and an ended answer are
+	// retained.
+	Retention clock.Millis
+	Dedup     plain.Config
+	Load      func() *toucanhingev1.Load
+	// TeamWeight returns a team's weight in fair sharing between teams.
 	TeamWeight func(team string) int
-	// Refused, Started and Ended are told what became of requests, for counters
-	// and records; the reason of a whole answer is empty.
-	Refused func(requestID string, reason admit.Reason, ran toucanhingev1.Ran)
-	Started func(requestID string, attempt uint32)
-	Ended   func(requestID, reason string)
+	// OnRefused, OnStarted and OnEnded are called with the results of requests for
+	// counters and records. The reason is empty for a complete answer.
+	OnRefused func(requestID string, reason admit.Reason, ran toucanhingev1.Ran)
+	OnStarted func(requestID string, attempt uint32)
+	OnEnded   func(requestID, reason string)
 }
 
 // Handler implements EndpointService.
 type Handler struct {
 	config   Config
 	registry *registry
-	memoryMu sync.Mutex
-	memory   *plain.Memory
+	dedupMu  sync.Mutex
+	dedup    *plain.Deduplicator
 	running  atomic.Int64
 }
 
-// New makes a handler.
+// New returns a handler.
 func New(config Config) *Handler {
-	return &Handler{config: config, registry: newRegistry(), memory: plain.NewMemory(config.Memory)}
+	return &Handler{config: config, registry: newRegistry(), dedup: plain.New(config.Dedup)}
 }
 
-// compressFrom is above any frame. Connect compresses answers whenever the caller
-// accepts it; for a token of some hundred bytes between two VMs of one site that
-// costs several times the rest of its way.
-const compressFrom = 1 << 30
+// compressMinBytes is larger than any frame, which turns compression off. Connect
+// otherwise compresses every answer whose caller accepts it. For a token of some hundred
+// bytes between two VMs of one site, that costs several times the rest of the transfer.
+const compressMinBytes = 1 << 30
 
-// Mount returns the path that the calls stand under, and their server.
+// Mount returns the path and the HTTP handler of the service.
 func (h *Handler) Mount() (path string, handler http.Handler) {
-	return toucanhingev1connect.NewEndpointServiceHandler(h, connect.WithCompressMinBytes(compressFrom))
+	return toucanhingev1connect.NewEndpointServiceHandler(h, connect.WithCompressMinBytes(compressMinBytes))
 }
 
-// Run admits and runs a request, or goes on with an earlier attempt of it.
+// Run admits and runs a request, or attaches to an earlier attempt of it.
 func (h *Handler) Run(
 	ctx context.Context, request *connect.Request[toucanhingev1.RunRequest], stream *connect.ServerStream[toucanhingev1.Frame],
 ) error {
 	r := request.Msg
-	if malformed(r) {
+	if isMalformed(r) {
 		return h.refuseCall(stream, r, reasonMalformed, toucanhingev1.Ran_RAN_NO)
 	}
-	t, refusal := h.attemptFor(r)
+	t, refusal := h.resolveAttempt(r)
 	if refusal != "" {
 		return h.refuseCall(stream, r, refusal, toucanhingev1.Ran_RAN_UNKNOWN)
 	}
@@ -89,47 +90,47 @@
 	if r.GetResumeAfter() > 0 {
 		from = r.GetResumeAfter() + 1
 	}
-	reader, gone, err := t.answer.attach(from)
+	reader, replaced, err := t.answer.attach(from)
 	if err != nil {
 		return h.refuseCall(stream, r, reasonResumeGone, toucanhingev1.Ran_RAN_YES)
 	}
-	h.registry.attached(t)
-	err = h.send(ctx, stream, r, t, reader, gone)
-	if err != nil && t.answer.attached(reader) {
-		h.registry.detached(t, h.config.Clock.Now())
+	h.registry.markAttached(t)
+	err = h.send(ctx, stream, r, t, reader, replaced)
+	if err != nil && t.answer.isAttached(reader) {
+		h.registry.markDetached(t, h.config.Clock.Now())
 	}
 	return err
 }
 
-func malformed(r *toucanhingev1.RunRequest) bool {
+func isMalformed(r *toucanhingev1.RunRequest) bool {
 	return r.GetRequestId() == "" || r.GetMethod() == "" || !strings.HasPrefix(r.GetPath(), "/")
 }
 
 func (h *Handler) refuseCall(
 	stream *connect.ServerStream[toucanhingev1.Frame], r *toucanhingev1.RunRequest, reason admit.Reason, ran toucanhingev1.Ran,
 ) error {
-	h.config.Refused(r.GetRequestId(), reason, ran)
+	h.config.OnRefused(r.GetRequestId(), reason, ran)
 	p := piece{refusal: &toucanhingev1.Refusal{Reason: string(reason), Ran: ran}}
 	f := p.frame(r.GetRequestId(), r.GetAttempt(), 0)
 	f.Load = h.config.Load()
 	return stream.Send(f)
 }
 
-// send streams the answer's pieces until its last one.
+// send streams the answer's pieces up to the last one.
 func (h *Handler) send(
 	ctx context.Context, stream *connect.ServerStream[toucanhingev1.Frame], r *toucanhingev1.RunRequest,
-	t *attempt, reader uint64, gone <-chan struct{},
+	t *attempt, reader uint64, replaced <-chan struct{},
 ) error {
 	first := true
 	var batch []piece
 	for {
-		found, sequence, err := t.answer.next(ctx, reader, gone, batch[:0])
+		pieces, sequence, err := t.answer.next(ctx, reader, replaced, batch[:0])
 		if err != nil {
 			return sendError(err)
 		}
-		for _, p := range found {
+		for _, p := range pieces {
 			f := p.frame(r.GetRequestId(), r.GetAttempt(), sequence)
-			if first || p.last() {
+			if first || p.isLast() {
 				f.Load = h.config.Load()
 			}
 			first = false
@@ -137,11 +138,11 @@
 			if err := stream.Send(f); err != nil {
 				return err
 			}
-			if p.last() {
+			if p.isLast() {
 				return nil
 			}
 		}
-		batch = found
+		batch = pieces
 	}
 }
 
@@ -152,45 +153,45 @@
 	return connect.NewError(connect.CodeCanceled, err)
 }
 
-// attemptFor finds the attempt that a call speaks of, or starts a new one.
-func (h *Handler) attemptFor(r *toucanhingev1.RunRequest) (*attempt, admit.Reason) {
+// resolveAttempt returns the existing attempt that a call refers to, or starts a new one.
+func (h *Handler) resolveAttempt(r *toucanhingev1.RunRequest) (*attempt, admit.Reason) {
 	now := h.config.Clock.Now()
 	fresh := h.newAttempt(r, now)
-	t, superseded, reason := h.registry.place(fresh, h.config.Model)
+	t, superseded, reason := h.registry.resolve(fresh, h.config.Model)
 	if superseded != nil {
 		h.cancelAttempt(superseded)
 	}
 	if t != fresh {
-		fresh.stop()
+		fresh.cancel()
 		return t, reason
 	}
 	h.running.Add(1)
 	go func() {
 		defer h.running.Add(-1)
 		h.run(t)
-		t.stop()
-		h.registry.ended(t, h.config.Clock.Now(), h.config.KeepTotal)
+		t.cancel()
+		h.registry.markEnded(t, h.config.Clock.Now(), h.config.MaxRetainedBytes)
 	}()
 	return t, ""
 }
 
 func (h *Handler) newAttempt(r *toucanhingev1.RunRequest, now clock.Millis) *attempt {
 	t := &attempt{
-		request:  r,
-		id:       h.config.Dispatcher.NextID(),
-		deadline: now + clock.Millis(r.GetBudgetMs()),
-		verdicts: make(chan admit.Action, 4),
+		request:   r,
+		id:        h.config.Dispatcher.NextID(),
+		deadline:  now + clock.Millis(r.GetBudgetMs()),
+		decisions: make(chan admit.Action, 4),
 	}
 	first := uint64(0)
-	if t.adopts() {
+	if t.resumesEngineStream() {
 		first = r.GetResumeAfter() + 1
 	}
-	t.answer = newAnswer(h.config.KeepBytes, first)
-	t.ctx, t.stop = context.WithCancel(context.Background())
+	t.answer = newAnswer(h.config.MaxAnswerBytes, first)
+	t.ctx, t.cancel = context.WithCancel(context.Background())
 	return t
 }
 
-// Cancel stops a request whose caller has gone.
+// Cancel stops a request whose caller has disconnected.
 func (h *Handler) Cancel(
 	_ context.Context, request *connect.Request[toucanhingev1.CancelRequest],
 ) (*connect.Response[toucanhingev1.CancelResponse], error) {
@@ -200,13 +201,13 @@
 	return connect.NewResponse(&toucanhingev1.CancelResponse{}), nil
 }
 
-// cancelAttempt ends an attempt wherever it stands; the machine answers with a
-// refusal when it never started.
+// cancelAttempt cancels an attempt in any state. The admission machine refuses an attempt
+// that has not started.
 func (h *Handler) cancelAttempt(t *attempt) {
-	h.config.Dispatcher.Tell(admit.Cancel{ID: t.id})
+	h.config.Dispatcher.Submit(admit.Cancel{ID: t.id})
 }
 
-// Report tells the sidecar's present load.
+// Report returns the sidecar's current load.
 func (h *Handler) Report(
 	context.Context, *connect.Request[toucanhingev1.ReportRequest],
 ) (*connect.Response[toucanhingev1.ReportResponse], error) {
@@ -215,19 +216,19 @@
 	}), nil
 }
 
-// Sweep forgets answers that were held long enough, and ends the runs whose
-// reader did not come back: their caller has gone, and they hold a slot.
+// Sweep evicts expired answers and cancels runs whose reader did not reconnect in time,
+// because they would hold a slot that no caller uses.
 func (h *Handler) Sweep(now clock.Millis) {
-	for _, t := range h.registry.sweep(now, h.config.Keep) {
+	for _, t := range h.registry.sweep(now, h.config.Retention) {
 		h.cancelAttempt(t)
 	}
 }
 
-const waitLook = 10 * time.Millisecond
+const waitPollInterval = 10 * time.Millisecond
 
-// Wait returns once no attempt runs, or the context ends.
+// Wait returns once no attempt runs or the context ends.
 func (h *Handler) Wait(ctx context.Context) error {
-	ticker := time.NewTicker(waitLook)
+	ticker := time.NewTicker(waitPollInterval)
 	defer ticker.Stop()
 	for h.running.Load() > 0 {
 		select {
--- a/sidecar/pkg/entry/piece.go
+++ b/sidecar/pkg/entry/piece.go
@@ -12,12 +12,12 @@
 	refusal *toucanhingev1.Refusal
 }
 
-// last says whether nothing follows this piece.
-func (p piece) last() bool {
+// isLast reports whether this piece ends the answer.
+func (p piece) isLast() bool {
 	return p.end != nil || p.refusal != nil
 }
 
-// frame builds the piece's frame for the attempt that asks for it now.
+// frame builds the piece's frame for the attempt that reads it.
 func (p piece) frame(requestID string, attempt uint32, sequence uint64) *toucanhingev1.Frame {
 	f := &toucanhingev1.Frame{RequestId: requestID, Attempt: attempt, Sequence: sequence}
 	switch {
--- a/sidecar/pkg/entry/registry.go
+++ b/sidecar/pkg/entry/registry.go
@@ -9,37 +9,40 @@
 	"toucanhinge.example/sidecar/pkg/admit"
 )
 
-// registry holds the attempts that run, and those that ended a moment ago.
+// registry holds the running attempts and the recently ended ones.
 type registry struct {
 	mu sync.Mutex
-	// attempts holds the newest attempt of each request.
+	// attempts maps each request to its newest attempt.
 	attempts map[string]*attempt
-	// names are the engine's names of attempts in use.
-	names map[string]*attempt
-	// done lists ended attempts, oldest first, and bytes what they hold.
-	done  []*attempt
-	bytes int
+	// byEngineID maps the stream IDs in use at the engine to their attempts.
+	byEngineID map[string]*attempt
+	// endedAttempts lists ended attempts, oldest first. retainedBytes is the total size of
+	// their answers.
+	endedAttempts []*attempt
+	retainedBytes int
 }
 
 func newRegistry() *registry {
-	return &registry{attempts: map[string]*attempt{}, names: map[string]*attempt{}}
+	return &registry{attempts: map[string]*attempt{}, byEngineID: map[string]*attempt{}}
 }
 
-// key names a request among all teams: teams choose their ids on their own.
-func key(r *toucanhingev1.RunRequest) string {
+// requestKey identifies a request across teams, because teams choose request IDs
+// independently.
+func requestKey(r *toucanhingev1.RunRequest) string {
 	return r.GetTeam() + "\x00" + r.GetRequestId()
 }
 
-// place decides what a call means. The same attempt again, or a later one that
-// resumes, goes on with what is there and never runs anything. A later attempt
-// from the start supersedes an idempotent one; a non-idempotent one is refused.
-func (g *registry) place(fresh *attempt, adopt bool) (t, superseded *attempt, refusal admit.Reason) {
+// resolve decides how to handle a call. A repeated attempt, or a later one that resumes,
+// attaches to the existing attempt and never runs the request again. A later attempt from
+// the start supersedes an idempotent one; if the request is not idempotent, the later
+// attempt is refused.
+func (g *registry) resolve(fresh *attempt, canResumeAtEngine bool) (t, superseded *attempt, refusal admit.Reason) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := fresh.request
-	known := g.attempts[key(r)]
+	known := g.attempts[requestKey(r)]
 	if known == nil {
-		if r.GetResumeAfter() > 0 && (!adopt || r.GetBudgetMs() <= 0) {
+		if r.GetResumeAfter() > 0 && (!canResumeAtEngine || r.GetBudgetMs() <= 0) {
 			return nil, nil, reasonResumeGone
 		}
 		g.add(fresh)
@@ -55,10 +58,10 @@
 	return fresh, known, ""
 }
 
-// engineName is how the engine knows an attempt. A later attempt needs a name
-// of its own, or cancelling the earlier one would hit it. One that goes on with
-// the stream of an earlier process takes that stream's name.
-func engineName(r *toucanhingev1.RunRequest) string {
+// engineStreamID returns the ID of an attempt at the engine. A later attempt needs its own
+// ID, because otherwise cancelling the earlier attempt would stop it too. An attempt that
+// continues the stream of an earlier process uses that stream's ID.
+func engineStreamID(r *toucanhingev1.RunRequest) string {
 	number := r.GetAttempt()
 	if r.GetResumeAfter() > 0 && number > 1 {
 		number--
@@ -70,23 +73,23 @@
 }
 
 func (g *registry) add(t *attempt) {
-	name := engineName(t.request)
-	// Two teams may have chosen the same id.
-	for n := 2; g.names[name] != nil; n++ {
-		name = fmt.Sprintf("%s~%d", t.request.GetRequestId(), n)
+	id := engineStreamID(t.request)
+	// Two teams may use the same request ID.
+	for n := 2; g.byEngineID[id] != nil; n++ {
+		id = fmt.Sprintf("%s~%d", t.request.GetRequestId(), n)
 	}
-	t.engineID = name
-	g.names[name] = t
-	g.attempts[key(t.request)] = t
+	t.engineID = id
+	g.byEngineID[id] = t
+	g.attempts[requestKey(t.request)] = t
 }
 
-// find returns an attempt by what Cancel names; nil when there is none, or when
-// two teams' requests fit.
+// find returns the running attempt that a Cancel call names. It returns nil if there is
+// none, or if requests of two teams match.
 func (g *registry) find(requestID string, number uint32) *attempt {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var found *attempt
-	for _, t := range g.names {
+	for _, t := range g.byEngineID {
 		if t.request.GetRequestId() != requestID || t.request.GetAttempt() != number || t.endedAt > 0 {
 			continue
 		}
@@ -98,56 +101,56 @@
 	return found
 }
 
-func (g *registry) attached(t *attempt) {
+func (g *registry) markAttached(t *attempt) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t.detachedAt = 0
 }
 
-func (g *registry) detached(t *attempt, now clock.Millis) {
+func (g *registry) markDetached(t *attempt, now clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t.detachedAt = now
 }
 
-// ended notes that an attempt is over. Its answer is held for a reader that
-// lost its connection, as far as the total allows; the oldest go first.
-func (g *registry) ended(t *attempt, now clock.Millis, total int) {
+// markEnded records that an attempt has ended. Its answer is retained for a reader that
+// lost its connection; the oldest answers are evicted while all of them exceed maxBytes.
+func (g *registry) markEnded(t *attempt, now clock.Millis, maxBytes int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t.endedAt = now
-	t.held = t.answer.size()
-	g.done = append(g.done, t)
-	g.bytes += t.held
-	for len(g.done) > 0 && g.bytes > total {
-		g.forgetOldest()
+	t.retainedBytes = t.answer.size()
+	g.endedAttempts = append(g.endedAttempts, t)
+	g.retainedBytes += t.retainedBytes
+	for len(g.endedAttempts) > 0 && g.retainedBytes > maxBytes {
+		g.evictOldest()
 	}
 }
 
-func (g *registry) forgetOldest() {
-	t := g.done[0]
-	g.done[0] = nil
-	g.done = g.done[1:]
-	g.bytes -= t.held
-	if g.attempts[key(t.request)] == t {
-		delete(g.attempts, key(t.request))
+func (g *registry) evictOldest() {
+	t := g.endedAttempts[0]
+	g.endedAttempts[0] = nil
+	g.endedAttempts = g.endedAttempts[1:]
+	g.retainedBytes -= t.retainedBytes
+	if g.attempts[requestKey(t.request)] == t {
+		delete(g.attempts, requestKey(t.request))
 	}
-	if g.names[t.engineID] == t {
-		delete(g.names, t.engineID)
+	if g.byEngineID[t.engineID] == t {
+		delete(g.byEngineID, t.engineID)
 	}
 }
 
-// sweep forgets what ended long enough ago and returns the running attempts
-// that nobody has read for as long.
-func (g *registry) sweep(now, keep clock.Millis) []*attempt {
+// sweep evicts attempts that ended at least the retention time ago, and returns the
+// running attempts that have had no reader for that long.
+func (g *registry) sweep(now, retention clock.Millis) []*attempt {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for len(g.done) > 0 && now-g.done[0].endedAt >= keep {
-		g.forgetOldest()
+	for len(g.endedAttempts) > 0 && now-g.endedAttempts[0].endedAt >= retention {
+		g.evictOldest()
 	}
 	var abandoned []*attempt
-	for _, t := range g.names {
-		if t.endedAt == 0 && t.detachedAt > 0 && now-t.detachedAt >= keep {
+	for _, t := range g.byEngineID {
+		if t.endedAt == 0 && t.detachedAt > 0 && now-t.detachedAt >= retention {
 			abandoned = append(abandoned, t)
 		}
 	}
--- a/sidecar/pkg/order/machine.go
+++ b/sidecar/pkg/order/machine.go
@@ -41,7 +41,7 @@
 
 // Held is what the engine says it is; Failed when it did not say.
 type Held struct {
-	Held   engine.Held
+	Held   engine.State
 	Failed bool
 }
 
@@ -122,7 +122,7 @@
 	highest uint64
 	// acked is the number of the last order that the engine took.
 	acked uint64
-	held  engine.Held
+	held  engine.State
 	// pollAt is when to read again; 0 means when there is a reason.
 	pollAt clock.Millis
 	// recheckAt is when a resting engine is read again.
@@ -232,7 +232,7 @@
 }
 
 // fulfils says whether an engine is what an order asks for.
-func fulfils(h engine.Held, o engine.Order) bool {
+func fulfils(h engine.State, o engine.Order) bool {
 	switch o.Kind {
 	case KindModel:
 		return h.Model == o.Model && (o.Version == "" || h.Version == o.Version)
--- a/sidecar/pkg/order/machine_test.go
+++ b/sidecar/pkg/order/machine_test.go
@@ -14,7 +14,7 @@
 // tell them or not, and lose its state.
 type fakeEngine struct {
 	checks bool
-	held   engine.Held
+	held   engine.State
 	// highest is the highest number that ever reached it.
 	highest uint64
 	reverts int
@@ -28,7 +28,7 @@
 		e.reverts++
 	}
 	e.highest = max(e.highest, o.Fence)
-	e.held = engine.Held{Fence: o.Fence, Model: o.Model, Loading: true}
+	e.held = engine.State{Fence: o.Fence, Model: o.Model, Loading: true}
 	return false
 }
 
@@ -179,7 +179,7 @@
 
 // loseState is an engine that restarted: it has forgotten its orders.
 func (w *world) loseState(*rapid.T) {
-	w.engine.held = engine.Held{}
+	w.engine.held = engine.State{}
 	w.engine.highest = 0
 }
 
@@ -243,7 +243,7 @@
 	m.Step(1, order(5, "a"))
 	m.Step(2, Drained{})
 	require.Equal(t, []Action{{Verb: Read}}, m.Step(3, Sent{Fence: 5, Refused: true, Current: 9}))
-	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, Held{Held: engine.Held{Fence: 9, Model: "z"}}))
+	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, Held{Held: engine.State{Fence: 9, Model: "z"}}))
 	require.Equal(t, uint64(9), m.Fence())
 	require.Empty(t, m.Step(5, order(8, "b")))
 }
@@ -271,7 +271,7 @@
 	m.Step(1, order(5, "a"))
 	m.Step(2, Drained{})
 	m.Step(3, Sent{Fence: 5})
-	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, Held{Held: engine.Held{Model: "a"}}))
+	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, Held{Held: engine.State{Model: "a"}}))
 }
 
 // A process died with an order under way; the engine, which was frozen, takes it
@@ -282,9 +282,9 @@
 	m.Step(1, order(6, "new"))
 	m.Step(2, Drained{})
 	m.Step(3, Sent{Fence: 6})
-	m.Step(4, Held{Held: engine.Held{Fence: 6, Model: "new"}})
+	m.Step(4, Held{Held: engine.State{Fence: 6, Model: "new"}})
 	require.Equal(t, []Action{{Verb: Read}}, m.Step(1_100, Tick{}))
-	require.Equal(t, []Action{{Verb: Close}}, m.Step(1_101, Held{Held: engine.Held{Fence: 5, Model: "old"}}))
+	require.Equal(t, []Action{{Verb: Close}}, m.Step(1_101, Held{Held: engine.State{Fence: 5, Model: "old"}}))
 	require.Equal(t, uint64(6), m.Step(1_102, Drained{})[0].Order.Fence)
 }
 
@@ -298,7 +298,7 @@
 	}{
 		{"by reading", func(m *Machine) {
 			m.Step(1_100, Tick{})
-			m.Step(1_101, Held{Held: engine.Held{Fence: 9, Model: "z"}})
+			m.Step(1_101, Held{Held: engine.State{Fence: 9, Model: "z"}})
 		}},
 		{"by a refusal", func(m *Machine) {
 			m.Step(1, order(4, "a"))
--- a/sidecar/pkg/plain/memory_test.go
+++ b/sidecar/pkg/plain/deduplicator_test.go
@@ -14,48 +14,48 @@
 	seed.Main(m, 1)
 }
 
-// Requests come again and again, at any time. One that was started is not
-// started again for as long as it must be remembered; the memory never holds
-// more than its size, and a start that reached nothing may be tried again.
-func TestRapidMemory(t *testing.T) {
+// Requests repeat in any order and at any time. A started request must not start again
+// within the retention time, the number of recorded requests never exceeds the limit, and
+// a start that was undone may be repeated.
+func TestRapidDeduplicator(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const size, keep = 3, clock.Millis(100)
-		m := NewMemory(MemoryConfig{Size: size, Keep: keep})
+		const maxRequests, retention = 3, clock.Millis(100)
+		d := New(Config{MaxRequests: maxRequests, Retention: retention})
 		now := clock.Millis(0)
 		startedAt := map[string]clock.Millis{}
-		remembered := func(key string) bool {
+		isRecorded := func(key string) bool {
 			at, known := startedAt[key]
-			return known && now-at < keep
+			return known && now-at < retention
 		}
 		name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"})
 		t.Repeat(map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
 				key := name.Draw(t, "key")
-				held := 0
+				recorded := 0
 				for other := range startedAt {
-					if remembered(other) {
-						held++
+					if isRecorded(other) {
+						recorded++
 					}
 				}
-				wants := Fresh
+				want := Fresh
 				switch {
-				case remembered(key):
-					wants = Started
-				case held == size:
-					wants = Full
+				case isRecorded(key):
+					want = AlreadyStarted
+				case recorded == maxRequests:
+					want = Full
 				}
-				require.Equal(t, wants, m.Start(now, key))
-				if wants == Fresh {
+				require.Equal(t, want, d.Start(now, key))
+				if want == Fresh {
 					startedAt[key] = now
 				}
 			},
 			"undo": func(t *rapid.T) {
 				key := name.Draw(t, "key")
-				m.Undo(key)
+				d.Undo(key)
 				delete(startedAt, key)
 			},
 			"time": func(t *rapid.T) { now += clock.Millis(rapid.IntRange(1, 60).Draw(t, "passed")) },
-			"":     func(t *rapid.T) { require.LessOrEqual(t, len(m.started), size) },
+			"":     func(t *rapid.T) { require.LessOrEqual(t, len(d.started), maxRequests) },
 		})
 	})
 }
--- a/sidecar/pkg/probe/probe.go
+++ b/sidecar/pkg/probe/probe.go
@@ -1,5 +1,5 @@
-// Package probe watches the engine from beside: whether it answers, and how
-// much load of others it carries.
+// Package probe polls the engine for its health and for the load that other clients put on
+// it.
 package probe
 
 import (
@@ -15,70 +15,73 @@
 	"toucanhinge.example/sidecar/pkg/admit"
 )
 
-// Report is what one poll brought.
+// Report is the result of one poll.
 type Report struct {
-	// InFlight is what the engine runs and queues, AsOf when it counted.
+	// InFlight is the number of requests that the engine runs and queues, AsOf the time of
+	// the count.
 	InFlight int
 	AsOf     clock.Millis
 }
 
-// Config describes a probe.
+// Config holds the probe's settings and dependencies.
 type Config struct {
-	Clock  clock.Clock
-	Logger log.Logger
-	Period time.Duration
-	// Failed is how many polls in a row may go without an answer.
-	Failed int
-	// Poll asks the engine.
+	Clock    clock.Clock
+	Logger   log.Logger
+	Interval time.Duration
+	// FailureThreshold is the number of consecutive failed polls after which the engine is
+	// unhealthy.
+	FailureThreshold int
+	// Poll fetches a report from the engine.
 	Poll func(context.Context) (Report, error)
-	// Foreign is told the slots that others use; Health whether the engine answers.
-	Foreign func(slots int)
-	Health  func(healthy bool)
+	// OnForeignSlots receives the number of slots that other clients use. OnHealth
+	// receives changes of the engine's health.
+	OnForeignSlots func(slots int)
+	OnHealth       func(healthy bool)
 }
 
-// Probe is the goroutine that polls.
+// Probe polls the engine.
 type Probe struct {
-	config  Config
-	suspect chan struct{}
-	mu      sync.Mutex
-	foreign admit.ForeignEstimator
-	failed  int
-	healthy bool
+	config      Config
+	unreachable chan struct{}
+	mu          sync.Mutex
+	estimator   admit.ForeignEstimator
+	failedPolls int
+	healthy     bool
 }
 
-// New makes a probe. The engine counts as unhealthy until it answered once.
+// New returns a probe. The engine counts as unhealthy until its first successful poll.
 func New(config Config) *Probe {
-	return &Probe{config: config, suspect: make(chan struct{}, 1)}
+	return &Probe{config: config, unreachable: make(chan struct{}, 1)}
 }
 
-// Own notes how many requests we have at the engine.
-func (p *Probe) Own(now clock.Millis, count int) {
+// RecordOwn records how many of this sidecar's requests are at the engine.
+func (p *Probe) RecordOwn(now clock.Millis, count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.foreign.Own(now, count)
+	p.estimator.Own(now, count)
 }
 
-// Suspect tells that the engine could not be reached, so that it counts as
-// unhealthy until a poll says otherwise: else items would be leased and handed
-// back in a loop until the next polls have failed.
-func (p *Probe) Suspect() {
+// ReportUnreachable reports that a call could not reach the engine. The engine then counts
+// as unhealthy until a poll succeeds. Otherwise items would be leased and returned in a
+// loop until enough polls have failed.
+func (p *Probe) ReportUnreachable() {
 	select {
-	case p.suspect <- struct{}{}:
+	case p.unreachable <- struct{}{}:
 	default:
 	}
 }
 
 // Run polls until the context ends.
 func (p *Probe) Run(ctx context.Context) {
-	ticker := time.NewTicker(p.config.Period)
+	ticker := time.NewTicker(p.config.Interval)
 	defer ticker.Stop()
 	p.poll(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.suspect:
-			p.set(false, "unreachable")
+		case <-p.unreachable:
+			p.setHealthy(false, "unreachable")
 		case <-ticker.C:
 			p.poll(ctx)
 		}
@@ -86,7 +89,7 @@
 }
 
 func (p *Probe) poll(ctx context.Context) {
-	// A tick and the end may come together, and Go chooses either.
+	// select picks randomly if a tick and the end of the context coincide.
 	if ctx.Err() != nil {
 		return
 	}
@@ -95,22 +98,22 @@
 		return
 	}
 	if err != nil {
-		p.failed++
-		if p.failed >= p.config.Failed {
-			p.set(false, err.Error())
+		p.failedPolls++
+		if p.failedPolls >= p.config.FailureThreshold {
+			p.setHealthy(false, err.Error())
 		}
 		return
 	}
-	p.failed = 0
-	p.set(true, "")
+	p.failedPolls = 0
+	p.setHealthy(true, "")
 	now := p.config.Clock.Now()
 	p.mu.Lock()
-	slots := p.foreign.Report(now, report.AsOf, report.InFlight)
+	slots := p.estimator.Report(now, report.AsOf, report.InFlight)
 	p.mu.Unlock()
-	p.config.Foreign(slots)
+	p.config.OnForeignSlots(slots)
 }
 
-func (p *Probe) set(healthy bool, why string) {
+func (p *Probe) setHealthy(healthy bool, reason string) {
 	if p.healthy == healthy {
 		return
 	}
@@ -119,6 +122,6 @@
 	if !healthy {
 		event = "engine-unhealthy"
 	}
-	level.Info(p.config.Logger).Log(logs.KeyEvent, event, logs.KeyError, why)
-	p.config.Health(healthy)
+	level.Info(p.config.Logger).Log(logs.KeyEvent, event, logs.KeyError, reason)
+	p.config.OnHealth(healthy)
 }
--- a/sidecar/pkg/probe/probe_test.go
+++ b/sidecar/pkg/probe/probe_test.go
@@ -15,57 +15,57 @@
 
 var errDown = errors.New("down")
 
-// The engine answers, misses two polls, misses three, and answers again. It
-// counts as unhealthy after three misses in a row; one answer mends it.
-func TestHealth(t *testing.T) {
+// The engine becomes unhealthy after three consecutive failed polls, and healthy again
+// after one successful poll.
+func TestUnhealthyAfterConsecutiveFailedPolls(t *testing.T) {
 	var mu sync.Mutex
-	var seen []bool
+	var reported []bool
 	answers := make(chan error)
 	p := New(Config{
-		Clock: clock.System(), Logger: log.NewNopLogger(), Period: time.Millisecond, Failed: 3,
-		Poll:    func(context.Context) (Report, error) { return Report{}, <-answers },
-		Foreign: func(int) {},
-		Health: func(healthy bool) {
+		Clock: clock.System(), Logger: log.NewNopLogger(), Interval: time.Millisecond, FailureThreshold: 3,
+		Poll:           func(context.Context) (Report, error) { return Report{}, <-answers },
+		OnForeignSlots: func(int) {},
+		OnHealth: func(healthy bool) {
 			mu.Lock()
 			defer mu.Unlock()
-			seen = append(seen, healthy)
+			reported = append(reported, healthy)
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); p.Run(ctx) }()
-	states := func(wants ...bool) {
+	requireReported := func(want ...bool) {
 		t.Helper()
 		require.Eventually(t, func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return len(seen) == len(wants) && (len(seen) == 0 || seen[len(seen)-1] == wants[len(wants)-1])
+			return len(reported) == len(want) && (len(reported) == 0 || reported[len(reported)-1] == want[len(want)-1])
 		}, 20*time.Second, time.Millisecond)
 	}
-	states()
+	requireReported()
 	answers <- nil
-	states(true)
+	requireReported(true)
 	for _, err := range []error{errDown, errDown, nil, errDown, errDown} {
 		answers <- err
 	}
-	states(true)
+	requireReported(true)
 	answers <- errDown
-	states(true, false)
+	requireReported(true, false)
 	answers <- nil
-	states(true, false, true)
+	requireReported(true, false, true)
 	cancel()
 	go func() { answers <- errDown }()
 	<-done
 }
 
-// The sidecar stops at the moment of a poll. It must not ask the engine once more: a
-// poll that nobody answers would hold up the stop, and did so in a test for ever.
-func TestNoPollAfterTheEnd(t *testing.T) {
+// When a tick and the cancellation coincide, the probe must not poll again. A poll without
+// an answer would block the stop forever.
+func TestNoPollAfterCancellation(t *testing.T) {
 	polls := 0
 	p := New(Config{
-		Clock: clock.System(), Logger: log.NewNopLogger(), Period: time.Nanosecond, Failed: 3,
-		Poll:    func(context.Context) (Report, error) { polls++; return Report{}, nil },
-		Foreign: func(int) {}, Health: func(bool) {},
+		Clock: clock.System(), Logger: log.NewNopLogger(), Interval: time.Nanosecond, FailureThreshold: 3,
+		Poll:           func(context.Context) (Report, error) { polls++; return Report{}, nil },
+		OnForeignSlots: func(int) {}, OnHealth: func(bool) {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -73,16 +73,15 @@
 	require.Zero(t, polls)
 }
 
-// A call found nobody at the engine's port. It counts as unhealthy at once, long
-// before the next poll: until then, items would be leased and handed back in a
-// loop.
-func TestSuspicion(t *testing.T) {
+// A failed connection to the engine makes it unhealthy at once, long before the next poll.
+// Until then, items would be leased and returned in a loop.
+func TestUnreachableEngineIsUnhealthyAtOnce(t *testing.T) {
 	states := make(chan bool, 4)
 	p := New(Config{
-		Clock: clock.System(), Logger: log.NewNopLogger(), Period: time.Hour, Failed: 3,
-		Poll:    func(context.Context) (Report, error) { return Report{}, nil },
-		Foreign: func(int) {},
-		Health:  func(healthy bool) { states <- healthy },
+		Clock: clock.System(), Logger: log.NewNopLogger(), Interval: time.Hour, FailureThreshold: 3,
+		Poll:           func(context.Context) (Report, error) { return Report{}, nil },
+		OnForeignSlots: func(int) {},
+		OnHealth:       func(healthy bool) { states <- healthy },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -97,24 +96,24 @@
 		}
 	}
 	require.True(t, next())
-	p.Suspect()
+	p.ReportUnreachable()
 	require.False(t, next())
 	cancel()
 	<-done
 }
 
-// Load of others shows up as slots that are not ours; what we have in flight at
-// the moment of the report does not.
-func TestForeignLoad(t *testing.T) {
+// Load of other clients is reported as foreign slots. This sidecar's requests that were in
+// flight at the time of the report are not counted.
+func TestForeignSlotsExcludeOwnRequests(t *testing.T) {
 	foreign := make(chan int, 1)
 	now := clock.Millis(10_000)
 	p := New(Config{
-		Clock: clock.FromFunc(func() clock.Millis { return now }), Logger: log.NewNopLogger(), Failed: 1,
-		Poll:    func(context.Context) (Report, error) { return Report{InFlight: 5, AsOf: 9_900}, nil },
-		Foreign: func(slots int) { foreign <- slots },
-		Health:  func(bool) {},
+		Clock: clock.FromFunc(func() clock.Millis { return now }), Logger: log.NewNopLogger(), FailureThreshold: 1,
+		Poll:           func(context.Context) (Report, error) { return Report{InFlight: 5, AsOf: 9_900}, nil },
+		OnForeignSlots: func(slots int) { foreign <- slots },
+		OnHealth:       func(bool) {},
 	})
-	p.Own(9_000, 3)
+	p.RecordOwn(9_000, 3)
 	p.poll(context.Background())
 	require.Equal(t, 2, <-foreign)
 }
--- a/sidecar/pkg/work/puller.go
+++ b/sidecar/pkg/work/puller.go
@@ -241,7 +241,7 @@
 		return
 	}
 	r.request = request
-	p.config.Dispatcher.Offer(admit.Offer{ID: r.id, Prefill: request.prefill}, r.deliver)
+	p.config.Dispatcher.SubmitItem(admit.Offer{ID: r.id, Prefill: request.prefill}, r.deliver)
 }
 
 // lost stops an item whose lease no longer holds: another process may run it
@@ -253,7 +253,7 @@
 	}
 	delete(p.runs, key)
 	p.config.Noted(itemName(r.item.GetJob(), r.item.GetIndex()), "lease-lost", "")
-	p.config.Dispatcher.Tell(admit.Withdraw{ID: r.id})
+	p.config.Dispatcher.Submit(admit.Withdraw{ID: r.id})
 }
 
 // ended takes an item's outcome from its goroutine, or from the dispatcher's.
