--- a/sidecar/pkg/app/fakes_test.go
+++ b/sidecar/pkg/app/fakes_test.go
@@ -149,7 +149,7 @@
 	return count
 }
 
-// fakeEngine streams three tokens. While it is held, it pauses after the first one.
+// fakeEngine streams three tokens. After holdStream, it pauses after the first one.
 type fakeEngine struct {
 	mu      sync.Mutex
 	posts   []string
--- a/sidecar/pkg/config/validate.go
+++ b/sidecar/pkg/config/validate.go
@@ -50,9 +50,9 @@
 }
 
 type minimum struct {
-	key   string
-	value int64
-	min   int64
+	key      string
+	value    int64
+	minValue int64
 }
 
 func validateMinimums(c *settings.Check, s *Settings) {
@@ -81,6 +81,6 @@
 		{"drain.linger_ms", s.Drain.LingerMS, 0},
 		{"drain.finish_ms", s.Drain.FinishMS, 1},
 	} {
-		c.Require(n.value >= n.min, n.key, "must be at least %d, got %d", n.min, n.value)
+		c.Require(n.value >= n.minValue, n.key, "must be at least %d, got %d", n.minValue, n.value)
 	}
 }
--- a/sidecar/pkg/engine/client.go
+++ b/sidecar/pkg/engine/client.go
@@ -68,7 +68,7 @@
 // transport retries a request whose reused connection died, even if the server has read
 // it, when the request seems idempotent or has an Idempotency-Key header. It never does so
 // on a new connection, so each call that must run at most once gets its own connection.
-// Other calls run twice only if an idle connection closed.
+// Other calls can run twice at worst on a connection that closed while idle.
 func newHTTPClient(connections int, disableKeepAlives bool) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: 15 * time.Second}
 	return &http.Client{
--- a/sidecar/pkg/engine/control_calls.go
+++ b/sidecar/pkg/engine/control_calls.go
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Order is an order to the engine to load a model or adapter or to change its role.
+// Order is an order to the engine to load a model or adapter, or to set its version or role.
 type Order struct {
 	Fence   uint64 `json:"fence"`
 	Kind    string `json:"kind"`
@@ -70,7 +70,7 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// State is what the engine reports about its loaded model and its role.
+// State is the loaded model, adapter, version and role that the engine reports.
 type State struct {
 	Fence   uint64 `json:"fence"`
 	Model   string `json:"model"`
--- a/sidecar/pkg/entry/run.go
+++ b/sidecar/pkg/entry/run.go
@@ -80,7 +80,7 @@
 }
 
 // recordStart records the start of a non-idempotent request. It refuses the request and
-// returns false if it was started before.
+// returns false if it was started before or the deduplicator is full.
 func (h *Handler) recordStart(t *attempt) bool {
 	if t.request.GetIdempotent() || t.resumesEngineStream() {
 		return true
