--- a/lab/failure/gateway_frozen_test.go
+++ b/lab/failure/gateway_frozen_test.go
@@ -24,7 +24,7 @@
 	for _, n := range f.Plains {
 		require.NoError(t, f.SetFaults(ctx, n, plain.Faults{LateMs: 300}))
 	}
-	call := caller.Plain{Service: fleet.PlainService, Path: "/pay", Body: "ITEM[pay-7] pay", ID: "pay-7", Once: true}
+	call := caller.PlainCall{Service: fleet.PlainService, Path: "/pay", Body: "ITEM[pay-7] pay", ID: "pay-7", NonIdempotent: true}
 	given := make(chan error, 1)
 	first, giveUp := context.WithCancel(ctx)
 	go func() {
--- a/lab/failure/rolling_test.go
+++ b/lab/failure/rolling_test.go
@@ -66,7 +66,7 @@
 func (o *outcomes) note(outcome load.Outcome, want string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if outcome.Whole && outcome.Text == want {
+	if outcome.Complete && outcome.Text == want {
 		o.whole++
 		return
 	}
--- a/lab/pkg/fleet/fleet.go
+++ b/lab/pkg/fleet/fleet.go
@@ -250,11 +250,11 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, readyWait)
 	defer stop()
-	mix := load.Mix{Model: Model, OwnBytes: 20, MinTokens: 1, Name: "probe-" + strconv.FormatInt(time.Now().UnixNano(), 36)}
+	mix := load.Mix{Model: Model, UniqueBytes: 20, MinTokens: 1, Name: "probe-" + strconv.FormatInt(time.Now().UnixNano(), 36)}
 	for g := range f.Gateways {
 		for try := g; ; try += len(f.Gateways) {
 			outcome := f.Target(g).Call(ctx, mix.Make(try), time.Now())
-			if outcome.Whole {
+			if outcome.Complete {
 				break
 			}
 			if ctx.Err() != nil {
--- a/sidecar/pkg/app/app.go
+++ b/sidecar/pkg/app/app.go
@@ -172,13 +172,13 @@
 	case <-ctx.Done():
 		return
 	}
-	p.config.Orders.Tell(order.Started{})
+	p.config.Orders.Submit(order.ConfigConfirmed{})
 	p.config.ConfigWatcher.submitOrder()
-	p.config.Puller.Groups(p.config.ConfigWatcher.watcher.Groups())
+	p.config.Puller.SetGroupCount(p.config.ConfigWatcher.watcher.Groups())
 	if p.config.Drainer.isDraining() {
 		return
 	}
-	p.config.Puller.Open(p.config.Settings.Kind == config.KindModel && p.config.Settings.Batch.Slots > 0)
+	p.config.Puller.SetOpen(p.config.Settings.Kind == config.KindModel && p.config.Settings.Batch.Slots > 0)
 	p.config.Status.Ready()
 	level.Info(p.config.Logger).Log(logs.KeyEvent, "ready", "version", p.config.ConfigWatcher.watcher.Fleet().Version)
 }
--- a/sidecar/pkg/app/config_watcher.go
+++ b/sidecar/pkg/app/config_watcher.go
@@ -6,7 +6,7 @@
 	"github.com/go-kit/log"
 
 	"toucanhinge.example/common/pkg/control"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 	"toucanhinge.example/sidecar/pkg/admit"
 	"toucanhinge.example/sidecar/pkg/config"
@@ -23,22 +23,22 @@
 	// orders and drain are set before the watcher runs.
 	orders *order.Runner
 	drain  func(reason string)
-	fleet  atomic.Pointer[world.Fleet]
+	fleet  atomic.Pointer[fleetconfig.Fleet]
 }
 
 func newConfigWatcher(
 	s config.Settings, l log.Logger, client *control.Client, d *dispatch.Dispatcher, i incarnation,
 ) *configWatcher {
 	w := &configWatcher{settings: s, incarnation: i, dispatcher: d}
-	w.fleet.Store(world.Empty())
+	w.fleet.Store(fleetconfig.Empty())
 	w.watcher = control.NewWatcher(control.WatcherConfig{Client: client, Process: s.Name, Logger: l, Changed: w.apply})
 	return w
 }
 
-func (w *configWatcher) apply(fleet *world.Fleet) {
+func (w *configWatcher) apply(fleet *fleetconfig.Fleet) {
 	w.fleet.Store(fleet)
 	if service, found := fleet.Service(w.settings.Service); found {
-		w.dispatcher.Submit(admit.Weigh{Weight: int(service.GetBatchWeight())})
+		w.dispatcher.Submit(admit.SetBatchWeight{Weight: int(service.GetBatchWeight())})
 	}
 	w.submitOrder()
 	switch {
@@ -55,14 +55,14 @@
 	if !found || !takesOrders(w.settings) {
 		return
 	}
-	if wanted, known := order.Of(e); known {
-		w.orders.Tell(order.Order{Wanted: wanted})
+	if wanted, known := order.DesiredFromEntry(e); known {
+		w.orders.Submit(order.Update{Desired: wanted})
 	}
 }
 
 // markedLeaving reports whether control lists this process as leaving. An entry of an
 // earlier process with the same name is ignored.
-func (w *configWatcher) markedLeaving(fleet *world.Fleet) bool {
+func (w *configWatcher) markedLeaving(fleet *fleetconfig.Fleet) bool {
 	e, found := fleet.Entry(toucanhingev1.Kind_KIND_MEMBER, w.settings.Name)
 	if !found {
 		return false
--- a/sidecar/pkg/app/drainer.go
+++ b/sidecar/pkg/app/drainer.go
@@ -68,8 +68,8 @@
 		level.Info(d.logger).Log(logs.KeyEvent, "leaving", "reason", reason)
 		close(d.draining)
 		d.status.NotReady("leaving")
-		d.puller.Open(false)
-		d.dispatcher.Submit(admit.Leave{})
+		d.puller.SetOpen(false)
+		d.dispatcher.Submit(admit.Drain{})
 		d.triggerBeat()
 		go d.drain()
 	})
@@ -93,7 +93,7 @@
 
 func (d *drainer) awaitReturns() {
 	deadline := time.Now().Add(returnTimeout)
-	for d.puller.Held() > 0 && time.Now().Before(deadline) {
+	for d.puller.LeaseCount() > 0 && time.Now().Before(deadline) {
 		time.Sleep(drainPollInterval)
 	}
 }
--- a/sidecar/pkg/app/providers.go
+++ b/sidecar/pkg/app/providers.go
@@ -71,8 +71,8 @@
 
 func newDispatcher(s config.Settings, c clock.Clock, set *metrics.Set) *dispatch.Dispatcher {
 	machine := admit.New(admit.Config{
-		Policy: admit.Policy(s.Batch.Policy), Slots: s.Engine.Slots, Floor: s.Engine.MinSlots,
-		Queue: s.Online.QueueLimit, BatchSlots: s.Batch.Slots, PrefillTokens: s.Batch.PrefillTokens, Weight: s.Batch.Weight,
+		Policy: admit.Policy(s.Batch.Policy), Slots: s.Engine.Slots, MinSlots: s.Engine.MinSlots,
+		QueueLimit: s.Online.QueueLimit, BatchSlots: s.Batch.Slots, MaxPrefillTokens: s.Batch.PrefillTokens, BatchWeight: s.Batch.Weight,
 		BurstWindow: clock.Millis(s.Batch.BurstWindowMS), BurstHalfLife: clock.Millis(s.Batch.BurstHalfLifeMS),
 	})
 	return dispatch.New(dispatch.Config{
@@ -94,7 +94,7 @@
 	p := probe.New(probe.Config{
 		Clock: c, Logger: l, Interval: clock.Millis(s.Engine.PollMS).Duration(), FailureThreshold: s.Engine.FailedPolls,
 		Poll:           poll,
-		OnForeignSlots: func(slots int) { d.Submit(admit.Foreign{Slots: slots}) },
+		OnForeignSlots: func(slots int) { d.Submit(admit.ForeignLoad{Slots: slots}) },
 		OnHealth:       g.setHealthy,
 	})
 	d.ObserveRunning(p.RecordOwn)
@@ -123,8 +123,8 @@
 
 func newLoad(s admit.Snapshot, slots int) *toucanhingev1.Load {
 	return &toucanhingev1.Load{
-		Running: uint32(s.Online), Queued: uint32(s.Queued), Slots: uint32(slots), Foreign: uint32(s.Foreign),
-		Batch: uint32(s.Batch), WaitMs: uint32(s.Wait), Leaving: s.Leaving, Healthy: s.Closed == "",
+		Running: uint32(s.Online), Queued: uint32(s.Queued), Slots: uint32(slots), Foreign: uint32(s.ForeignSlots),
+		Batch: uint32(s.Batch), WaitMs: uint32(s.ExpectedWait), Leaving: s.Draining, Healthy: s.CloseReason == "",
 	}
 }
 
@@ -134,24 +134,24 @@
 ) *work.Puller {
 	return work.New(work.Config{
 		Clock: c, Logger: l, Control: client, Dispatcher: d, Engine: e,
-		Keeper: work.KeeperConfig{
-			Most: s.Batch.Slots + s.Batch.LocalItems, Ask: s.Batch.MaxPerLease,
-			Flush: clock.Millis(s.Batch.FlushMS), FlushMost: s.Batch.FlushItems,
+		Leases: work.LeaseManagerConfig{
+			MaxItems: s.Batch.Slots + s.Batch.LocalItems, MaxPerRequest: s.Batch.MaxPerLease,
+			FlushDelay: clock.Millis(s.Batch.FlushMS), FlushSize: s.Batch.FlushItems,
 		},
-		Name: s.Name, Incarnation: uint64(i), Service: s.Service, ResultBytes: s.Batch.ResultBytes,
-		Unreachable: p.ReportUnreachable, Noted: r.item,
+		Name: s.Name, Incarnation: uint64(i), Service: s.Service, MaxResultBytes: s.Batch.ResultBytes,
+		OnUnreachable: p.ReportUnreachable, RecordEvent: r.item,
 	})
 }
 
 func newOrderRunner(s config.Settings, c clock.Clock, l log.Logger, e *engine.Client, d *dispatch.Dispatcher, g *gate, r *recorder) *order.Runner {
 	return order.NewRunner(order.RunnerConfig{
-		Clock: c, Logger: l, Machine: order.New(order.Config{Poll: orderPollInterval, Recheck: clock.Millis(s.Engine.RecheckMS)}),
+		Clock: c, Logger: l, Machine: order.New(order.Config{PollInterval: orderPollInterval, RecheckInterval: clock.Millis(s.Engine.RecheckMS)}),
 		Read: e.State, Send: e.SendOrder, Gate: g.setOpen,
 		Idle: func() bool {
 			snapshot := d.Snapshot()
 			return snapshot.Online == 0 && snapshot.Queued == 0 && snapshot.Batch == 0
 		},
-		Noted: r.order,
+		RecordEvent: r.order,
 	})
 }
 
--- a/sidecar/pkg/dispatch/dispatcher.go
+++ b/sidecar/pkg/dispatch/dispatcher.go
@@ -137,7 +137,7 @@
 			d.handle(envelope{event: admit.Tick{}})
 		}
 		// Each event steps the machine too, so resetting the timer delays no work.
-		if s := d.Snapshot(); s.Queued+s.Waiting+s.Halted > 0 {
+		if s := d.Snapshot(); s.Queued+s.Waiting+s.Suspended > 0 {
 			timer.Reset(tickInterval)
 		} else {
 			timer.Reset(idleTickInterval)
--- a/sidecar/pkg/dispatch/dispatcher_test.go
+++ b/sidecar/pkg/dispatch/dispatcher_test.go
@@ -15,7 +15,7 @@
 const waitTimeout = 20 * time.Second
 
 func newDispatcher(size int) *Dispatcher {
-	machine := admit.New(admit.Config{Policy: admit.Yield, Slots: 1, Queue: 8, Floor: 1, BatchSlots: 1})
+	machine := admit.New(admit.Config{Policy: admit.Yield, Slots: 1, QueueLimit: 8, MinSlots: 1, BatchSlots: 1})
 	return New(Config{Clock: clock.System(), Machine: machine, Ring: ring.Config{Size: size}})
 }
 
--- a/sidecar/pkg/entry/fixture_test.go
+++ b/sidecar/pkg/entry/fixture_test.go
@@ -133,7 +133,7 @@
 		server.Close()
 	})
 	f.url = server.URL
-	machine := admit.New(admit.Config{Policy: admit.Yield, Slots: 2, Floor: 1, Queue: 2, BatchSlots: 2, PrefillTokens: 9, BurstWindow: 50, BurstHalfLife: 9})
+	machine := admit.New(admit.Config{Policy: admit.Yield, Slots: 2, MinSlots: 1, QueueLimit: 2, BatchSlots: 2, MaxPrefillTokens: 9, BurstWindow: 50, BurstHalfLife: 9})
 	f.dispatcher = dispatch.New(dispatch.Config{Clock: clock.System(), Machine: machine, Ring: ring.Config{Size: 64}})
 	config := Config{
 		Clock: clock.System(), Dispatcher: f.dispatcher, Engine: engine.New(engine.Config{URL: server.URL}), Endpoint: "e1", Model: true,
--- a/sidecar/pkg/entry/handler_test.go
+++ b/sidecar/pkg/entry/handler_test.go
@@ -209,7 +209,7 @@
 		{"deadline passed in transit", func(_ *testing.T, _ *fixture, r *toucanhingev1.RunRequest) { r.BudgetMs = -5 }, "deadline", toucanhingev1.Ran_RAN_NO, 0},
 		{"no path", func(_ *testing.T, _ *fixture, r *toucanhingev1.RunRequest) { r.Path = "x" }, "malformed", toucanhingev1.Ran_RAN_NO, 0},
 		{"no id", func(_ *testing.T, _ *fixture, r *toucanhingev1.RunRequest) { r.RequestId = "" }, "malformed", toucanhingev1.Ran_RAN_NO, 0},
-		{"leaving", func(_ *testing.T, f *fixture, _ *toucanhingev1.RunRequest) { f.dispatcher.Submit(admit.Leave{}) }, "leaving", toucanhingev1.Ran_RAN_NO, 0},
+		{"leaving", func(_ *testing.T, f *fixture, _ *toucanhingev1.RunRequest) { f.dispatcher.Submit(admit.Drain{}) }, "leaving", toucanhingev1.Ran_RAN_NO, 0},
 		{"unhealthy", func(_ *testing.T, f *fixture, _ *toucanhingev1.RunRequest) {
 			f.dispatcher.Submit(admit.Gate{Reason: admit.ReasonUnhealthy})
 		}, "unhealthy", toucanhingev1.Ran_RAN_NO, 0},
--- a/sidecar/pkg/entry/run.go
+++ b/sidecar/pkg/entry/run.go
@@ -39,7 +39,7 @@
 		return
 	}
 	complete := h.runAdmitted(t)
-	h.config.Dispatcher.Submit(admit.Finished{ID: t.id, Sound: complete})
+	h.config.Dispatcher.Submit(admit.Finished{ID: t.id, Complete: complete})
 }
 
 // awaitAdmission waits for the admission machine's decision and reports whether the
@@ -57,7 +57,7 @@
 	if decision.Verb == admit.Start {
 		return true
 	}
-	h.refuse(t, decision.Reason, toucanhingev1.Ran_RAN_NO, decision.Retry)
+	h.refuse(t, decision.Reason, toucanhingev1.Ran_RAN_NO, decision.RetryAfter)
 	return false
 }
 
--- a/sidecar/pkg/probe/probe.go
+++ b/sidecar/pkg/probe/probe.go
@@ -58,7 +58,7 @@
 func (p *Probe) RecordOwn(now clock.Millis, count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.estimator.Own(now, count)
+	p.estimator.RecordOwn(now, count)
 }
 
 // ReportUnreachable reports that a call could not reach the engine. The engine then counts
@@ -108,7 +108,7 @@
 	p.setHealthy(true, "")
 	now := p.config.Clock.Now()
 	p.mu.Lock()
-	slots := p.estimator.Report(now, report.AsOf, report.InFlight)
+	slots := p.estimator.Estimate(now, report.AsOf, report.InFlight)
 	p.mu.Unlock()
 	p.config.OnForeignSlots(slots)
 }
--- a/sidecar/pkg/work/item.go
+++ b/sidecar/pkg/work/item.go
@@ -67,7 +67,7 @@
 		outcome, suspended := r.turn(resume)
 		if !suspended {
 			r.puller.ended(r, outcome)
-			r.puller.config.Dispatcher.Submit(admit.Finished{ID: r.id, Sound: outcome.outcome == toucanhingev1.Outcome_OUTCOME_DONE})
+			r.puller.config.Dispatcher.Submit(admit.Finished{ID: r.id, Complete: outcome.outcome == toucanhingev1.Outcome_OUTCOME_DONE})
 			return
 		}
 		if a := <-r.verdicts; a.Verb != admit.Resume {
@@ -146,7 +146,7 @@
 		if err == nil || ctx.Err() != nil || !errors.As(err, &status) {
 			return err
 		}
-		r.puller.config.Dispatcher.Submit(admit.Lost{Tokens: int(r.taken.Load())})
+		r.puller.config.Dispatcher.Submit(admit.TokensLost{Count: int(r.taken.Load())})
 	}
 	return r.start(ctx)
 }
@@ -171,7 +171,7 @@
 		OnBody: r.takeBody,
 	}
 	if !r.request.streamed {
-		r.stream.MaxBufferedBody = r.puller.config.ResultBytes
+		r.stream.MaxBufferedBody = r.puller.config.MaxResultBytes
 	}
 	return r.stream.Run(ctx)
 }
@@ -184,7 +184,7 @@
 		return err
 	}
 	r.taken.Add(1)
-	if r.assembly.text > r.puller.config.ResultBytes {
+	if r.assembly.text > r.puller.config.MaxResultBytes {
 		return errTooLarge
 	}
 	return nil
@@ -192,7 +192,7 @@
 
 func (r *run) takeBody(piece []byte) error {
 	r.body = append(r.body, piece...)
-	if len(r.body) > r.puller.config.ResultBytes {
+	if len(r.body) > r.puller.config.MaxResultBytes {
 		return errTooLarge
 	}
 	return nil
@@ -222,7 +222,7 @@
 func (r *run) outcome(err error) result {
 	switch {
 	case errors.Is(err, engine.ErrNotSent):
-		r.puller.config.Unreachable()
+		r.puller.config.OnUnreachable()
 		return returned(reasonUnreachable)
 	case errors.Is(err, errTooLarge):
 		r.cancelAtEngine()
