--- a/lab/failure/doc.go
+++ b/lab/failure/doc.go
@@ -1,4 +1,4 @@
-// Package failure holds the failure tests with real processes on loopback. What
-// the callers and the stand-in engines recorded is the oracle: no lost item, no
-// doubled result, no doubled run of a non-idempotent request, no cut stream.
+// Package failure holds failure tests that run real processes on loopback. The records of
+// the callers and of the simulated engines are the oracle: no lost item, no duplicate
+// result, no duplicate run of a non-idempotent request, no truncated stream.
 package failure
--- a/lab/failure/answers_test.go
+++ b/lab/failure/faulty_responses_test.go
@@ -14,10 +14,10 @@
 	"toucanhinge.example/lab/pkg/load"
 )
 
-// One engine answers late, out of order, short, or with garbage. Each caller
-// must get the whole answer to its own request, or an explicit error; a short or
-// mixed-up answer must never look whole.
-func TestFaultyAnswersNeverLookWhole(t *testing.T) {
+// One engine responds late, out of order, truncated or with garbage. Each caller must get
+// the complete response to its own request or an explicit error. A truncated response or
+// that of another request must never count as complete.
+func TestFaultyResponsesNeverCountAsComplete(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		faults engine.Faults
@@ -30,56 +30,57 @@
 		{"errors", engine.Faults{Status: 500}},
 	}
 	t.Parallel()
-	ctx := bounded(t)
-	f := start(t, fleet.Config{Controls: 1, Gateways: 2, Sidecars: 2})
+	ctx := testContext(t)
+	f := startFleet(t, fleet.Config{Controls: 1, Gateways: 2, Sidecars: 2})
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			require.NoError(t, f.SetFaults(ctx, f.Engines[0], s.faults))
-			whole := streamMany(ctx, t, f, s.name, 40)
-			require.NotZero(t, whole)
-			t.Logf("%d of 40 whole, the rest refused or broken off openly", whole)
+			complete := streamConcurrently(ctx, t, f, s.name, 40)
+			require.NotZero(t, complete)
+			t.Logf("%d of 40 calls complete, the others refused or ended with an error", complete)
 		})
 	}
 }
 
-// streamMany makes calls at once and checks that what looks whole is right.
-func streamMany(ctx context.Context, t *testing.T, f *fleet.Fleet, name string, count int) int {
+// streamConcurrently makes count calls concurrently. It checks the text of each complete response
+// and the explicit error of each other call, and returns the number of complete responses.
+func streamConcurrently(ctx context.Context, t *testing.T, f *fleet.Fleet, name string, count int) int {
 	t.Helper()
 	outcomes := make([]load.Outcome, count)
 	var calls sync.WaitGroup
 	for n := range count {
 		calls.Go(func() {
-			outcomes[n] = f.Target(n).Call(ctx, load.Chat(fmt.Sprintf("%s-%d", name, n), fleet.Model, ownPrompt(name, n), 20), time.Now())
+			outcomes[n] = f.Target(n).Call(ctx, load.Chat(fmt.Sprintf("%s-%d", name, n), fleet.Model, uniquePrompt(name, n), 20), time.Now())
 		})
 	}
 	calls.Wait()
-	whole := 0
+	complete := 0
 	for n, o := range outcomes {
 		if o.Whole {
-			require.Equal(t, engine.ChatText(ownPrompt(name, n), 20), o.Text)
-			whole++
+			require.Equal(t, engine.ChatText(uniquePrompt(name, n), 20), o.Text)
+			complete++
 			continue
 		}
 		t.Log(o)
-		require.True(t, o.Reason != "" || o.Err != nil, "call %d ended without a word: %+v", n, o)
+		require.True(t, o.Reason != "" || o.Err != nil, "call %d ended with neither a reason nor an error: %+v", n, o)
 	}
-	return whole
+	return complete
 }
 
-func ownPrompt(name string, n int) string { return fmt.Sprintf("ITEM[%s-%d] which parcel", name, n) }
+func uniquePrompt(name string, n int) string { return fmt.Sprintf("ITEM[%s-%d] which parcel", name, n) }
 
-// Many more calls come than the fleet takes. Every refusal that says "not run"
-// is checked against the engines' ledgers: the engines never saw its request.
-func TestRefusedAsNotRunWasNotRun(t *testing.T) {
+// Many more calls arrive than the fleet can run. For each call refused as not run, the
+// ledgers of the engines must show that no engine received its request.
+func TestCallsRefusedAsNotRunNeverReachEngines(t *testing.T) {
 	t.Parallel()
-	ctx := bounded(t)
-	f := start(t, fleet.Config{Controls: 1, Gateways: 2, Sidecars: 2, Engine: fleet.Engine{Slots: 2, Speed: 1}})
+	ctx := testContext(t)
+	f := startFleet(t, fleet.Config{Controls: 1, Gateways: 2, Sidecars: 2, Engine: fleet.Engine{Slots: 2, Speed: 1}})
 	const count = 600
 	outcomes := make([]load.Outcome, count)
 	var calls sync.WaitGroup
 	for n := range count {
 		calls.Go(func() {
-			request := load.Chat(fmt.Sprintf("crowd-%d", n), fleet.Model, ownPrompt("crowd", n), 20)
+			request := load.Chat(fmt.Sprintf("crowd-%d", n), fleet.Model, uniquePrompt("crowd", n), 20)
 			request.DeadlineMs = 1500
 			outcomes[n] = f.Target(n).Call(ctx, request, time.Now())
 		})
--- a/lab/failure/gateway_frozen_test.go
+++ b/lab/failure/frozen_gateway_test.go
@@ -12,31 +12,30 @@
 	"toucanhinge.example/lab/pkg/plain"
 )
 
-// The caller sends a non-idempotent call with its own id. The gateway freezes
-// while the call runs; the caller sees silence, gives up and sends it again
-// through the other gateway, and the first gateway goes on afterwards. The plain
-// service must have run it once at most: the claim in the durable state is held
-// by the first try, whatever that gateway still does.
-func TestGatewayFrozenInTheMiddleOfANonIdempotentCall(t *testing.T) {
+// A caller sends a non-idempotent call with its own id, and the gateway freezes while the
+// call runs. The caller gets no response, cancels the call and retries it through the
+// other gateway. Later the first gateway resumes. The plain service must run the call at
+// most once, since the first attempt holds the claim in the durable state.
+func TestNonIdempotentCallRunsOnceWhenGatewayFreezes(t *testing.T) {
 	t.Parallel()
-	ctx := bounded(t)
-	f := start(t, fleet.Config{Controls: 3, Gateways: 2, Sidecars: 1, Plains: 2})
-	for _, n := range f.Plains {
+	ctx := testContext(t)
+	f := startFleet(t, fleet.Config{Controls: 3, Gateways: 2, Sidecars: 1, PlainServices: 2})
+	for _, n := range f.PlainServices {
 		require.NoError(t, f.SetFaults(ctx, n, plain.Faults{LateMs: 300}))
 	}
 	call := caller.Plain{Service: fleet.PlainService, Path: "/pay", Body: "ITEM[pay-7] pay", ID: "pay-7", Once: true}
-	given := make(chan error, 1)
-	first, giveUp := context.WithCancel(ctx)
+	callErr := make(chan error, 1)
+	firstCtx, cancelFirst := context.WithCancel(ctx)
 	go func() {
-		_, err := callerAt(f, 0).CallPlain(first, call)
-		given <- err
+		_, err := callerAt(f, 0).CallPlain(firstCtx, call)
+		callErr <- err
 	}()
-	require.Eventually(t, func() bool { return plainRuns(ctx, t, f, "pay-7") == 1 }, patience, poll)
+	require.Eventually(t, func() bool { return plainRuns(ctx, t, f, "pay-7") == 1 }, waitTimeout, pollInterval)
 	require.NoError(t, f.Gateways[0].Process().Freeze())
-	// The run ends and its answer waits at the frozen gateway.
+	// The run ends, and its response stays unread at the frozen gateway.
 	time.Sleep(500 * time.Millisecond)
-	giveUp()
-	require.Error(t, <-given)
+	cancelFirst()
+	require.Error(t, <-callErr)
 
 	for range 3 {
 		_, err := callerAt(f, 1).CallPlain(ctx, call)
@@ -54,7 +53,7 @@
 func plainRuns(ctx context.Context, t *testing.T, f *fleet.Fleet, id string) int {
 	t.Helper()
 	runs := 0
-	for _, n := range f.Plains {
+	for _, n := range f.PlainServices {
 		l, err := f.PlainLedger(ctx, n)
 		require.NoError(t, err)
 		for _, r := range l.Records {
--- a/lab/failure/frozen_leader_test.go
+++ b/lab/failure/frozen_leader_test.go
@@ -10,31 +10,31 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// The leading control freezes (a paused VM), another one is elected and accepts
-// a change. Then the old leader goes on as if nothing had been, still believing
-// that it leads. A read asked of it must not show the old value, and the change
-// must not revert anywhere: it has to confirm its leadership with a quorum first.
-func TestFrozenLeaderComesBackWithoutReverting(t *testing.T) {
+// The leader freezes, as on a paused VM, and another control VM is elected and accepts a
+// change. The old leader then resumes and still considers itself the leader. It must
+// confirm its leadership with a quorum before it answers a read, so a read must not return
+// the old value, and the change must not be reverted on any process.
+func TestThawedLeaderServesNoStaleReads(t *testing.T) {
 	t.Parallel()
-	ctx := bounded(t)
-	f := start(t, fleet.Config{Controls: 3, Gateways: 1, Sidecars: 1})
-	_, err := f.Change(ctx, 1)
+	ctx := testContext(t)
+	f := startFleet(t, fleet.Config{Controls: 3, Gateways: 1, Sidecars: 1})
+	_, err := f.ApplyLinkChange(ctx, 1)
 	require.NoError(t, err)
 	old, err := f.Leader(ctx, 0)
 	require.NoError(t, err)
 	require.NoError(t, old.Process().Freeze())
 
-	changed, err := f.Change(ctx, 2)
+	changed, err := f.ApplyLinkChange(ctx, 2)
 	require.NoError(t, err)
 	require.NoError(t, old.Process().Thaw())
 
-	asOld := operator.New(operator.Config{Controls: []string{old.Address}})
+	operatorAtOld := operator.New(operator.Config{Controls: []string{old.Address}})
 	for range 20 {
-		entries, err := asOld.Entries(ctx, toucanhingev1.Kind_KIND_LINK, f.ChangeEntry(2).GetName())
+		entries, err := operatorAtOld.Entries(ctx, toucanhingev1.Kind_KIND_LINK, f.LinkChange(2).GetName())
 		require.NoError(t, err)
 		require.Len(t, entries, 1)
-		require.Equal(t, f.ChangeEntry(2).GetLink().GetLatencyUs(), entries[0].GetLink().GetLatencyUs())
+		require.Equal(t, f.LinkChange(2).GetLink().GetLatencyUs(), entries[0].GetLink().GetLatencyUs())
 		require.Equal(t, changed.GetVersion(), entries[0].GetVersion())
 	}
-	require.NoError(t, f.WaitInForce(ctx, changed.GetVersion()))
+	require.NoError(t, f.WaitForVersion(ctx, changed.GetVersion()))
 }
--- a/lab/failure/cancel_test.go
+++ b/lab/failure/job_cancel_test.go
@@ -10,13 +10,13 @@
 	"toucanhinge.example/lab/pkg/fleet"
 )
 
-// The caller cancels a job in the middle. From the answer on nothing new is
-// decided; the items under way are stopped in the engines, and soon the engines
-// do no more work at all, also after the leader that took the cancel is lost.
+// A caller cancels a running job. After the response no further item may be decided, the
+// running items are stopped in the engines, and the engines soon receive no more work,
+// even if the leader that accepted the cancellation is killed.
 func TestCancelledJobStops(t *testing.T) {
 	t.Parallel()
-	ctx := bounded(t)
-	f := start(t, fleet.Config{Controls: 3, Gateways: 1, Sidecars: 2})
+	ctx := testContext(t)
+	f := startFleet(t, fleet.Config{Controls: 3, Gateways: 1, Sidecars: 2})
 	const items = 3000
 	c := callerAt(f, 0)
 	job := upload(ctx, t, c, "cancelled", items)
@@ -30,10 +30,10 @@
 	require.NoError(t, leader.Kill())
 
 	require.Eventually(t, func() bool {
-		before := posts(ctx, f)
+		before := totalPosts(ctx, f)
 		time.Sleep(300 * time.Millisecond)
-		return before >= 0 && before == posts(ctx, f)
-	}, patience, poll)
+		return before >= 0 && before == totalPosts(ctx, f)
+	}, waitTimeout, pollInterval)
 	now, err := c.Status(ctx, job.ID)
 	require.NoError(t, err)
 	require.Equal(t, decided.Done, now.Done)
--- a/lab/failure/oracle_test.go
+++ b/lab/failure/jobs_test.go
@@ -15,7 +15,7 @@
 
 const itemTokens = 12
 
-// itemPrompt carries a mark by which the engines' ledgers know the item again.
+// itemPrompt returns a prompt with a marker that identifies the item in the ledgers of the engines.
 func itemPrompt(job string, n int) string {
 	return fmt.Sprintf("ITEM[%s/%d] summarise agreement %d", job, n, n)
 }
@@ -35,17 +35,17 @@
 	return job
 }
 
-// waitDecided waits until so many items of a job are decided.
+// waitDecided waits until at least count items of a job are decided.
 func waitDecided(ctx context.Context, t *testing.T, c *caller.Caller, id string, count uint64) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		status, err := c.Status(ctx, id)
 		return err == nil && status.Done+status.Failed >= count
-	}, patience, poll)
+	}, waitTimeout, pollInterval)
 }
 
-// requireExactlyOnce reads all results: each item once, in order, with the whole
-// text of its own prompt.
+// requireExactlyOnce reads all results of a job and checks that each item occurs exactly
+// once, in order, with the complete text for its own prompt.
 func requireExactlyOnce(ctx context.Context, t *testing.T, c *caller.Caller, id, key string, count int) {
 	t.Helper()
 	next := 0
@@ -60,7 +60,7 @@
 	require.Equal(t, count, next)
 }
 
-// runsByMark adds up over all engines how often each marked body was run.
+// runsByMark returns the number of requests that the running engines received for each marker.
 func runsByMark(ctx context.Context, t *testing.T, f *fleet.Fleet) map[string]int {
 	t.Helper()
 	runs := make(map[string]int)
--- a/lab/failure/lost_disk_test.go
+++ b/lab/failure/lost_disk_test.go
@@ -12,15 +12,15 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// A control VM comes back with an empty disk and its old settings. It must not
-// vote as who it was: with a second VM frozen, one sound replica and the empty
-// one are no majority, and nothing may be accepted. Then a newcomer replaces it,
-// and right after the repair a second VM, the leader, is lost with all it
-// had. Everything accepted before is still there, and work goes on.
-func TestLostDiskThenLossOfASecondVM(t *testing.T) {
+// A control VM restarts with an empty disk and its old settings. It must not vote under its
+// former identity: while a second VM is frozen, the intact replica and the empty one are no
+// majority, so no change may be accepted. A new VM then replaces the empty one, and right
+// afterwards the leader is lost with its disk. All accepted state must survive, and new
+// jobs must complete.
+func TestAcceptedStateSurvivesLostDiskAndLostLeader(t *testing.T) {
 	t.Parallel()
-	ctx := bounded(t)
-	f := start(t, fleet.Config{Controls: 3, Gateways: 1, Sidecars: 2})
+	ctx := testContext(t)
+	f := startFleet(t, fleet.Config{Controls: 3, Gateways: 1, Sidecars: 2})
 	const items = 100
 	job := upload(ctx, t, callerAt(f, 0), "kept", items)
 	waitDecided(ctx, t, callerAt(f, 0), job.ID, items)
@@ -29,22 +29,22 @@
 	empty, other := followers(f, leader)
 
 	require.NoError(t, empty.Kill())
-	require.NoError(t, os.RemoveAll(empty.Data))
+	require.NoError(t, os.RemoveAll(empty.DataFolder))
 	require.NoError(t, empty.Start())
 	require.NoError(t, other.Process().Freeze())
 	short, stop := context.WithTimeout(ctx, 3*time.Second)
-	_, err = f.Change(short, 1)
+	_, err = f.ApplyLinkChange(short, 1)
 	stop()
 	require.Error(t, err)
 	require.NoError(t, other.Process().Thaw())
-	_, err = f.Change(ctx, 2)
+	_, err = f.ApplyLinkChange(ctx, 2)
 	require.NoError(t, err)
 
 	require.NoError(t, empty.Kill())
-	repair(ctx, t, f, empty)
+	replaceReplica(ctx, t, f, empty)
 	require.NoError(t, leader.Kill())
-	require.NoError(t, os.RemoveAll(leader.Data))
-	_, err = f.Change(ctx, 3)
+	require.NoError(t, os.RemoveAll(leader.DataFolder))
+	_, err = f.ApplyLinkChange(ctx, 3)
 	require.NoError(t, err)
 	requireExactlyOnce(ctx, t, callerAt(f, 0), job.ID, "kept", items)
 	after := upload(ctx, t, callerAt(f, 0), "after", items)
@@ -62,40 +62,40 @@
 	return all[0], all[1]
 }
 
-// repair does as the operators' page says: starts a VM that joins, removes the
-// lost replica, adds the newcomer and promotes it as soon as control allows.
-func repair(ctx context.Context, t *testing.T, f *fleet.Fleet, lost *fleet.Node) {
+// replaceReplica follows the documented operator procedure: it starts a joining VM, removes the
+// lost replica, adds the new VM as a learner and promotes it as soon as control allows.
+func replaceReplica(ctx context.Context, t *testing.T, f *fleet.Fleet, lost *fleet.Node) {
 	t.Helper()
-	newcomer, err := f.Join()
+	replacement, err := f.StartJoiningControl()
 	require.NoError(t, err)
 	identity := ""
 	require.Eventually(t, func() bool {
-		status, err := f.Operator.Groups(ctx, newcomer.Address)
+		status, err := f.Operator.Groups(ctx, replacement.Address)
 		identity = status.GetIdentity()
 		return err == nil && identity != ""
-	}, patience, poll)
+	}, waitTimeout, pollInterval)
 	for _, request := range []*toucanhingev1.ChangeReplicaRequest{
 		{Change: toucanhingev1.ReplicaChange_REPLICA_CHANGE_REMOVE, Name: lost.Name},
 		{
 			Change: toucanhingev1.ReplicaChange_REPLICA_CHANGE_ADD_LEARNER,
-			Name:   newcomer.Name, Address: newcomer.Address, Identity: identity,
+			Name:   replacement.Name, Address: replacement.Address, Identity: identity,
 		},
-		{Change: toucanhingev1.ReplicaChange_REPLICA_CHANGE_PROMOTE, Name: newcomer.Name},
+		{Change: toucanhingev1.ReplicaChange_REPLICA_CHANGE_PROMOTE, Name: replacement.Name},
 	} {
-		change(ctx, t, f, request)
+		changeReplica(ctx, t, f, request)
 	}
 }
 
-// change repeats a change of the members until it is made; what refuses it is logged.
-func change(ctx context.Context, t *testing.T, f *fleet.Fleet, request *toucanhingev1.ChangeReplicaRequest) {
+// changeReplica retries a membership change until it succeeds and logs each new error.
+func changeReplica(ctx context.Context, t *testing.T, f *fleet.Fleet, request *toucanhingev1.ChangeReplicaRequest) {
 	t.Helper()
-	last := ""
+	lastError := ""
 	require.Eventually(t, func() bool {
 		err := f.Operator.ChangeReplica(ctx, request)
-		if err != nil && err.Error() != last {
-			last = err.Error()
-			t.Log(last)
+		if err != nil && err.Error() != lastError {
+			lastError = err.Error()
+			t.Log(lastError)
 		}
 		return err == nil
-	}, patience, 10*poll)
+	}, waitTimeout, 10*pollInterval)
 }
--- a/lab/failure/main_test.go
+++ b/lab/failure/main_test.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// patience bounds every wait; a busy machine must not fail a test.
-	patience = 60 * time.Second
-	poll     = 10 * time.Millisecond
-	// testLimit holds the wait for room, too.
-	testLimit = 5 * time.Minute
-	// engineSpeed keeps runs short; several steps still pass in any failure.
+	// waitTimeout bounds each wait. It is generous so that a busy machine does not fail a test.
+	waitTimeout  = 60 * time.Second
+	pollInterval = 10 * time.Millisecond
+	// testTimeout includes the wait for a fleet slot.
+	testTimeout = 5 * time.Minute
+	// engineSpeed keeps runs short, while several engine steps still pass during any failure.
 	engineSpeed = 4
 )
 
-// binaries is the folder of the programs, built once for all tests.
+// binaries is the folder of the programs under test, which are built once for all tests.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -43,46 +43,46 @@
 	build.Dir = filepath.Join("..", "..")
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "build the programs:", err)
+		fmt.Fprintln(os.Stderr, "build programs:", err)
 		return 1
 	}
 	binaries = folder
 	return m.Run()
 }
 
-// bounded is the context of one test.
-func bounded(t *testing.T) context.Context {
+// testContext returns a context that bounds one test.
+func testContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, stop := context.WithTimeout(context.Background(), testLimit)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(stop)
 	return ctx
 }
 
-// mostFleets bounds the fleets that run at once, each of about ten processes.
-const mostFleets = 3
+// maxFleets bounds the fleets that run concurrently. Each fleet has about ten processes.
+const maxFleets = 3
 
-var fleets = make(chan struct{}, mostFleets)
+var fleetSlots = make(chan struct{}, maxFleets)
 
-// start starts a configured fleet, when there is room for another one. The logs of a failed test are printed.
-func start(t *testing.T, config fleet.Config) *fleet.Fleet {
+// startFleet waits for a fleet slot and starts a fleet. If the test fails, it prints the ends of the logs.
+func startFleet(t *testing.T, config fleet.Config) *fleet.Fleet {
 	t.Helper()
-	fleets <- struct{}{}
-	t.Cleanup(func() { <-fleets })
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
 	config.Bin, config.Folder = binaries, t.TempDir()
 	if config.Engine.Speed == 0 {
 		config.Engine.Speed = engineSpeed
 	}
-	// Short leases keep the tests short; the mechanism is the same.
+	// Leases shorter than in production keep the tests short.
 	config.ControlSettings = append([]fleet.Setting{fleet.Set("jobs.lease_ms", 2000), fleet.Set("members.lease_ms", 6000)}, config.ControlSettings...)
 	t.Cleanup(func() { printLogs(t, config.Folder) })
-	f, err := fleet.New(bounded(t), config)
+	f, err := fleet.New(testContext(t), config)
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	return f
 }
 
-// logTail is how much of each log a failed test prints.
-const logTail = 3000
+// logTailBytes is the number of bytes of each log that a failed test prints.
+const logTailBytes = 3000
 
 func printLogs(t *testing.T, folder string) {
 	t.Helper()
@@ -92,11 +92,11 @@
 	files, _ := filepath.Glob(filepath.Join(folder, "*.log"))
 	for _, file := range files {
 		text, _ := os.ReadFile(file)
-		t.Logf("--- end of %s\n%s", filepath.Base(file), text[max(0, len(text)-logTail):])
+		t.Logf("--- end of %s\n%s", filepath.Base(file), text[max(0, len(text)-logTailBytes):])
 	}
 }
 
-// callerAt is the lab's team at one gateway.
+// callerAt returns a caller of the lab's team at the given gateway.
 func callerAt(f *fleet.Fleet, gateway int) *caller.Caller {
 	return caller.New(caller.Config{URL: f.Gateways[gateway].URL(), Key: fleet.TeamKey})
 }
--- a/lab/failure/poison_test.go
+++ b/lab/failure/poison_items_test.go
@@ -13,26 +13,25 @@
 	"toucanhinge.example/lab/pkg/fleet"
 )
 
-// Two items of a job kill the engine that runs them, and one makes it answer an
-// error. Each engine is started again after its death, as the platform does. The
-// caller reads these three as failed with a reason, and every other item done:
-// an item that was under way with an engine's death is tried alone afterwards,
-// so the poisoned ones don't spend the attempts of their neighbours.
-func TestPoisonItemsFailAloneAndTheJobFinishes(t *testing.T) {
+// Two items of a job crash the engine that runs them, and one makes it return an error.
+// Each engine is restarted after a crash, as the platform does. These three items must fail
+// with a reason, and every other item must be done: an item that ran during a crash is
+// retried alone, so poison items don't use up the attempts of items that ran beside them.
+func TestPoisonItemsDoNotFailOtherItems(t *testing.T) {
 	t.Parallel()
-	ctx := bounded(t)
-	f := start(t, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 2})
+	ctx := testContext(t)
+	f := startFleet(t, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 2})
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	done := make(chan struct{})
-	go func() { defer close(done); keepEnginesUp(ctx, f) }()
+	go func() { defer close(done); restartEndedEngines(ctx, f) }()
 	const items = 60
 	bad := map[int]string{7: "POISON", 31: "POISON", 44: "FAIL"}
 	var lines strings.Builder
 	for n := range items {
 		prompt := itemPrompt("poison", n)
-		if word, isBad := bad[n]; isBad {
-			prompt = word
+		if text, isBad := bad[n]; isBad {
+			prompt = text
 		}
 		lines.WriteString(caller.ItemLine(fmt.Sprintf("item-%d", n), fleet.Model, prompt, itemTokens))
 	}
@@ -53,14 +52,14 @@
 	<-done
 }
 
-// keepEnginesUp starts an engine again when it has ended.
-func keepEnginesUp(ctx context.Context, f *fleet.Fleet) {
+// restartEndedEngines restarts each engine that has ended until the context is cancelled.
+func restartEndedEngines(ctx context.Context, f *fleet.Fleet) {
 	for ctx.Err() == nil {
 		for _, n := range f.Engines {
 			if n.Process().Ended() && ctx.Err() == nil {
 				_ = n.Start()
 			}
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
--- a/lab/failure/calls_test.go
+++ b/lab/failure/requests_test.go
@@ -6,10 +6,10 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-func connectList(name string) *connect.Request[toucanhingev1.ListEntriesRequest] {
+func listLinkRequest(name string) *connect.Request[toucanhingev1.ListEntriesRequest] {
 	return connect.NewRequest(&toucanhingev1.ListEntriesRequest{Kind: toucanhingev1.Kind_KIND_LINK, Name: name})
 }
 
-func connectApply(entry *toucanhingev1.Entry) *connect.Request[toucanhingev1.ApplyRequest] {
+func applyRequest(entry *toucanhingev1.Entry) *connect.Request[toucanhingev1.ApplyRequest] {
 	return connect.NewRequest(&toucanhingev1.ApplyRequest{RequestId: "cut-off", Entry: entry, Author: "lab"})
 }
--- a/lab/failure/sidecar_lost_test.go
+++ b/lab/failure/sidecar_failure_test.go
@@ -8,13 +8,13 @@
 	"toucanhinge.example/lab/pkg/fleet"
 )
 
-// A sidecar dies with leased items running in its engine. Nobody hears how they
-// ended. Their leases run out, others run them, and the caller reads each result
-// once: a result counts only under its live lease.
-func TestSidecarKilledInTheMiddleOfItems(t *testing.T) {
+// A sidecar is killed while its engine runs leased items, so their results are lost. Their
+// leases expire and other sidecars run the items. The caller must read each result once,
+// since a result only counts under a valid lease.
+func TestItemsOfKilledSidecarCompleteOnce(t *testing.T) {
 	t.Parallel()
-	ctx := bounded(t)
-	f := start(t, fleet.Config{Controls: 3, Gateways: 1, Sidecars: 3})
+	ctx := testContext(t)
+	f := startFleet(t, fleet.Config{Controls: 3, Gateways: 1, Sidecars: 3})
 	const items = 400
 	job := upload(ctx, t, callerAt(f, 0), "killed", items)
 	waitDecided(ctx, t, callerAt(f, 0), job.ID, items/5)
@@ -25,13 +25,13 @@
 	requireExactlyOnce(ctx, t, callerAt(f, 0), job.ID, "killed", items)
 }
 
-// A sidecar freezes with leased items, so long that its leases run out and
-// others finish the job. When it goes on it reports results of leases that no
-// longer hold. They must be refused, and the results read before must not change.
-func TestSidecarFrozenInTheMiddleOfItems(t *testing.T) {
+// A sidecar with leased items freezes until its leases expire and other sidecars finish the
+// job. After resuming it reports results under expired leases. These must be refused, and
+// results that were read before must not change.
+func TestLateResultsOfFrozenSidecarAreRefused(t *testing.T) {
 	t.Parallel()
-	ctx := bounded(t)
-	f := start(t, fleet.Config{Controls: 3, Gateways: 1, Sidecars: 3})
+	ctx := testContext(t)
+	f := startFleet(t, fleet.Config{Controls: 3, Gateways: 1, Sidecars: 3})
 	const items = 400
 	job := upload(ctx, t, callerAt(f, 0), "frozen", items)
 	waitDecided(ctx, t, callerAt(f, 0), job.ID, items/5)
@@ -39,7 +39,7 @@
 	waitDecided(ctx, t, callerAt(f, 0), job.ID, items)
 	requireExactlyOnce(ctx, t, callerAt(f, 0), job.ID, "frozen", items)
 	require.NoError(t, f.Sidecars[0].Process().Thaw())
-	// The thawed sidecar serves again once it has told its late results.
+	// The thawed sidecar becomes ready again once it has reported its late results.
 	require.NoError(t, f.Sidecars[0].WaitReady(ctx))
 	second := upload(ctx, t, callerAt(f, 0), "after", items)
 	waitDecided(ctx, t, callerAt(f, 0), second.ID, items)
--- a/lab/pkg/bench/bench.go
+++ b/lab/pkg/bench/bench.go
@@ -144,7 +144,7 @@
 func (b *Bench) end(f *fleet.Fleet) {
 	f.Close()
 	for _, n := range f.Controls {
-		_ = os.RemoveAll(n.Data)
+		_ = os.RemoveAll(n.DataFolder)
 	}
 }
 
--- a/lab/pkg/bench/config.go
+++ b/lab/pkg/bench/config.go
@@ -133,7 +133,7 @@
 	changes := make([]made, 0, configChanges)
 	for n := range configChanges {
 		start := time.Now()
-		entry, err := f.Change(ctx, n)
+		entry, err := f.ApplyLinkChange(ctx, n)
 		if err != nil {
 			return nil, fmt.Errorf("change %d: %w", n, err)
 		}
--- a/lab/pkg/bench/failover.go
+++ b/lab/pkg/bench/failover.go
@@ -34,7 +34,7 @@
 		if err := leader.Kill(); err != nil {
 			return err
 		}
-		if _, err := f.Change(ctx, n); err != nil {
+		if _, err := f.ApplyLinkChange(ctx, n); err != nil {
 			return fmt.Errorf("change after the kill: %w", err)
 		}
 		took := time.Since(start)
--- a/lab/pkg/bench/harm.go
+++ b/lab/pkg/bench/harm.go
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	defer b.end(f)
-	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherKey})
+	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherTeamKey})
 	filler, err := uploadFiller(ctx, batch, name)
 	if err != nil {
 		return nil, err
--- a/lab/pkg/bench/idle.go
+++ b/lab/pkg/bench/idle.go
@@ -21,7 +21,7 @@
 }
 
 func runIdle(ctx context.Context, b *Bench) error {
-	f, err := b.fleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, CountControl: true})
+	f, err := b.fleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, CountControlBytes: true})
 	if err != nil {
 		return err
 	}
--- a/lab/pkg/bench/overhead.go
+++ b/lab/pkg/bench/overhead.go
@@ -42,7 +42,7 @@
 		direct, through := &arm{}, &arm{}
 		for round := range overheadRounds {
 			name := fmt.Sprintf("o%d-%d", run, round)
-			direct.add(burstOfStreams(ctx, f.Direct, name+"d"))
+			direct.add(burstOfStreams(ctx, f.EngineTarget, name+"d"))
 			time.Sleep(foreignPause)
 			through.add(burstOfStreams(ctx, f.Target, name+"t"))
 		}
--- a/lab/pkg/bench/overload.go
+++ b/lab/pkg/bench/overload.go
@@ -102,7 +102,7 @@
 func directCapacity(ctx context.Context, f *fleet.Fleet, name string) (float64, error) {
 	const calls = 1200
 	report := load.Run(ctx, load.Config{
-		Target: f.Direct, Make: overloadMix(name).Make, Schedule: make([]time.Duration, calls), Deadline: time.Minute,
+		Target: f.EngineTarget, Make: overloadMix(name).Make, Schedule: make([]time.Duration, calls), Deadline: time.Minute,
 	})
 	if err := (&arm{report: report}).sound(); err != nil {
 		return 0, err
--- a/lab/pkg/bench/restart.go
+++ b/lab/pkg/bench/restart.go
@@ -28,7 +28,7 @@
 	}
 	defer b.end(f)
 	for n := range restartChanges {
-		if _, err := f.Change(ctx, n); err != nil {
+		if _, err := f.ApplyLinkChange(ctx, n); err != nil {
 			return fmt.Errorf("change %d: %w", n, err)
 		}
 	}
--- a/lab/pkg/bench/yield.go
+++ b/lab/pkg/bench/yield.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	defer b.end(f)
-	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherKey})
+	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherTeamKey})
 	for run := range b.Config.Runs {
 		name := fmt.Sprintf("yield%d", run)
 		alone := loneCalls(ctx, f, name+"a")
--- a/lab/pkg/demo/demo.go
+++ b/lab/pkg/demo/demo.go
@@ -53,7 +53,7 @@
 // FleetConfig is the fleet of the demo and of "up".
 func FleetConfig(bin, folder string) fleet.Config {
 	return fleet.Config{
-		Bin: bin, Folder: folder, Controls: 3, Gateways: 2, Sidecars: 4, Plains: 1,
+		Bin: bin, Folder: folder, Controls: 3, Gateways: 2, Sidecars: 4, PlainServices: 1,
 		DataCentres: []string{"hay-riad", "agdal"},
 	}
 }
--- a/lab/pkg/demo/up.go
+++ b/lab/pkg/demo/up.go
@@ -24,8 +24,8 @@
 	defer f.Close()
 	table := tabwriter.NewWriter(config.Print, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "program\taddress\thealth and metrics")
-	for _, n := range f.All() {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\n", n.Name, n.Address, n.Admin)
+	for _, n := range f.Nodes() {
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\n", n.Name, n.Address, n.AdminAddress)
 	}
 	_ = table.Flush()
 	_, _ = fmt.Fprintf(config.Print, "team %s has key %s; model %s, plain service %s; logs in %s; Ctrl-C stops all\n",
--- a/lab/pkg/fleet/config.go
+++ b/lab/pkg/fleet/config.go
@@ -4,7 +4,7 @@
 	"strconv"
 )
 
-// Names that every fleet of the lab uses.
+// Names and keys that every fleet of the lab uses.
 const (
 	ModelService = "servitudes-llm"
 	Model        = "small"
@@ -12,44 +12,44 @@
 	TeamName     = "agence"
 	TeamKey      = "agence-lab-key"
 	OtherTeam    = "heredia"
-	OtherKey     = "heredia-lab-key"
+	OtherTeamKey = "heredia-lab-key"
 )
 
-// Engine is how the stand-in engines are started.
+// Engine configures the simulated engines.
 type Engine struct {
 	Slots int
 	Speed float64
-	// CheckFence lets engines refuse orders with an older number.
+	// CheckFence makes the engines refuse orders whose fence number is older than one they have seen.
 	CheckFence bool
-	// Args are further flags.
+	// Args are additional flags.
 	Args []string
 }
 
-// Config is what fleet to start.
+// Config describes the fleet to start.
 type Config struct {
-	// Bin is the folder of the built programs.
+	// Bin is the folder that contains the built programs.
 	Bin string
-	// Folder takes settings, logs and data.
+	// Folder receives settings, logs and data.
 	Folder string
-	// Controls, Gateways and Sidecars count the programs; each sidecar has an engine.
+	// Controls, Gateways and Sidecars are the numbers of processes. Each sidecar has its own engine.
 	Controls int
 	Gateways int
 	Sidecars int
-	// Plains counts sidecars before plain services besides.
-	Plains int
-	// DataCentres are used in turn.
+	// PlainServices is the number of plain services. Each has its own sidecar in addition to Sidecars.
+	PlainServices int
+	// DataCentres are assigned to the processes round-robin.
 	DataCentres []string
-	// JobGroups is how many consensus groups share the jobs, beside the one for
-	// configuration; 0 means 1.
+	// JobGroups is the number of consensus groups that share the jobs, in addition to the
+	// configuration group. 0 means 1.
 	JobGroups int
 	Engine    Engine
-	// Relayed puts a relay before each control, for cuts between them.
+	// Relayed puts a relay in front of each control VM, so that tests can partition them.
 	Relayed bool
-	// CountControl puts a relay between each daemon and each control that counts bytes.
-	CountControl bool
-	// FixedPorts takes the ports that the README lists instead of free ones.
+	// CountControlBytes puts a relay that counts bytes between each daemon and each control VM.
+	CountControlBytes bool
+	// FixedPorts uses the ports that the README lists instead of free ones.
 	FixedPorts bool
-	// Settings of each role that differ from the lab's.
+	// Settings of each role that override those of the lab.
 	ControlSettings []Setting
 	GatewaySettings []Setting
 	SidecarSettings []Setting
@@ -84,5 +84,5 @@
 	return append(args, e.Args...)
 }
 
-// NaivePolicy is the baseline that gives the engine everything at once.
+// NaivePolicy returns the settings of the baseline that sends all items to the engine at once.
 func NaivePolicy() []Setting { return []Setting{Set("batch.policy", "naive")} }
--- a/lab/pkg/fleet/fleet.go
+++ b/lab/pkg/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet starts a small fleet of the system's programs and stand-ins on
-// loopback, for demos, failure tests and experiments.
+// Package fleet starts a small fleet of the system's programs and of simulated engines and
+// services on loopback, for demos, failure tests and experiments.
 package fleet
 
 import (
@@ -16,27 +16,27 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Fleet is a running fleet. Sidecar n stands before engine n; the sidecars of
-// plain services follow those of engines.
+// Fleet is a running fleet. Sidecar n serves engine n. The sidecars of plain services are
+// numbered after those of the engines.
 type Fleet struct {
-	Config   Config
-	Controls []*Node
-	Gateways []*Node
-	Sidecars []*Node
-	Engines  []*Node
-	Plains   []*Node
-	// PlainSidecars stand before the plain services.
+	Config        Config
+	Controls      []*Node
+	Gateways      []*Node
+	Sidecars      []*Node
+	Engines       []*Node
+	PlainServices []*Node
+	// PlainSidecars are the sidecars of the plain services, in the same order.
 	PlainSidecars []*Node
 	VMList        *Node
-	// Relays stand before the controls, when the fleet is relayed.
+	// Relays are the relays in front of the control VMs, if Config.Relayed is set.
 	Relays   []*relay.Relay
 	Operator *operator.Operator
 
 	http *http.Client
 }
 
-// New starts a fleet, waits until all is ready and applies the lab's configuration.
-// On an error everything started is ended.
+// New starts a fleet, waits until all processes are ready and applies the lab's
+// configuration. On an error it ends all processes that it started.
 func New(ctx context.Context, config Config) (*Fleet, error) {
 	f, err := Start(ctx, config)
 	if err != nil {
@@ -49,9 +49,9 @@
 	return f, nil
 }
 
-// Start starts a fleet without any configuration.
+// Start starts a fleet and waits until all processes are ready, but applies no configuration.
 func Start(ctx context.Context, config Config) (*Fleet, error) {
-	f := &Fleet{Config: config.withDefaults(), http: load.NewClient(clientConnections)}
+	f := &Fleet{Config: config.withDefaults(), http: load.NewClient(maxClientConnections)}
 	if err := f.start(ctx); err != nil {
 		f.Close()
 		return nil, err
@@ -59,24 +59,24 @@
 	return f, nil
 }
 
-// clientConnections is enough for every caller of an experiment.
-const clientConnections = 2048
+// maxClientConnections is high enough for all concurrent callers of an experiment.
+const maxClientConnections = 2048
 
 func (f *Fleet) start(ctx context.Context) error {
 	if err := makeFolder(f.Config.Folder); err != nil {
 		return err
 	}
-	for _, build := range []func() error{f.addVMList, f.addControls, f.addGateways, f.addEngines, f.addPlains} {
+	for _, build := range []func() error{f.addVMList, f.addControls, f.addGateways, f.addEngines, f.addPlainServices} {
 		if err := build(); err != nil {
 			return err
 		}
 	}
-	for _, n := range f.All() {
+	for _, n := range f.Nodes() {
 		if err := n.Start(); err != nil {
 			return err
 		}
 	}
-	for _, n := range f.All() {
+	for _, n := range f.Nodes() {
 		if err := n.WaitReady(ctx); err != nil {
 			return err
 		}
@@ -84,42 +84,43 @@
 	return nil
 }
 
-// All is every program, in the order of starting.
-func (f *Fleet) All() []*Node {
+// Nodes returns all processes in start order.
+func (f *Fleet) Nodes() []*Node {
 	var all []*Node
 	if f.VMList != nil {
 		all = append(all, f.VMList)
 	}
-	for _, some := range [][]*Node{f.Controls, f.Engines, f.Plains, f.Sidecars, f.PlainSidecars, f.Gateways} {
-		all = append(all, some...)
+	for _, nodes := range [][]*Node{f.Controls, f.Engines, f.PlainServices, f.Sidecars, f.PlainSidecars, f.Gateways} {
+		all = append(all, nodes...)
 	}
 	return all
 }
 
-// System is the system's own programs without stand-ins.
-func (f *Fleet) System() []*Node {
+// SystemNodes returns the processes of the system itself, without simulated engines and services.
+func (f *Fleet) SystemNodes() []*Node {
 	var all []*Node
-	for _, some := range [][]*Node{f.Controls, f.Sidecars, f.PlainSidecars, f.Gateways} {
-		all = append(all, some...)
+	for _, nodes := range [][]*Node{f.Controls, f.Sidecars, f.PlainSidecars, f.Gateways} {
+		all = append(all, nodes...)
 	}
 	return all
 }
 
-// Stop stops all gracefully: first who takes in work, last who keeps the state.
+// Stop stops all processes gracefully. Gateways, which accept work, stop first, and the
+// control VMs, which store the state, stop after the sidecars.
 func (f *Fleet) Stop() error {
-	order := [][]*Node{f.Gateways, append(append([]*Node(nil), f.Sidecars...), f.PlainSidecars...), f.Controls, f.Engines, f.Plains}
+	batches := [][]*Node{f.Gateways, append(append([]*Node(nil), f.Sidecars...), f.PlainSidecars...), f.Controls, f.Engines, f.PlainServices}
 	if f.VMList != nil {
-		order = append(order, []*Node{f.VMList})
+		batches = append(batches, []*Node{f.VMList})
 	}
-	for _, some := range order {
-		if err := stopTogether(some); err != nil {
+	for _, nodes := range batches {
+		if err := stopAll(nodes); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func stopTogether(nodes []*Node) error {
+func stopAll(nodes []*Node) error {
 	errs := make([]error, len(nodes))
 	var stops sync.WaitGroup
 	for i, n := range nodes {
@@ -137,27 +138,27 @@
 	return nil
 }
 
-// Close ends whatever still runs, at once.
+// Close kills all processes that still run and closes the relays.
 func (f *Fleet) Close() {
-	for _, n := range f.All() {
-		n.end()
+	for _, n := range f.Nodes() {
+		n.terminate()
 	}
 	for _, r := range f.Relays {
 		r.Close()
 	}
 }
 
-// Target is a gateway for the load generator; calls take the gateways in turn.
+// Target returns gateway n, modulo the number of gateways, as a target of the load generator.
 func (f *Fleet) Target(n int) load.Target {
 	return load.Target{URL: f.Gateways[n%len(f.Gateways)].URL(), Key: TeamKey, Client: f.http}
 }
 
-// Direct is an engine itself.
-func (f *Fleet) Direct(n int) load.Target {
+// EngineTarget returns engine n, modulo the number of engines, as a target that bypasses the gateways.
+func (f *Fleet) EngineTarget(n int) load.Target {
 	return load.Target{URL: f.Engines[n%len(f.Engines)].URL(), Client: f.http}
 }
 
-// ControlAddresses is where the controls serve.
+// ControlAddresses returns the addresses of the control VMs.
 func (f *Fleet) ControlAddresses() []string {
 	addresses := make([]string, len(f.Controls))
 	for i, n := range f.Controls {
@@ -166,13 +167,13 @@
 	return addresses
 }
 
-// Setup applies the lab's configuration and waits until a call gets through.
+// Setup applies the lab's configuration and waits until every gateway can run a call.
 func (f *Fleet) Setup(ctx context.Context) error {
 	entries := []*toucanhingev1.Entry{
 		operator.Model(ModelService, &toucanhingev1.Service{Model: Model}),
 		operator.Plain(PlainService),
 		operator.Team(TeamName, TeamKey),
-		operator.Team(OtherTeam, OtherKey),
+		operator.Team(OtherTeam, OtherTeamKey),
 	}
 	for i, name := range f.Config.DataCentres {
 		entries = append(entries, operator.DataCentre(name, "region-1"))
@@ -187,42 +188,42 @@
 	}
 	version := uint64(0)
 	for _, e := range entries {
-		accepted, err := f.Operator.Apply(ctx, e)
+		applied, err := f.Operator.Apply(ctx, e)
 		if err != nil {
-			return fmt.Errorf("set up: %w", err)
+			return fmt.Errorf("apply the lab's configuration: %w", err)
 		}
-		version = accepted.GetVersion()
+		version = applied.GetVersion()
 	}
-	if err := f.WaitInForce(ctx, version); err != nil {
+	if err := f.WaitForVersion(ctx, version); err != nil {
 		return err
 	}
 	return f.WaitServing(ctx)
 }
 
-// WaitInForce waits until every daemon has at least this configuration version in force.
-func (f *Fleet) WaitInForce(ctx context.Context, version uint64) error {
-	ctx, stop := context.WithTimeout(ctx, readyWait)
+// WaitForVersion waits until every daemon applies at least this configuration version.
+func (f *Fleet) WaitForVersion(ctx context.Context, version uint64) error {
+	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
-	for !f.inForce(ctx, version) {
+	for !f.versionApplied(ctx, version) {
 		if ctx.Err() != nil {
 			return fmt.Errorf("configuration %d: %w", version, ErrNotReady)
 		}
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-func (f *Fleet) inForce(ctx context.Context, version uint64) bool {
+func (f *Fleet) versionApplied(ctx context.Context, version uint64) bool {
 	status, err := f.Operator.Status(ctx)
 	if err != nil {
 		return false
 	}
-	known := make(map[string]uint64)
+	versions := make(map[string]uint64)
 	for _, p := range status.GetProcesses() {
-		known[p.GetName()] = p.GetVersion()
+		versions[p.GetName()] = p.GetVersion()
 	}
 	for _, n := range f.daemons() {
-		if known[n.Name] < version {
+		if versions[n.Name] < version {
 			return false
 		}
 	}
@@ -233,34 +234,35 @@
 	return append(append(append([]*Node(nil), f.Gateways...), f.Sidecars...), f.PlainSidecars...)
 }
 
-// Change makes the n-th of a row of changes that have no effect on work.
-func (f *Fleet) Change(ctx context.Context, n int) (*toucanhingev1.Entry, error) {
-	return f.Operator.Apply(ctx, f.ChangeEntry(n))
+// ApplyLinkChange applies the n-th of a series of configuration changes that do not affect requests.
+func (f *Fleet) ApplyLinkChange(ctx context.Context, n int) (*toucanhingev1.Entry, error) {
+	return f.Operator.Apply(ctx, f.LinkChange(n))
 }
 
-// ChangeEntry is the n-th of these changes.
-func (f *Fleet) ChangeEntry(n int) *toucanhingev1.Entry {
+// LinkChange returns the entry of the n-th change that ApplyLinkChange applies. Each n has its own latency.
+func (f *Fleet) LinkChange(n int) *toucanhingev1.Entry {
 	return operator.Link(f.Config.DataCentres[0], f.Config.DataCentres[1], uint32(1000+n))
 }
 
-// WaitServing waits until every gateway runs a small call.
+// WaitServing waits until a small call through every gateway succeeds.
 func (f *Fleet) WaitServing(ctx context.Context) error {
 	if len(f.Sidecars) == 0 {
 		return nil
 	}
-	ctx, stop := context.WithTimeout(ctx, readyWait)
+	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	mix := load.Mix{Model: Model, OwnBytes: 20, MinTokens: 1, Name: "probe-" + strconv.FormatInt(time.Now().UnixNano(), 36)}
 	for g := range f.Gateways {
-		for try := g; ; try += len(f.Gateways) {
-			outcome := f.Target(g).Call(ctx, mix.Make(try), time.Now())
+		for number := g; ; number += len(f.Gateways) {
+			outcome := f.Target(g).Call(ctx, mix.Make(number), time.Now())
 			if outcome.Whole {
 				break
 			}
 			if ctx.Err() != nil {
-				return fmt.Errorf("%s answers %d %s: %w", f.Gateways[g].Name, outcome.Status, outcome.Reason, ErrNotReady)
+				return fmt.Errorf("probe call through %s failed with status %d %s: %w",
+					f.Gateways[g].Name, outcome.Status, outcome.Reason, ErrNotReady)
 			}
-			time.Sleep(pollPause)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
--- a/lab/pkg/fleet/node.go
+++ b/lab/pkg/fleet/node.go
@@ -16,51 +16,51 @@
 	"toucanhinge.example/lab/pkg/relay"
 )
 
-// Limits of waits; generous, since a busy machine only makes them longer.
+// The timeouts are generous so that a busy machine does not fail a run.
 const (
-	readyWait  = 40 * time.Second
-	stopWait   = 40 * time.Second
-	pollPause  = 10 * time.Millisecond
-	probeLimit = 2 * time.Second
+	readyTimeout = 40 * time.Second
+	stopTimeout  = 40 * time.Second
+	pollInterval = 10 * time.Millisecond
+	probeTimeout = 2 * time.Second
 )
 
-// ErrNotReady is a program that did not become ready in time.
+// ErrNotReady is returned when a process or the fleet does not become ready in time.
 var ErrNotReady = errors.New("not ready")
 
-// Node is one program of a fleet.
+// Node is one process of a fleet.
 type Node struct {
 	Name string
-	// VM and DataCentre are where it pretends to run.
+	// VM and DataCentre are the simulated location of the process.
 	VM         string
 	DataCentre string
-	// Address is where it serves, host:port.
+	// Address is the host:port that the process serves on.
 	Address string
-	// Admin is where health and metrics are, host:port; empty for a stand-in.
-	Admin string
-	// Data is the data folder, for a control.
-	Data string
-	// Ready is the URL that answers 200 when the program is ready.
-	Ready string
+	// AdminAddress is the host:port of health and metrics. It is empty for simulated engines and services.
+	AdminAddress string
+	// DataFolder is set for control VMs only.
+	DataFolder string
+	// ReadyURL returns status 200 when the process is ready.
+	ReadyURL string
 
 	config process.Config
-	// mu guards program: a test may start a node again beside its other duties.
+	// mu protects program, since a test may restart a node from another goroutine.
 	mu      sync.Mutex
 	program *process.Process
-	// control holds this daemon's relays to the controls.
-	control []*relay.Relay
+	// controlRelays are the relays between this daemon and the control VMs.
+	controlRelays []*relay.Relay
 }
 
-// URL is the base URL of the node.
+// URL returns the base URL of the node.
 func (n *Node) URL() string { return "http://" + n.Address }
 
-// Process is the running program.
+// Process returns the process of the last start.
 func (n *Node) Process() *process.Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.program
 }
 
-// Start starts the program, again after an end too.
+// Start starts the process. It may be called again after the process has ended.
 func (n *Node) Start() error {
 	program, err := process.Start(n.config)
 	if err != nil {
@@ -72,45 +72,45 @@
 	return nil
 }
 
-// WaitReady waits until the program is ready; it fails early when it ends.
+// WaitReady waits until the process is ready. It returns early with an error if the process ends.
 func (n *Node) WaitReady(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, readyWait)
+	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	for !n.probe(ctx) {
 		if n.Process().Ended() {
-			return fmt.Errorf("%s ended: %w; see %s", n.Name, ErrNotReady, n.config.Log)
+			return fmt.Errorf("%s ended during startup: %w; see log %s", n.Name, ErrNotReady, n.config.Log)
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: %w; see %s", n.Name, ErrNotReady, n.config.Log)
-		case <-time.After(pollPause):
+			return fmt.Errorf("%s: %w; see log %s", n.Name, ErrNotReady, n.config.Log)
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
 func (n *Node) probe(ctx context.Context) bool {
-	ctx, stop := context.WithTimeout(ctx, probeLimit)
+	ctx, stop := context.WithTimeout(ctx, probeTimeout)
 	defer stop()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.Ready, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.ReadyURL, nil)
 	if err != nil {
 		return false
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return false
 	}
-	_ = answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
+	_ = response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
-// Kill ends the program at once, as a lost VM does.
+// Kill kills the process without a graceful shutdown, which simulates the loss of its VM.
 func (n *Node) Kill() error { return n.Process().Kill() }
 
-// Stop asks for a graceful shutdown and waits for it.
-func (n *Node) Stop() error { return n.Process().Stop(stopWait) }
+// Stop shuts the process down gracefully and waits for its end.
+func (n *Node) Stop() error { return n.Process().Stop(stopTimeout) }
 
-// Restart stops gracefully, starts again and waits until ready.
+// Restart stops the process gracefully, starts it again and waits until it is ready.
 func (n *Node) Restart(ctx context.Context) error {
 	if err := n.Stop(); err != nil {
 		return err
@@ -121,9 +121,9 @@
 	return n.WaitReady(ctx)
 }
 
-// end makes sure that the program is gone, frozen or not.
-func (n *Node) end() {
-	for _, r := range n.control {
+// terminate kills the process, including a frozen one, and closes its relays.
+func (n *Node) terminate() {
+	for _, r := range n.controlRelays {
 		r.Close()
 	}
 	if n.Process() == nil {
@@ -133,7 +133,7 @@
 	_ = n.Process().Kill()
 }
 
-// newNode lays out a node's files; args follow the binary's name.
+// newNode returns a node that is not started yet. args are the arguments of the binary.
 func newNode(config Config, name, binary, address string, args ...string) *Node {
 	return &Node{
 		Name: name, Address: address, VM: "vm-" + name,
@@ -146,7 +146,7 @@
 
 func makeFolder(folder string) error {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return fmt.Errorf("make folder: %w", err)
+		return fmt.Errorf("create folder: %w", err)
 	}
 	return nil
 }
--- a/lab/pkg/fleet/observe.go
+++ b/lab/pkg/fleet/observe.go
@@ -22,25 +22,25 @@
 	errNoLeader = errors.New("no leader")
 )
 
-// EngineLedger reads what an engine ran.
+// EngineLedger fetches the ledger of requests that an engine ran.
 func (f *Fleet) EngineLedger(ctx context.Context, n *Node) (engine.Ledger, error) {
 	var l engine.Ledger
 	return l, f.getJSON(ctx, n.URL()+"/ledger", &l)
 }
 
-// EngineTotals reads the engine's counts without the single records.
+// EngineTotals fetches the ledger of an engine without the records of single requests.
 func (f *Fleet) EngineTotals(ctx context.Context, n *Node) (engine.Ledger, error) {
 	var l engine.Ledger
 	return l, f.getJSON(ctx, n.URL()+"/ledger?records=none", &l)
 }
 
-// PlainLedger reads what a plain service ran.
+// PlainLedger fetches the ledger of requests that a plain service ran.
 func (f *Fleet) PlainLedger(ctx context.Context, n *Node) (plain.Ledger, error) {
 	var l plain.Ledger
 	return l, f.getJSON(ctx, n.URL()+"/ledger", &l)
 }
 
-// SetFaults puts faults into a stand-in.
+// SetFaults sets the faults of a simulated engine or service.
 func (f *Fleet) SetFaults(ctx context.Context, n *Node, faults any) error {
 	text, err := json.Marshal(faults)
 	if err != nil {
@@ -48,17 +48,17 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, n.URL()+"/faults", strings.NewReader(string(text)))
 	if err != nil {
-		return fmt.Errorf("make request: %w", err)
+		return fmt.Errorf("create request: %w", err)
 	}
-	answer, err := f.http.Do(request)
+	response, err := f.http.Do(request)
 	if err != nil {
 		return fmt.Errorf("set faults of %s: %w", n.Name, err)
 	}
-	_ = answer.Body.Close()
+	_ = response.Body.Close()
 	return nil
 }
 
-// EnginePosts counts the requests that all engines received.
+// EnginePosts returns the number of requests that all engines received.
 func (f *Fleet) EnginePosts(ctx context.Context) (int, error) {
 	posts := 0
 	for _, n := range f.Engines {
@@ -73,10 +73,10 @@
 	return posts, nil
 }
 
-// retriedMetric counts the retries of a process by place and reason.
+// retriedMetric counts the retries of a process by location and reason.
 const retriedMetric = "toucanhinge_retried_total"
 
-// Retries sums the gateways' retries.
+// Retries returns the sum of the retries of all gateways.
 func (f *Fleet) Retries(ctx context.Context) (float64, error) {
 	total := 0.0
 	for _, n := range f.Gateways {
@@ -89,9 +89,9 @@
 	return total, nil
 }
 
-// Metric sums all series of one metric of a process.
+// Metric returns the sum of all series of one metric of a process.
 func (f *Fleet) Metric(ctx context.Context, n *Node, name string) (float64, error) {
-	body, err := f.get(ctx, "http://"+n.Admin+"/metrics")
+	body, err := f.get(ctx, "http://"+n.AdminAddress+"/metrics")
 	if err != nil {
 		return 0, err
 	}
@@ -122,7 +122,7 @@
 	}
 	defer func() { _ = body.Close() }()
 	if err := json.NewDecoder(body).Decode(into); err != nil {
-		return fmt.Errorf("answer of %s: %w", url, err)
+		return fmt.Errorf("decode response of %s: %w", url, err)
 	}
 	return nil
 }
@@ -130,30 +130,30 @@
 func (f *Fleet) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, fmt.Errorf("make request: %w", err)
+		return nil, fmt.Errorf("create request: %w", err)
 	}
-	answer, err := f.http.Do(request)
+	response, err := f.http.Do(request)
 	if err != nil {
 		return nil, fmt.Errorf("get: %w", err)
 	}
-	if answer.StatusCode != http.StatusOK {
-		_ = answer.Body.Close()
-		return nil, fmt.Errorf("%s: %d: %w", url, answer.StatusCode, errStatus)
+	if response.StatusCode != http.StatusOK {
+		_ = response.Body.Close()
+		return nil, fmt.Errorf("get %s: status %d: %w", url, response.StatusCode, errStatus)
 	}
-	return answer.Body, nil
+	return response.Body, nil
 }
 
-// Leader finds the control that leads a group. Only a replica's own word that it
-// leads counts, and of several the one with the highest term: an isolated leader
-// may believe in itself for a while.
+// Leader returns the control VM that leads a group. It only trusts a replica that reports
+// itself as the leader. If several do, the one with the highest term counts, since an
+// isolated leader may still consider itself the leader for a while.
 func (f *Fleet) Leader(ctx context.Context, group uint32) (*Node, error) {
-	ctx, stop := context.WithTimeout(ctx, readyWait)
+	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	for ctx.Err() == nil {
 		var found *Node
 		highest := uint64(0)
 		for _, n := range f.Controls {
-			term, leads := f.leads(ctx, n, group)
+			term, leads := f.leaderTerm(ctx, n, group)
 			if leads && term > highest {
 				found, highest = n, term
 			}
@@ -161,16 +161,18 @@
 		if found != nil {
 			return found, nil
 		}
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
-	return nil, fmt.Errorf("group %d: %w", group, errNoLeader)
+	return nil, fmt.Errorf("find leader of group %d: %w", group, errNoLeader)
 }
 
-func (f *Fleet) leads(ctx context.Context, n *Node, group uint32) (term uint64, leads bool) {
+// leaderTerm returns the current term of a replica and reports whether the replica
+// considers itself the leader of the group.
+func (f *Fleet) leaderTerm(ctx context.Context, n *Node, group uint32) (term uint64, leads bool) {
 	if n.Process().Ended() {
 		return 0, false
 	}
-	ctx, stop := context.WithTimeout(ctx, probeLimit)
+	ctx, stop := context.WithTimeout(ctx, probeTimeout)
 	defer stop()
 	status, err := f.Operator.Groups(ctx, n.Address)
 	if err != nil {
--- a/lab/pkg/fleet/ports.go
+++ b/lab/pkg/fleet/ports.go
@@ -6,7 +6,7 @@
 	"toucanhinge.example/lab/pkg/process"
 )
 
-// First ports of each kind of program when ports are fixed, as the README lists them.
+// First port of each kind of process with Config.FixedPorts, as listed in the README.
 const (
 	portVMList       = 7000
 	portControl      = 7001
@@ -18,23 +18,23 @@
 	portPlain        = 9301
 )
 
-// address is the i-th program's address of a kind: fixed, or any free one.
-func (f *Fleet) address(first, i int) (string, error) {
+// nodeAddress returns the address of the i-th process of a kind: with fixed ports first+i, else any free port.
+func (f *Fleet) nodeAddress(first, i int) (string, error) {
 	if f.Config.FixedPorts {
 		return fmt.Sprintf("127.0.0.1:%d", first+i), nil
 	}
 	address, err := process.FreeAddress()
 	if err != nil {
-		return "", fmt.Errorf("take address: %w", err)
+		return "", fmt.Errorf("find free address: %w", err)
 	}
 	return address, nil
 }
 
-// addresses is one address for calls and one for health and metrics.
-func (f *Fleet) addresses(first, firstAdmin, i int) (address, admin string, err error) {
-	if address, err = f.address(first, i); err != nil {
+// nodeAddresses returns one address for calls and one for health and metrics.
+func (f *Fleet) nodeAddresses(first, firstAdmin, i int) (address, admin string, err error) {
+	if address, err = f.nodeAddress(first, i); err != nil {
 		return "", "", err
 	}
-	admin, err = f.address(firstAdmin, i)
+	admin, err = f.nodeAddress(firstAdmin, i)
 	return address, admin, err
 }
--- a/lab/pkg/fleet/roles.go
+++ b/lab/pkg/fleet/roles.go
@@ -10,33 +10,33 @@
 	"toucanhinge.example/lab/pkg/relay"
 )
 
-// vmListLag keeps tests short; the real list lags by more.
-const vmListLag = "200"
+// vmListLagMs keeps tests short. The list of a real platform lags by more.
+const vmListLagMs = "200"
 
-// vmListPoll in milliseconds goes with that lag.
-const vmListPoll = 200
+// vmListPollMs is the poll interval of the control VMs, matched to vmListLagMs.
+const vmListPollMs = 200
 
-// plainSlots is how many calls a plain service takes at once.
-const plainSlots = 64
+// plainServiceSlots is the number of calls that a plain service runs concurrently.
+const plainServiceSlots = 64
 
 func (f *Fleet) addVMList() error {
-	address, err := f.address(portVMList, 0)
+	address, err := f.nodeAddress(portVMList, 0)
 	if err != nil {
 		return err
 	}
-	f.VMList = newNode(f.Config, "vmlist", "vmlist", address, "--listen", address, "--lag-ms", vmListLag)
-	f.VMList.Ready = f.VMList.URL() + "/health"
+	f.VMList = newNode(f.Config, "vmlist", "vmlist", address, "--listen", address, "--lag-ms", vmListLagMs)
+	f.VMList.ReadyURL = f.VMList.URL() + "/health"
 	return nil
 }
 
 func (f *Fleet) addControls() error {
 	for i := range f.Config.Controls {
-		address, err := f.address(portControl, i)
+		address, err := f.nodeAddress(portControl, i)
 		if err != nil {
 			return err
 		}
-		n := f.systemNode("control", i, address, address)
-		n.Data = filepath.Join(f.Config.Folder, n.Name+"-data")
+		n := f.newSystemNode("control", i, address, address)
+		n.DataFolder = filepath.Join(f.Config.Folder, n.Name+"-data")
 		f.Controls = append(f.Controls, n)
 	}
 	f.Operator = operator.New(operator.Config{Controls: f.ControlAddresses()})
@@ -46,44 +46,44 @@
 		}
 	}
 	for _, n := range f.Controls {
-		if err := f.writeControl(n); err != nil {
+		if err := f.writeControlSettings(n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// addRelays puts a relay before each control. All controls must agree on their
-// addresses, so one relay serves all others and tells them apart by what they send.
+// addRelays puts a relay in front of each control VM. All control VMs must use the same
+// addresses, so one relay serves all other VMs and identifies each of them by the name in its calls.
 func (f *Fleet) addRelays() error {
-	for _, to := range f.Controls {
-		r, err := relay.New(relay.Config{Listen: "127.0.0.1:0", Target: to.Address, Callers: f.controlMarks()})
+	for _, target := range f.Controls {
+		r, err := relay.New(relay.Config{Listen: "127.0.0.1:0", Target: target.Address, Callers: f.controlCallers()})
 		if err != nil {
-			return fmt.Errorf("relay to %s: %w", to.Name, err)
+			return fmt.Errorf("start relay to %s: %w", target.Name, err)
 		}
 		f.Relays = append(f.Relays, r)
 	}
 	return nil
 }
 
-// controlMarks tells the controls apart: each call between them begins with the
-// sender's name as its first field.
-func (f *Fleet) controlMarks() []relay.Caller {
+// controlCallers returns the markers by which a relay identifies the calling control VM: each
+// call between control VMs begins with the name of the sender as its first field.
+func (f *Fleet) controlCallers() []relay.Caller {
 	var callers []relay.Caller
 	for _, n := range f.Controls {
-		mark := protowire.AppendTag(nil, 1, protowire.BytesType)
-		callers = append(callers, relay.Caller{Name: n.Name, Mark: protowire.AppendString(mark, n.Name)})
+		marker := protowire.AppendTag(nil, 1, protowire.BytesType)
+		callers = append(callers, relay.Caller{Name: n.Name, Mark: protowire.AppendString(marker, n.Name)})
 	}
 	return callers
 }
 
-// Cut puts faults on the way from one control to another; the zero Faults end them.
+// Cut applies faults to the traffic from one control VM to another. The zero Faults remove them.
 func (f *Fleet) Cut(from, to int, faults relay.Faults) {
 	f.Relays[to].SetFrom(f.Controls[from].Name, faults)
 }
 
-// Isolate cuts one control from the other controls, both ways; everybody else
-// still reaches it.
+// Isolate applies faults to the traffic between one control VM and the others in both
+// directions. Daemons and operators still reach it.
 func (f *Fleet) Isolate(control int, faults relay.Faults) {
 	for other := range f.Controls {
 		if other != control {
@@ -93,24 +93,24 @@
 	}
 }
 
-// Join starts one more control, as one that joins the controls which exist. It
-// takes part only when it is added as an operator does.
-func (f *Fleet) Join() (*Node, error) {
+// StartJoiningControl starts an additional control VM in join mode. It becomes a member
+// only when an operator adds it.
+func (f *Fleet) StartJoiningControl() (*Node, error) {
 	i := len(f.Controls)
-	address, err := f.address(portControl, i)
+	address, err := f.nodeAddress(portControl, i)
 	if err != nil {
 		return nil, err
 	}
-	n := f.systemNode("control", i, address, address)
-	n.Data = filepath.Join(f.Config.Folder, n.Name+"-data")
+	n := f.newSystemNode("control", i, address, address)
+	n.DataFolder = filepath.Join(f.Config.Folder, n.Name+"-data")
 	f.Controls = append(f.Controls, n)
-	if err := f.writeControl(n, Set("consensus.join", true)); err != nil {
+	if err := f.writeControlSettings(n, Set("consensus.join", true)); err != nil {
 		return nil, err
 	}
 	return n, n.Start()
 }
 
-func (f *Fleet) writeControl(n *Node, further ...Setting) error {
+func (f *Fleet) writeControlSettings(n *Node, overrides ...Setting) error {
 	peers := make([]Table, 0, len(f.Controls))
 	for j, other := range f.Controls {
 		address := other.Address
@@ -121,27 +121,27 @@
 	}
 	settings := []Setting{
 		Set("name", n.Name), Set("listen", n.Address), Set("vm", n.VM), Set("data_centre", n.DataCentre),
-		Set("data_folder", n.Data), Set("peers", peers), Set("groups", 1+f.Config.JobGroups),
-		Set("platform.vm_list_url", f.VMList.URL()+"/vms"), Set("platform.poll_ms", vmListPoll),
+		Set("data_folder", n.DataFolder), Set("peers", peers), Set("groups", 1+f.Config.JobGroups),
+		Set("platform.vm_list_url", f.VMList.URL()+"/vms"), Set("platform.poll_ms", vmListPollMs),
 	}
 	settings = append(settings, f.Config.ControlSettings...)
-	return f.write(n, append(settings, further...))
+	return f.writeNodeSettings(n, append(settings, overrides...))
 }
 
 func (f *Fleet) addGateways() error {
 	for i := range f.Config.Gateways {
-		address, admin, err := f.addresses(portGateway, portGatewayAdmin, i)
+		address, admin, err := f.nodeAddresses(portGateway, portGatewayAdmin, i)
 		if err != nil {
 			return err
 		}
-		n := f.systemNode("gateway", i, address, admin)
+		n := f.newSystemNode("gateway", i, address, admin)
 		f.Gateways = append(f.Gateways, n)
-		control, err := f.controlFor(n)
+		control, err := f.controlAddressesFor(n)
 		if err != nil {
 			return err
 		}
-		settings := append(f.common(n), Set("control", control), Set("drain.balancer_ms", 300))
-		if err := f.write(n, append(settings, f.Config.GatewaySettings...)); err != nil {
+		settings := append(f.commonSettings(n), Set("control", control), Set("drain.balancer_ms", 300))
+		if err := f.writeNodeSettings(n, append(settings, f.Config.GatewaySettings...)); err != nil {
 			return err
 		}
 	}
@@ -150,19 +150,19 @@
 
 func (f *Fleet) addEngines() error {
 	for i := range f.Config.Sidecars {
-		address, err := f.address(portEngine, i)
+		address, err := f.nodeAddress(portEngine, i)
 		if err != nil {
 			return err
 		}
 		name := fmt.Sprintf("engine-%d", i+1)
 		n := newNode(f.Config, name, "engine", address, f.Config.Engine.arguments(name, address)...)
-		n.Ready = n.URL() + "/health"
+		n.ReadyURL = n.URL() + "/health"
 		f.Engines = append(f.Engines, n)
-		own := []Setting{
+		settings := []Setting{
 			Set("service", ModelService), Set("engine.url", n.URL()), Set("engine.slots", f.Config.Engine.Slots),
 			Set("batch.slots", f.Config.Engine.Slots),
 		}
-		sidecar, err := f.addSidecar(i, own)
+		sidecar, err := f.addSidecar(i, settings)
 		if err != nil {
 			return err
 		}
@@ -171,18 +171,18 @@
 	return nil
 }
 
-func (f *Fleet) addPlains() error {
-	for i := range f.Config.Plains {
-		address, err := f.address(portPlain, i)
+func (f *Fleet) addPlainServices() error {
+	for i := range f.Config.PlainServices {
+		address, err := f.nodeAddress(portPlain, i)
 		if err != nil {
 			return err
 		}
 		name := fmt.Sprintf("plain-%d", i+1)
 		n := newNode(f.Config, name, "plain", address, "--listen", address, "--name", name)
-		n.Ready = n.URL() + "/health"
-		f.Plains = append(f.Plains, n)
+		n.ReadyURL = n.URL() + "/health"
+		f.PlainServices = append(f.PlainServices, n)
 		sidecar, err := f.addSidecar(f.Config.Sidecars+i, []Setting{
-			Set("service", PlainService), Set("engine.url", n.URL()), Set("kind", "plain"), Set("engine.slots", plainSlots),
+			Set("service", PlainService), Set("engine.url", n.URL()), Set("kind", "plain"), Set("engine.slots", plainServiceSlots),
 		})
 		if err != nil {
 			return err
@@ -192,28 +192,28 @@
 	return nil
 }
 
-// addSidecar adds the sidecar of an endpoint; number counts over all kinds.
-func (f *Fleet) addSidecar(number int, own []Setting) (*Node, error) {
-	address, admin, err := f.addresses(portSidecar, portSidecarAdmin, number)
+// addSidecar adds the sidecar of an endpoint. number is unique over engines and plain services.
+func (f *Fleet) addSidecar(number int, endpointSettings []Setting) (*Node, error) {
+	address, admin, err := f.nodeAddresses(portSidecar, portSidecarAdmin, number)
 	if err != nil {
 		return nil, err
 	}
-	n := f.systemNode("sidecar", number, address, admin)
-	control, err := f.controlFor(n)
+	n := f.newSystemNode("sidecar", number, address, admin)
+	control, err := f.controlAddressesFor(n)
 	if err != nil {
 		return nil, err
 	}
-	settings := append(f.common(n), Set("control", control))
-	settings = append(settings, own...)
-	return n, f.write(n, append(settings, f.Config.SidecarSettings...))
+	settings := append(f.commonSettings(n), Set("control", control))
+	settings = append(settings, endpointSettings...)
+	return n, f.writeNodeSettings(n, append(settings, f.Config.SidecarSettings...))
 }
 
-func (f *Fleet) systemNode(binary string, i int, address, admin string) *Node {
+func (f *Fleet) newSystemNode(binary string, i int, address, admin string) *Node {
 	name := fmt.Sprintf("%s-%d", binary, i+1)
 	n := newNode(f.Config, name, binary, address, "--settings", f.settingsFile(name))
-	n.Admin = admin
+	n.AdminAddress = admin
 	n.DataCentre = f.Config.dataCentre(i)
-	n.Ready = "http://" + admin + "/readyz"
+	n.ReadyURL = "http://" + admin + "/readyz"
 	return n
 }
 
@@ -221,42 +221,42 @@
 	return filepath.Join(f.Config.Folder, name+".toml")
 }
 
-func (f *Fleet) write(n *Node, settings []Setting) error {
+func (f *Fleet) writeNodeSettings(n *Node, settings []Setting) error {
 	return writeSettings(f.settingsFile(n.Name), settings...)
 }
 
-// common is what every daemon is told.
-func (f *Fleet) common(n *Node) []Setting {
+// commonSettings returns the settings that every daemon gets.
+func (f *Fleet) commonSettings(n *Node) []Setting {
 	return []Setting{
-		Set("name", n.Name), Set("listen", n.Address), Set("admin_listen", n.Admin),
+		Set("name", n.Name), Set("listen", n.Address), Set("admin_listen", n.AdminAddress),
 		Set("vm", n.VM), Set("data_centre", n.DataCentre),
 	}
 }
 
-// controlFor is the controls' addresses as a daemon is told them: with
-// CountControl, those of relays of its own.
-func (f *Fleet) controlFor(n *Node) ([]string, error) {
-	if !f.Config.CountControl {
+// controlAddressesFor returns the addresses of the control VMs for the settings of a daemon.
+// With CountControlBytes these are the addresses of relays of its own.
+func (f *Fleet) controlAddressesFor(n *Node) ([]string, error) {
+	if !f.Config.CountControlBytes {
 		return f.ControlAddresses(), nil
 	}
 	var addresses []string
-	for _, to := range f.Controls {
-		r, err := relay.New(relay.Config{Listen: "127.0.0.1:0", Target: to.Address})
+	for _, target := range f.Controls {
+		r, err := relay.New(relay.Config{Listen: "127.0.0.1:0", Target: target.Address})
 		if err != nil {
-			return nil, fmt.Errorf("relay to %s: %w", to.Name, err)
+			return nil, fmt.Errorf("start relay to %s: %w", target.Name, err)
 		}
-		n.control = append(n.control, r)
+		n.controlRelays = append(n.controlRelays, r)
 		addresses = append(addresses, r.Address())
 	}
 	return addresses, nil
 }
 
-// ControlBytes counts the bytes between a daemon and the controls since the
-// start. With several controls a daemon that was told of a leader goes there
-// directly, past the count; so count with one.
+// ControlBytes returns the number of bytes between a daemon and the control VMs since the
+// start. Use it with a single control VM: with several, a daemon that learns the leader's
+// address connects to it directly and bypasses the counting relays.
 func (f *Fleet) ControlBytes(n *Node) int64 {
 	total := int64(0)
-	for _, r := range n.control {
+	for _, r := range n.controlRelays {
 		total += r.Bytes()
 	}
 	return total
--- a/lab/pkg/fleet/settings.go
+++ b/lab/pkg/fleet/settings.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Setting is one dotted key of a program's TOML file with its value.
+// Setting is a dotted key and its value in the TOML settings file of a program.
 type Setting struct {
 	Key   string
 	Value any
 }
 
-// Set is short for a Setting.
+// Set returns a Setting.
 func Set(key string, value any) Setting { return Setting{Key: key, Value: value} }
 
-// writeSettings writes a file; of two settings with one key the later counts.
-// The programs refuse unknown keys, so a key that went away is told at the start.
+// writeSettings writes a settings file. If a key occurs twice, the later value wins. The
+// programs refuse unknown keys, so a removed key fails their start.
 func writeSettings(file string, settings ...Setting) error {
 	last := make(map[string]int, len(settings))
 	for i, s := range settings {
@@ -26,7 +26,7 @@
 	var b strings.Builder
 	for i, s := range settings {
 		if last[s.Key] == i {
-			fmt.Fprintf(&b, "%s = %s\n", s.Key, literal(s.Value))
+			fmt.Fprintf(&b, "%s = %s\n", s.Key, tomlLiteral(s.Value))
 		}
 	}
 	if err := os.WriteFile(file, []byte(b.String()), 0o600); err != nil {
@@ -35,26 +35,27 @@
 	return nil
 }
 
-func literal(value any) string {
+// tomlLiteral encodes a value as TOML.
+func tomlLiteral(value any) string {
 	switch v := value.(type) {
 	case string:
 		return strconv.Quote(v)
 	case []string:
 		quoted := make([]string, len(v))
-		for i, one := range v {
-			quoted[i] = strconv.Quote(one)
+		for i, element := range v {
+			quoted[i] = strconv.Quote(element)
 		}
 		return "[" + strings.Join(quoted, ", ") + "]"
 	case Table:
 		parts := make([]string, len(v))
-		for i, one := range v {
-			parts[i] = one.Key + " = " + literal(one.Value)
+		for i, element := range v {
+			parts[i] = element.Key + " = " + tomlLiteral(element.Value)
 		}
 		return "{ " + strings.Join(parts, ", ") + " }"
 	case []Table:
 		parts := make([]string, len(v))
-		for i, one := range v {
-			parts[i] = literal(one)
+		for i, element := range v {
+			parts[i] = tomlLiteral(element)
 		}
 		return "[" + strings.Join(parts, ", ") + "]"
 	default:
@@ -62,5 +63,5 @@
 	}
 }
 
-// Table is an inline table.
+// Table is an inline TOML table.
 type Table []Setting
--- a/lab/pkg/fleet/settings_test.go
+++ b/lab/pkg/fleet/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSettingsAreTOMLAndLaterOnesCount(t *testing.T) {
+func TestWriteSettingsEncodesTOMLAndLaterKeysWin(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "s.toml")
 	require.NoError(t, writeSettings(file,
 		Set("name", "first"), Set("drain.linger_ms", 5), Set("control", []string{"127.0.0.1:1", "127.0.0.1:2"}),
@@ -17,7 +17,7 @@
 	))
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
-	var read struct {
+	var decoded struct {
 		Name    string
 		Control []string
 		Drain   struct {
@@ -25,10 +25,10 @@
 		}
 		Peers []struct{ Name, Address string }
 	}
-	_, err = toml.Decode(string(text), &read)
+	_, err = toml.Decode(string(text), &decoded)
 	require.NoError(t, err)
-	require.Equal(t, "second", read.Name)
-	require.Equal(t, 5, read.Drain.Linger)
-	require.Equal(t, []string{"127.0.0.1:1", "127.0.0.1:2"}, read.Control)
-	require.Equal(t, "127.0.0.1:1", read.Peers[0].Address)
+	require.Equal(t, "second", decoded.Name)
+	require.Equal(t, 5, decoded.Drain.Linger)
+	require.Equal(t, []string{"127.0.0.1:1", "127.0.0.1:2"}, decoded.Control)
+	require.Equal(t, "127.0.0.1:1", decoded.Peers[0].Address)
 }
