--- a/lab/cmd/bench/main.go
+++ b/lab/cmd/bench/main.go
@@ -1,4 +1,5 @@
-// Command bench runs the experiments and writes bench/out/summary.json.
+// Command bench runs the experiments and writes their results to summary.json in the output
+// folder, by default bench/out.
 package main
 
 import (
@@ -15,11 +16,11 @@
 
 type arguments struct {
 	Bin  string   `arg:"--bin" default:"bin" help:"folder of the built programs"`
-	Out  string   `arg:"--out" default:"bench/out" help:"folder of summary and pictures"`
+	Out  string   `arg:"--out" default:"bench/out" help:"folder for the summary and the pictures"`
 	Only []string `arg:"--only" help:"experiments to run, by name"`
-	Runs int      `arg:"--runs" default:"1" help:"runs of each arm; the median counts, and one run of all takes about four minutes"`
-	Seed uint64   `arg:"--seed" default:"1" help:"seed of all arrivals"`
-	List bool     `arg:"--list" help:"only list the experiments"`
+	Runs int      `arg:"--runs" default:"1" help:"runs of each arm, of which the median counts; one run of all experiments takes about four minutes"`
+	Seed uint64   `arg:"--seed" default:"1" help:"seed of the request arrivals"`
+	List bool     `arg:"--list" help:"list the experiments and exit"`
 }
 
 func main() {
--- a/lab/cmd/demo/main.go
+++ b/lab/cmd/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo shows the system's main job on loopback, or with --up leaves its
-// fleet running in the foreground.
+// Command demo demonstrates the main functions of the system on loopback. With --up it only
+// starts the fleet and keeps it running in the foreground.
 package main
 
 import (
@@ -17,7 +17,7 @@
 type arguments struct {
 	Bin    string `arg:"--bin" default:"bin" help:"folder of the built programs"`
 	Folder string `arg:"--folder" default:"demo/out" help:"folder for settings, logs and data"`
-	Up     bool   `arg:"--up" help:"leave the fleet running on fixed ports until Ctrl-C"`
+	Up     bool   `arg:"--up" help:"keep the fleet running on fixed ports until Ctrl-C"`
 }
 
 func main() {
@@ -28,7 +28,7 @@
 		run = demo.Up
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	err := run(ctx, demo.Config{Bin: a.Bin, Folder: a.Folder, Print: os.Stdout})
+	err := run(ctx, demo.Config{Bin: a.Bin, Folder: a.Folder, Output: os.Stdout})
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "demo failed:", err)
--- a/lab/cmd/leadload/main.go
+++ b/lab/cmd/leadload/main.go
@@ -1,5 +1,5 @@
-// Command leadload puts the load of a large fleet on real VMs of the core and tells how much
-// processor time each takes, with profiles of them.
+// Command leadload applies the load of a large fleet to core processes, prints the CPU time
+// that each of them uses and writes their CPU profiles.
 package main
 
 import (
@@ -19,16 +19,16 @@
 	"toucanhinge.example/lab/pkg/process"
 )
 
-// members is the number of VMs of the core: five for two losses, and one more.
-const members = 6
+// coreSize is the number of core VMs: five, which tolerate two losses, and one more.
+const coreSize = 6
 
 type arguments struct {
 	leadload.Fleet
-	For time.Duration `arg:"--for" default:"30s" help:"how long"`
+	For time.Duration `arg:"--for" default:"30s" help:"duration of the load"`
 	Out string        `arg:"--out" default:"leadload" help:"folder for profiles and logs"`
-	// Member, Core and Load are of the processes that the command starts.
-	Member string `arg:"--member" help:"run one VM of the core at this address (for its own use)"`
-	Core   string `arg:"--core" help:"addresses of the core (for its own use)"`
+	// Member and Core are set only for the core processes that the command itself starts.
+	Member string `arg:"--member" help:"run one core VM at this address (internal)"`
+	Core   string `arg:"--core" help:"addresses of the core VMs (internal)"`
 }
 
 func main() {
@@ -44,26 +44,28 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	if a.Member == "" {
-		return play(ctx, a)
+		return runLoad(ctx, a)
 	}
 	return leadload.Member{
 		Address: a.Member, Addresses: strings.Split(a.Core, ","), Folder: a.Out, Fleet: a.Fleet,
-		Profile: filepath.Join(a.Out, name(a.Member)+".prof"),
+		Profile: filepath.Join(a.Out, fileName(a.Member)+".prof"),
 	}.Run(ctx)
 }
 
-func name(address string) string { return strings.ReplaceAll(address, ":", "-") }
+// fileName returns an address in a form that is valid in file names.
+func fileName(address string) string { return strings.ReplaceAll(address, ":", "-") }
 
-// play starts the VMs, plays the load in this process, and ends the VMs.
-func play(ctx context.Context, a arguments) error {
+// runLoad starts the core VMs as processes, generates the load in this process, stops the core
+// VMs and prints the results.
+func runLoad(ctx context.Context, a arguments) error {
 	if err := os.RemoveAll(a.Out); err != nil {
-		return fmt.Errorf("clear the folder: %w", err)
+		return fmt.Errorf("clear output folder: %w", err)
 	}
 	if err := os.MkdirAll(a.Out, 0o755); err != nil {
-		return fmt.Errorf("make the folder: %w", err)
+		return fmt.Errorf("create output folder: %w", err)
 	}
 	var addresses []string
-	for range members {
+	for range coreSize {
 		address, err := process.FreeAddress()
 		if err != nil {
 			return err
@@ -72,7 +74,7 @@
 	}
 	var started []*exec.Cmd
 	for _, address := range addresses {
-		c, err := start(a, address, addresses)
+		c, err := startMember(a, address, addresses)
 		if err != nil {
 			return err
 		}
@@ -88,20 +90,21 @@
 	for i, c := range started {
 		_ = c.Wait()
 		used := c.ProcessState.UserTime() + c.ProcessState.SystemTime()
-		fmt.Printf("%s: %.3f of a core\n", name(addresses[i]), used.Seconds()/a.For.Seconds())
+		fmt.Printf("%s: %.3f CPU cores\n", fileName(addresses[i]), used.Seconds()/a.For.Seconds())
 	}
 	fmt.Println(result)
 	return err
 }
 
-func start(a arguments, address string, addresses []string) (*exec.Cmd, error) {
+// startMember starts one core VM as a process limited to one CPU.
+func startMember(a arguments, address string, addresses []string) (*exec.Cmd, error) {
 	self, err := os.Executable()
 	if err != nil {
-		return nil, fmt.Errorf("find the program: %w", err)
+		return nil, fmt.Errorf("find own executable: %w", err)
 	}
-	out, err := os.Create(filepath.Join(a.Out, name(address)+".log"))
+	out, err := os.Create(filepath.Join(a.Out, fileName(address)+".log"))
 	if err != nil {
-		return nil, fmt.Errorf("log: %w", err)
+		return nil, fmt.Errorf("create log: %w", err)
 	}
 	defer func() { _ = out.Close() }()
 	c := exec.Command(self, "--member", address, "--core", strings.Join(addresses, ","), "--out", a.Out,
@@ -109,7 +112,7 @@
 	c.Stdout, c.Stderr = out, out
 	c.Env = append(os.Environ(), "GOMAXPROCS=1", "GOGC=50")
 	if err := c.Start(); err != nil {
-		return nil, fmt.Errorf("start a VM of the core: %w", err)
+		return nil, fmt.Errorf("start core VM: %w", err)
 	}
 	return c, nil
 }
--- a/lab/cmd/losses/main.go
+++ b/lab/cmd/losses/main.go
@@ -1,5 +1,5 @@
-// Command losses reads the daemons' logs and tells what callers and teams didn't get, and
-// why.
+// Command losses reads the logs of the daemons and reports which requests and items callers
+// and teams lost, and why.
 package main
 
 import (
@@ -14,11 +14,11 @@
 )
 
 type arguments struct {
-	Logs     []string      `arg:"positional" help:"files with log lines; none: standard input"`
-	Picture  string        `arg:"--picture" help:"PNG file to draw the losses over time into"`
-	Span     time.Duration `arg:"--span" default:"2s" help:"span of a point of the picture"`
-	Late     float64       `arg:"--late" default:"0.15" help:"what a late answer is worth, in whole answers"`
-	CameBack float64       `arg:"--back" default:"0.575" help:"what one in time at the second attempt is worth"`
+	Logs          []string      `arg:"positional" help:"log files; standard input if none is given"`
+	Picture       string        `arg:"--picture" help:"PNG file for a plot of the losses over time"`
+	Span          time.Duration `arg:"--span" default:"2s" help:"time covered by one point of the plot"`
+	Late          float64       `arg:"--late" default:"0.15" help:"value of a late response, relative to one in time"`
+	SecondAttempt float64       `arg:"--back" default:"0.575" help:"value of a response in time on the second attempt"`
 }
 
 func main() {
@@ -31,18 +31,18 @@
 }
 
 func run(a arguments) error {
-	ledger := losses.New(losses.Weights{Late: a.Late, CameBack: a.CameBack})
+	ledger := losses.New(losses.Weights{Late: a.Late, CameBack: a.SecondAttempt})
 	if len(a.Logs) == 0 {
-		if err := read("standard input", os.Stdin, ledger); err != nil {
+		if err := readLog("standard input", os.Stdin, ledger); err != nil {
 			return err
 		}
 	}
 	for _, name := range a.Logs {
 		file, err := os.Open(name)
 		if err != nil {
-			return fmt.Errorf("open a log: %w", err)
+			return fmt.Errorf("open log: %w", err)
 		}
-		err = read(name, file, ledger)
+		err = readLog(name, file, ledger)
 		_ = file.Close()
 		if err != nil {
 			return err
@@ -57,13 +57,13 @@
 	return ledger.Picture(a.Span).Write(a.Picture)
 }
 
-func read(name string, source io.Reader, ledger *losses.Ledger) error {
-	unread, err := losses.Read(source, ledger)
+func readLog(name string, source io.Reader, ledger *losses.Ledger) error {
+	unparsed, err := losses.Read(source, ledger)
 	if err != nil {
 		return err
 	}
-	if unread > 0 {
-		fmt.Fprintf(os.Stderr, "%s: %d lines couldn't be read\n", name, unread)
+	if unparsed > 0 {
+		fmt.Fprintf(os.Stderr, "%s: %d lines could not be parsed\n", name, unparsed)
 	}
 	return nil
 }
--- a/lab/cmd/older/main.go
+++ b/lab/cmd/older/main.go
@@ -1,5 +1,5 @@
-// Command older is a stand-in for the older serving system: a whole fleet behind
-// one address, with the engines' surface under /v1 and a ledger.
+// Command older simulates the legacy serving system: a whole fleet behind one address, with
+// the API of the engines under /v1 and a ledger.
 package main
 
 import (
@@ -11,13 +11,13 @@
 	"toucanhinge.example/lab/pkg/serve"
 )
 
-// fleetSlots makes it as wide as a small fleet of engines.
+// fleetSlots gives it the capacity of a small fleet of engines.
 const fleetSlots = 64
 
 type arguments struct {
 	Listen string  `arg:"--listen" default:"127.0.0.1:9400" help:"host:port to serve on"`
-	Model  string  `arg:"--model" default:"small" help:"model it serves"`
-	Speed  float64 `arg:"--speed" default:"1" help:"divides every time"`
+	Model  string  `arg:"--model" default:"small" help:"name of the served model"`
+	Speed  float64 `arg:"--speed" default:"1" help:"factor by which all simulated times are divided"`
 }
 
 func main() {
@@ -26,5 +26,5 @@
 	e := engine.New(engine.Config{
 		Name: "older", Model: a.Model, Slots: fleetSlots, Timing: engine.Timing{Speed: a.Speed}, Exit: os.Exit,
 	})
-	os.Exit(serve.Run(serve.Config{Listen: a.Listen, Handler: e.Handler(), Duty: e.Run}))
+	os.Exit(serve.Run(serve.Config{Listen: a.Listen, Handler: e.Handler(), Background: e.Run}))
 }
--- a/lab/cmd/overload/main.go
+++ b/lab/cmd/overload/main.go
@@ -1,4 +1,4 @@
-// Command overload replays a fleet under growing load and tells what callers see.
+// Command overload replays a fleet under growing load and reports the results that callers see.
 package main
 
 import (
@@ -11,8 +11,8 @@
 )
 
 type arguments struct {
-	Picture string `arg:"--picture" help:"PNG file to draw into"`
-	Seed    uint64 `arg:"--seed" default:"1" help:"seed of the arrivals"`
+	Picture string `arg:"--picture" help:"PNG file for the plot"`
+	Seed    uint64 `arg:"--seed" default:"1" help:"seed of the request arrivals"`
 }
 
 func main() {
--- a/lab/cmd/plain/main.go
+++ b/lab/cmd/plain/main.go
@@ -1,4 +1,4 @@
-// Command plain is a stand-in for a plain service.
+// Command plain simulates a plain service.
 package main
 
 import (
@@ -12,15 +12,15 @@
 
 type arguments struct {
 	Listen string `arg:"--listen" default:"127.0.0.1:9200" help:"host:port to serve on"`
-	Name   string `arg:"--name" default:"plain" help:"name in answers"`
-	LateMs int64  `arg:"--late-ms" help:"fault: hold back each answer"`
-	Status int    `arg:"--status" help:"fault: answer this status after the run"`
-	Cut    bool   `arg:"--cut" help:"fault: break the connection after the run"`
+	Name   string `arg:"--name" default:"plain" help:"name in responses"`
+	LateMs int64  `arg:"--late-ms" help:"fault: delay each response by this many milliseconds"`
+	Status int    `arg:"--status" help:"fault: return this HTTP status after the run"`
+	Cut    bool   `arg:"--cut" help:"fault: close the connection after the run"`
 }
 
 func main() {
 	var a arguments
 	arg.MustParse(&a)
-	p := plain.New(plain.Config{Name: a.Name, Faults: plain.Faults{LateMs: a.LateMs, Status: a.Status, Cut: a.Cut}})
-	os.Exit(serve.Run(serve.Config{Listen: a.Listen, Handler: p.Handler()}))
+	s := plain.New(plain.Config{Name: a.Name, Faults: plain.Faults{LateMs: a.LateMs, Status: a.Status, Cut: a.Cut}})
+	os.Exit(serve.Run(serve.Config{Listen: a.Listen, Handler: s.Handler()}))
 }
--- a/lab/cmd/regress/main.go
+++ b/lab/cmd/regress/main.go
@@ -1,5 +1,6 @@
-// Command regress plays days of deployments on an earlier commit and on this one, side by
-// side, and ends with 1 if a deployment fell by more than it may, or a rule was broken.
+// Command regress simulates days of deployments on an earlier commit and on a later one and
+// compares them. It exits with 1 if a deployment regressed by more than the allowed share or
+// a rule was broken, and with 2 if the comparison failed.
 package main
 
 import (
@@ -17,7 +18,7 @@
 	"toucanhinge.example/lab/pkg/regress"
 )
 
-// Days by the size of a deployment: the larger, the longer a play takes.
+// Days by deployment size. Larger deployments run fewer days and seeds, since each takes longer.
 var (
 	smallDays = []string{"trouble-1", "scale-1", "trouble-2", "scale-2", "trouble-3"}
 	grownDays = []string{"trouble-1", "scale-1", "trouble-3"}
@@ -25,27 +26,27 @@
 )
 
 const (
-	smallSeeds = 5
-	grownSeeds = 3
-	largeSeeds = 1
-	exitFell   = 1
-	exitFailed = 2
+	smallSeeds    = 5
+	grownSeeds    = 3
+	largeSeeds    = 1
+	exitRegressed = 1
+	exitFailed    = 2
 )
 
 type arguments struct {
-	Bench     string   `arg:"--bench,required" help:"the program that plays days" placeholder:"FILE"`
-	Before    string   `arg:"--before,required" help:"the commit to compare with" placeholder:"COMMIT"`
-	After     string   `arg:"--after" default:"HEAD" help:"the commit that is judged" placeholder:"COMMIT"`
+	Bench     string   `arg:"--bench,required" help:"program that simulates days" placeholder:"FILE"`
+	Before    string   `arg:"--before,required" help:"baseline commit" placeholder:"COMMIT"`
+	After     string   `arg:"--after" default:"HEAD" help:"commit to check" placeholder:"COMMIT"`
 	Small     []string `arg:"--small,separate" help:"file of a small deployment; may be repeated" placeholder:"FILE"`
-	Grown     []string `arg:"--grown,separate" help:"file of one of some 60 to 100 VMs" placeholder:"FILE"`
-	Large     []string `arg:"--large,separate" help:"file of one of hundreds of VMs" placeholder:"FILE"`
-	Days      []string `arg:"--days,separate" help:"a day in place of the usual ones; may be repeated" placeholder:"DAY"`
-	Seeds     int      `arg:"--seeds" help:"seeds a day in place of the usual number"`
-	FirstSeed int      `arg:"--first" default:"1001" help:"seed of each day's first pair"`
-	Most      float64  `arg:"--most" default:"0.03" help:"how far a deployment may fall on the mean"`
-	Jobs      int      `arg:"--jobs" default:"3" help:"pairs at once; each takes two processors"`
-	Why       string   `arg:"--why" default:"regression run" help:"line for the bench's journal"`
-	Out       string   `arg:"--out" default:"bench/out/regress" help:"folder for checkouts, the table and the picture" placeholder:"FOLDER"`
+	Grown     []string `arg:"--grown,separate" help:"file of a deployment of about 60 to 100 VMs" placeholder:"FILE"`
+	Large     []string `arg:"--large,separate" help:"file of a deployment of hundreds of VMs" placeholder:"FILE"`
+	Days      []string `arg:"--days,separate" help:"day to run instead of the defaults; may be repeated" placeholder:"DAY"`
+	Seeds     int      `arg:"--seeds" help:"seeds per day instead of the default"`
+	FirstSeed int      `arg:"--first" default:"1001" help:"seed of the first pair of each day"`
+	Most      float64  `arg:"--most" default:"0.03" help:"allowed mean regression of a deployment"`
+	Jobs      int      `arg:"--jobs" default:"3" help:"pairs to run concurrently; each uses two CPUs"`
+	Why       string   `arg:"--why" default:"regression run" help:"reason recorded in the journal of the bench program"`
+	Out       string   `arg:"--out" default:"bench/out/regress" help:"folder for the checkouts, the table and the plot" placeholder:"FOLDER"`
 }
 
 func main() {
@@ -57,7 +58,7 @@
 		os.Exit(exitFailed)
 	}
 	if !passed {
-		os.Exit(exitFell)
+		os.Exit(exitRegressed)
 	}
 }
 
@@ -87,7 +88,7 @@
 	plan := a.plan()
 	for i, d := range plan.Deployments {
 		if plan.Deployments[i].File, err = filepath.Abs(d.File); err != nil {
-			return false, fmt.Errorf("deployment %s: %w", d.File, err)
+			return false, fmt.Errorf("resolve path of deployment %s: %w", d.File, err)
 		}
 	}
 	players := regress.Players{Why: a.Why, Jobs: a.Jobs, Played: func(r regress.Result) {
@@ -98,7 +99,7 @@
 		fmt.Printf("%-60s %.3f > %.3f  %+.3f %s%s\n", r.Pair, r.Before.Worth, r.After.Worth, r.After.Worth-r.Before.Worth, r.Before.Broken, r.After.Broken)
 	}}
 	if players.Bench, err = filepath.Abs(a.Bench); err != nil {
-		return false, fmt.Errorf("bench: %w", err)
+		return false, fmt.Errorf("resolve path of bench program: %w", err)
 	}
 	if players.Before, err = checkout(ctx, a.Before, filepath.Join(a.Out, "before")); err != nil {
 		return false, err
@@ -111,18 +112,18 @@
 		return false, err
 	}
 	summary := plan.Sum(results)
-	if err := keep(summary, a.Out); err != nil {
+	if err := writeReport(summary, a.Out); err != nil {
 		return false, err
 	}
 	return summary.Passed(), summary.Write(os.Stdout)
 }
 
-// checkout puts a commit into a folder of its own, so that edits of the tree meanwhile don't
-// change what is played.
+// checkout checks out a commit into a separate clone, so that edits of the working tree
+// during the run do not affect the result.
 func checkout(ctx context.Context, commit, folder string) (string, error) {
 	folder, err := filepath.Abs(folder)
 	if err != nil {
-		return "", fmt.Errorf("folder for %s: %w", commit, err)
+		return "", fmt.Errorf("resolve checkout folder for %s: %w", commit, err)
 	}
 	if _, err := os.Stat(folder); os.IsNotExist(err) {
 		if err := git(ctx, ".", "clone", "--quiet", "--no-checkout", ".", folder); err != nil {
@@ -131,7 +132,7 @@
 	}
 	hash, err := exec.CommandContext(ctx, "git", "rev-parse", commit).Output()
 	if err != nil {
-		return "", fmt.Errorf("commit %s: %w", commit, err)
+		return "", fmt.Errorf("resolve commit %s: %w", commit, err)
 	}
 	if err := git(ctx, folder, "fetch", "--quiet", "origin"); err != nil {
 		return "", err
@@ -139,20 +140,20 @@
 	return folder, git(ctx, folder, "checkout", "--quiet", "--force", "--detach", strings.TrimSpace(string(hash)))
 }
 
-func git(ctx context.Context, folder string, words ...string) error {
-	command := exec.CommandContext(ctx, "git", words...)
+func git(ctx context.Context, folder string, args ...string) error {
+	command := exec.CommandContext(ctx, "git", args...)
 	command.Dir = folder
 	if out, err := command.CombinedOutput(); err != nil {
-		return fmt.Errorf("git %s: %w: %s", words[0], err, out)
+		return fmt.Errorf("git %s: %w: %s", args[0], err, out)
 	}
 	return nil
 }
 
-// keep writes the table and the picture.
-func keep(s regress.Summary, folder string) error {
+// writeReport writes the table and the plot of a summary to the output folder.
+func writeReport(s regress.Summary, folder string) error {
 	table, err := os.Create(filepath.Join(folder, "table.md"))
 	if err != nil {
-		return fmt.Errorf("table: %w", err)
+		return fmt.Errorf("create table: %w", err)
 	}
 	defer func() { _ = table.Close() }()
 	if err := s.Write(table); err != nil {
--- a/lab/cmd/relay/main.go
+++ b/lab/cmd/relay/main.go
@@ -1,4 +1,5 @@
-// Command relay is a TCP relay whose faults are set by PUT /faults.
+// Command relay is a TCP relay that injects faults. PUT /faults sets the faults and
+// POST /break closes the connections.
 package main
 
 import (
@@ -13,12 +14,12 @@
 	"toucanhinge.example/lab/pkg/serve"
 )
 
-const bodyMost = 1 << 16
+const maxBodyBytes = 1 << 16
 
 type arguments struct {
 	Listen  string `arg:"--listen,required" help:"host:port to relay from"`
 	Target  string `arg:"--target,required" help:"host:port to relay to"`
-	Control string `arg:"--control,required" help:"host:port that takes PUT /faults and POST /break"`
+	Control string `arg:"--control,required" help:"host:port that serves PUT /faults and POST /break"`
 }
 
 func main() {
@@ -38,7 +39,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, request *http.Request) {
 		var faults relay.Faults
-		if err := json.NewDecoder(http.MaxBytesReader(w, request.Body, bodyMost)).Decode(&faults); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, request.Body, maxBodyBytes)).Decode(&faults); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
--- a/lab/cmd/vmlist/main.go
+++ b/lab/cmd/vmlist/main.go
@@ -1,4 +1,4 @@
-// Command vmlist is a stand-in for the platform's VM list.
+// Command vmlist simulates the VM list of the platform.
 package main
 
 import (
@@ -13,8 +13,8 @@
 
 type arguments struct {
 	Listen string   `arg:"--listen" default:"127.0.0.1:9300" help:"host:port to serve on"`
-	LagMs  int64    `arg:"--lag-ms" default:"1000" help:"age of the answers"`
-	VMs    []string `arg:"--vm,separate" help:"name of a VM that is live at the start"`
+	LagMs  int64    `arg:"--lag-ms" default:"1000" help:"milliseconds until an update is visible"`
+	VMs    []string `arg:"--vm,separate" help:"name of a VM that is initially live; may be repeated"`
 }
 
 func main() {
--- a/lab/cmd/weights/main.go
+++ b/lab/cmd/weights/main.go
@@ -1,4 +1,4 @@
-// Command weights is a stand-in for the rate-limited weight store.
+// Command weights simulates the rate-limited weight store.
 package main
 
 import (
@@ -12,8 +12,8 @@
 
 type arguments struct {
 	Listen         string `arg:"--listen" default:"127.0.0.1:9500" help:"host:port to serve on"`
-	BytesPerSecond int64  `arg:"--bytes-per-second" default:"4194304" help:"rate shared by all fetches"`
-	Size           int64  `arg:"--size" default:"4194304" help:"bytes of one model's weights"`
+	BytesPerSecond int64  `arg:"--bytes-per-second" default:"4194304" help:"bytes per second shared by all fetches"`
+	Size           int64  `arg:"--size" default:"4194304" help:"bytes of the weights of each model"`
 }
 
 func main() {
--- a/lab/failure/isolated_leader_test.go
+++ b/lab/failure/isolated_leader_test.go
@@ -43,7 +43,7 @@
 
 			changed, err := operatorWithout(f, leader).Apply(ctx, f.LinkChange(2))
 			require.NoError(t, err)
-			requireNoAnswer(ctx, t, f, old)
+			requireRequestsFail(ctx, t, f, old)
 			s.cut(f, leader, relay.Faults{})
 			require.NoError(t, f.WaitForVersion(ctx, changed.GetVersion()))
 			rejoined := operator.New(operator.Config{Controls: []string{old.Address}})
@@ -64,9 +64,9 @@
 	}
 }
 
-// requireNoAnswer sends a read and a change to an isolated control VM. Both must fail
+// requireRequestsFail sends a read and a change to an isolated control VM. Both must fail
 // within the timeout of the caller.
-func requireNoAnswer(ctx context.Context, t *testing.T, f *fleet.Fleet, n *fleet.Node) {
+func requireRequestsFail(ctx context.Context, t *testing.T, f *fleet.Fleet, n *fleet.Node) {
 	t.Helper()
 	direct := operator.New(operator.Config{Controls: []string{n.Address}}).Client().Replica(n.Address).Operators
 	for range 3 {
--- a/lab/failure/lost_disk_test.go
+++ b/lab/failure/lost_disk_test.go
@@ -70,7 +70,7 @@
 	require.NoError(t, err)
 	identity := ""
 	require.Eventually(t, func() bool {
-		status, err := f.Operator.Groups(ctx, replacement.Address)
+		status, err := f.Operator.GroupStatus(ctx, replacement.Address)
 		identity = status.GetIdentity()
 		return err == nil && identity != ""
 	}, waitTimeout, pollInterval)
--- a/lab/pkg/bench/config.go
+++ b/lab/pkg/bench/config.go
@@ -100,7 +100,7 @@
 		return 0, nil, err
 	}
 	for i := range after {
-		perChange += (after[i].Processor - before[i].Processor).Seconds() * processorUS / configChanges
+		perChange += (after[i].CPUTime - before[i].CPUTime).Seconds() * processorUS / configChanges
 	}
 	return perChange, a.times(changes), nil
 }
--- a/lab/pkg/bench/daemons.go
+++ b/lab/pkg/bench/daemons.go
@@ -75,8 +75,8 @@
 	}
 	var totals daemonTotals
 	for i := range after {
-		totals.processor += (after[i].Processor - before[i].Processor).Seconds() / daemonsLength.Seconds()
-		totals.resident += float64(after[i].Resident)
+		totals.processor += (after[i].CPUTime - before[i].CPUTime).Seconds() / daemonsLength.Seconds()
+		totals.resident += float64(after[i].ResidentBytes)
 	}
 	return totals, nil
 }
--- a/lab/pkg/bench/processor.go
+++ b/lab/pkg/bench/processor.go
@@ -56,7 +56,7 @@
 			request, token := solve(short.cost[i], long.cost[i], longTokens)
 			b.add(r.name+".cpu.request.us", request)
 			b.add(r.name+".cpu.token.us", token)
-			b.add(r.name+".rss.load.mb", float64(long.usage[i].Resident)/(1<<20))
+			b.add(r.name+".rss.load.mb", float64(long.usage[i].ResidentBytes)/(1<<20))
 		}
 	}
 	return nil
@@ -88,7 +88,7 @@
 	}
 	answer := costs{usage: after}
 	for i := range nodes {
-		spent := (after[i].Processor - before[i].Processor).Seconds() * processorUS
+		spent := (after[i].CPUTime - before[i].CPUTime).Seconds() * processorUS
 		answer.cost = append(answer.cost, spent/float64(report.Calls))
 	}
 	return answer, nil
--- a/lab/pkg/demo/demo.go
+++ b/lab/pkg/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs the main job of the system on loopback and checks it: an
-// online answer, a plain call, and a batch job whose results are each read
-// exactly once though an endpoint's sidecar is killed in the middle.
+// Package demo demonstrates the main functions of the system on loopback and checks them: an
+// online request, a call to a plain service, and a batch job whose results are each read
+// exactly once although the sidecar of an endpoint is killed while the job runs.
 package demo
 
 import (
@@ -23,24 +23,27 @@
 const (
 	items      = 1_000
 	itemTokens = 12
-	// killAfter results we kill a sidecar.
-	killAfter = 200
-	limit     = 55 * time.Second
-	pollPause = 20 * time.Millisecond
-	jobKey    = "demo-job"
+	// killAfterResults is the number of results after which a sidecar is killed.
+	killAfterResults = 200
+	timeout          = 55 * time.Second
+	pollInterval     = 20 * time.Millisecond
+	jobKey           = "demo-job"
 )
 
-// ErrCheck is a promise that the demo found broken.
-var ErrCheck = errors.New("check failed")
+// ErrCheckFailed is returned when the system did not behave as the demo expects.
+var ErrCheckFailed = errors.New("check failed")
 
-// Config is what the demo needs.
+// Config configures a demo.
 type Config struct {
-	Bin    string
+	// Bin is the folder that contains the built programs.
+	Bin string
+	// Folder receives one subfolder with settings, logs and data for each run.
 	Folder string
-	Print  io.Writer
+	// Output receives the table of steps.
+	Output io.Writer
 }
 
-// Demo is one run.
+// Demo is one run of the demo.
 type Demo struct {
 	config Config
 	fleet  *fleet.Fleet
@@ -50,7 +53,7 @@
 	rows   []row
 }
 
-// FleetConfig is the fleet of the demo and of "up".
+// FleetConfig returns the fleet that Run and Up start.
 func FleetConfig(bin, folder string) fleet.Config {
 	return fleet.Config{
 		Bin: bin, Folder: folder, Controls: 3, Gateways: 2, Sidecars: 4, PlainServices: 1,
@@ -58,11 +61,11 @@
 	}
 }
 
-// Run runs the demo and prints the table of what happened.
+// Run runs the demo and prints a table of its steps.
 func Run(ctx context.Context, config Config) error {
-	ctx, stop := context.WithTimeout(ctx, limit)
+	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
-	folder, err := freshFolder(config.Folder)
+	folder, err := createRunFolder(config.Folder)
 	if err != nil {
 		return err
 	}
@@ -71,46 +74,46 @@
 	d.config = config
 	defer d.close()
 	for _, s := range d.steps() {
-		began := time.Now()
-		text, err := s.do(ctx)
+		started := time.Now()
+		result, err := s.run(ctx)
 		if err != nil {
-			d.table()
-			return fmt.Errorf("%s: %w; logs are in %s", s.name, err, folder)
+			d.printTable()
+			return fmt.Errorf("step %q: %w; logs are in %s", s.name, err, folder)
 		}
-		d.rows = append(d.rows, row{name: s.name, text: text, took: time.Since(began)})
+		d.rows = append(d.rows, row{name: s.name, result: result, duration: time.Since(started)})
 	}
-	d.table()
+	d.printTable()
 	return nil
 }
 
 type step struct {
 	name string
-	do   func(ctx context.Context) (string, error)
+	run  func(ctx context.Context) (string, error)
 }
 
 func (d *Demo) steps() []step {
 	return []step{
 		{"start the fleet", d.startFleet},
 		{"configure", d.configure},
-		{"online answer", d.online},
-		{"plain call", d.plain},
-		{"upload job", d.upload},
-		{"kill a sidecar", d.kill},
-		{"finish job", d.finish},
-		{"read results", d.read},
-		{"stop gracefully", d.stop},
+		{"online request", d.callOnline},
+		{"call to plain service", d.callPlainService},
+		{"upload job", d.uploadJob},
+		{"kill a sidecar", d.killSidecar},
+		{"finish job", d.finishJob},
+		{"read results", d.checkResults},
+		{"stop gracefully", d.stopFleet},
 	}
 }
 
-// freshFolder makes an empty folder below the given one, so that no data of an
-// earlier run is taken up.
-func freshFolder(base string) (string, error) {
+// createRunFolder creates an empty folder below base, so that a run never loads the data of an
+// earlier one.
+func createRunFolder(base string) (string, error) {
 	if err := os.MkdirAll(base, 0o700); err != nil {
-		return "", fmt.Errorf("make folder: %w", err)
+		return "", fmt.Errorf("create folder: %w", err)
 	}
 	folder, err := os.MkdirTemp(base, "run-")
 	if err != nil {
-		return "", fmt.Errorf("make folder: %w", err)
+		return "", fmt.Errorf("create folder: %w", err)
 	}
 	return filepath.Abs(folder)
 }
@@ -136,72 +139,72 @@
 	if err := d.fleet.Setup(ctx); err != nil {
 		return "", err
 	}
-	return "services, teams and contracts in force at both gateways", nil
+	return "services, teams and contracts applied by both gateways", nil
 }
 
-func (d *Demo) online(ctx context.Context) (string, error) {
+func (d *Demo) callOnline(ctx context.Context) (string, error) {
 	request := load.Mix{Model: fleet.Model, OwnBytes: 60, MinTokens: 24, Name: "demo"}.Make(1)
 	outcome := d.fleet.Target(1).Call(ctx, request, time.Now())
 	if !outcome.Whole || outcome.Tokens != 24 {
-		return "", fmt.Errorf("%s: %w", outcome, ErrCheck)
+		return "", fmt.Errorf("online request: %s: %w", outcome, ErrCheckFailed)
 	}
 	return fmt.Sprintf("%d tokens streamed, the first after %d ms", outcome.Tokens, outcome.First.Milliseconds()), nil
 }
 
-func (d *Demo) plain(ctx context.Context) (string, error) {
+func (d *Demo) callPlainService(ctx context.Context) (string, error) {
 	echo, err := d.caller.CallPlain(ctx, caller.Plain{Service: fleet.PlainService, Path: "/parcel/17", Body: "who owns it", ID: "demo-plain", Once: true})
 	if err != nil {
 		return "", err
 	}
 	if echo.Body != "who owns it" || echo.Run != 1 {
-		return "", fmt.Errorf("answer %+v: %w", echo, ErrCheck)
+		return "", fmt.Errorf("unexpected response of the plain service %+v: %w", echo, ErrCheckFailed)
 	}
-	return "non-idempotent call answered by " + fleet.PlainService + ", run once", nil
+	return "non-idempotent call run once by " + fleet.PlainService, nil
 }
 
-func prompt(n int) string { return fmt.Sprintf("ITEM[item-%d] summarise agreement %d", n, n) }
+func itemPrompt(n int) string { return fmt.Sprintf("ITEM[item-%d] summarise agreement %d", n, n) }
 
-func (d *Demo) upload(ctx context.Context) (string, error) {
+func (d *Demo) uploadJob(ctx context.Context) (string, error) {
 	var lines strings.Builder
 	for n := range items {
-		lines.WriteString(caller.ItemLine(fmt.Sprintf("item-%d", n), fleet.Model, prompt(n), itemTokens))
+		lines.WriteString(caller.ItemLine(fmt.Sprintf("item-%d", n), fleet.Model, itemPrompt(n), itemTokens))
 	}
 	job, err := d.caller.Upload(ctx, fleet.ModelService, jobKey, strings.NewReader(lines.String()))
 	if err != nil {
 		return "", err
 	}
-	again, err := d.caller.Upload(ctx, fleet.ModelService, jobKey, strings.NewReader(lines.String()))
+	retried, err := d.caller.Upload(ctx, fleet.ModelService, jobKey, strings.NewReader(lines.String()))
 	if err != nil {
-		return "", fmt.Errorf("resend: %w", err)
+		return "", fmt.Errorf("retry upload: %w", err)
 	}
-	if again.ID != job.ID {
-		return "", fmt.Errorf("a resend made another job %s beside %s: %w", again.ID, job.ID, ErrCheck)
+	if retried.ID != job.ID {
+		return "", fmt.Errorf("retried upload created job %s besides %s: %w", retried.ID, job.ID, ErrCheckFailed)
 	}
 	d.job = job
-	return fmt.Sprintf("%d items accepted as %s; a resend of it changed nothing", items, job.ID), nil
+	return fmt.Sprintf("%d items accepted as %s; a retried upload returned the same job", items, job.ID), nil
 }
 
-func (d *Demo) kill(ctx context.Context) (string, error) {
-	status, err := d.wait(ctx, killAfter)
+func (d *Demo) killSidecar(ctx context.Context) (string, error) {
+	status, err := d.waitDecided(ctx, killAfterResults)
 	if err != nil {
 		return "", err
 	}
 	if err := d.fleet.Sidecars[0].Kill(); err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%s ended with kill -9 after %d of %d results", d.fleet.Sidecars[0].Name, status.Done, items), nil
+	return fmt.Sprintf("%s killed with SIGKILL after %d of %d results", d.fleet.Sidecars[0].Name, status.Done, items), nil
 }
 
-func (d *Demo) finish(ctx context.Context) (string, error) {
-	status, err := d.wait(ctx, items)
+func (d *Demo) finishJob(ctx context.Context) (string, error) {
+	status, err := d.waitDecided(ctx, items)
 	if err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("%d done, %d failed", status.Done, status.Failed), nil
 }
 
-// wait waits until so many items are decided.
-func (d *Demo) wait(ctx context.Context, decided uint64) (caller.Job, error) {
+// waitDecided waits until at least the given number of items is decided.
+func (d *Demo) waitDecided(ctx context.Context, decided uint64) (caller.Job, error) {
 	for {
 		status, err := d.caller.Status(ctx, d.job.ID)
 		if err != nil {
@@ -212,24 +215,24 @@
 		}
 		select {
 		case <-ctx.Done():
-			return caller.Job{}, fmt.Errorf("%d of %d items decided when time ran out: %w", status.Done+status.Failed, decided, ErrCheck)
-		case <-time.After(pollPause):
+			return caller.Job{}, fmt.Errorf("%d of %d items decided before the timeout: %w", status.Done+status.Failed, decided, ErrCheckFailed)
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// read reads every result through the other gateway and checks that each item
-// is there exactly once, in order, with the whole text of its own prompt.
-func (d *Demo) read(ctx context.Context) (string, error) {
+// checkResults reads all results through the other gateway and checks that each item occurs
+// exactly once, in order, with the complete text for its own prompt.
+func (d *Demo) checkResults(ctx context.Context) (string, error) {
 	other := caller.New(caller.Config{URL: d.fleet.Gateways[1].URL(), Key: fleet.TeamKey})
 	next := 0
 	err := other.Results(ctx, d.job.ID, 0, func(r caller.Result) error {
 		if int(r.Index) != next || r.CustomID != fmt.Sprintf("item-%d", next) {
-			return fmt.Errorf("item %s at index %d where %d was due: %w", r.CustomID, r.Index, next, ErrCheck)
+			return fmt.Errorf("got item %s at index %d, want index %d: %w", r.CustomID, r.Index, next, ErrCheckFailed)
 		}
-		want := engine.ChatText(prompt(next), itemTokens)
+		want := engine.ChatText(itemPrompt(next), itemTokens)
 		if text := r.Text(); text != want {
-			return fmt.Errorf("item %d has text %q, want %q: %w", next, text, want, ErrCheck)
+			return fmt.Errorf("item %d has text %q, want %q: %w", next, text, want, ErrCheckFailed)
 		}
 		next++
 		return nil
@@ -238,14 +241,14 @@
 		return "", err
 	}
 	if next != items {
-		return "", fmt.Errorf("%d of %d results: %w", next, items, ErrCheck)
+		return "", fmt.Errorf("got %d of %d results: %w", next, items, ErrCheckFailed)
 	}
-	return fmt.Sprintf("%d results, each exactly once, in order, whole", items), nil
+	return fmt.Sprintf("%d results, each complete and exactly once, in order", items), nil
 }
 
-func (d *Demo) stop(context.Context) (string, error) {
+func (d *Demo) stopFleet(context.Context) (string, error) {
 	if err := d.fleet.Stop(); err != nil {
 		return "", err
 	}
-	return "every process ended by itself after SIGTERM", nil
+	return "all processes exited gracefully after SIGTERM", nil
 }
--- a/lab/pkg/demo/table.go
+++ b/lab/pkg/demo/table.go
@@ -7,17 +7,17 @@
 )
 
 type row struct {
-	name string
-	text string
-	took time.Duration
+	name     string
+	result   string
+	duration time.Duration
 }
 
-func (d *Demo) table() {
-	table := tabwriter.NewWriter(d.config.Print, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, "step\ttook\twhat happened")
+func (d *Demo) printTable() {
+	table := tabwriter.NewWriter(d.config.Output, 0, 0, 2, ' ', 0)
+	_, _ = fmt.Fprintln(table, "step\tduration\tresult")
 	for _, r := range d.rows {
-		_, _ = fmt.Fprintf(table, "%s\t%.2f s\t%s\n", r.name, r.took.Seconds(), r.text)
+		_, _ = fmt.Fprintf(table, "%s\t%.2f s\t%s\n", r.name, r.duration.Seconds(), r.result)
 	}
-	_, _ = fmt.Fprintf(table, "together\t%.2f s\t\n", time.Since(d.start).Seconds())
+	_, _ = fmt.Fprintf(table, "total\t%.2f s\t\n", time.Since(d.start).Seconds())
 	_ = table.Flush()
 }
--- a/lab/pkg/fleet/fleet.go
+++ b/lab/pkg/fleet/fleet.go
@@ -170,20 +170,20 @@
 // Setup applies the lab's configuration and waits until every gateway can run a call.
 func (f *Fleet) Setup(ctx context.Context) error {
 	entries := []*toucanhingev1.Entry{
-		operator.Model(ModelService, &toucanhingev1.Service{Model: Model}),
-		operator.Plain(PlainService),
-		operator.Team(TeamName, TeamKey),
-		operator.Team(OtherTeam, OtherTeamKey),
+		operator.ModelServiceEntry(ModelService, &toucanhingev1.Service{Model: Model}),
+		operator.PlainServiceEntry(PlainService),
+		operator.TeamEntry(TeamName, TeamKey),
+		operator.TeamEntry(OtherTeam, OtherTeamKey),
 	}
 	for i, name := range f.Config.DataCentres {
-		entries = append(entries, operator.DataCentre(name, "region-1"))
+		entries = append(entries, operator.DataCentreEntry(name, "region-1"))
 		for _, other := range f.Config.DataCentres[:i] {
-			entries = append(entries, operator.Link(other, name, 300))
+			entries = append(entries, operator.LinkEntry(other, name, 300))
 		}
 	}
 	for _, team := range []string{TeamName, OtherTeam} {
 		for _, service := range []string{ModelService, PlainService} {
-			entries = append(entries, operator.Contract(team, service))
+			entries = append(entries, operator.ContractEntry(team, service))
 		}
 	}
 	version := uint64(0)
@@ -214,7 +214,7 @@
 }
 
 func (f *Fleet) versionApplied(ctx context.Context, version uint64) bool {
-	status, err := f.Operator.Status(ctx)
+	status, err := f.Operator.ConfigStatus(ctx)
 	if err != nil {
 		return false
 	}
@@ -241,7 +241,7 @@
 
 // LinkChange returns the entry of the n-th change that ApplyLinkChange applies. Each n has its own latency.
 func (f *Fleet) LinkChange(n int) *toucanhingev1.Entry {
-	return operator.Link(f.Config.DataCentres[0], f.Config.DataCentres[1], uint32(1000+n))
+	return operator.LinkEntry(f.Config.DataCentres[0], f.Config.DataCentres[1], uint32(1000+n))
 }
 
 // WaitServing waits until a small call through every gateway succeeds.
--- a/lab/pkg/fleet/observe.go
+++ b/lab/pkg/fleet/observe.go
@@ -174,7 +174,7 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, probeTimeout)
 	defer stop()
-	status, err := f.Operator.Groups(ctx, n.Address)
+	status, err := f.Operator.GroupStatus(ctx, n.Address)
 	if err != nil {
 		return 0, false
 	}
--- a/lab/pkg/plain/plain.go
+++ b/lab/pkg/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is a stand-in for a plain service. It echoes each call and keeps
-// a ledger of how often each request id ran, the oracle for non-idempotent calls.
+// Package plain simulates a plain service. It echoes each call and counts in a ledger how
+// often each request id ran, which tests use as the oracle for non-idempotent calls.
 package plain
 
 import (
@@ -16,75 +16,76 @@
 
 const (
 	requestIDHeader = "X-Request-Id"
-	bodyMost        = 16 << 20
-	crashCode       = 3
+	maxBodyBytes    = 16 << 20
+	crashExitCode   = 3
 )
 
-// Faults says what goes wrong; POST /faults replaces the whole.
+// Faults configures the injected faults. POST /faults replaces all of them.
 type Faults struct {
+	// Crash ends the process.
 	Crash bool `json:"crash"`
-	// FreezeMs stops every answer for that long.
+	// FreezeMs delays every response until this time has passed since the fault was set.
 	FreezeMs int64 `json:"freeze_ms"`
-	// LateMs holds back each answer after the run.
+	// LateMs delays each response after the run.
 	LateMs int64 `json:"late_ms"`
-	// Status, when set, is answered after the run.
+	// Status, if set, is returned as the HTTP status after the run.
 	Status int `json:"status"`
-	// Cut breaks the connection after the run, before the answer.
+	// Cut closes the connection after the run, before the response.
 	Cut bool `json:"cut"`
-	// Garbage answers bytes that are no JSON.
+	// Garbage returns bytes that are not valid JSON.
 	Garbage bool `json:"garbage"`
-	// Count is how many requests are hit; 0 means all.
+	// Count is the number of requests that the faults affect. 0 means all.
 	Count int `json:"count"`
 }
 
-// Record is what the service knows of one request id.
+// Record counts the runs of one request id.
 type Record struct {
 	ID   string `json:"id"`
 	Runs int    `json:"runs"`
 }
 
-// Ledger is the answer of GET /ledger.
+// Ledger is the response body of GET /ledger.
 type Ledger struct {
 	Records []Record `json:"records"`
 	Runs    int      `json:"runs"`
 }
 
-// Config is how a service is built.
+// Config configures a Service.
 type Config struct {
 	Name   string
 	Faults Faults
-	// Exit ends the process on a crash; nil means os.Exit.
+	// Exit ends the process on a crash. It defaults to os.Exit.
 	Exit func(code int)
 }
 
-// Plain is the stand-in.
-type Plain struct {
-	config Config
-	mu     sync.Mutex
-	runs   map[string]int
-	total  int
-	faults Faults
-	hits   int
-	frozen time.Time
+// Service is a simulated plain service.
+type Service struct {
+	config      Config
+	mu          sync.Mutex
+	runs        map[string]int
+	totalRuns   int
+	faults      Faults
+	faultHits   int
+	frozenUntil time.Time
 }
 
-// New builds a service.
-func New(config Config) *Plain {
+// New returns a Service.
+func New(config Config) *Service {
 	if config.Exit == nil {
 		config.Exit = os.Exit
 	}
-	return &Plain{config: config, runs: make(map[string]int), faults: config.Faults}
+	return &Service{config: config, runs: make(map[string]int), faults: config.Faults}
 }
 
-// Handler is the service's whole HTTP surface.
-func (p *Plain) Handler() http.Handler {
+// Handler returns the HTTP handler of all endpoints of the service.
+func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, http.StatusOK, healthBody{Name: p.config.Name, OK: true})
+		writeJSON(w, http.StatusOK, healthBody{Name: s.config.Name, OK: true})
 	})
-	mux.HandleFunc("GET /ledger", p.handleLedger)
-	mux.HandleFunc("POST /faults", p.handleFaults)
-	mux.HandleFunc("/", p.handleCall)
+	mux.HandleFunc("GET /ledger", s.handleLedger)
+	mux.HandleFunc("POST /faults", s.handleFaults)
+	mux.HandleFunc("/", s.handleCall)
 	return mux
 }
 
@@ -100,17 +101,17 @@
 	Run    int    `json:"run"`
 }
 
-func (p *Plain) handleCall(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if strings.Contains(string(body), "POISON") {
-		p.config.Exit(crashCode)
+		s.config.Exit(crashExitCode)
 	}
-	run, faults, frozen := p.run(idOf(r, string(body)))
-	if wait := max(time.Until(frozen), time.Duration(faults.LateMs)*time.Millisecond); wait > 0 {
+	run, faults, frozenUntil := s.recordRun(callID(r, string(body)))
+	if wait := max(time.Until(frozenUntil), time.Duration(faults.LateMs)*time.Millisecond); wait > 0 {
 		time.Sleep(wait)
 	}
 	switch {
@@ -125,57 +126,59 @@
 	}
 }
 
-// idOf is the text between ITEM[ and ] in the body, by which tests know a call
-// again whatever ids it got on its way; else the request id.
-func idOf(r *http.Request, body string) string {
+// callID returns the identifier under which the ledger counts a call. It is the text between
+// ITEM[ and ] in the body, which identifies a call in tests even if its request id changed
+// on the way, or else the request id.
+func callID(r *http.Request, body string) string {
 	if _, rest, ok := strings.Cut(body, "ITEM["); ok {
-		if mark, _, ok := strings.Cut(rest, "]"); ok {
-			return mark
+		if marker, _, ok := strings.Cut(rest, "]"); ok {
+			return marker
 		}
 	}
 	return r.Header.Get(requestIDHeader)
 }
 
-func (p *Plain) run(id string) (run int, faults Faults, frozen time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.runs[id]++
-	p.total++
-	faults = p.faults
+// recordRun counts one run of a call and returns its number and the faults that apply to it.
+func (s *Service) recordRun(id string) (run int, faults Faults, frozenUntil time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.runs[id]++
+	s.totalRuns++
+	faults = s.faults
 	if faults.Count > 0 {
-		p.hits++
-		if p.hits > faults.Count {
+		s.faultHits++
+		if s.faultHits > faults.Count {
 			faults = Faults{}
 		}
 	}
-	return p.runs[id], faults, p.frozen
+	return s.runs[id], faults, s.frozenUntil
 }
 
-func (p *Plain) handleFaults(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost)).Decode(&faults); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&faults); err != nil {
 		http.Error(w, fmt.Sprintf("parse faults: %v", err), http.StatusBadRequest)
 		return
 	}
 	if faults.Crash {
-		p.config.Exit(crashCode)
+		s.config.Exit(crashExitCode)
 	}
-	p.mu.Lock()
-	p.faults, p.hits = faults, 0
-	p.frozen = time.Now().Add(time.Duration(faults.FreezeMs) * time.Millisecond)
-	p.mu.Unlock()
+	s.mu.Lock()
+	s.faults, s.faultHits = faults, 0
+	s.frozenUntil = time.Now().Add(time.Duration(faults.FreezeMs) * time.Millisecond)
+	s.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (p *Plain) handleLedger(w http.ResponseWriter, _ *http.Request) {
-	p.mu.Lock()
-	answer := Ledger{Records: make([]Record, 0, len(p.runs)), Runs: p.total}
-	for id, runs := range p.runs {
-		answer.Records = append(answer.Records, Record{ID: id, Runs: runs})
+func (s *Service) handleLedger(w http.ResponseWriter, _ *http.Request) {
+	s.mu.Lock()
+	ledger := Ledger{Records: make([]Record, 0, len(s.runs)), Runs: s.totalRuns}
+	for id, runs := range s.runs {
+		ledger.Records = append(ledger.Records, Record{ID: id, Runs: runs})
 	}
-	p.mu.Unlock()
-	sort.Slice(answer.Records, func(i, j int) bool { return answer.Records[i].ID < answer.Records[j].ID })
-	writeJSON(w, http.StatusOK, answer)
+	s.mu.Unlock()
+	sort.Slice(ledger.Records, func(i, j int) bool { return ledger.Records[i].ID < ledger.Records[j].ID })
+	writeJSON(w, http.StatusOK, ledger)
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
--- a/lab/pkg/process/ports.go
+++ b/lab/pkg/process/ports.go
@@ -9,31 +9,32 @@
 	"github.com/pkg/errors"
 )
 
-// Ports below the kernel's ephemeral range, so that no outgoing connection
-// takes one between our look and the program's listen.
+// The ports are below the kernel's ephemeral range, so that no outgoing connection can
+// use a port between the check in FreeAddress and the listen call of the program.
 const (
-	portFirst = 20000
+	firstPort = 20000
 	portCount = 12000
-	// portStride spreads programs that run at the same time over the range.
+	// portStride spreads the first ports of concurrent test processes over the range by process id.
 	portStride = 97
 )
 
-var errNoPorts = errors.New("no free port")
+var errNoFreePort = errors.New("no free port")
 
 var (
-	portsMu  sync.Mutex
-	portNext = portFirst + os.Getpid()*portStride%portCount
+	portMu   sync.Mutex
+	nextPort = firstPort + os.Getpid()*portStride%portCount
 )
 
-// FreeAddress finds a free loopback address that this program hands out once.
+// FreeAddress returns a free loopback address. It returns each address only once
+// until the port range wraps around.
 func FreeAddress() (string, error) {
-	portsMu.Lock()
-	defer portsMu.Unlock()
+	portMu.Lock()
+	defer portMu.Unlock()
 	for range portCount {
-		address := fmt.Sprintf("127.0.0.1:%d", portNext)
-		portNext++
-		if portNext >= portFirst+portCount {
-			portNext = portFirst
+		address := fmt.Sprintf("127.0.0.1:%d", nextPort)
+		nextPort++
+		if nextPort >= firstPort+portCount {
+			nextPort = firstPort
 		}
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
@@ -42,5 +43,5 @@
 		_ = listener.Close()
 		return address, nil
 	}
-	return "", errNoPorts
+	return "", errNoFreePort
 }
--- a/lab/pkg/process/process.go
+++ b/lab/pkg/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts programs on loopback for demos, failure tests and
-// experiments, signals them by their id, and ends all of them in the end.
+// Package process starts programs for demos, failure tests and experiments and signals them
+// by their process id. The programs are killed when the process that started them ends.
 package process
 
 import (
@@ -14,20 +14,20 @@
 	"github.com/pkg/errors"
 )
 
-// ErrStillRunning is returned when a process did not end in time.
+// ErrStillRunning is returned when a process does not end or freeze within its timeout.
 var ErrStillRunning = errors.New("still running")
 
-// Config is what to start.
+// Config describes the program to start.
 type Config struct {
-	// Name is used in messages and for the log file.
+	// Name identifies the process in error messages.
 	Name   string
 	Binary string
 	Args   []string
-	// Log is the file that takes standard output and error, appended to.
+	// Log is the file to which standard output and standard error are appended.
 	Log string
 }
 
-// Process is one started program.
+// Process is a started program.
 type Process struct {
 	Config Config
 	cmd    *exec.Cmd
@@ -35,7 +35,7 @@
 	err    error
 }
 
-// Start starts a program. It is killed should the program that started it end first.
+// Start starts a program. The kernel kills it if the starting process ends first.
 func Start(config Config) (*Process, error) {
 	log, err := os.OpenFile(config.Log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -53,10 +53,10 @@
 	return p, nil
 }
 
-// ID is the process id.
+// ID returns the process id.
 func (p *Process) ID() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal to this one process.
+// Signal sends a signal to the process. It does nothing if the process has ended.
 func (p *Process) Signal(signal syscall.Signal) error {
 	if p.Ended() {
 		return nil
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// Kill ends the process at once, as a lost VM does, and waits for its end.
+// Kill kills the process without a graceful shutdown and waits for its end, which simulates
+// the loss of its VM.
 func (p *Process) Kill() error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return err
@@ -76,16 +77,16 @@
 	return nil
 }
 
-// freezeWait bounds the wait for a stop to take hold.
-const freezeWait = 5 * time.Second
+// freezeTimeout bounds the wait until a SIGSTOP takes effect.
+const freezeTimeout = 5 * time.Second
 
-// Freeze stops the process where it stands and waits until the kernel shows it
-// stopped: a signal sent right after would otherwise be delivered before the stop.
+// Freeze suspends the process with SIGSTOP and waits until the kernel reports it as stopped.
+// Without the wait, a signal sent right afterwards could be delivered before the stop.
 func (p *Process) Freeze() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	for until := time.Now().Add(freezeWait); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(freezeTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		text, err := os.ReadFile("/proc/" + strconv.Itoa(p.ID()) + "/stat")
 		if err != nil || p.Ended() {
 			return fmt.Errorf("freeze %s: %w", p.Config.Name, os.ErrProcessDone)
@@ -97,31 +98,32 @@
 	return fmt.Errorf("freeze %s: %w", p.Config.Name, ErrStillRunning)
 }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
 
-// Stop asks for a graceful end and waits for it.
-func (p *Process) Stop(wait time.Duration) error {
+// Stop sends SIGTERM and waits for the process to end.
+func (p *Process) Stop(timeout time.Duration) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	return p.Wait(wait)
+	return p.Wait(timeout)
 }
 
-// Wait waits for the end and returns an error for a bad exit.
-func (p *Process) Wait(wait time.Duration) error {
+// Wait waits for the process to end. It returns an error if the process failed or still runs
+// after the timeout.
+func (p *Process) Wait(timeout time.Duration) error {
 	select {
 	case <-p.ended:
-	case <-time.After(wait):
-		return fmt.Errorf("%s after %s: %w", p.Config.Name, wait, ErrStillRunning)
+	case <-time.After(timeout):
+		return fmt.Errorf("%s after %s: %w", p.Config.Name, timeout, ErrStillRunning)
 	}
 	if p.err != nil {
-		return fmt.Errorf("%s ended badly: %w", p.Config.Name, p.err)
+		return fmt.Errorf("%s exited with an error: %w", p.Config.Name, p.err)
 	}
 	return nil
 }
 
-// Ended tells whether the process has ended.
+// Ended reports whether the process has ended.
 func (p *Process) Ended() bool {
 	select {
 	case <-p.ended:
--- a/lab/pkg/process/process_test.go
+++ b/lab/pkg/process/process_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const patience = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
 func startShell(t *testing.T, script string) *Process {
 	t.Helper()
@@ -20,34 +20,34 @@
 	return p
 }
 
-func TestStopWaitsForAGracefulEnd(t *testing.T) {
+func TestStopWaitsForGracefulExit(t *testing.T) {
 	p := startShell(t, "trap 'exit 0' TERM; echo up; while :; do sleep 0.01; done")
 	require.Eventually(t, func() bool {
 		text, err := os.ReadFile(p.Config.Log)
 		return err == nil && len(text) > 0
-	}, patience, time.Millisecond)
-	require.NoError(t, p.Stop(patience))
+	}, waitTimeout, time.Millisecond)
+	require.NoError(t, p.Stop(waitTimeout))
 	require.True(t, p.Ended())
 }
 
-func TestBadExitIsAnError(t *testing.T) {
-	require.ErrorContains(t, startShell(t, "exit 3").Wait(patience), "ended badly")
+func TestWaitFailsOnNonZeroExit(t *testing.T) {
+	require.ErrorContains(t, startShell(t, "exit 3").Wait(waitTimeout), "exited with an error")
 }
 
-func TestFrozenProcessGoesOnAfterThaw(t *testing.T) {
+func TestFrozenProcessResumesAfterThaw(t *testing.T) {
 	p := startShell(t, "while :; do sleep 0.01; done")
 	require.NoError(t, p.Freeze())
 	require.ErrorIs(t, p.Stop(50*time.Millisecond), ErrStillRunning)
 	require.NoError(t, p.Thaw())
-	require.Error(t, p.Wait(patience))
+	require.Error(t, p.Wait(waitTimeout))
 }
 
-func TestUsageIsReadWhileRunning(t *testing.T) {
+func TestUsageOfRunningProcess(t *testing.T) {
 	p := startShell(t, "while :; do :; done")
 	require.Eventually(t, func() bool {
 		u, err := p.Usage()
-		return err == nil && u.Processor > 0 && u.Resident > 0
-	}, patience, 10*time.Millisecond)
+		return err == nil && u.CPUTime > 0 && u.ResidentBytes > 0
+	}, waitTimeout, 10*time.Millisecond)
 	require.NoError(t, p.Signal(syscall.SIGKILL))
 }
 
--- a/lab/pkg/process/usage.go
+++ b/lab/pkg/process/usage.go
@@ -10,47 +10,47 @@
 	"github.com/pkg/errors"
 )
 
-// ticksPerSecond is the unit of /proc/PID/stat times; Linux fixes it for user space.
+// ticksPerSecond is the unit of the times in /proc/PID/stat. Linux fixes it to 100 for user space.
 const ticksPerSecond = 100
 
-var errFormat = errors.New("unexpected format")
+var errUnexpectedFormat = errors.New("unexpected format")
 
-// Usage is what the kernel counted of one process since its start.
+// Usage holds the resource counters of a process since its start.
 type Usage struct {
-	// Processor is user and system time together.
-	Processor time.Duration
-	// Resident is the resident memory in bytes.
-	Resident int64
-	// Written is the bytes handed to the disk.
-	Written int64
+	// CPUTime is the sum of user and system time.
+	CPUTime time.Duration
+	// ResidentBytes is the current resident memory.
+	ResidentBytes int64
+	// WrittenBytes is the number of bytes written to storage.
+	WrittenBytes int64
 }
 
-// Usage reads the process's counters.
+// Usage reads the resource counters of the process.
 func (p *Process) Usage() (Usage, error) {
-	return UsageOf(p.ID())
+	return ReadUsage(p.ID())
 }
 
-// UsageOf reads the counters of a process by its id.
-func UsageOf(id int) (Usage, error) {
+// ReadUsage reads the resource counters of the process with the given id.
+func ReadUsage(id int) (Usage, error) {
 	folder := "/proc/" + strconv.Itoa(id)
-	processor, err := processorTime(folder)
+	cpuTime, err := readCPUTime(folder)
 	if err != nil {
 		return Usage{}, err
 	}
-	resident, err := field(folder+"/status", "VmRSS:")
+	resident, err := readField(folder+"/status", "VmRSS:")
 	if err != nil {
 		return Usage{}, err
 	}
-	written, err := field(folder+"/io", "write_bytes:")
+	written, err := readField(folder+"/io", "write_bytes:")
 	if err != nil {
 		return Usage{}, err
 	}
-	return Usage{Processor: processor, Resident: resident * 1024, Written: written}, nil
+	return Usage{CPUTime: cpuTime, ResidentBytes: resident * 1024, WrittenBytes: written}, nil
 }
 
-// processorTime reads user and system time in ticks of 10 ms, so a run to be
-// measured must last some seconds.
-func processorTime(folder string) (time.Duration, error) {
+// readCPUTime reads the sum of user and system time. Its resolution is one tick of 10 ms, so
+// a measured run should last several seconds.
+func readCPUTime(folder string) (time.Duration, error) {
 	text, err := os.ReadFile(folder + "/stat")
 	if err != nil {
 		return 0, fmt.Errorf("read counters: %w", err)
@@ -58,20 +58,21 @@
 	_, rest, ok := strings.Cut(string(text), ") ")
 	parts := strings.Fields(rest)
 	if !ok || len(parts) < 13 {
-		return 0, fmt.Errorf("%s/stat: %w", folder, errFormat)
+		return 0, fmt.Errorf("parse %s/stat: %w", folder, errUnexpectedFormat)
 	}
 	user, err := strconv.ParseInt(parts[11], 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("user time: %w", err)
+		return 0, fmt.Errorf("parse user time: %w", err)
 	}
 	system, err := strconv.ParseInt(parts[12], 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("system time: %w", err)
+		return 0, fmt.Errorf("parse system time: %w", err)
 	}
 	return time.Duration(user+system) * time.Second / ticksPerSecond, nil
 }
 
-func field(file, name string) (int64, error) {
+// readField reads an integer field of a file with one "name: value" line per field.
+func readField(file, name string) (int64, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return 0, fmt.Errorf("read counters: %w", err)
@@ -80,10 +81,10 @@
 		if rest, ok := strings.CutPrefix(line, name); ok {
 			n, err := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
 			if err != nil {
-				return 0, fmt.Errorf("%s of %s: %w", name, file, err)
+				return 0, fmt.Errorf("parse field %s of %s: %w", name, file, err)
 			}
 			return n, nil
 		}
 	}
-	return 0, fmt.Errorf("%s of %s: %w", name, file, errFormat)
+	return 0, fmt.Errorf("field %s of %s: %w", name, file, errUnexpectedFormat)
 }
--- a/lab/pkg/serve/serve.go
+++ b/lab/pkg/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve runs one stand-in's HTTP server until a termination signal.
+// Package serve runs the HTTP server of a simulated service until a termination signal.
 package serve
 
 import (
@@ -15,18 +15,20 @@
 	"github.com/pkg/errors"
 )
 
-// stopWait bounds a graceful stop; what then still runs is cut.
-const stopWait = 10 * time.Second
+// shutdownTimeout bounds a graceful shutdown, after which open connections are closed. It is also the
+// timeout for reading request headers.
+const shutdownTimeout = 10 * time.Second
 
-// Config is what to serve and which duty to run beside it.
+// Config configures the server.
 type Config struct {
+	// Listen is the host:port to serve on.
 	Listen  string
 	Handler http.Handler
-	// Duty, when set, runs until its context ends.
-	Duty func(ctx context.Context)
+	// Background, if set, runs beside the server until its context is cancelled.
+	Background func(ctx context.Context)
 }
 
-// Run serves until SIGTERM or an interrupt and returns the exit code.
+// Run serves until SIGTERM or SIGINT and returns the exit code of the process.
 func Run(config Config) int {
 	if err := run(config); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -43,34 +45,34 @@
 	fmt.Fprintf(os.Stderr, "{\"msg\":\"ready\",\"address\":%q}\n", listener.Addr())
 	signals, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stopSignals()
-	duty, stopDuty := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
-	if config.Duty != nil {
-		duties.Go(func() { config.Duty(duty) })
+	background, stopBackground := context.WithCancel(context.Background())
+	var tasks sync.WaitGroup
+	if config.Background != nil {
+		tasks.Go(func() { config.Background(background) })
 	}
-	server := &http.Server{Handler: config.Handler, ReadHeaderTimeout: stopWait}
+	server := &http.Server{Handler: config.Handler, ReadHeaderTimeout: shutdownTimeout}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
 	select {
 	case err = <-served:
 	case <-signals.Done():
-		err = stop(server)
+		err = shutdown(server)
 	}
-	stopDuty()
-	duties.Wait()
+	stopBackground()
+	tasks.Wait()
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve: %w", err)
 	}
 	return nil
 }
 
-// stop lets running answers end, then cuts what is left.
-func stop(server *http.Server) error {
-	bounded, cancel := context.WithTimeout(context.Background(), stopWait)
+// shutdown waits for running requests and then closes the remaining connections.
+func shutdown(server *http.Server) error {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := server.Shutdown(bounded); err != nil {
+	if err := server.Shutdown(ctx); err != nil {
 		_ = server.Close()
-		return fmt.Errorf("stop gracefully: %w", err)
+		return fmt.Errorf("shut down gracefully: %w", err)
 	}
 	return nil
 }
--- a/lab/pkg/vmlist/vmlist.go
+++ b/lab/pkg/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist is a stand-in for the platform's list of live and leaving VMs.
-// What it answers lags behind what was put.
+// Package vmlist simulates the platform's list of live and leaving VMs. Its responses lag
+// behind the updates by a configured time.
 package vmlist
 
 import (
@@ -9,45 +9,48 @@
 	"time"
 )
 
-// States of a VM.
+// States of a VM in the list.
 const (
 	StateLive    = "live"
 	StateLeaving = "leaving"
 )
 
-const bodyMost = 1 << 20
+const maxBodyBytes = 1 << 20
 
-// VM is one line of the list.
+// VM is one entry of the list.
 type VM struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
 }
 
-type version struct {
-	at  time.Time
-	vms []VM
+// snapshot is the content of the list since publishedAt.
+type snapshot struct {
+	publishedAt time.Time
+	vms         []VM
 }
 
-// List is the stand-in.
+// List is a simulated VM list.
 type List struct {
-	lag      time.Duration
-	mu       sync.Mutex
-	versions []version
+	lag       time.Duration
+	mu        sync.Mutex
+	snapshots []snapshot
 }
 
-// Config is how a list is built.
+// Config configures a List.
 type Config struct {
-	// Lag is how old an answer is.
+	// Lag is the time until an update becomes visible in responses.
 	Lag time.Duration
+	// VMs is the initial list, which is visible at once.
 	VMs []VM
 }
 
-// New builds a list; what it starts with is seen at once.
+// New returns a List.
 func New(config Config) *List {
-	return &List{lag: config.Lag, versions: []version{{vms: config.VMs}}}
+	return &List{lag: config.Lag, snapshots: []snapshot{{vms: config.VMs}}}
 }
 
-// Handler serves GET /vms, PUT /vms (the whole list) and PUT /vms/NAME (one state).
+// Handler serves GET /vms, PUT /vms (replaces the list), PUT /vms/NAME (sets the state of
+// one VM) and GET /health.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /vms", l.handleGet)
@@ -59,48 +62,48 @@
 
 func (l *List) handleGet(w http.ResponseWriter, _ *http.Request) {
 	l.mu.Lock()
-	seen := l.versions[0].vms
-	for _, v := range l.versions {
-		if time.Since(v.at) >= l.lag {
-			seen = v.vms
+	visible := l.snapshots[0].vms
+	for _, v := range l.snapshots {
+		if time.Since(v.publishedAt) >= l.lag {
+			visible = v.vms
 		}
 	}
 	l.mu.Unlock()
-	if seen == nil {
-		seen = []VM{}
+	if visible == nil {
+		visible = []VM{}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(seen)
+	_ = json.NewEncoder(w).Encode(visible)
 }
 
 func (l *List) handlePut(w http.ResponseWriter, r *http.Request) {
 	var vms []VM
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost)).Decode(&vms); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&vms); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	l.mu.Lock()
-	l.versions = append(l.versions, version{at: time.Now(), vms: vms})
+	l.snapshots = append(l.snapshots, snapshot{publishedAt: time.Now(), vms: vms})
 	l.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (l *List) handlePutOne(w http.ResponseWriter, r *http.Request) {
 	vm := VM{Name: r.PathValue("name")}
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost)).Decode(&vm); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&vm); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	vm.Name = r.PathValue("name")
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	latest := l.versions[len(l.versions)-1].vms
+	latest := l.snapshots[len(l.snapshots)-1].vms
 	vms := make([]VM, 0, len(latest)+1)
 	for _, v := range latest {
 		if v.Name != vm.Name {
 			vms = append(vms, v)
 		}
 	}
-	l.versions = append(l.versions, version{at: time.Now(), vms: append(vms, vm)})
+	l.snapshots = append(l.snapshots, snapshot{publishedAt: time.Now(), vms: append(vms, vm)})
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/lab/pkg/vmlist/vmlist_test.go
+++ b/lab/pkg/vmlist/vmlist_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func seen(t *testing.T, l *List) []VM {
+func getVMs(t *testing.T, l *List) []VM {
 	t.Helper()
 	recorder := httptest.NewRecorder()
 	l.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/vms", nil))
@@ -26,17 +26,17 @@
 	return recorder.Code
 }
 
-func TestAnswersLagBehind(t *testing.T) {
+func TestListLagsBehindUpdates(t *testing.T) {
 	live := []VM{{Name: "a", State: StateLive}}
-	slow := New(Config{Lag: time.Hour, VMs: live})
-	require.Equal(t, http.StatusNoContent, put(slow, "/vms/a", `{"state":"leaving"}`))
-	require.Equal(t, live, seen(t, slow))
+	lagging := New(Config{Lag: time.Hour, VMs: live})
+	require.Equal(t, http.StatusNoContent, put(lagging, "/vms/a", `{"state":"leaving"}`))
+	require.Equal(t, live, getVMs(t, lagging))
 
-	quick := New(Config{VMs: live})
-	require.Equal(t, http.StatusNoContent, put(quick, "/vms/b", `{"state":"live"}`))
-	require.Equal(t, http.StatusNoContent, put(quick, "/vms/a", `{"state":"leaving"}`))
-	require.Equal(t, []VM{{Name: "b", State: StateLive}, {Name: "a", State: StateLeaving}}, seen(t, quick))
-	require.Equal(t, http.StatusNoContent, put(quick, "/vms", `[]`))
-	require.Empty(t, seen(t, quick))
-	require.Equal(t, http.StatusBadRequest, put(quick, "/vms", `{`))
+	immediate := New(Config{VMs: live})
+	require.Equal(t, http.StatusNoContent, put(immediate, "/vms/b", `{"state":"live"}`))
+	require.Equal(t, http.StatusNoContent, put(immediate, "/vms/a", `{"state":"leaving"}`))
+	require.Equal(t, []VM{{Name: "b", State: StateLive}, {Name: "a", State: StateLeaving}}, getVMs(t, immediate))
+	require.Equal(t, http.StatusNoContent, put(immediate, "/vms", `[]`))
+	require.Empty(t, getVMs(t, immediate))
+	require.Equal(t, http.StatusBadRequest, put(immediate, "/vms", `{`))
 }
--- a/lab/pkg/weights/weights.go
+++ b/lab/pkg/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights is a stand-in for the rate-limited weight store: all fetches
-// together get one rate, so a herd of fetches makes each of them slow.
+// Package weights simulates the rate-limited weight store. All fetches share one rate, so
+// many concurrent fetches slow each other down.
 package weights
 
 import (
@@ -11,28 +11,30 @@
 
 const (
 	chunkBytes = 64 << 10
-	// defaultSize is the size of any model's weights unless asked otherwise.
+	// defaultSize is the default size of the weights of each model, and the default rate per second.
 	defaultSize = 4 << 20
 )
 
-// Config is how a store is built.
+// Config configures a Store.
 type Config struct {
-	// BytesPerSecond is shared by all fetches.
+	// BytesPerSecond is the rate that all fetches share.
 	BytesPerSecond int64
-	Size           int64
+	// Size is the size in bytes of the weights of each model.
+	Size int64
 }
 
-// Store is the stand-in.
+// Store is a simulated weight store.
 type Store struct {
 	config Config
 	mu     sync.Mutex
-	free   time.Time
-	active int
-	peak   int
-	total  int
+	// nextFree is the time from which the shared rate has unreserved capacity.
+	nextFree time.Time
+	active   int
+	peak     int
+	total    int
 }
 
-// New builds a store.
+// New returns a Store.
 func New(config Config) *Store {
 	if config.Size <= 0 {
 		config.Size = defaultSize
@@ -52,34 +54,34 @@
 }
 
 func (s *Store) handleFetch(w http.ResponseWriter, r *http.Request) {
-	s.enter()
-	defer s.leave()
+	s.startFetch()
+	defer s.endFetch()
 	w.Header().Set("Content-Length", strconv.FormatInt(s.config.Size, 10))
 	chunk := make([]byte, chunkBytes)
-	for left := s.config.Size; left > 0; {
-		n := min(left, chunkBytes)
+	for remaining := s.config.Size; remaining > 0; {
+		n := min(remaining, chunkBytes)
 		time.Sleep(s.reserve(n))
 		if _, err := w.Write(chunk[:n]); err != nil || r.Context().Err() != nil {
 			return
 		}
-		left -= n
+		remaining -= n
 	}
 }
 
-// reserve books the next bytes of the shared rate and says how long to wait.
+// reserve reserves n bytes of the shared rate and returns the time to wait before sending them.
 func (s *Store) reserve(n int64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.free.Before(now) {
-		s.free = now
+	if s.nextFree.Before(now) {
+		s.nextFree = now
 	}
-	wait := s.free.Sub(now)
-	s.free = s.free.Add(time.Duration(float64(n) / float64(s.config.BytesPerSecond) * float64(time.Second)))
+	wait := s.nextFree.Sub(now)
+	s.nextFree = s.nextFree.Add(time.Duration(float64(n) / float64(s.config.BytesPerSecond) * float64(time.Second)))
 	return wait
 }
 
-func (s *Store) enter() {
+func (s *Store) startFetch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active++
@@ -87,7 +89,7 @@
 	s.peak = max(s.peak, s.active)
 }
 
-func (s *Store) leave() {
+func (s *Store) endFetch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active--
--- a/lab/pkg/worker/upload.go
+++ b/lab/pkg/worker/upload.go
@@ -10,25 +10,25 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// chunkItems is how many items travel in one message of an upload.
-const chunkItems = 500
+// itemsPerMessage is the number of items in one message of an upload stream.
+const itemsPerMessage = 500
 
-// Upload brings a job to the leader of its group, as a gateway does. A second
-// try after a lost answer is harmless, since the key is the same.
+// Upload uploads a job to the leader of its group, as a gateway does. A retry after a lost
+// response creates no second job, since the idempotency key is the same.
 func Upload(
 	ctx context.Context, client *control.Client, group uint32, header *toucanhingev1.UploadHeader,
 	count int, item func(n int) *toucanhingev1.Item,
 ) (*toucanhingev1.UploadResponse, error) {
-	answer, err := control.Call(ctx, client, group, "upload",
+	response, err := control.Call(ctx, client, group, "upload",
 		func(_ context.Context, r *control.Replica) (*connect.Response[toucanhingev1.UploadResponse], error) {
-			// A long upload takes longer than the client allows for one try, so
-			// it runs under the caller's own context.
+			// A long upload exceeds the client's timeout for one attempt, so it runs
+			// under the context of the caller.
 			return uploadOnce(ctx, r, header, count, item)
 		})
 	if err != nil {
 		return nil, fmt.Errorf("upload %s: %w", header.GetKey(), err)
 	}
-	return answer.Msg, nil
+	return response.Msg, nil
 }
 
 func uploadOnce(
@@ -38,9 +38,9 @@
 	stream := r.Jobs.Upload(ctx)
 	send := func(part *toucanhingev1.UploadRequest) bool { return stream.Send(part) == nil }
 	ok := send(&toucanhingev1.UploadRequest{Part: &toucanhingev1.UploadRequest_Header{Header: header}})
-	for first := 0; ok && first < count; first += chunkItems {
+	for first := 0; ok && first < count; first += itemsPerMessage {
 		items := &toucanhingev1.UploadItems{}
-		for n := first; n < min(first+chunkItems, count); n++ {
+		for n := first; n < min(first+itemsPerMessage, count); n++ {
 			items.Items = append(items.Items, item(n))
 		}
 		ok = send(&toucanhingev1.UploadRequest{Part: &toucanhingev1.UploadRequest_Items{Items: items}})
@@ -49,6 +49,6 @@
 		end := &toucanhingev1.UploadEnd{Count: uint64(count)}
 		send(&toucanhingev1.UploadRequest{Part: &toucanhingev1.UploadRequest_End{End: end}})
 	}
-	// A failed send is explained by what the stream answers.
+	// After a failed send, the response of the stream carries the reason.
 	return stream.CloseAndReceive()
 }
--- a/lab/pkg/worker/worker.go
+++ b/lab/pkg/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker stands in for many sidecars towards the job groups: it leases
-// items and completes them at once, without any engine, so that control can be
-// measured beyond what the engines of one machine could run.
+// Package worker simulates many sidecars towards the job groups. It leases items and
+// completes them at once without an engine, so that experiments can load control beyond
+// the capacity of the engines of one machine.
 package worker
 
 import (
@@ -15,22 +15,23 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Config is how a worker is built.
+// Config configures a worker.
 type Config struct {
 	Client      *control.Client
 	Name        string
 	Incarnation uint64
 	Service     string
 	Group       uint32
-	// Most items are asked for at once.
-	Most uint32
-	// Body is the result of every item.
+	// MaxItems is the maximum number of items per lease request.
+	MaxItems uint32
+	// Body is the result reported for each item.
 	Body []byte
-	// Limit, when above 0, ends the work after about that many items.
-	Limit int64
+	// ItemLimit, if above 0, ends the run after about this many accepted items.
+	ItemLimit int64
 }
 
-// Counts is what workers did together.
+// Counts counts the leased items and the verdicts on completions over all workers that
+// share it.
 type Counts struct {
 	Leased    atomic.Int64
 	Accepted  atomic.Int64
@@ -39,17 +40,18 @@
 	Cancelled atomic.Int64
 }
 
-const longestPause = 50 * time.Millisecond
+// maxRetryDelay caps the retry delay that control requests when it has no items.
+const maxRetryDelay = 50 * time.Millisecond
 
-// Run leases and completes until the context ends or the limit is reached.
+// Run leases and completes items until the context is cancelled or the limit is reached.
 func Run(ctx context.Context, config Config, counts *Counts) error {
-	for ctx.Err() == nil && (config.Limit == 0 || counts.Accepted.Load() < config.Limit) {
+	for ctx.Err() == nil && (config.ItemLimit == 0 || counts.Accepted.Load() < config.ItemLimit) {
 		leased, err := config.lease(ctx)
 		if err != nil {
 			return err
 		}
 		if len(leased.GetItems()) == 0 {
-			pause(ctx, min(time.Duration(leased.GetRetryMs())*time.Millisecond, longestPause))
+			sleep(ctx, min(time.Duration(leased.GetRetryMs())*time.Millisecond, maxRetryDelay))
 			continue
 		}
 		counts.Leased.Add(int64(len(leased.GetItems())))
@@ -60,7 +62,7 @@
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -71,16 +73,16 @@
 
 func (c Config) lease(ctx context.Context) (*toucanhingev1.LeaseResponse, error) {
 	request := &toucanhingev1.LeaseRequest{
-		Sidecar: c.Name, Incarnation: c.Incarnation, Service: c.Service, Group: c.Group, Most: c.Most,
+		Sidecar: c.Name, Incarnation: c.Incarnation, Service: c.Service, Group: c.Group, Most: c.MaxItems,
 	}
-	answer, err := control.Call(ctx, c.Client, c.Group, "lease",
+	response, err := control.Call(ctx, c.Client, c.Group, "lease",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.LeaseResponse], error) {
 			return r.Work.Lease(ctx, connect.NewRequest(request))
 		})
 	if err != nil {
-		return nil, fmt.Errorf("lease: %w", err)
+		return nil, fmt.Errorf("lease items: %w", err)
 	}
-	return answer.Msg, nil
+	return response.Msg, nil
 }
 
 func (c Config) complete(ctx context.Context, items []*toucanhingev1.LeasedItem, counts *Counts) error {
@@ -91,20 +93,20 @@
 			Outcome: toucanhingev1.Outcome_OUTCOME_DONE, Body: c.Body,
 		})
 	}
-	answer, err := control.Call(ctx, c.Client, c.Group, "complete",
+	response, err := control.Call(ctx, c.Client, c.Group, "complete",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.CompleteResponse], error) {
 			return r.Work.Complete(ctx, connect.NewRequest(request))
 		})
 	if err != nil {
-		return fmt.Errorf("complete: %w", err)
+		return fmt.Errorf("complete items: %w", err)
 	}
-	for _, v := range answer.Msg.GetVerdicts() {
-		counts.verdict(v)
+	for _, v := range response.Msg.GetVerdicts() {
+		counts.record(v)
 	}
 	return nil
 }
 
-func (c *Counts) verdict(v toucanhingev1.Verdict) {
+func (c *Counts) record(v toucanhingev1.Verdict) {
 	switch v {
 	case toucanhingev1.Verdict_VERDICT_ACCEPTED:
 		c.Accepted.Add(1)
