--- a/lab/cmd/losses/main.go
+++ b/lab/cmd/losses/main.go
@@ -17,7 +17,7 @@
 	Logs          []string      `arg:"positional" help:"log files; standard input if none is given"`
 	Picture       string        `arg:"--picture" help:"PNG file for a plot of the losses over time"`
 	Span          time.Duration `arg:"--span" default:"2s" help:"time covered by one point of the plot"`
-	Late          float64       `arg:"--late" default:"0.15" help:"value of a late response, relative to one in time"`
+	Late          float64       `arg:"--late" default:"0.15" help:"value of a late response, relative to a complete one in time"`
 	SecondAttempt float64       `arg:"--back" default:"0.575" help:"value of a response in time on the second attempt"`
 }
 
--- a/lab/failure/main_test.go
+++ b/lab/failure/main_test.go
@@ -72,7 +72,7 @@
 	if config.Engine.Speed == 0 {
 		config.Engine.Speed = engineSpeed
 	}
-	// Leases shorter than in production keep the tests short.
+	// Short leases keep the tests short. The lease mechanism does not depend on their length.
 	config.ControlSettings = append([]fleet.Setting{fleet.Set("jobs.lease_ms", 2000), fleet.Set("members.lease_ms", 6000)}, config.ControlSettings...)
 	t.Cleanup(func() { printLogs(t, config.Folder) })
 	f, err := fleet.New(testContext(t), config)
--- a/lab/failure/rolling_restart_test.go
+++ b/lab/failure/rolling_restart_test.go
@@ -25,11 +25,11 @@
 	f := startFleet(t, fleet.Config{Controls: 3, Gateways: 2, Sidecars: 3, Engine: fleet.Engine{Speed: 2}})
 	const items = 1500
 	job := upload(ctx, t, callerAt(f, 0), "rolling", items)
-	calls, stop := context.WithCancel(ctx)
+	callsCtx, stop := context.WithCancel(ctx)
 	var callers sync.WaitGroup
 	outcomes := &outcomes{}
 	for n := range 8 {
-		callers.Go(func() { outcomes.stream(calls, ctx, f, n) })
+		callers.Go(func() { outcomes.stream(callsCtx, ctx, f, n) })
 	}
 	for _, n := range f.SystemNodes() {
 		require.NoError(t, n.Restart(ctx), n.Name)
@@ -48,9 +48,9 @@
 	failures []string
 }
 
-// stream makes calls in sequence until the calls context ends. The last call still runs to its end.
-func (o *outcomes) stream(calls, ctx context.Context, f *fleet.Fleet, worker int) {
-	for n := 0; calls.Err() == nil; n++ {
+// stream makes calls in sequence until callsCtx ends. The last call still runs to its end.
+func (o *outcomes) stream(callsCtx, ctx context.Context, f *fleet.Fleet, worker int) {
+	for n := 0; callsCtx.Err() == nil; n++ {
 		target, ok := readyTarget(ctx, f, worker+n)
 		if !ok {
 			time.Sleep(pollInterval)
--- a/lab/pkg/demo/demo.go
+++ b/lab/pkg/demo/demo.go
@@ -159,7 +159,7 @@
 	if echo.Body != "who owns it" || echo.Run != 1 {
 		return "", fmt.Errorf("unexpected response of the plain service %+v: %w", echo, ErrCheckFailed)
 	}
-	return "non-idempotent call run once by " + fleet.PlainService, nil
+	return "non-idempotent call handled by " + fleet.PlainService + ", run once", nil
 }
 
 func itemPrompt(n int) string { return fmt.Sprintf("ITEM[item-%d] summarise agreement %d", n, n) }
