--- a/gateway/pkg/app/components.go
+++ b/gateway/pkg/app/components.go
@@ -19,7 +19,7 @@
 	"toucanhinge.example/gateway/pkg/control"
 	"toucanhinge.example/gateway/pkg/endpoint"
 	"toucanhinge.example/gateway/pkg/limit"
-	"toucanhinge.example/gateway/pkg/older"
+	"toucanhinge.example/gateway/pkg/legacy"
 	"toucanhinge.example/gateway/pkg/online"
 	"toucanhinge.example/gateway/pkg/route"
 )
@@ -52,7 +52,7 @@
 			Clock: now, Fleet: watcher.Fleet, Ready: func() bool { return watcherStarted(watcher) },
 			Directory:   directory,
 			Runner:      newRunner(settings, now, logger, directory, decisionLog, onlineMetrics),
-			Legacy:      older.New(older.Config{Clock: now}),
+			Legacy:      legacy.New(legacy.Config{Clock: now}),
 			Claims:      claims,
 			Jobs:        control.NewJobs(control.JobsConfig{Gateway: settings.Name, Client: client, Groups: watcher.Groups}),
 			Limiter:     limit.New(limit.Config{MaxInFlight: settings.Limits.MaxInFlight}),
--- a/lab/failure/faulty_responses_test.go
+++ b/lab/failure/faulty_responses_test.go
@@ -56,7 +56,7 @@
 	calls.Wait()
 	complete := 0
 	for n, o := range outcomes {
-		if o.Whole {
+		if o.Complete {
 			require.Equal(t, engine.ChatText(uniquePrompt(name, n), 20), o.Text)
 			complete++
 			continue
--- a/lab/failure/frozen_gateway_test.go
+++ b/lab/failure/frozen_gateway_test.go
@@ -23,7 +23,7 @@
 	for _, n := range f.PlainServices {
 		require.NoError(t, f.SetFaults(ctx, n, plain.Faults{LateMs: 300}))
 	}
-	call := caller.Plain{Service: fleet.PlainService, Path: "/pay", Body: "ITEM[pay-7] pay", ID: "pay-7", Once: true}
+	call := caller.PlainCall{Service: fleet.PlainService, Path: "/pay", Body: "ITEM[pay-7] pay", ID: "pay-7", NonIdempotent: true}
 	callErr := make(chan error, 1)
 	firstCtx, cancelFirst := context.WithCancel(ctx)
 	go func() {
--- a/lab/failure/rolling_restart_test.go
+++ b/lab/failure/rolling_restart_test.go
@@ -65,7 +65,7 @@
 func (o *outcomes) record(outcome load.Outcome, want string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if outcome.Whole && outcome.Text == want {
+	if outcome.Complete && outcome.Text == want {
 		o.complete++
 		return
 	}
--- a/lab/pkg/bench/config.go
+++ b/lab/pkg/bench/config.go
@@ -11,7 +11,7 @@
 
 	"toucanhinge.example/common/pkg/control"
 	"toucanhinge.example/common/pkg/web"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/lab/pkg/fleet"
 	"toucanhinge.example/lab/pkg/load"
 )
@@ -28,7 +28,7 @@
 
 var configExperiment = Experiment{
 	Name:    "config",
-	About:   "an accepted change to in force at 100 watchers, and the controls' CPU for one watcher and change",
+	Description:   "an accepted change to in force at 100 watchers, and the controls' CPU for one watcher and change",
 	Figures: []string{"config.p99.ms"},
 	Run:     runConfig,
 }
@@ -111,7 +111,7 @@
 		client := control.New(control.Config{Addresses: f.ControlAddresses(), HTTP: web.NewClient()})
 		w := control.NewWatcher(control.WatcherConfig{
 			Client: client, Process: fmt.Sprintf("watcher-%d", n), Logger: log.NewNopLogger(),
-			Changed: func(w *world.Fleet) { a.note(n, w.Version) },
+			Changed: func(w *fleetconfig.Fleet) { a.note(n, w.Version) },
 		})
 		duties.Go(func() { w.Run(ctx) })
 		select {
--- a/lab/pkg/bench/daemons.go
+++ b/lab/pkg/bench/daemons.go
@@ -23,7 +23,7 @@
 
 var daemonsExperiment = Experiment{
 	Name:    "daemons",
-	About:   "the controls' CPU and memory for one more idle daemon that watches and sends heartbeats",
+	Description:   "the controls' CPU and memory for one more idle daemon that watches and sends heartbeats",
 	Figures: []string{"control.daemon.us", "control.daemon.kb"},
 	Run:     runDaemons,
 }
--- a/lab/pkg/bench/failover.go
+++ b/lab/pkg/bench/failover.go
@@ -13,7 +13,7 @@
 
 var failoverExperiment = Experiment{
 	Name:    "failover",
-	About:   "kill -9 of the leader of the configuration group, to the next accepted change",
+	Description:   "kill -9 of the leader of the configuration group, to the next accepted change",
 	Figures: []string{"failover.p99.ms"},
 	Run:     runFailover,
 }
--- a/lab/pkg/bench/idle.go
+++ b/lab/pkg/bench/idle.go
@@ -15,7 +15,7 @@
 
 var idleExperiment = Experiment{
 	Name:    "idle",
-	About:   "memory of each role, CPU and bytes a second to and from control, all idle",
+	Description:   "memory of each role, CPU and bytes a second to and from control, all idle",
 	Figures: []string{"gateway.rss.mb", "sidecar.rss.mb", "control.rss.mb", "sidecar.control.bytes", "gateway.control.bytes"},
 	Run:     runIdle,
 }
--- a/lab/pkg/bench/items.go
+++ b/lab/pkg/bench/items.go
@@ -30,7 +30,7 @@
 
 var itemsExperiment = Experiment{
 	Name:    "items",
-	About:   "batch items accepted and completed a second by 3 controls, in one job group and in four, without engines",
+	Description:   "batch items accepted and completed a second by 3 controls, in one job group and in four, without engines",
 	Figures: []string{"items.onegroup", "items.fourgroups", "item.cpu.us", "item.disk.bytes"},
 	Run: func(ctx context.Context, b *Bench) error {
 		for _, groups := range []int{1, 4} {
--- a/lab/pkg/bench/large_job.go
+++ b/lab/pkg/bench/large_job.go
@@ -21,7 +21,7 @@
 
 var largeJobExperiment = Experiment{
 	Name:    "largejob",
-	About:   "a job of 210,000 items through a gateway: accepted, worked off without engines, read back",
+	Description:   "a job of 210,000 items through a gateway: accepted, worked off without engines, read back",
 	Figures: []string{"accept210k.s", "results.persec"},
 	Run:     runLargeJob,
 }
--- a/lab/pkg/bench/processor.go
+++ b/lab/pkg/bench/processor.go
@@ -22,7 +22,7 @@
 
 var processorExperiment = Experiment{
 	Name:  "processor",
-	About: "CPU of gateway and sidecar for a request and for a token, memory under load",
+	Description: "CPU of gateway and sidecar for a request and for a token, memory under load",
 	Figures: []string{
 		"gateway.cpu.request.us", "gateway.cpu.token.us", "sidecar.cpu.request.us", "sidecar.cpu.token.us",
 	},
@@ -73,7 +73,7 @@
 	if err != nil {
 		return costs{}, err
 	}
-	mix := load.Mix{Model: fleet.Model, OwnBytes: 200, MinTokens: tokens, Name: name}
+	mix := load.Mix{Model: fleet.Model, UniqueBytes: 200, MinTokens: tokens, Name: name}
 	report := load.Run(ctx, load.Config{
 		Target: f.Target, Make: mix.Make, Deadline: time.Minute,
 		Schedule: load.Poisson(rate).Schedule(processorLength, b.Config.Seed),
--- a/lab/pkg/bench/reports.go
+++ b/lab/pkg/bench/reports.go
@@ -24,7 +24,7 @@
 
 var reportsExperiment = Experiment{
 	Name:    "reports",
-	About:   "CPU and bytes of one load report, asked for over a connection that is kept",
+	Description:   "CPU and bytes of one load report, asked for over a connection that is kept",
 	Figures: []string{"report.sidecar.us", "report.caller.us", "report.bytes"},
 	Run:     runReports,
 }
--- a/lab/pkg/bench/restart.go
+++ b/lab/pkg/bench/restart.go
@@ -16,7 +16,7 @@
 
 var restartExperiment = Experiment{
 	Name:    "restart",
-	About:   "start to ready of a control after 1,000 changes and 100,000 items, killed before",
+	Description:   "start to ready of a control after 1,000 changes and 100,000 items, killed before",
 	Figures: []string{"restart.ms"},
 	Run:     runRestart,
 }
--- a/lab/pkg/demo/demo.go
+++ b/lab/pkg/demo/demo.go
@@ -143,16 +143,16 @@
 }
 
 func (d *Demo) callOnline(ctx context.Context) (string, error) {
-	request := load.Mix{Model: fleet.Model, OwnBytes: 60, MinTokens: 24, Name: "demo"}.Make(1)
+	request := load.Mix{Model: fleet.Model, UniqueBytes: 60, MinTokens: 24, Name: "demo"}.Make(1)
 	outcome := d.fleet.Target(1).Call(ctx, request, time.Now())
-	if !outcome.Whole || outcome.Tokens != 24 {
+	if !outcome.Complete || outcome.Tokens != 24 {
 		return "", fmt.Errorf("online request: %s: %w", outcome, ErrCheckFailed)
 	}
-	return fmt.Sprintf("%d tokens streamed, the first after %d ms", outcome.Tokens, outcome.First.Milliseconds()), nil
+	return fmt.Sprintf("%d tokens streamed, the first after %d ms", outcome.Tokens, outcome.FirstToken.Milliseconds()), nil
 }
 
 func (d *Demo) callPlainService(ctx context.Context) (string, error) {
-	echo, err := d.caller.CallPlain(ctx, caller.Plain{Service: fleet.PlainService, Path: "/parcel/17", Body: "who owns it", ID: "demo-plain", Once: true})
+	echo, err := d.caller.CallPlain(ctx, caller.PlainCall{Service: fleet.PlainService, Path: "/parcel/17", Body: "who owns it", ID: "demo-plain", NonIdempotent: true})
 	if err != nil {
 		return "", err
 	}
--- a/lab/pkg/fleet/fleet.go
+++ b/lab/pkg/fleet/fleet.go
@@ -251,11 +251,11 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
-	mix := load.Mix{Model: Model, OwnBytes: 20, MinTokens: 1, Name: "probe-" + strconv.FormatInt(time.Now().UnixNano(), 36)}
+	mix := load.Mix{Model: Model, UniqueBytes: 20, MinTokens: 1, Name: "probe-" + strconv.FormatInt(time.Now().UnixNano(), 36)}
 	for g := range f.Gateways {
 		for number := g; ; number += len(f.Gateways) {
 			outcome := f.Target(g).Call(ctx, mix.Make(number), time.Now())
-			if outcome.Whole {
+			if outcome.Complete {
 				break
 			}
 			if ctx.Err() != nil {
--- a/lab/pkg/operator/operator.go
+++ b/lab/pkg/operator/operator.go
@@ -13,7 +13,7 @@
 
 	"toucanhinge.example/common/pkg/control"
 	"toucanhinge.example/common/pkg/web"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -171,7 +171,7 @@
 func TeamEntry(name, key string) *toucanhingev1.Entry {
 	return &toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_TEAM, Name: name,
-		Body: &toucanhingev1.Entry_Team{Team: &toucanhingev1.TeamRecord{KeyHashes: []string{world.HashKey(key)}}},
+		Body: &toucanhingev1.Entry_Team{Team: &toucanhingev1.TeamRecord{KeyHashes: []string{fleetconfig.HashKey(key)}}},
 	}
 }
 
--- a/lab/pkg/replay/play.go
+++ b/lab/pkg/replay/play.go
@@ -10,7 +10,7 @@
 	"toucanhinge.example/common/pkg/occupancy"
 	"toucanhinge.example/control/pkg/dispatch"
 	"toucanhinge.example/gateway/pkg/admission"
-	"toucanhinge.example/gateway/pkg/place"
+	"toucanhinge.example/gateway/pkg/placement"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -86,9 +86,9 @@
 	}
 }
 
-func (w *world) look(r *request) (place.Choice, admission.Request) {
+func (w *world) look(r *request) (placement.Choice, admission.Request) {
 	g := w.gateways[r.gateway]
-	choice, _ := g.place.Select(w.now, place.Request{
+	choice, _ := g.place.Select(w.now, placement.Request{
 		Service: service, TieBreak: w.random.Float64(), Draw: w.random.Float64(), Age: w.config.DigestDelay + tellEvery,
 	}, w.picture(g))
 	return choice, admission.Request{
@@ -98,23 +98,23 @@
 }
 
 // picture is the load as the policy sees it.
-func (w *world) picture(g *gateway) func(string) place.Load {
+func (w *world) picture(g *gateway) func(string) placement.Load {
 	switch w.config.Placing {
 	case ByOwnCounts:
-		return func(id string) place.Load {
+		return func(id string) placement.Load {
 			l := g.table.Own(id)
-			return place.Load{Online: l.Online, Own: l.Online}
+			return placement.Load{Online: l.Online, Own: l.Online}
 		}
 	case AtRandom:
-		drawn := map[string]place.Load{}
+		drawn := map[string]placement.Load{}
 		for _, r := range w.runners {
-			drawn[r.GetId()] = place.Load{Online: w.random.IntN(1000)}
+			drawn[r.GetId()] = placement.Load{Online: w.random.IntN(1000)}
 		}
-		return func(id string) place.Load { return drawn[id] }
+		return func(id string) placement.Load { return drawn[id] }
 	default:
-		return func(id string) place.Load {
+		return func(id string) placement.Load {
 			l := g.table.Load(id)
-			return place.Load{Online: l.Online, Own: g.table.Own(id).Online, Batch: l.Batch, Foreign: g.table.Foreign(w.now, id)}
+			return placement.Load{Online: l.Online, Own: g.table.Own(id).Online, Batch: l.Batch, Foreign: g.table.Foreign(w.now, id)}
 		}
 	}
 }
--- a/lab/pkg/replay/world.go
+++ b/lab/pkg/replay/world.go
@@ -9,7 +9,7 @@
 	"toucanhinge.example/common/pkg/occupancy"
 	"toucanhinge.example/control/pkg/dispatch"
 	"toucanhinge.example/gateway/pkg/admission"
-	"toucanhinge.example/gateway/pkg/place"
+	"toucanhinge.example/gateway/pkg/placement"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -53,7 +53,7 @@
 // gateway is one gateway with its own picture of the load.
 type gateway struct {
 	table *occupancy.Table
-	place *place.Machine
+	place *placement.Machine
 	room  []*request
 	// spells are the overloads that it saw.
 	spells admission.OverloadTracker
@@ -162,7 +162,7 @@
 		w.states[id] = &runnerState{}
 	}
 	for range config.Gateways {
-		g := &gateway{table: occupancy.New(), place: place.New(place.Config{})}
+		g := &gateway{table: occupancy.New(), place: placement.New(placement.Config{})}
 		g.place.SetRunners(w.runners)
 		for range 100 {
 			g.place.RecordHold(service, config.Hold)
