--- a/lab/pkg/bench/bench.go
+++ b/lab/pkg/bench/bench.go
@@ -146,7 +146,7 @@
 func (b *Bench) stopFleet(f *fleet.Fleet) {
 	f.Close()
 	for _, n := range f.Controls {
-		_ = os.RemoveAll(n.Data)
+		_ = os.RemoveAll(n.DataFolder)
 	}
 }
 
--- a/lab/pkg/bench/config_changes.go
+++ b/lab/pkg/bench/config_changes.go
@@ -100,7 +100,7 @@
 		return 0, nil, err
 	}
 	for i := range after {
-		perChange += (after[i].Processor - before[i].Processor).Seconds() * microsPerSecond / configChanges
+		perChange += (after[i].CPUTime - before[i].CPUTime).Seconds() * microsPerSecond / configChanges
 	}
 	return perChange, a.propagationTimes(changes), nil
 }
@@ -133,7 +133,7 @@
 	changes := make([]acceptedChange, 0, configChanges)
 	for n := range configChanges {
 		start := time.Now()
-		entry, err := f.Change(ctx, n)
+		entry, err := f.ApplyLinkChange(ctx, n)
 		if err != nil {
 			return nil, fmt.Errorf("change %d: %w", n, err)
 		}
--- a/lab/pkg/bench/daemons.go
+++ b/lab/pkg/bench/daemons.go
@@ -75,8 +75,8 @@
 	}
 	var usage controlUsage
 	for i := range after {
-		usage.processor += (after[i].Processor - before[i].Processor).Seconds() / daemonsDuration.Seconds()
-		usage.resident += float64(after[i].Resident)
+		usage.processor += (after[i].CPUTime - before[i].CPUTime).Seconds() / daemonsDuration.Seconds()
+		usage.resident += float64(after[i].ResidentBytes)
 	}
 	return usage, nil
 }
--- a/lab/pkg/bench/harm.go
+++ b/lab/pkg/bench/harm.go
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	defer b.stopFleet(f)
-	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherKey})
+	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherTeamKey})
 	job, err := uploadBackgroundJob(ctx, batch, name)
 	if err != nil {
 		return nil, err
--- a/lab/pkg/bench/idle.go
+++ b/lab/pkg/bench/idle.go
@@ -21,7 +21,7 @@
 }
 
 func runIdle(ctx context.Context, b *Bench) error {
-	f, err := b.startFleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, CountControl: true})
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, CountControlBytes: true})
 	if err != nil {
 		return err
 	}
@@ -40,8 +40,8 @@
 			return err
 		}
 		for i, role := range []string{"gateway", "sidecar", "control"} {
-			b.addFigure(role+".rss.mb", float64(after[i].Resident)/(1<<20))
-			b.addFigure(role+".cpu.idle.percent", 100*(after[i].Processor-before[i].Processor).Seconds()/idleDuration.Seconds())
+			b.addFigure(role+".rss.mb", float64(after[i].ResidentBytes)/(1<<20))
+			b.addFigure(role+".cpu.idle.percent", 100*(after[i].CPUTime-before[i].CPUTime).Seconds()/idleDuration.Seconds())
 		}
 		b.addFigure("gateway.control.bytes", float64(f.ControlBytes(nodes[0])-gateway)/idleDuration.Seconds())
 		b.addFigure("sidecar.control.bytes", float64(f.ControlBytes(nodes[1])-sidecar)/idleDuration.Seconds())
--- a/lab/pkg/bench/overhead.go
+++ b/lab/pkg/bench/overhead.go
@@ -42,7 +42,7 @@
 		direct, through := &arm{}, &arm{}
 		for round := range overheadRounds {
 			name := fmt.Sprintf("o%d-%d", run, round)
-			direct.add(runStreams(ctx, f.Direct, name+"d"))
+			direct.add(runStreams(ctx, f.EngineTarget, name+"d"))
 			time.Sleep(foreignLoadCooldown)
 			through.add(runStreams(ctx, f.Target, name+"t"))
 		}
--- a/lab/pkg/bench/processor.go
+++ b/lab/pkg/bench/processor.go
@@ -56,7 +56,7 @@
 			request, token := splitCost(short.cost[i], long.cost[i], longTokens)
 			b.addFigure(r.name+".cpu.request.us", request)
 			b.addFigure(r.name+".cpu.token.us", token)
-			b.addFigure(r.name+".rss.load.mb", float64(long.usage[i].Resident)/(1<<20))
+			b.addFigure(r.name+".rss.load.mb", float64(long.usage[i].ResidentBytes)/(1<<20))
 		}
 	}
 	return nil
@@ -91,7 +91,7 @@
 	}
 	costs := nodeCosts{usage: after}
 	for i := range nodes {
-		spent := (after[i].Processor - before[i].Processor).Seconds() * microsPerSecond
+		spent := (after[i].CPUTime - before[i].CPUTime).Seconds() * microsPerSecond
 		costs.cost = append(costs.cost, spent/float64(report.Calls))
 	}
 	return costs, nil
--- a/lab/pkg/bench/reports.go
+++ b/lab/pkg/bench/reports.go
@@ -83,11 +83,11 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	own, err := process.UsageOf(os.Getpid())
+	own, err := process.ReadUsage(os.Getpid())
 	if err != nil {
 		return 0, 0, fmt.Errorf("usage of the bench process: %w", err)
 	}
-	return usage[0].Processor, own.Processor, nil
+	return usage[0].CPUTime, own.CPUTime, nil
 }
 
 // countingDialer counts the bytes sent and received over its connections.
