--- a/toucanctl/main.go
+++ b/toucanctl/main.go
@@ -1,4 +1,4 @@
-// Command toucanctl is the operators' command line.
+// Command toucanctl is the operators' command-line client.
 package main
 
 import (
--- a/toucanctl/pkg/app/app_test.go
+++ b/toucanctl/pkg/app/app_test.go
@@ -20,7 +20,7 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
-// fakeControl keeps entries in a map, and can lose answers or point elsewhere.
+// fakeControl stores entries in a map. It can lose the first response or redirect to another leader.
 type fakeControl struct {
 	toucanhingev1connect.UnimplementedOperatorServiceHandler
 	mu         sync.Mutex
@@ -43,7 +43,7 @@
 	f.requests = append(f.requests, request.Msg.GetRequestId())
 	if f.loseFirst {
 		f.loseFirst = false
-		return nil, connect.NewError(connect.CodeUnavailable, errors.New("answer lost"))
+		return nil, connect.NewError(connect.CodeUnavailable, errors.New("response lost"))
 	}
 	entry := request.Msg.GetEntry()
 	present := f.entries[entry.GetName()]
@@ -62,13 +62,13 @@
 ) (*connect.Response[toucanhingev1.ListEntriesResponse], error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	answer := &toucanhingev1.ListEntriesResponse{Version: f.version}
+	response := &toucanhingev1.ListEntriesResponse{Version: f.version}
 	for name, e := range f.entries {
 		if request.Msg.GetName() == "" || request.Msg.GetName() == name {
-			answer.Entries = append(answer.Entries, e)
+			response.Entries = append(response.Entries, e)
 		}
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 func (f *fakeControl) CancelAnyJob(
@@ -80,16 +80,16 @@
 func (f *fakeControl) Explain(
 	_ context.Context, request *connect.Request[toucanhingev1.ExplainRequest],
 ) (*connect.Response[toucanhingev1.ExplainResponse], error) {
-	answer := &toucanhingev1.ExplainResponse{Process: "control-1"}
+	response := &toucanhingev1.ExplainResponse{Process: "control-1"}
 	for _, h := range f.happenings {
 		if h.GetId() == request.Msg.GetId() {
-			answer.Happenings = append(answer.Happenings, h)
+			response.Happenings = append(response.Happenings, h)
 		}
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
-// fakeCore knows two teams.
+// fakeCore returns two teams.
 type fakeCore struct {
 	toucanhingev1connect.UnimplementedCoreServiceHandler
 }
@@ -97,16 +97,16 @@
 func (fakeCore) ListTeams(
 	_ context.Context, request *connect.Request[toucanhingev1.ListTeamsRequest],
 ) (*connect.Response[toucanhingev1.ListTeamsResponse], error) {
-	rank := uint32(1)
-	answer := &toucanhingev1.ListTeamsResponse{Version: 7, WindowMs: 5_000}
+	priority := uint32(1)
+	response := &toucanhingev1.ListTeamsResponse{Version: 7, WindowMs: 5_000}
 	for _, team := range []*toucanhingev1.TeamStatus{
-		{Name: "surveyors", Keys: 2, Priority: &rank, Rate: 8, Burst: 3, Used: 41.6, Refused: 12, OpenJobs: 1, WaitingTokens: 940}, {Name: "clerks"},
+		{Name: "surveyors", Keys: 2, Priority: &priority, Rate: 8, Burst: 3, Used: 41.6, Refused: 12, OpenJobs: 1, WaitingTokens: 940}, {Name: "clerks"},
 	} {
 		if request.Msg.GetTeam() == "" || request.Msg.GetTeam() == team.GetName() {
-			answer.Teams = append(answer.Teams, team)
+			response.Teams = append(response.Teams, team)
 		}
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 func (f *fakeControl) serve(t *testing.T) string {
@@ -140,21 +140,21 @@
 		want string
 	}{
 		{"create", []string{"put", "service", "triage-llm", "--model", "triage"}, exitDone, "accepted"},
-		{"change on the version in force", []string{"put", "service", "triage-llm", "--model", "triage-2"}, exitDone, "accepted"},
-		{"change on an old version", []string{"put", "service", "triage-llm", "--base", "1"}, exitRefused, "triage-2"},
-		{"create what exists", []string{"put", "service", "triage-llm", "--base", "0"}, exitRefused, "another change came first"},
+		{"change based on the current version", []string{"put", "service", "triage-llm", "--model", "triage-2"}, exitDone, "accepted"},
+		{"change based on an outdated version", []string{"put", "service", "triage-llm", "--base", "1"}, exitRefused, "triage-2"},
+		{"create an existing entry", []string{"put", "service", "triage-llm", "--base", "0"}, exitRefused, "another change came first"},
 		{"list", []string{"list", "service"}, exitDone, "triage-2"},
 		{"unknown kind", []string{"list", "zone"}, exitUsage, "unknown kind"},
-		{"remove what isn't there", []string{"remove", "team", "nobody"}, exitNotFound, "not found"},
-		{"a word of before", []string{"put", "desk", "a", "--key", "k"}, exitUsage, "is a team now"},
-		{"an option of before", []string{"jobs", "--desk", "a"}, exitUsage, "is a team now"},
+		{"remove an unknown entry", []string{"remove", "team", "nobody"}, exitNotFound, "not found"},
+		{"renamed kind", []string{"put", "desk", "a", "--key", "k"}, exitUsage, "is a team now"},
+		{"renamed option", []string{"jobs", "--desk", "a"}, exitUsage, "is a team now"},
 		{"cancel an unknown job", []string{"cancel", "j0-1"}, exitNotFound, "no such job"},
 		{"teams", []string{"teams"}, exitDone, "surveyors  2     1         8     3      42    43     12       1     940"},
-		{"a team without limits", []string{"teams", "clerks"}, exitDone, "clerks  0     -         0     0      0     -      0        0     0"},
+		{"team without limits", []string{"teams", "clerks"}, exitDone, "clerks  0     -         0     0      0     -      0        0     0"},
 		{"unknown team", []string{"teams", "nobody"}, exitNotFound, "not found"},
 		{"unknown order", []string{"order", "e1", "explode"}, exitUsage, "an order is"},
 		{"replica without address", []string{"replica", "add", "control-4"}, exitUsage, "needs --address"},
-		{"nothing to put", []string{"put"}, exitUsage, "put needs one of"},
+		{"put without a kind", []string{"put"}, exitUsage, "put needs one of"},
 		{"unknown flag", []string{"list", "--colour"}, exitUsage, "colour"},
 	}
 	for _, s := range scenarios {
@@ -166,14 +166,14 @@
 	}
 }
 
-func TestSeveralControlVMsStandBeforeTheCommand(t *testing.T) {
+func TestControlFlagAcceptsSeveralAddresses(t *testing.T) {
 	address := (&fakeControl{}).serve(t)
 	code, out, errOut := run(address, "--control", address, "list")
 	require.Equal(t, exitDone, code, errOut)
 	require.Contains(t, out, "KIND")
 }
 
-func TestTeamKeysLeaveOnlyAsHashes(t *testing.T) {
+func TestPutTeamSendsOnlyKeyHashes(t *testing.T) {
 	address := (&fakeControl{}).serve(t)
 	code, out, _ := run(address, "--json", "put", "team", "servitudes", "--key", "secret-key")
 	require.Equal(t, exitDone, code)
@@ -181,10 +181,10 @@
 	require.True(t, json.Valid([]byte(out)))
 }
 
-// The operator's call reaches control, but its answer is lost. The command
-// repeats it under the same request id, so that control can give the first
-// answer again instead of making a second change.
-func TestALostAnswerIsRepeatedUnderTheSameID(t *testing.T) {
+// The request reaches control, but its response is lost. The command retries with
+// the same request id, so that control can return the first result instead of
+// applying the change twice.
+func TestApplyRetriesLostResponseWithSameRequestID(t *testing.T) {
 	fake := &fakeControl{loseFirst: true}
 	code, _, errOut := run(fake.serve(t), "put", "data-centre", "agdal", "--region", "rabat-sale")
 	require.Equal(t, exitDone, code, errOut)
@@ -192,7 +192,7 @@
 	require.Equal(t, fake.requests[0], fake.requests[1])
 }
 
-func TestTheLeaderIsFoundThroughAnotherReplica(t *testing.T) {
+func TestPutFollowsLeaderHintFromReplica(t *testing.T) {
 	leader := &fakeControl{}
 	other := &fakeControl{leader: leader.serve(t)}
 	code, _, errOut := run(other.serve(t), "put", "data-centre", "agdal", "--region", "rabat-sale", "--base", "0")
@@ -200,7 +200,7 @@
 	require.Contains(t, leader.entries, "agdal")
 }
 
-func TestExplainMergesAllProcessesByTime(t *testing.T) {
+func TestExplainMergesProcessesByTime(t *testing.T) {
 	fake := &fakeControl{happenings: []*toucanhingev1.Happening{
 		{AtMs: 3_000, Id: "gateway-1-7", Event: "ended"},
 		{AtMs: 2_000, Id: "gateway-1-7", Event: "chosen"},
@@ -211,7 +211,7 @@
 	require.Regexp(t, `(?s)known-as.*chosen.*ended`, out)
 }
 
-// The on-call engineer has nothing but log files, and no control VM answers.
+// Only log files are available: explain works without a control VM.
 func TestExplainReadsLogFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "gateway.log")
 	line := `{"at":"2026-01-02T03:04:06.2Z","event":"request-ended","level":"warn","name":"gateway-1","request":"q1","outcome":"refused","reason":"all-places-taken"}`
@@ -224,8 +224,8 @@
 	}{
 		{"found", []string{"explain", "q1", "--logs", path}, 0, "last failure: request-ended at gateway-1: outcome=refused reason=all-places-taken request=q1"},
 		{"unknown", []string{"explain", "q2", "--logs", path}, 4, ""},
-		{"no such file", []string{"explain", "q1", "--logs", path + "x"}, 1, ""},
-		{"no span", []string{"explain", "q1", "--around", "soon", "--logs", path}, 2, ""},
+		{"missing file", []string{"explain", "q1", "--logs", path + "x"}, 1, ""},
+		{"invalid duration", []string{"explain", "q1", "--around", "soon", "--logs", path}, 2, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out, errOut bytes.Buffer
--- a/toucanctl/pkg/app/dispatch.go
+++ b/toucanctl/pkg/app/dispatch.go
@@ -14,10 +14,10 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// usageError is a command line that go-arg takes but we can't.
-type usageError struct{ text string }
+// usageError reports a command line that go-arg accepts but that is not valid.
+type usageError struct{ message string }
 
-func (e *usageError) Error() string { return e.text }
+func (e *usageError) Error() string { return e.message }
 
 func dispatch(ctx context.Context, a *Arguments, c *operator.Client, p output.Printer) error {
 	switch {
@@ -47,11 +47,11 @@
 }
 
 func show[T any](_ output.Printer, write func(T) error, call func() (T, error)) error {
-	answer, err := call()
+	response, err := call()
 	if err != nil {
 		return err
 	}
-	return write(answer)
+	return write(response)
 }
 
 func change(ctx context.Context, a *Arguments, c *operator.Client, p output.Printer) error {
@@ -59,9 +59,9 @@
 	if err != nil {
 		return err
 	}
-	answer, err := c.Apply(ctx, operator.Change{Entry: entry, RequestID: options.RequestID, Base: options.Base})
-	if answer != nil {
-		if printErr := p.Applied(answer); printErr != nil {
+	response, err := c.Apply(ctx, operator.Change{Entry: entry, RequestID: options.RequestID, Base: options.Base})
+	if response != nil {
+		if printErr := p.Applied(response); printErr != nil {
 			return printErr
 		}
 	}
@@ -69,7 +69,7 @@
 }
 
 func list(ctx context.Context, l *ListCommand, c *operator.Client, p output.Printer) error {
-	kind, err := kindOf(l.Kind, true)
+	kind, err := parseKind(l.Kind, true)
 	if err != nil {
 		return err
 	}
@@ -77,9 +77,9 @@
 }
 
 func groups(ctx context.Context, c *operator.Client, p output.Printer) error {
-	answers, err := c.Groups(ctx)
-	for _, answer := range answers {
-		if printErr := p.Groups(answer); printErr != nil {
+	responses, err := c.Groups(ctx)
+	for _, response := range responses {
+		if printErr := p.Groups(response); printErr != nil {
 			return printErr
 		}
 	}
@@ -111,14 +111,14 @@
 	if len(e.Logs) > 0 {
 		return explainLogs(e, p)
 	}
-	answers, silent, err := c.Explain(ctx, e.ID)
+	responses, unreachable, err := c.Explain(ctx, e.ID)
 	if err != nil {
 		return err
 	}
-	return p.Explained(e.ID, answers, silent)
+	return p.Explained(e.ID, responses, unreachable)
 }
 
-// explainLogs follows an id through log files.
+// explainLogs prints the log lines that concern an id.
 func explainLogs(e *ExplainCommand, p output.Printer) error {
 	around, err := time.ParseDuration(e.Around)
 	if err != nil {
@@ -132,7 +132,7 @@
 		}
 		file, err := os.Open(path)
 		if err != nil {
-			return fmt.Errorf("open log: %w", err)
+			return fmt.Errorf("open log file: %w", err)
 		}
 		defer func() { _ = file.Close() }()
 		logs = append(logs, file)
--- a/toucanctl/pkg/app/entry.go
+++ b/toucanctl/pkg/app/entry.go
@@ -27,8 +27,8 @@
 	"set-role":     toucanhingev1.OrderKind_ORDER_KIND_SET_ROLE,
 }
 
-func kindOf(name string, all bool) (toucanhingev1.Kind, error) {
-	if name == "" && all {
+func parseKind(name string, allowEmpty bool) (toucanhingev1.Kind, error) {
+	if name == "" && allowEmpty {
 		return toucanhingev1.Kind_KIND_UNSPECIFIED, nil
 	}
 	if kind, found := kinds[name]; found {
@@ -42,13 +42,13 @@
 	return 0, &usageError{fmt.Sprintf("unknown kind %q, want one of %s", name, strings.Join(known, ", "))}
 }
 
-// entryOf turns a changing command into the entry it asks for.
+// entryOf builds the entry that a put, remove, order, drain or undrain command submits.
 func entryOf(a *Arguments) (*toucanhingev1.Entry, ChangeOptions, error) {
 	switch {
 	case a.Put != nil:
 		return putEntry(a.Put)
 	case a.Remove != nil:
-		kind, err := kindOf(a.Remove.Kind, false)
+		kind, err := parseKind(a.Remove.Kind, false)
 		return &toucanhingev1.Entry{Kind: kind, Name: a.Remove.Name, Removed: true}, a.Remove.ChangeOptions, err
 	case a.Order != nil:
 		return orderEntry(a.Order)
@@ -109,15 +109,15 @@
 	}
 }
 
-func teamEntry(d *PutTeam) *toucanhingev1.Entry {
-	hashes := make([]string, 0, len(d.Keys))
-	for _, key := range d.Keys {
+func teamEntry(t *PutTeam) *toucanhingev1.Entry {
+	hashes := make([]string, 0, len(t.Keys))
+	for _, key := range t.Keys {
 		hashes = append(hashes, world.HashKey(key))
 	}
 	return &toucanhingev1.Entry{
-		Kind: toucanhingev1.Kind_KIND_TEAM, Name: d.Name,
+		Kind: toucanhingev1.Kind_KIND_TEAM, Name: t.Name,
 		Body: &toucanhingev1.Entry_Team{Team: &toucanhingev1.TeamRecord{
-			KeyHashes: hashes, Rate: d.Rate, Burst: d.Burst, InFlight: d.InFlight, Weight: d.Weight,
+			KeyHashes: hashes, Rate: t.Rate, Burst: t.Burst, InFlight: t.InFlight, Weight: t.Weight,
 		}},
 	}
 }
--- a/toucanctl/pkg/loglines/trace.go
+++ b/toucanctl/pkg/loglines/trace.go
@@ -1,5 +1,5 @@
-// Package loglines follows one request, item or job through the log lines of all
-// processes, and finds what they believed meanwhile.
+// Package loglines finds the log lines of one request, item or job across all
+// processes, and the state changes of these processes in the same period.
 package loglines
 
 import (
@@ -12,50 +12,50 @@
 	"time"
 )
 
-// mostLine bounds one line, in bytes.
-const mostLine = 1 << 20
+// maxLineBytes is the length limit of one log line.
+const maxLineBytes = 1 << 20
 
-// Line is one line of a process's log.
+// Line is one structured log line of a process.
 type Line struct {
 	At      time.Time
 	Process string
 	Event   string
 	Level   string
-	// Text is the line without its time, process, event and level.
+	// Text holds the remaining fields as sorted key=value pairs.
 	Text   string
 	fields map[string]any
 }
 
-// Trace is what the logs tell of one id.
+// Trace holds the log lines that concern one id.
 type Trace struct {
-	// Lines name the id, or the job of an item with that id.
+	// Lines mention the id, or belong to the job of an item with that id.
 	Lines []Line
-	// Around are changes of what the processes believed shortly before, and
-	// while, the lines were written.
+	// Around holds state changes of the processes from shortly before the first
+	// to the last of Lines.
 	Around []Line
-	// Unread counts lines that are no JSON.
+	// Unread counts lines without a JSON object or an event.
 	Unread int
 }
 
-// idKeys are the keys under which an id stands.
+// idKeys are the log keys that hold an id.
 var idKeys = []string{"request", "item", "job"}
 
-// beliefs are the events that change what a process believes.
-var beliefs = map[string]bool{
+// stateEvents are the events that change a process's state or its view of the fleet.
+var stateEvents = map[string]bool{
 	"started": true, "leaving": true, "stopped": true, "failed": true, "role": true, "lead-begun": true, "lead-ended": true,
 	"table-in-force": true, "table-acknowledged": true, "fleet-taken": true, "runners-changed": true, "membership-step": true,
 	"core-unreachable": true, "peer_unreachable": true, "directory-unread": true, "settings-changed": true, "group_formed": true,
 	"snapshot_installed": true, "log-lines-dropped": true, "vm-retiring": true,
 }
 
-// Read follows an id through the logs; around is how long before its first line
-// beliefs are shown from.
+// Read collects the log lines that concern an id. State changes are included from
+// the given duration before the first of these lines.
 func Read(id string, around time.Duration, logs ...io.Reader) (Trace, error) {
 	var all []Line
 	trace := Trace{}
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(make([]byte, 0, 64<<10), mostLine)
+		scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 		for scanner.Scan() {
 			line, ok := parse(scanner.Text())
 			if !ok {
@@ -69,12 +69,12 @@
 		}
 	}
 	slices.SortStableFunc(all, func(a, b Line) int { return a.At.Compare(b.At) })
-	trace.pick(all, id, around)
+	trace.selectLines(all, id, around)
 	return trace, nil
 }
 
-// parse takes a JSON object anywhere in the line: collectors put their own words
-// in front.
+// parse reads the JSON object in a line. The object may follow a prefix, because log
+// collectors add their own fields in front.
 func parse(text string) (Line, bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
@@ -84,16 +84,16 @@
 	if err := json.Unmarshal([]byte(text[start:]), &fields); err != nil {
 		return Line{}, false
 	}
-	line := Line{Process: word(fields, "name"), Event: word(fields, "event"), Level: word(fields, "level"), fields: fields}
-	at, err := time.Parse(time.RFC3339Nano, word(fields, "at"))
+	line := Line{Process: stringField(fields, "name"), Event: stringField(fields, "event"), Level: stringField(fields, "level"), fields: fields}
+	at, err := time.Parse(time.RFC3339Nano, stringField(fields, "at"))
 	if err == nil {
 		line.At = at
 	}
-	line.Text = rest(fields)
+	line.Text = formatFields(fields)
 	return line, line.Event != ""
 }
 
-func word(fields map[string]any, key string) string {
+func stringField(fields map[string]any, key string) string {
 	text, ok := fields[key].(string)
 	if !ok {
 		return ""
@@ -101,7 +101,7 @@
 	return text
 }
 
-func rest(fields map[string]any) string {
+func formatFields(fields map[string]any) string {
 	var parts []string
 	for key, value := range fields {
 		switch key {
@@ -117,17 +117,17 @@
 	return strings.Join(parts, " ")
 }
 
-func (t *Trace) pick(all []Line, id string, around time.Duration) {
+func (t *Trace) selectLines(all []Line, id string, around time.Duration) {
 	job, index := "", any(nil)
 	for _, line := range all {
-		if word(line.fields, "item") == id {
-			job, index = word(line.fields, "job"), line.fields["index"]
+		if stringField(line.fields, "item") == id {
+			job, index = stringField(line.fields, "job"), line.fields["index"]
 		}
 	}
 	for _, line := range all {
-		named := slices.ContainsFunc(idKeys, func(key string) bool { return word(line.fields, key) == id })
-		sibling := job != "" && word(line.fields, "job") == job && (line.fields["index"] == index || line.fields["index"] == nil)
-		if named || sibling {
+		hasID := slices.ContainsFunc(idKeys, func(key string) bool { return stringField(line.fields, key) == id })
+		sameItem := job != "" && stringField(line.fields, "job") == job && (line.fields["index"] == index || line.fields["index"] == nil)
+		if hasID || sameItem {
 			t.Lines = append(t.Lines, line)
 		}
 	}
@@ -136,15 +136,15 @@
 	}
 	first, last := t.Lines[0].At.Add(-around), t.Lines[len(t.Lines)-1].At
 	for _, line := range all {
-		if beliefs[line.Event] && !line.At.Before(first) && !line.At.After(last) {
+		if stateEvents[line.Event] && !line.At.Before(first) && !line.At.After(last) {
 			t.Around = append(t.Around, line)
 		}
 	}
 }
 
-// Cause is the last line that tells of a failure, with its reason; ok is false if
-// none does.
-func (t Trace) Cause() (line Line, ok bool) {
+// LastFailure returns the last line of level warn or error; ok is false if there
+// is none.
+func (t Trace) LastFailure() (line Line, ok bool) {
 	for _, l := range slices.Backward(t.Lines) {
 		if l.Level == "warn" || l.Level == "error" {
 			return l, true
--- a/toucanctl/pkg/operator/client.go
+++ b/toucanctl/pkg/operator/client.go
@@ -1,4 +1,4 @@
-// Package operator makes the operators' calls to the control VMs.
+// Package operator implements the client for the operator API of the control VMs.
 package operator
 
 import (
@@ -14,13 +14,13 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// ErrRefused is a change that control did not accept; the entry in force is shown.
+// ErrRefused reports a change that control did not accept.
 var ErrRefused = errors.New("refused")
 
-// ErrNotFound is a name that control does not know.
+// ErrNotFound reports a name that control does not know.
 var ErrNotFound = errors.New("not found")
 
-// Config describes the client.
+// Config holds the dependencies of a Client and the addresses of the control VMs.
 type Config struct {
 	Client    *control.Client
 	HTTP      *http.Client
@@ -28,38 +28,39 @@
 	Author    string
 }
 
-// Client makes the calls.
+// Client calls the control VMs on behalf of an operator.
 type Client struct {
 	config Config
 }
 
-// New makes a client.
+// New returns a client.
 func New(config Config) *Client {
 	return &Client{config: config}
 }
 
-// Change is one change of the configuration.
+// Change is one configuration change.
 type Change struct {
 	Entry *toucanhingev1.Entry
-	// RequestID may be empty: then a new one is made, and kept over our own retries.
+	// RequestID identifies the change across retries. If it is empty, a new one is generated.
 	RequestID string
-	// Base may be nil: then the version in force is looked up first.
+	// Base is the version that the change is based on. If it is nil, the version in force is
+	// fetched first.
 	Base *uint64
 }
 
-// call finds the leader of a group and repeats until the context ends.
+// call sends a request to the leader of the consensus group and retries until the context ends.
 func call[Q, A any](
-	ctx context.Context, c *Client, place string, request *Q,
+	ctx context.Context, c *Client, operation string, request *Q,
 	do func(*control.Replica) func(context.Context, *connect.Request[Q]) (*connect.Response[A], error),
 ) (*A, error) {
-	answer, err := control.Call(ctx, c.config.Client, 0, place,
+	response, err := control.Call(ctx, c.config.Client, 0, operation,
 		func(ctx context.Context, r *control.Replica) (*connect.Response[A], error) {
 			return do(r)(ctx, connect.NewRequest(request))
 		})
 	if err != nil {
 		return nil, err
 	}
-	return answer.Msg, nil
+	return response.Msg, nil
 }
 
 type (
@@ -72,37 +73,37 @@
 	changeCall = func(context.Context, *connect.Request[toucanhingev1.ChangeReplicaRequest]) (*connect.Response[toucanhingev1.ChangeReplicaResponse], error)
 )
 
-// Apply makes one change. When it was refused, the answer holds the entry in
-// force and the error is ErrRefused.
+// Apply submits one change. If control refuses it, the response holds the entry in
+// force and the error wraps ErrRefused.
 func (c *Client) Apply(ctx context.Context, change Change) (*toucanhingev1.ApplyResponse, error) {
 	request := &toucanhingev1.ApplyRequest{RequestId: change.RequestID, Entry: change.Entry, Author: c.config.Author}
 	if request.RequestId == "" {
 		request.RequestId = rand.Text()
 	}
-	base, err := c.base(ctx, change)
+	base, err := c.baseVersion(ctx, change)
 	if err != nil {
 		return nil, err
 	}
 	request.BaseVersion = base
-	answer, err := call(ctx, c, "apply", request, func(r *control.Replica) applyCall { return r.Operators.Apply })
+	response, err := call(ctx, c, "apply", request, func(r *control.Replica) applyCall { return r.Operators.Apply })
 	if err != nil {
 		return nil, err
 	}
-	if !answer.GetAccepted() {
-		return answer, fmt.Errorf("%s: %w", answer.GetReason(), ErrRefused)
+	if !response.GetAccepted() {
+		return response, fmt.Errorf("%s: %w", response.GetReason(), ErrRefused)
 	}
-	return answer, nil
+	return response, nil
 }
 
-func (c *Client) base(ctx context.Context, change Change) (uint64, error) {
+func (c *Client) baseVersion(ctx context.Context, change Change) (uint64, error) {
 	if change.Base != nil {
 		return *change.Base, nil
 	}
-	answer, err := c.List(ctx, change.Entry.GetKind(), change.Entry.GetName())
+	response, err := c.List(ctx, change.Entry.GetKind(), change.Entry.GetName())
 	if err != nil {
-		return 0, fmt.Errorf("look up the version in force: %w", err)
+		return 0, fmt.Errorf("fetch the version in force: %w", err)
 	}
-	for _, e := range answer.GetEntries() {
+	for _, e := range response.GetEntries() {
 		return e.GetVersion(), nil
 	}
 	if change.Entry.GetRemoved() {
@@ -111,32 +112,32 @@
 	return 0, nil
 }
 
-// List reads accepted entries.
+// List returns accepted entries of a kind, or the one with the given name.
 func (c *Client) List(ctx context.Context, kind toucanhingev1.Kind, name string) (*toucanhingev1.ListEntriesResponse, error) {
 	return call(ctx, c, "list", &toucanhingev1.ListEntriesRequest{Kind: kind, Name: name},
 		func(r *control.Replica) listCall { return r.Operators.ListEntries })
 }
 
-// ConfigStatus tells which process has which version in force.
+// ConfigStatus returns the configuration version that each process applies.
 func (c *Client) ConfigStatus(ctx context.Context) (*toucanhingev1.ConfigStatusResponse, error) {
 	return call(ctx, c, "config-status", &toucanhingev1.ConfigStatusRequest{},
 		func(r *control.Replica) statusCall { return r.Operators.ConfigStatus })
 }
 
-// Jobs lists jobs of a team, or of all.
+// Jobs lists the jobs of a team, or of all teams if the name is empty.
 func (c *Client) Jobs(ctx context.Context, team string) (*toucanhingev1.ListJobsResponse, error) {
 	return call(ctx, c, "jobs", &toucanhingev1.ListJobsRequest{Team: team},
 		func(r *control.Replica) jobsCall { return r.Operators.ListJobs })
 }
 
-// Teams lists the teams of the routing table, or one of them.
+// Teams lists the teams of the routing table, or only the named one.
 func (c *Client) Teams(ctx context.Context, team string) (*toucanhingev1.ListTeamsResponse, error) {
-	answer, err := call(ctx, c, "teams", &toucanhingev1.ListTeamsRequest{Team: team},
+	response, err := call(ctx, c, "teams", &toucanhingev1.ListTeamsRequest{Team: team},
 		func(r *control.Replica) teamsCall { return r.Core.ListTeams })
-	if err == nil && team != "" && len(answer.GetTeams()) == 0 {
-		return answer, fmt.Errorf("team %q: %w", team, ErrNotFound)
+	if err == nil && team != "" && len(response.GetTeams()) == 0 {
+		return response, fmt.Errorf("team %q: %w", team, ErrNotFound)
 	}
-	return answer, err
+	return response, err
 }
 
 // Cancel cancels a job of any team.
@@ -148,8 +149,8 @@
 		func(r *control.Replica) cancelCall { return r.Operators.CancelAnyJob })
 }
 
-// ChangeReplica changes the set of control VMs. A newcomer without an identity
-// in the request is asked for it.
+// ChangeReplica adds, promotes or removes a control VM. If the request adds a VM and
+// names no identity, the new VM is queried for it.
 func (c *Client) ChangeReplica(
 	ctx context.Context, request *toucanhingev1.ChangeReplicaRequest,
 ) (*toucanhingev1.ChangeReplicaResponse, error) {
@@ -157,18 +158,18 @@
 		status, err := c.config.Client.Replica(request.GetAddress()).Operators.GroupStatus(
 			ctx, connect.NewRequest(&toucanhingev1.GroupStatusRequest{}))
 		if err != nil {
-			return nil, fmt.Errorf("ask the newcomer at %s for its identity: %w", request.GetAddress(), err)
+			return nil, fmt.Errorf("query the new control VM at %s for its identity: %w", request.GetAddress(), err)
 		}
 		request.Identity = status.Msg.GetIdentity()
 	}
 	return call(ctx, c, "change-replica", request, func(r *control.Replica) changeCall { return r.Operators.ChangeReplica })
 }
 
-// Handover asks one control VM to give its leaderships away.
+// Handover requests one control VM to transfer its leaderships to other VMs.
 func (c *Client) Handover(ctx context.Context, address string) (*toucanhingev1.HandoverResponse, error) {
-	answer, err := c.config.Client.Replica(address).Operators.Handover(ctx, connect.NewRequest(&toucanhingev1.HandoverRequest{}))
+	response, err := c.config.Client.Replica(address).Operators.Handover(ctx, connect.NewRequest(&toucanhingev1.HandoverRequest{}))
 	if err != nil {
-		return nil, fmt.Errorf("handover at %s: %w", address, err)
+		return nil, fmt.Errorf("leadership transfer at %s: %w", address, err)
 	}
-	return answer.Msg, nil
+	return response.Msg, nil
 }
--- a/toucanctl/pkg/output/printer.go
+++ b/toucanctl/pkg/output/printer.go
@@ -1,4 +1,4 @@
-// Package output prints answers as tables for people or as JSON for scripts.
+// Package output prints responses as tables for people or as JSON for scripts.
 package output
 
 import (
@@ -15,7 +15,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Printer writes answers.
+// Printer writes responses as tables, or as JSON if JSON is set.
 type Printer struct {
 	JSON bool
 	Out  io.Writer
@@ -45,27 +45,27 @@
 func (p Printer) json(message proto.Message) error {
 	text, err := protojson.Marshal(message)
 	if err != nil {
-		return fmt.Errorf("encode the answer: %w", err)
+		return fmt.Errorf("encode the response: %w", err)
 	}
 	if _, err := fmt.Fprintln(p.Out, string(text)); err != nil {
-		return fmt.Errorf("write the answer: %w", err)
+		return fmt.Errorf("write the response: %w", err)
 	}
 	return nil
 }
 
 // Applied prints the outcome of a change.
-func (p Printer) Applied(answer *toucanhingev1.ApplyResponse) error {
+func (p Printer) Applied(response *toucanhingev1.ApplyResponse) error {
 	verdict := "accepted"
-	if !answer.GetAccepted() {
+	if !response.GetAccepted() {
 		verdict = "refused; in force is"
 	}
-	return p.print(answer, row{"VERDICT", "KIND", "NAME", "VERSION", "BY", "WHAT"},
-		[]row{append(row{verdict}, entryRow(answer.GetEntry())...)})
+	return p.print(response, row{"VERDICT", "KIND", "NAME", "VERSION", "BY", "WHAT"},
+		[]row{append(row{verdict}, entryRow(response.GetEntry())...)})
 }
 
 // Entries prints accepted entries.
-func (p Printer) Entries(answer *toucanhingev1.ListEntriesResponse) error {
-	entries := answer.GetEntries()
+func (p Printer) Entries(response *toucanhingev1.ListEntriesResponse) error {
+	entries := response.GetEntries()
 	sort.Slice(entries, func(i, j int) bool {
 		if entries[i].GetKind() != entries[j].GetKind() {
 			return entries[i].GetKind() < entries[j].GetKind()
@@ -76,19 +76,19 @@
 	for _, e := range entries {
 		rows = append(rows, entryRow(e))
 	}
-	return p.print(answer, row{"KIND", "NAME", "VERSION", "BY", "WHAT"}, rows)
+	return p.print(response, row{"KIND", "NAME", "VERSION", "BY", "WHAT"}, rows)
 }
 
 func entryRow(e *toucanhingev1.Entry) row {
-	return row{kindName(e.GetKind()), e.GetName(), fmt.Sprint(e.GetVersion()), e.GetAuthor(), body(e)}
+	return row{kindName(e.GetKind()), e.GetName(), fmt.Sprint(e.GetVersion()), e.GetAuthor(), bodyText(e)}
 }
 
 func kindName(k toucanhingev1.Kind) string {
 	return strings.ReplaceAll(strings.ToLower(strings.TrimPrefix(k.String(), "KIND_")), "_", "-")
 }
 
-// body shows what stands in an entry on one line.
-func body(e *toucanhingev1.Entry) string {
+// bodyText returns the body of an entry as one line of JSON.
+func bodyText(e *toucanhingev1.Entry) string {
 	if e.GetRemoved() {
 		return "(removed)"
 	}
@@ -105,19 +105,19 @@
 }
 
 // Jobs prints a list of jobs.
-func (p Printer) Jobs(answer *toucanhingev1.ListJobsResponse) error {
-	rows := make([]row, 0, len(answer.GetJobs()))
-	for _, j := range answer.GetJobs() {
+func (p Printer) Jobs(response *toucanhingev1.ListJobsResponse) error {
+	rows := make([]row, 0, len(response.GetJobs()))
+	for _, j := range response.GetJobs() {
 		rows = append(rows, jobRow(j))
 	}
-	return p.print(answer, jobHeader, rows)
+	return p.print(response, jobHeader, rows)
 }
 
-// Teams prints the teams: what they may and what they use, in requests of one window.
-func (p Printer) Teams(answer *toucanhingev1.ListTeamsResponse) error {
-	rows := make([]row, 0, len(answer.GetTeams()))
-	window := time.Duration(answer.GetWindowMs()) * time.Millisecond
-	for _, t := range answer.GetTeams() {
+// Teams prints the limits and the usage of teams, in requests per window.
+func (p Printer) Teams(response *toucanhingev1.ListTeamsResponse) error {
+	rows := make([]row, 0, len(response.GetTeams()))
+	window := time.Duration(response.GetWindowMs()) * time.Millisecond
+	for _, t := range response.GetTeams() {
 		priority, limit := "-", "-"
 		if t.Priority != nil {
 			priority = fmt.Sprint(t.GetPriority())
@@ -130,12 +130,12 @@
 			fmt.Sprintf("%.0f", t.GetUsed()), limit, fmt.Sprint(t.GetRefused()), fmt.Sprint(t.GetOpenJobs()), fmt.Sprint(t.GetWaitingTokens()),
 		})
 	}
-	return p.print(answer, row{"TEAM", "KEYS", "PRIORITY", "RATE", "BURST", "USED", "LIMIT", "REFUSED", "JOBS", "TOKENS"}, rows)
+	return p.print(response, row{"TEAM", "KEYS", "PRIORITY", "RATE", "BURST", "USED", "LIMIT", "REFUSED", "JOBS", "TOKENS"}, rows)
 }
 
 // Job prints one job after a change.
-func (p Printer) Job(answer *toucanhingev1.CancelJobResponse) error {
-	return p.print(answer, jobHeader, []row{jobRow(answer.GetJob())})
+func (p Printer) Job(response *toucanhingev1.CancelJobResponse) error {
+	return p.print(response, jobHeader, []row{jobRow(response.GetJob())})
 }
 
 var jobHeader = row{"JOB", "TEAM", "KEY", "SERVICE", "STATE", "ITEMS", "LEASED", "DONE", "FAILED", "DEADLINE"}
@@ -152,25 +152,25 @@
 	}
 }
 
-// ConfigStatus prints which process has which version in force.
-func (p Printer) ConfigStatus(answer *toucanhingev1.ConfigStatusResponse) error {
-	rows := make([]row, 0, len(answer.GetProcesses()))
-	for _, s := range answer.GetProcesses() {
+// ConfigStatus prints the configuration version that each process applies.
+func (p Printer) ConfigStatus(response *toucanhingev1.ConfigStatusResponse) error {
+	rows := make([]row, 0, len(response.GetProcesses()))
+	for _, s := range response.GetProcesses() {
 		role := strings.ToLower(strings.TrimPrefix(s.GetRole().String(), "ROLE_"))
-		heard := time.Duration(s.GetHeardMs()) * time.Millisecond
-		rows = append(rows, row{s.GetName(), role, fmt.Sprint(s.GetVersion()), fmt.Sprint(s.GetBehind()), heard.String()})
+		lastSeen := time.Duration(s.GetHeardMs()) * time.Millisecond
+		rows = append(rows, row{s.GetName(), role, fmt.Sprint(s.GetVersion()), fmt.Sprint(s.GetBehind()), lastSeen.String()})
 	}
-	return p.print(answer, row{"PROCESS", "ROLE", "VERSION", "BEHIND", "HEARD"}, rows)
+	return p.print(response, row{"PROCESS", "ROLE", "VERSION", "BEHIND", "HEARD"}, rows)
 }
 
 // Groups prints one control VM's view of its groups.
-func (p Printer) Groups(answer *toucanhingev1.GroupStatusResponse) error {
-	return p.print(answer, groupHeader, groupRows(answer.GetReplica(), answer.GetGroups()))
+func (p Printer) Groups(response *toucanhingev1.GroupStatusResponse) error {
+	return p.print(response, groupHeader, groupRows(response.GetReplica(), response.GetGroups()))
 }
 
 // Replicas prints the groups after a change of control VMs.
-func (p Printer) Replicas(answer *toucanhingev1.ChangeReplicaResponse) error {
-	return p.print(answer, groupHeader, groupRows("", answer.GetGroups()))
+func (p Printer) Replicas(response *toucanhingev1.ChangeReplicaResponse) error {
+	return p.print(response, groupHeader, groupRows("", response.GetGroups()))
 }
 
 var groupHeader = row{"SEEN BY", "GROUP", "ROLE", "LEADER", "TERM", "COMMIT", "APPLIED", "LAST", "REPLICAS"}
@@ -186,7 +186,7 @@
 			}
 			text := r.GetName() + "=" + kind
 			if r.GetMatch() > 0 {
-				// Only a leader knows what the others hold; a follower, only itself.
+				// Only the leader knows the match index of all replicas; a follower knows its own.
 				text += fmt.Sprintf("@%d", r.GetMatch())
 			}
 			replicas = append(replicas, text)
@@ -199,15 +199,16 @@
 	return rows
 }
 
-// Handover prints how many leaderships moved.
-func (p Printer) Handover(answer *toucanhingev1.HandoverResponse) error {
-	return p.print(answer, row{"GROUPS MOVED"}, []row{{fmt.Sprint(answer.GetGroupsMoved())}})
+// Handover prints the number of transferred leaderships.
+func (p Printer) Handover(response *toucanhingev1.HandoverResponse) error {
+	return p.print(response, row{"GROUPS MOVED"}, []row{{fmt.Sprint(response.GetGroupsMoved())}})
 }
 
-// Explained prints what all processes know of an id, in the order of time.
-func (p Printer) Explained(id string, answers []*toucanhingev1.ExplainResponse, silent []string) error {
+// Explained prints the records of all processes about an id, ordered by time, and the
+// addresses of processes that did not respond.
+func (p Printer) Explained(id string, responses []*toucanhingev1.ExplainResponse, unreachable []string) error {
 	if p.JSON {
-		for _, a := range answers {
+		for _, a := range responses {
 			if err := p.json(a); err != nil {
 				return err
 			}
@@ -219,7 +220,7 @@
 		row row
 	}
 	var lines []line
-	for _, a := range answers {
+	for _, a := range responses {
 		for _, h := range a.GetHappenings() {
 			at := time.UnixMilli(h.GetAtMs()).UTC().Format("15:04:05.000")
 			lines = append(lines, line{h.GetAtMs(), row{at, a.GetProcess(), h.GetId(), h.GetEvent(), h.GetDetail()}})
@@ -233,20 +234,20 @@
 	if err := p.print(nil, row{"AT (UTC)", "PROCESS", "ID", "EVENT", "DETAIL"}, rows); err != nil {
 		return err
 	}
-	for _, address := range silent {
-		if _, err := fmt.Fprintf(p.Out, "no answer from %s\n", address); err != nil {
-			return fmt.Errorf("write the answer: %w", err)
+	for _, address := range unreachable {
+		if _, err := fmt.Fprintf(p.Out, "no response from %s\n", address); err != nil {
+			return fmt.Errorf("write the response: %w", err)
 		}
 	}
 	if len(rows) == 0 {
-		return p.note("no process remembers " + id + "; records are bounded and kept in memory only")
+		return p.printText("no process has a record of " + id + "; records are bounded and stored in memory only")
 	}
 	return nil
 }
 
-func (p Printer) note(text string) error {
+func (p Printer) printText(text string) error {
 	if _, err := fmt.Fprintln(p.Out, text); err != nil {
-		return fmt.Errorf("write the answer: %w", err)
+		return fmt.Errorf("write the response: %w", err)
 	}
 	return nil
 }
--- a/toucanctl/pkg/output/trace.go
+++ b/toucanctl/pkg/output/trace.go
@@ -8,9 +8,9 @@
 	"toucanhinge.example/toucanctl/pkg/operator"
 )
 
-const stampFormat = "15:04:05.000"
+const timeFormat = "15:04:05.000"
 
-// Traced prints what the logs tell of an id.
+// Traced prints the log lines that concern an id and the last failure among them.
 func (p Printer) Traced(id string, trace loglines.Trace) error {
 	if len(trace.Lines) == 0 {
 		return fmt.Errorf("%s: %w", id, operator.ErrNotFound)
@@ -20,28 +20,28 @@
 		if err != nil {
 			return fmt.Errorf("encode the trace: %w", err)
 		}
-		return p.line("%s", text)
+		return p.printf("%s", text)
 	}
-	for _, part := range []struct {
+	for _, section := range []struct {
 		title string
 		lines []loglines.Line
-	}{{"lines of " + id, trace.Lines}, {"what the processes came to believe meanwhile", trace.Around}} {
-		if err := p.line("%s:", part.title); err != nil {
+	}{{"lines of " + id, trace.Lines}, {"state changes of the processes in this period", trace.Around}} {
+		if err := p.printf("%s:", section.title); err != nil {
 			return err
 		}
-		for _, l := range part.lines {
-			if err := p.line("  %s %s %s %s", l.At.Format(stampFormat), l.Process, l.Event, l.Text); err != nil {
+		for _, l := range section.lines {
+			if err := p.printf("  %s %s %s %s", l.At.Format(timeFormat), l.Process, l.Event, l.Text); err != nil {
 				return err
 			}
 		}
 	}
-	if cause, ok := trace.Cause(); ok {
-		return p.line("last failure: %s at %s: %s", cause.Event, cause.Process, cause.Text)
+	if failure, ok := trace.LastFailure(); ok {
+		return p.printf("last failure: %s at %s: %s", failure.Event, failure.Process, failure.Text)
 	}
-	return p.line("no line tells of a failure")
+	return p.printf("no line reports a failure")
 }
 
-func (p Printer) line(format string, values ...any) error {
+func (p Printer) printf(format string, values ...any) error {
 	if _, err := fmt.Fprintf(p.Out, format+"\n", values...); err != nil {
 		return fmt.Errorf("write the trace: %w", err)
 	}
