--- a/lab/cmd/losses/main.go
+++ b/lab/cmd/losses/main.go
@@ -31,7 +31,7 @@
 }
 
 func run(a arguments) error {
-	ledger := losses.New(losses.Weights{Late: a.Late, CameBack: a.CameBack})
+	ledger := losses.New(losses.Weights{Late: a.Late, InTimeOnRetry: a.CameBack})
 	if len(a.Logs) == 0 {
 		if err := read("standard input", os.Stdin, ledger); err != nil {
 			return err
--- a/lab/pkg/losses/cause.go
+++ b/lab/pkg/losses/cause.go
@@ -1,35 +1,35 @@
 package losses
 
-// Cause is why a request or an item was worth less than it could have been.
+// Cause is the outcome of a request or an item that explains its loss of worth.
 type Cause string
 
 // Causes.
 const (
-	// InTime is no loss.
+	// InTime is a request or item without loss.
 	InTime Cause = "in time"
-	// CameBack was turned away, came back and was in time then.
-	CameBack Cause = "turned away, then in time"
-	// CameBackLate was turned away, came back and was late.
-	CameBackLate Cause = "turned away, then late"
-	// Queued waited longer for a place than was expected.
-	Queued Cause = "wait for a place longer than expected"
-	// Unseen waited for a place that was taken for free.
-	Unseen Cause = "place taken meanwhile"
-	// Moved began anew at another runner.
-	Moved Cause = "began anew at another runner"
-	// TurnedTwice was turned away when it came back.
-	TurnedTwice Cause = "turned away twice"
-	// NotBack was turned away and never seen again.
-	NotBack Cause = "turned away, not seen again"
-	// Broken ended without a whole answer.
-	Broken Cause = "failed or cut off"
-	// Left was given up by its caller.
-	Left Cause = "caller left"
-	// ItemLate was finished past its due time.
+	// InTimeOnRetry is a request that was refused and in time on the retry.
+	InTimeOnRetry Cause = "turned away, then in time"
+	// LateOnRetry is a request that was refused and late on the retry.
+	LateOnRetry Cause = "turned away, then late"
+	// QueuedTooLong is a late request that waited longer for a slot than expected.
+	QueuedTooLong Cause = "wait for a place longer than expected"
+	// SlotTaken is a late request whose slot was believed to be free but was in use.
+	SlotTaken Cause = "place taken meanwhile"
+	// RestartedElsewhere is a late request that was restarted at another runner.
+	RestartedElsewhere Cause = "began anew at another runner"
+	// RefusedTwice is a request that was refused on its retry.
+	RefusedTwice Cause = "turned away twice"
+	// RefusedNotRetried is a request that was refused and not retried.
+	RefusedNotRetried Cause = "turned away, not seen again"
+	// Failed is a request that ended without a complete answer.
+	Failed Cause = "failed or cut off"
+	// CallerLeft is a request whose caller disconnected.
+	CallerLeft Cause = "caller left"
+	// ItemLate is an item that finished after its deadline.
 	ItemLate Cause = "item late"
 )
 
-// Outcomes in log lines.
+// Values of the outcome key in log lines.
 const (
 	outcomeServed   = "served"
 	outcomeRefused  = "refused"
@@ -37,20 +37,20 @@
 	outcomeFinished = "finished"
 )
 
-// causeOf judges a request.
-func causeOf(l line) Cause {
+// requestCause returns the cause for the log line of a finished request.
+func requestCause(l line) Cause {
 	switch l.Outcome {
 	case outcomeServed:
 		return servedCause(l)
 	case outcomeRefused:
 		if l.Returned {
-			return TurnedTwice
+			return RefusedTwice
 		}
-		return NotBack
+		return RefusedNotRetried
 	case outcomeLeft:
-		return Left
+		return CallerLeft
 	default:
-		return Broken
+		return Failed
 	}
 }
 
@@ -58,16 +58,16 @@
 	late := l.Objective > 0 && l.First > l.Objective
 	switch {
 	case !late && l.Returned:
-		return CameBack
+		return InTimeOnRetry
 	case !late:
 		return InTime
 	case l.Returned:
-		return CameBackLate
+		return LateOnRetry
 	case len(l.Runners) > 1:
-		return Moved
+		return RestartedElsewhere
 	case l.Expected > 0:
-		return Queued
+		return QueuedTooLong
 	default:
-		return Unseen
+		return SlotTaken
 	}
 }
--- a/lab/pkg/losses/ledger.go
+++ b/lab/pkg/losses/ledger.go
@@ -10,22 +10,22 @@
 	"toucanhinge.example/lab/pkg/plots"
 )
 
-// items is the name under which items are counted.
-const items = "items"
+// itemsRoute is the route name under which items are counted.
+const itemsRoute = "items"
 
-// Weights says what is left of a whole answer's worth, from 0 to 1.
+// Weights are the remaining worth of answers, from 0 to 1 in whole answers.
 type Weights struct {
-	// Late is that of an answer past its objective, CameBack that of one in time at the
-	// second attempt.
-	Late, CameBack float64
+	// Late is the worth of an answer past its objective, InTimeOnRetry that of an answer
+	// in time at the second attempt.
+	Late, InTimeOnRetry float64
 }
 
-// Row is what was lost on a route for one cause.
+// Row is the loss on one route for one cause.
 type Row struct {
 	Route string
 	Cause Cause
 	Count int
-	// Lost is in whole answers.
+	// Lost is the lost worth in whole answers.
 	Lost float64
 }
 
@@ -35,19 +35,19 @@
 	cause Cause
 }
 
-// Ledger collects what became of requests and items.
+// Ledger collects the outcomes of requests and items.
 type Ledger struct {
 	weights Weights
 	entries []entry
 }
 
-// New makes an empty ledger.
+// New returns an empty ledger.
 func New(weights Weights) *Ledger { return &Ledger{weights: weights} }
 
 func (l *Ledger) add(read line) {
 	switch read.Event {
 	case eventRequest:
-		l.entries = append(l.entries, entry{read.At, read.Route, causeOf(read)})
+		l.entries = append(l.entries, entry{read.At, read.Route, requestCause(read)})
 	case eventItem:
 		if read.Outcome != outcomeFinished {
 			return
@@ -56,32 +56,32 @@
 		if read.Late > 0 {
 			cause = ItemLate
 		}
-		l.entries = append(l.entries, entry{read.At, items, cause})
+		l.entries = append(l.entries, entry{read.At, itemsRoute, cause})
 	}
 }
 
-// lost is the part of a whole answer's worth that a cause takes.
+// lost returns the fraction of a whole answer's worth that is lost for a cause.
 func (l *Ledger) lost(cause Cause) float64 {
 	switch cause {
 	case InTime:
 		return 0
-	case CameBack:
-		return 1 - l.weights.CameBack
-	case CameBackLate, Queued, Unseen, Moved, ItemLate:
+	case InTimeOnRetry:
+		return 1 - l.weights.InTimeOnRetry
+	case LateOnRetry, QueuedTooLong, SlotTaken, RestartedElsewhere, ItemLate:
 		return 1 - l.weights.Late
 	default:
 		return 1
 	}
 }
 
-// Rows lists what was lost, most first. A request that was turned away is one of those
-// that came back, as far as these go: each attempt has its own lines.
+// Rows lists the losses, largest first. Each attempt has its own log line, so the number of
+// retries on a route is subtracted from its refused requests to get those without a retry.
 func (l *Ledger) Rows() []Row {
 	var rows []Row
-	back := map[string]int{}
+	retries := map[string]int{}
 	for _, e := range l.entries {
-		if e.cause == CameBack || e.cause == CameBackLate || e.cause == TurnedTwice {
-			back[e.route]++
+		if e.cause == InTimeOnRetry || e.cause == LateOnRetry || e.cause == RefusedTwice {
+			retries[e.route]++
 		}
 		at := slices.IndexFunc(rows, func(r Row) bool { return r.Route == e.route && r.Cause == e.cause })
 		if at < 0 {
@@ -91,8 +91,8 @@
 		rows[at].Count++
 	}
 	for i, r := range rows {
-		if r.Cause == NotBack {
-			rows[i].Count = max(r.Count-back[r.Route], 0)
+		if r.Cause == RefusedNotRetried {
+			rows[i].Count = max(r.Count-retries[r.Route], 0)
 		}
 		rows[i].Lost = float64(rows[i].Count) * l.lost(r.Cause)
 	}
@@ -102,7 +102,7 @@
 	return rows
 }
 
-// Table writes the rows as Markdown, with a sum that they add up to.
+// Table writes the rows and their sum as a Markdown table.
 func (l *Ledger) Table(w io.Writer) error {
 	text := "| route | what became of it | requests | lost, whole answers | share of all |\n|---|---|---|---|---|\n"
 	count, lost := 0, 0.0
@@ -121,33 +121,32 @@
 	return nil
 }
 
-// Picture draws what was lost over time, a line for each cause, in whole answers for
-// each span.
-func (l *Ledger) Picture(span time.Duration) plots.Picture {
-	picture := plots.Picture{Title: "Worth lost over time", X: "seconds", Y: fmt.Sprintf("whole answers lost in %v", span)}
+// Picture plots the losses over time, in whole answers per interval, with one line per cause.
+func (l *Ledger) Picture(interval time.Duration) plots.Picture {
+	picture := plots.Picture{Title: "Worth lost over time", X: "seconds", Y: fmt.Sprintf("whole answers lost in %v", interval)}
 	if len(l.entries) == 0 {
 		return picture
 	}
-	earliest := func(a, b entry) int { return a.at.Compare(b.at) }
-	first, last := slices.MinFunc(l.entries, earliest).at, slices.MaxFunc(l.entries, earliest).at
-	spans := int(last.Sub(first)/span) + 1
+	byTime := func(a, b entry) int { return a.at.Compare(b.at) }
+	first, last := slices.MinFunc(l.entries, byTime).at, slices.MaxFunc(l.entries, byTime).at
+	intervals := int(last.Sub(first)/interval) + 1
 	sums := map[Cause][]float64{}
 	for _, e := range l.entries {
-		// Who was turned away is judged by what became of the second attempt.
-		if e.cause == InTime || e.cause == NotBack {
+		// A refused request counts by the outcome of its second attempt.
+		if e.cause == InTime || e.cause == RefusedNotRetried {
 			continue
 		}
 		if sums[e.cause] == nil {
-			sums[e.cause] = make([]float64, spans)
+			sums[e.cause] = make([]float64, intervals)
 		}
-		sums[e.cause][int(e.at.Sub(first)/span)] += l.lost(e.cause)
+		sums[e.cause][int(e.at.Sub(first)/interval)] += l.lost(e.cause)
 	}
 	for cause, values := range sums {
-		drawn := plots.Line{Name: string(cause)}
+		points := plots.Line{Name: string(cause)}
 		for i, v := range values {
-			drawn.Points = append(drawn.Points, plots.Point{X: float64(i) * span.Seconds(), Y: v})
+			points.Points = append(points.Points, plots.Point{X: float64(i) * interval.Seconds(), Y: v})
 		}
-		picture.Lines = append(picture.Lines, drawn)
+		picture.Lines = append(picture.Lines, points)
 	}
 	slices.SortFunc(picture.Lines, func(a, b plots.Line) int { return cmp.Compare(a.Name, b.Name) })
 	return picture
--- a/lab/pkg/losses/line.go
+++ b/lab/pkg/losses/line.go
@@ -1,6 +1,6 @@
-// Package losses tells from the daemons' logs what callers and teams didn't get, and why:
-// a table of the worth lost by route and cause, and how it went over time. It knows
-// nothing of where the logs come from, so one load can be read like another.
+// Package losses computes from the daemons' logs the worth that callers and teams lost, by
+// route and cause and over time. It doesn't depend on the source of the logs, so that
+// different loads can be evaluated in the same way.
 package losses
 
 import (
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// mostLine bounds a line of a log, in bytes.
-const mostLine = 1 << 20
+// maxLineBytes is the length limit of one log line.
+const maxLineBytes = 1 << 20
 
-// Events that are read.
+// Log events that are evaluated.
 const (
 	eventRequest = "request-ended"
 	eventItem    = "item-call-ended"
 )
 
-// line is what is read of a log line.
+// line holds the evaluated fields of a log line.
 type line struct {
 	At       time.Time `json:"at"`
 	Event    string    `json:"event"`
@@ -29,7 +29,7 @@
 	Reason   string    `json:"reason"`
 	Route    string    `json:"route"`
 	Returned bool      `json:"returned"`
-	// Spans in milliseconds.
+	// Durations in milliseconds.
 	Expected  int64    `json:"expected-wait-ms"`
 	Waited    int64    `json:"waited-ms"`
 	First     int64    `json:"first-ms"`
@@ -38,11 +38,11 @@
 	Runners   []string `json:"runners"`
 }
 
-// Read adds the lines of a log to a ledger. A line may have something in front of its
-// JSON; others are passed over. It returns how many couldn't be read.
+// Read adds the lines of a log to a ledger. A line may have a prefix before its JSON object;
+// lines without an object are skipped. It returns the number of lines with invalid JSON.
 func Read(source io.Reader, ledger *Ledger) (unread int, err error) {
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(nil, mostLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
@@ -56,7 +56,7 @@
 		ledger.add(l)
 	}
 	if err := scanner.Err(); err != nil {
-		return unread, fmt.Errorf("read a log: %w", err)
+		return unread, fmt.Errorf("read log lines: %w", err)
 	}
 	return unread, nil
 }
