--- a/lab/pkg/leadload/gateways.go
+++ b/lab/pkg/leadload/gateways.go
@@ -30,19 +30,19 @@
 )
 
 const (
-	// firstEvent is how long a runner reads a prompt.
-	firstEvent = 30 * time.Millisecond
-	// readWait is how long a reader of results may be kept waiting, readEvery how often it
-	// asks.
-	readWait  = time.Second
-	readEvery = 500 * time.Millisecond
-	// eventBytes is the size of an event's text.
-	eventBytes = 60
-	// bodyBytes is the size of an item's request.
-	bodyBytes = 400
+	// firstEventDelay is the simulated prefill time until a runner's first event.
+	firstEventDelay = 30 * time.Millisecond
+	// maxReadWait is the long-poll timeout of a call that reads results, readInterval the pause
+	// between two such calls.
+	maxReadWait  = time.Second
+	readInterval = 500 * time.Millisecond
+	// eventTextBytes is the size of an event's text.
+	eventTextBytes = 60
+	// itemBodyBytes is the size of an item's request.
+	itemBodyBytes = 400
 )
 
-// Gateways is all gateways of a fleet, in one process.
+// Gateways runs all gateways of a fleet in one process.
 type Gateways struct {
 	Addresses []string
 	Fleet     Fleet
@@ -52,7 +52,7 @@
 	runs     atomic.Int64
 }
 
-// Run plays the load until the context ends, and returns what came of it.
+// Run generates the load until the context ends and returns a summary.
 func (g *Gateways) Run(ctx context.Context) (string, error) {
 	var exchanges []*digest.Exchange
 	for i := range g.Fleet.Gateways {
@@ -64,14 +64,14 @@
 	}
 	client := newClient(g.Addresses)
 	g.setTable(ctx)
-	var duties sync.WaitGroup
-	duties.Go(func() { g.submit(ctx, client, &duties) })
-	duties.Go(func() { g.online(ctx, exchanges) })
-	duties.Wait()
+	var tasks sync.WaitGroup
+	tasks.Go(func() { g.submitJobs(ctx, client, &tasks) })
+	tasks.Go(func() { g.generateOnline(ctx, exchanges) })
+	tasks.Wait()
 	return fmt.Sprintf("%d jobs, %d results read, %d runs of items", g.jobs.Load(), g.finished.Load(), g.runs.Load()), nil
 }
 
-// start begins one gateway.
+// start starts one gateway.
 func (g *Gateways) start(ctx context.Context, i int) (*digest.Exchange, error) {
 	mux := http.NewServeMux()
 	server, err := web.Listen("127.0.0.1:0", mux)
@@ -85,36 +85,37 @@
 	if err != nil {
 		return nil, fmt.Errorf("exchange: %w", err)
 	}
-	carried := carry.New(carry.Config{
-		Client: runner.Client{Open: g.answer}, Exchange: x, Unresponsive: x.Overdue, Clock: clock.System(), Logger: log.NewNopLogger(),
+	proxy := carry.New(carry.Config{
+		Client: runner.Client{Open: g.openCall}, Exchange: x, Unresponsive: x.Overdue, Clock: clock.System(), Logger: log.NewNopLogger(),
 		Registerer: prometheus.NewRegistry(),
 	})
-	mux.Handle(toucanhingev1connect.NewCarryServiceHandler(carried))
-	board := news.New(news.Config{
+	mux.Handle(toucanhingev1connect.NewCarryServiceHandler(proxy))
+	publisher := news.New(news.Config{
 		Boot: clock.Boot(), Registerer: prometheus.NewRegistry(),
 		Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
 	})
-	mux.Handle(toucanhingev1connect.NewNewsServiceHandler(board))
-	follower := core.New(core.Config{
-		Publisher: board, Boot: clock.Boot(), OnFreshness: func(clock.Millis) {}, OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) {},
+	mux.Handle(toucanhingev1connect.NewNewsServiceHandler(publisher))
+	subscriber := core.New(core.Config{
+		Publisher: publisher, Boot: clock.Boot(), OnFreshness: func(clock.Millis) {}, OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) {},
 		Name: fmt.Sprintf("gateway-%d", i), DigestAddress: server.Address(), DataCentre: dataCentre(i), Core: newClient(g.Addresses),
 		Logger: log.NewNopLogger(), OnTable: func(*routing.Table) {},
 		OnFleet: func(f *toucanhingev1.FleetView) { x.SetPeers(digest.PeersOf(f)) },
-		Seeds: func() []string { return g.Addresses },
+		Seeds:   func() []string { return g.Addresses },
 	})
 	go func() { _ = server.Serve() }()
 	go x.Run(ctx)
-	go carried.Run(ctx)
-	go follower.Run(ctx)
+	go proxy.Run(ctx)
+	go subscriber.Run(ctx)
 	return x, nil
 }
 
-// answer is a runner's: events at even intervals until the caller leaves.
-func (g *Gateways) answer(ctx context.Context, call runner.Call) (*runner.Answer, error) {
+// openCall answers a call as a runner does: with events at regular intervals until the answer is
+// complete or the caller disconnects.
+func (g *Gateways) openCall(ctx context.Context, call runner.Call) (*runner.Answer, error) {
 	g.runs.Add(1)
 	source, sink := io.Pipe()
 	go func() {
-		timer := time.NewTimer(firstEvent)
+		timer := time.NewTimer(firstEventDelay)
 		defer timer.Stop()
 		for event := int(call.After) + 1; event <= g.Fleet.Events; event++ {
 			select {
@@ -122,9 +123,9 @@
 				_ = sink.CloseWithError(ctx.Err())
 				return
 			case <-timer.C:
-				timer.Reset(step.Duration())
+				timer.Reset(eventInterval.Duration())
 			}
-			if _, err := fmt.Fprintf(sink, "id: %d\ndata: %0*d\n\n", event, eventBytes, event); err != nil {
+			if _, err := fmt.Fprintf(sink, "id: %d\ndata: %0*d\n\n", event, eventTextBytes, event); err != nil {
 				return
 			}
 		}
@@ -136,16 +137,16 @@
 func (g *Gateways) setTable(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, address := range g.Addresses {
-			if g.offerTable(ctx, address) == nil {
+			if g.postTable(ctx, address) == nil {
 				return
 			}
 		}
-		time.Sleep(readEvery / 5)
+		time.Sleep(readInterval / 5)
 	}
 }
 
-// offerTable puts the table in force through a member that leads.
-func (g *Gateways) offerTable(ctx context.Context, address string) error {
+// postTable requests a member to put the routing table in force; only the leader accepts it.
+func (g *Gateways) postTable(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	body := bytes.NewReader(nil)
@@ -155,34 +156,34 @@
 	}
 	response, err := web.NewClient().Do(request)
 	if err != nil {
-		return fmt.Errorf("offer a table: %w", err)
+		return fmt.Errorf("post the routing table: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("offer a table: %s", response.Status)
+		return fmt.Errorf("post the routing table: %s", response.Status)
 	}
 	return nil
 }
 
-// submit hands jobs in, and reads the results of each.
-func (g *Gateways) submit(ctx context.Context, client *control.Client, duties *sync.WaitGroup) {
+// submitJobs submits jobs and reads the results of each.
+func (g *Gateways) submitJobs(ctx context.Context, client *control.Client, tasks *sync.WaitGroup) {
 	for n := 0; ctx.Err() == nil; n++ {
-		pause := time.Duration(rand.ExpFloat64() / g.Fleet.Jobs * float64(time.Second))
+		delay := time.Duration(rand.ExpFloat64() / g.Fleet.Jobs * float64(time.Second))
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
-		duties.Go(func() { g.follow(ctx, client, fmt.Sprintf("job-%d", n)) })
+		tasks.Go(func() { g.runJob(ctx, client, fmt.Sprintf("job-%d", n)) })
 	}
 }
 
-// follow hands one job in and reads its results to the end.
-func (g *Gateways) follow(ctx context.Context, client *control.Client, id string) {
+// runJob submits one job and reads all of its results.
+func (g *Gateways) runJob(ctx context.Context, client *control.Client, id string) {
 	job := &toucanhingev1.SubmitJobRequest{Job: id, Host: host, Target: prefix + id}
 	for i := range g.Fleet.Items {
 		job.Items = append(job.Items, &toucanhingev1.JobItem{
-			Id: fmt.Sprintf("%s-%d", id, i), Target: prefix + "x", Body: make([]byte, bodyBytes), Tokens: int64(300 + rand.IntN(400)),
+			Id: fmt.Sprintf("%s-%d", id, i), Target: prefix + "x", Body: make([]byte, itemBodyBytes), Tokens: int64(300 + rand.IntN(400)),
 		})
 	}
 	_, err := control.Call(ctx, client, 0, "submit-job", func(ctx context.Context, r *control.Replica) (*toucanhingev1.SubmitJobResponse, error) {
@@ -200,7 +201,7 @@
 	for ctx.Err() == nil && int(after) < g.Fleet.Items {
 		answer, err := control.Call(ctx, client, 0, "read", func(ctx context.Context, r *control.Replica) (*toucanhingev1.ReadListedResponse, error) {
 			answer, err := r.Core.ReadListed(ctx, connect.NewRequest(&toucanhingev1.ReadListedRequest{
-				Job: id, After: after, WaitMs: uint32(readWait.Milliseconds()), MostBytes: 1 << 20,
+				Job: id, After: after, WaitMs: uint32(maxReadWait.Milliseconds()), MostBytes: 1 << 20,
 			}))
 			if err != nil {
 				return nil, err
@@ -211,26 +212,26 @@
 			after += uint32(len(answer.GetResults()))
 			g.finished.Add(int64(len(answer.GetResults())))
 		}
-		time.Sleep(readEvery)
+		time.Sleep(readInterval)
 	}
 }
 
-// online tells of online requests that come and go, each at a gateway and a runner drawn
-// by lot.
-func (g *Gateways) online(ctx context.Context, exchanges []*digest.Exchange) {
-	runners := g.Fleet.list()
-	began := time.Now()
+// generateOnline reports the start and end of online requests, each at a random gateway and at the
+// less loaded of two random runners.
+func (g *Gateways) generateOnline(ctx context.Context, exchanges []*digest.Exchange) {
+	runners := g.Fleet.runnerList()
+	startedAt := time.Now()
 	for ctx.Err() == nil {
-		rate := g.Fleet.rate(clock.Millis(time.Since(began).Milliseconds()))
+		rate := g.Fleet.onlineRate(clock.Millis(time.Since(startedAt).Milliseconds()))
 		time.Sleep(time.Duration(rand.ExpFloat64() / rate * float64(time.Second)))
-		x, id := exchanges[rand.IntN(len(exchanges))], g.freest(exchanges[0], runners)
+		x, id := exchanges[rand.IntN(len(exchanges))], g.lessLoadedRunner(exchanges[0], runners)
 		x.Add(id, occupancy.Load{Online: 1})
-		time.AfterFunc(hold.Duration(), func() { x.Add(id, occupancy.Load{Online: -1}) })
+		time.AfterFunc(onlineDuration.Duration(), func() { x.Add(id, occupancy.Load{Online: -1}) })
 	}
 }
 
-// freest is the better of two runners drawn by lot.
-func (g *Gateways) freest(x *digest.Exchange, runners []*toucanhingev1.Runner) string {
+// lessLoadedRunner returns the less loaded of two random runners.
+func (g *Gateways) lessLoadedRunner(x *digest.Exchange, runners []*toucanhingev1.Runner) string {
 	a, b := runners[rand.IntN(len(runners))].GetId(), runners[rand.IntN(len(runners))].GetId()
 	x.View(func(t *occupancy.Table) {
 		if t.Load(b).Online < t.Load(a).Online {
--- a/lab/pkg/leadload/member.go
+++ b/lab/pkg/leadload/member.go
@@ -22,24 +22,25 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
-// losses is how many VMs of the core may be lost at the same time, as on the large
+// toleratedLosses is the number of VMs of the core that may fail at the same time, as in the large
 // deployment.
-const losses = 2
+const toleratedLosses = 2
 
-var errNoGateway = errors.New("no gateway took the call")
+var errNoGateway = errors.New("no gateway accepted the call")
 
-// Member is one VM of the core, in a process of its own.
+// Member runs one VM of the core in its own process.
 type Member struct {
-	// Address is its own, Addresses those of all members; the first three form the group.
+	// Address is the member's own address. Addresses are those of all members; the first three
+	// bootstrap the group.
 	Address   string
 	Addresses []string
 	Folder    string
-	// Profile is where the process's processor profile goes.
+	// Profile is the path of the CPU profile.
 	Profile string
 	Fleet   Fleet
 }
 
-// Run serves until the context ends.
+// Run serves until the context ends, then writes the heap profile.
 func (m Member) Run(ctx context.Context) error {
 	profile, err := os.Create(m.Profile)
 	if err != nil {
@@ -60,10 +61,10 @@
 	}
 	vm, err = core.Open(core.Config{
 		Name: m.Address, Address: m.Address, DataCentre: dataCentre(0), Folder: filepath.Join(m.Folder, m.Address),
-		FoundingMembers: m.founders(), Losses: losses, Clock: clock.System(), Logger: log.NewJSONLogger(os.Stdout),
+		FoundingMembers: m.foundingMembers(), Losses: toleratedLosses, Clock: clock.System(), Logger: log.NewJSONLogger(os.Stdout),
 		Registerer: prometheus.NewRegistry(), Exchange: exchange,
 		Runners:   runner.Client{Open: func(context.Context, runner.Call) (*runner.Answer, error) { return nil, errNoGateway }},
-		Directory: func(context.Context) ([]*toucanhingev1.Runner, error) { return m.Fleet.list(), nil },
+		Directory: func(context.Context) ([]*toucanhingev1.Runner, error) { return m.Fleet.runnerList(), nil },
 		Core:      newClient(m.Addresses[:3]), Seeds: func() []string { return m.Addresses[:3] },
 		Fatal: func(err error) { fmt.Fprintln(os.Stderr, err) },
 	})
@@ -73,7 +74,7 @@
 	mux := http.NewServeMux()
 	mux.Handle(toucanhingev1connect.NewReplicaServiceHandler(vm.ReplicaServer()))
 	mux.Handle(toucanhingev1connect.NewCoreServiceHandler(vm))
-	mux.Handle(TablePath, m.takeTable(vm))
+	mux.Handle(TablePath, m.tableHandler(vm))
 	server, err := web.Listen(m.Address, mux)
 	if err != nil {
 		return fmt.Errorf("serve: %w", err)
@@ -85,7 +86,7 @@
 	return m.writeHeap()
 }
 
-// writeHeap writes what the process holds in memory beside its processor profile.
+// writeHeap writes a heap profile next to the CPU profile.
 func (m Member) writeHeap() error {
 	file, err := os.Create(m.Profile + ".heap")
 	if err != nil {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-func (m Member) founders() []string {
+func (m Member) foundingMembers() []string {
 	for _, address := range m.Addresses[:3] {
 		if address == m.Address {
 			return m.Addresses[:3]
@@ -111,12 +112,12 @@
 	return control.New(control.Config{Addresses: addresses, NewHTTP: web.NewClient, FindLeader: control.QueryLeader})
 }
 
-// TablePath is where a member takes the fleet's routing table.
+// TablePath is the HTTP path on which a member puts the fleet's routing table in force.
 const TablePath = "/table"
 
-func (m Member) takeTable(vm *core.Core) http.HandlerFunc {
+func (m Member) tableHandler(vm *core.Core) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if _, err := vm.ReplaceTable(r.Context(), m.Fleet.table()); err != nil {
+		if _, err := vm.ReplaceTable(r.Context(), m.Fleet.routingTable()); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		}
 	}
