--- a/lab/pkg/newsfleet/failover_test.go
+++ b/lab/pkg/newsfleet/failover_test.go
@@ -9,41 +9,41 @@
 	"toucanhinge.example/lab/pkg/relay"
 )
 
-// A gateway from which others hear fails in one way or another. What it costs those that hear
-// from it is under a second, and they never go back to what was before.
-func TestAGatewayFromWhichOthersHearFails(t *testing.T) {
+// A gateway that forwards updates to others fails in different ways. The failure may delay the
+// updates of its subscribers by less than a second, and they never return to an older state.
+func TestUpdatesReachGatewaysWhenParentFails(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		fail func(f *Fleet) (failed []*Gateway)
 	}{
 		{"the root is killed", func(f *Fleet) []*Gateway {
-			root, _ := rootAndHubs(f, centre(0))
+			root, _ := rootAndHubs(f, dataCentreName(0))
 			root.Kill()
 			return []*Gateway{root}
 		}},
-		{"a hub is frozen, its connections stay", func(f *Fleet) []*Gateway {
-			_, hubs := rootAndHubs(f, centre(0))
-			hubs[0].Fail(relay.Cut)
-			hubs[0].Deafen()
+		{"a hub freezes with open connections", func(f *Fleet) []*Gateway {
+			_, hubs := rootAndHubs(f, dataCentreName(0))
+			hubs[0].SetFaults(relay.Cut)
+			hubs[0].StopSubscriber()
 			return hubs[:1]
 		}},
-		{"nothing reaches the root", func(f *Fleet) []*Gateway {
-			root, _ := rootAndHubs(f, centre(0))
-			root.Fail(relay.Faults{HoldForward: true})
+		{"the root receives no bytes", func(f *Fleet) []*Gateway {
+			root, _ := rootAndHubs(f, dataCentreName(0))
+			root.SetFaults(relay.Faults{HoldForward: true})
 			return nil
 		}},
-		{"nothing comes back from the root", func(f *Fleet) []*Gateway {
-			root, _ := rootAndHubs(f, centre(0))
-			root.Fail(relay.Faults{HoldBackward: true})
+		{"no bytes from the root arrive", func(f *Fleet) []*Gateway {
+			root, _ := rootAndHubs(f, dataCentreName(0))
+			root.SetFaults(relay.Faults{HoldBackward: true})
 			return nil
 		}},
-		{"answers of a hub are cut in their middle", func(f *Fleet) []*Gateway {
-			_, hubs := rootAndHubs(f, centre(0))
-			hubs[0].Fail(relay.Faults{DropBackward: true})
+		{"responses of a hub are cut off", func(f *Fleet) []*Gateway {
+			_, hubs := rootAndHubs(f, dataCentreName(0))
+			hubs[0].SetFaults(relay.Faults{DropBackward: true})
 			return nil
 		}},
 		{"root and hubs are killed together", func(f *Fleet) []*Gateway {
-			root, hubs := rootAndHubs(f, centre(0))
+			root, hubs := rootAndHubs(f, dataCentreName(0))
 			root.Kill()
 			for _, h := range hubs {
 				h.Kill()
@@ -52,69 +52,70 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := settled(t)
+			f := startSettledFleet(t)
 			failed := c.fail(f)
-			requireNews(t, f, without(f.Gateways, failed...), soon)
-			// Later, when all know that it is gone, too.
-			requireNews(t, f, without(f.Gateways, failed...), soon)
+			requireUpdates(t, f, without(f.Gateways, failed...), maxFailoverTime)
+			// The same holds once all gateways have detected the failure.
+			requireUpdates(t, f, without(f.Gateways, failed...), maxFailoverTime)
 		})
 	}
 }
 
-// The root hears nothing any more, but answers: it isn't taken at its word for long.
-func TestAGatewayThatHearsNothingIsNotBelieved(t *testing.T) {
-	f := settled(t)
-	root, _ := rootAndHubs(f, centre(0))
-	root.Deafen()
+// The root receives no updates any more but still responds: its subscribers must detect that its
+// state is outdated and switch to another source.
+func TestUpdatesBypassRootWithoutSubscription(t *testing.T) {
+	f := startSettledFleet(t)
+	root, _ := rootAndHubs(f, dataCentreName(0))
+	root.StopSubscriber()
 	time.Sleep(2 * time.Second)
-	requireNews(t, f, without(f.Gateways, root), soon)
+	requireUpdates(t, f, without(f.Gateways, root), maxFailoverTime)
 }
 
-// The leader's process is killed. The next one must not be asked by all gateways at once, each
-// for the whole fleet: that is what made it fall behind in turn.
-func TestTheNextLeaderIsNotOverrun(t *testing.T) {
-	f := settled(t)
+// The leader is killed. All gateways requesting the whole fleet view from the next leader at once
+// would overload it in turn.
+func TestNextLeaderIsNotOverloaded(t *testing.T) {
+	f := startSettledFleet(t)
 	f.Leader().Kill()
-	before := f.Attends()
-	requireNews(t, f, f.Gateways, soon)
-	time.Sleep(soon)
-	after := f.Attends()
+	before := f.SubscribeCalls()
+	requireUpdates(t, f, f.Gateways, maxFailoverTime)
+	time.Sleep(maxFailoverTime)
+	after := f.SubscribeCalls()
 	t.Logf("calls at the next leader: %v before, %v after", before, after)
-	require.LessOrEqual(t, after["answered"]-before["answered"], float64(gateways)/2)
+	require.LessOrEqual(t, after["answered"]-before["answered"], float64(gatewayCount)/2)
 }
 
-// All gateways start within a moment after all were killed: the leader serves the first of each
-// data centre, and sends the others there.
-func TestAllGatewaysStartAtOnce(t *testing.T) {
-	f := settled(t)
+// All gateways restart at once after all were killed. The leader serves the first gateway of each
+// data centre and redirects the others to it.
+func TestAllGatewaysRestartAtOnce(t *testing.T) {
+	f := startSettledFleet(t)
 	for _, g := range f.Gateways {
 		g.Kill()
 	}
 	for _, g := range f.Gateways {
 		require.NoError(t, g.Start())
 	}
-	took, err := Await(f.Gateways, 3*time.Second, func(g *Gateway) bool { return g.Version() > 0 && g.Runners() == runners })
+	elapsed, err := Await(f.Gateways, 3*time.Second, func(g *Gateway) bool { return g.Version() > 0 && g.Runners() == runnerCount })
 	require.NoError(t, err)
-	t.Logf("all know the table and the runners after %s", took)
-	requireNews(t, f, f.Gateways, soon)
+	t.Logf("all know the table and the runners after %s", elapsed)
+	requireUpdates(t, f, f.Gateways, maxFailoverTime)
 }
 
-// A fleet starts for the first time, and nobody has sent a routing table yet: the gateways learn
-// of one another over the first of them, and of the table as soon as there is one.
-func TestAFleetStartsWithoutATable(t *testing.T) {
-	f, err := Start(Config{Folder: t.TempDir(), Gateways: gateways, Centres: centres, Runners: runners})
+// A fleet starts for the first time, before any routing table exists. The gateways learn of each
+// other through the first gateway of each data centre, and receive the table once there is one.
+func TestFleetStartsWithoutTable(t *testing.T) {
+	f, err := Start(Config{Folder: t.TempDir(), Gateways: gatewayCount, DataCentres: dataCentreCount, Runners: runnerCount})
 	require.NoError(t, err)
 	t.Cleanup(f.Stop)
-	_, err = Await(f.Gateways, patience, func(g *Gateway) bool { return g.Daemons() == gateways+1 })
+	_, err = Await(f.Gateways, testTimeout, func(g *Gateway) bool { return g.Daemons() == gatewayCount+1 })
 	require.NoError(t, err)
-	time.Sleep(soon)
-	before := f.Attends()
-	time.Sleep(soon)
-	after := f.Attends()
+	time.Sleep(maxFailoverTime)
+	before := f.SubscribeCalls()
+	time.Sleep(maxFailoverTime)
+	after := f.SubscribeCalls()
 	calls := 0.0
 	for outcome, count := range after {
 		calls += count - before[outcome]
 	}
-	require.LessOrEqual(t, calls/soon.Seconds(), float64(centres)*4)
-	requireNews(t, f, f.Gateways, 200*time.Millisecond)
+	require.LessOrEqual(t, calls/maxFailoverTime.Seconds(), float64(dataCentreCount)*4)
+	requireUpdates(t, f, f.Gateways, 200*time.Millisecond)
 }
--- a/lab/pkg/newsfleet/fleet.go
+++ b/lab/pkg/newsfleet/fleet.go
@@ -1,6 +1,6 @@
-// Package newsfleet runs a fleet of gateways before real VMs of the core in one process, with
-// real connections, to see how the news of the core reach them while some of them fail. The
-// gateways are what follows the core and passes its news on; they serve no caller.
+// Package newsfleet runs a fleet of gateways and real VMs of the core in one process, with real
+// connections, to test how state updates of the core reach the gateways while some of them fail.
+// The gateways only subscribe to the core and forward its updates; they serve no callers.
 package newsfleet
 
 import (
@@ -17,23 +17,23 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// vms is the number of VMs of the core: three vote, so one may be lost.
-const vms = 3
+// vmCount is the number of VMs of the core. All three vote, so one may fail.
+const vmCount = 3
 
-// pollEvery is how often a condition that is waited for is looked at.
-const pollEvery = 2 * time.Millisecond
+// pollInterval is the interval at which an awaited condition is checked.
+const pollInterval = 2 * time.Millisecond
 
-// ErrLate tells that something didn't happen in time.
-var ErrLate = errors.New("it didn't happen in time")
+// ErrTimeout reports that a condition did not hold in time.
+var ErrTimeout = errors.New("timed out waiting for a condition")
 
 // Config describes a fleet.
 type Config struct {
-	// Folder is where the VMs of the core keep their disks.
+	// Folder holds the data folders of the VMs of the core.
 	Folder   string
 	Gateways int
-	// Centres is the number of data centres over which the gateways are spread.
-	Centres int
-	// Runners is the number of runners on the list.
+	// DataCentres is the number of data centres over which the gateways are spread.
+	DataCentres int
+	// Runners is the number of runners in the directory.
 	Runners int
 }
 
@@ -47,16 +47,16 @@
 	version uint64
 }
 
-// Start starts a fleet; its gateways may not know anything yet.
+// Start starts a fleet. It doesn't wait until the gateways have received any state.
 func Start(c Config) (*Fleet, error) {
 	f := &Fleet{}
 	for n := range c.Runners {
 		f.runners = append(f.runners, &toucanhingev1.Runner{
-			Id: fmt.Sprintf("i-%08x", n), Address: fmt.Sprintf("10.9.%d.%d:8566", n/250, n%250), Service: "llm", DataCentre: centre(n % c.Centres), Slots: 7,
+			Id: fmt.Sprintf("i-%08x", n), Address: fmt.Sprintf("10.9.%d.%d:8566", n/250, n%250), Service: "llm", DataCentre: dataCentreName(n % c.DataCentres), Slots: 7,
 		})
 	}
 	var addresses []string
-	for range vms {
+	for range vmCount {
 		address, err := freeAddress()
 		if err != nil {
 			return nil, err
@@ -65,8 +65,8 @@
 	}
 	for n, address := range addresses {
 		v := &VM{
-			name: fmt.Sprintf("vm-%d", n), address: address, addresses: addresses, folder: filepath.Join(c.Folder, fmt.Sprint(n)), founders: addresses,
-			runners: f.list,
+			name: fmt.Sprintf("vm-%d", n), address: address, addresses: addresses, folder: filepath.Join(c.Folder, fmt.Sprint(n)), foundingMembers: addresses,
+			runners: f.runnerList,
 		}
 		if err := v.Start(); err != nil {
 			f.Stop()
@@ -75,7 +75,7 @@
 		f.VMs = append(f.VMs, v)
 	}
 	for n := range c.Gateways {
-		g := &Gateway{name: fmt.Sprintf("gateway-%d", n), dataCentre: centre(n % c.Centres), cores: addresses}
+		g := &Gateway{name: fmt.Sprintf("gateway-%d", n), dataCentre: dataCentreName(n % c.DataCentres), coreAddresses: addresses}
 		if err := g.Start(); err != nil {
 			f.Stop()
 			return nil, err
@@ -85,9 +85,9 @@
 	return f, nil
 }
 
-func centre(n int) string { return fmt.Sprintf("dc-%d", n) }
+func dataCentreName(n int) string { return fmt.Sprintf("dc-%d", n) }
 
-// Stop ends all processes.
+// Stop kills all gateways and VMs.
 func (f *Fleet) Stop() {
 	for _, g := range f.Gateways {
 		g.Kill()
@@ -97,13 +97,13 @@
 	}
 }
 
-func (f *Fleet) list() []*toucanhingev1.Runner {
+func (f *Fleet) runnerList() []*toucanhingev1.Runner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*toucanhingev1.Runner{}, f.runners...)
 }
 
-// RemoveRunner takes a runner off the list, and returns how many are left.
+// RemoveRunner removes a runner from the directory and returns the number of remaining ones.
 func (f *Fleet) RemoveRunner() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,7 +111,7 @@
 	return len(f.runners)
 }
 
-// Leader is the VM that leads, nil if none does.
+// Leader returns the leader of the core, or nil if there is none.
 func (f *Fleet) Leader() *VM {
 	for _, v := range f.VMs {
 		if v.Leads() {
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// ReplaceTable puts the next routing table in force, and returns its version once it is
-// acknowledged.
+// ReplaceTable puts the next routing table in force and returns its version once the core has
+// acknowledged it.
 func (f *Fleet) ReplaceTable(ctx context.Context) (uint64, error) {
 	f.mu.Lock()
 	f.version++
@@ -135,14 +135,14 @@
 				return version, nil
 			}
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return 0, fmt.Errorf("replace the table: %w", ctx.Err())
 }
 
-// Await waits until a condition holds at gateways, and returns how long that took.
-func Await(gateways []*Gateway, most time.Duration, holds func(*Gateway) bool) (time.Duration, error) {
-	began := time.Now()
+// Await waits until a condition holds at all given gateways and returns how long that took.
+func Await(gateways []*Gateway, timeout time.Duration, holds func(*Gateway) bool) (time.Duration, error) {
+	startedAt := time.Now()
 	for {
 		missing := 0
 		last := ""
@@ -152,28 +152,28 @@
 				last = g.name
 			}
 		}
-		took := time.Since(began)
+		elapsed := time.Since(startedAt)
 		if missing == 0 {
-			return took, nil
+			return elapsed, nil
 		}
-		if took > most {
-			return took, fmt.Errorf("%w: at %d of %d gateways, %s one of them, after %s", ErrLate, missing, len(gateways), last, most)
+		if elapsed > timeout {
+			return elapsed, fmt.Errorf("%w: %d of %d gateways, among them %s, after %s", ErrTimeout, missing, len(gateways), last, timeout)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// Attends counts the calls for news that VMs of the core answered, by outcome.
-func (f *Fleet) Attends() map[string]float64 {
+// SubscribeCalls returns the number of subscribe calls at the VMs of the core, by outcome.
+func (f *Fleet) SubscribeCalls() map[string]float64 {
 	counts := map[string]float64{}
 	for _, v := range f.VMs {
-		v.addAttends(counts)
+		v.addSubscribeCalls(counts)
 	}
 	return counts
 }
 
-// counterValues adds up the values of a counter by its only label.
-func counterValues(registry *prometheus.Registry, name string, counts map[string]float64) {
+// addCounterValues adds the values of a counter with one label to counts, by label value.
+func addCounterValues(registry *prometheus.Registry, name string, counts map[string]float64) {
 	families, err := registry.Gather()
 	if err != nil {
 		return
@@ -188,7 +188,7 @@
 	}
 }
 
-// tableVersion is the version of a table, 0 for none.
+// tableVersion returns the version of a table, or 0 if there is none.
 func tableVersion(t *routing.Table) uint64 {
 	if t == nil {
 		return 0
--- a/lab/pkg/newsfleet/fleet_test.go
+++ b/lab/pkg/newsfleet/fleet_test.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	gateways = 60
-	centres  = 2
-	runners  = 40
-	// patience is for what must happen at all.
-	patience = 20 * time.Second
-	// soon is how long a failure at one gateway may keep news from others.
-	soon = time.Second
+	gatewayCount    = 60
+	dataCentreCount = 2
+	runnerCount     = 40
+	// testTimeout bounds the wait for conditions without a required time.
+	testTimeout = 20 * time.Second
+	// maxFailoverTime is how long the failure of one gateway may delay updates to others.
+	maxFailoverTime = time.Second
 )
 
-// settled is a fleet in which all gateways know the first table, and all of one another.
-func settled(t *testing.T) *Fleet {
+// startSettledFleet starts a fleet and waits until all gateways have the first table and know all
+// other daemons.
+func startSettledFleet(t *testing.T) *Fleet {
 	t.Helper()
-	f, err := Start(Config{Folder: t.TempDir(), Gateways: gateways, Centres: centres, Runners: runners})
+	f, err := Start(Config{Folder: t.TempDir(), Gateways: gatewayCount, DataCentres: dataCentreCount, Runners: runnerCount})
 	require.NoError(t, err)
 	t.Cleanup(f.Stop)
-	version := replace(t, f)
-	_, err = Await(f.Gateways, patience, func(g *Gateway) bool { return g.Version() == version && g.Daemons() == gateways+1 })
+	version := replaceTable(t, f)
+	_, err = Await(f.Gateways, testTimeout, func(g *Gateway) bool { return g.Version() == version && g.Daemons() == gatewayCount+1 })
 	require.NoError(t, err)
-	// Whoever was answered by the leader at the start turns to its parents with its next call.
-	time.Sleep(soon)
+	// Gateways that the leader served at the start switch to their parents with the next call.
+	time.Sleep(maxFailoverTime)
 	return f
 }
 
-func replace(t *testing.T, f *Fleet) uint64 {
+func replaceTable(t *testing.T, f *Fleet) uint64 {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	version, err := f.ReplaceTable(ctx)
 	require.NoError(t, err)
 	return version
 }
 
-// rootAndHubs are the gateways of a data centre from which others hear.
+// rootAndHubs returns the gateways of a data centre that forward updates to others.
 func rootAndHubs(f *Fleet, dataCentre string) (root *Gateway, hubs []*Gateway) {
 	var list []fanout.Gateway
 	byAddress := map[string]*Gateway{}
@@ -66,30 +67,30 @@
 	return root, hubs
 }
 
-// without lists the gateways but for some.
-func without(all []*Gateway, gone ...*Gateway) []*Gateway {
-	var left []*Gateway
+// without returns the gateways except the given ones.
+func without(all []*Gateway, excluded ...*Gateway) []*Gateway {
+	var remaining []*Gateway
 	for _, g := range all {
 		keep := true
-		for _, other := range gone {
+		for _, other := range excluded {
 			keep = keep && g != other
 		}
 		if keep {
-			left = append(left, g)
+			remaining = append(remaining, g)
 		}
 	}
-	return left
+	return remaining
 }
 
-// requireNews puts a table in force and takes a runner off the list, and requires that gateways
-// learn of the table within a bound after its acknowledgement, and of the runner by and by.
-func requireNews(t *testing.T, f *Fleet, at []*Gateway, most time.Duration) {
+// requireUpdates puts a table in force and removes a runner. It requires that the gateways receive
+// the table within a bound after its acknowledgement, and the list of runners within testTimeout.
+func requireUpdates(t *testing.T, f *Fleet, at []*Gateway, maxDelay time.Duration) {
 	t.Helper()
-	version := replace(t, f)
-	took, err := Await(at, most, func(g *Gateway) bool { return g.Version() >= version })
+	version := replaceTable(t, f)
+	elapsed, err := Await(at, maxDelay, func(g *Gateway) bool { return g.Version() >= version })
 	require.NoError(t, err, "the table")
-	left := f.RemoveRunner()
-	_, err = Await(at, patience, func(g *Gateway) bool { return g.Runners() == left })
+	remaining := f.RemoveRunner()
+	_, err = Await(at, testTimeout, func(g *Gateway) bool { return g.Runners() == remaining })
 	require.NoError(t, err, "the list of runners")
-	t.Logf("in force at %d gateways after %s", len(at), took)
+	t.Logf("in force at %d gateways after %s", len(at), elapsed)
 }
--- a/lab/pkg/newsfleet/gateway.go
+++ b/lab/pkg/newsfleet/gateway.go
@@ -20,48 +20,49 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
-// Gateway follows the core. Others reach it by a link that can be cut.
+// Gateway is a gateway that subscribes to the core. Other daemons reach it through a relay that
+// can inject faults.
 type Gateway struct {
-	name       string
-	dataCentre string
-	cores      []string
+	name          string
+	dataCentre    string
+	coreAddresses []string
 
 	table atomic.Pointer[routing.Table]
 	fleet atomic.Pointer[toucanhingev1.FleetView]
 
-	mu       sync.Mutex
-	running  bool
-	address  string
-	link     *relay.Relay
-	server   *web.Server
-	registry *prometheus.Registry
-	deafen   context.CancelFunc
-	followed chan struct{}
+	mu               sync.Mutex
+	running          bool
+	address          string
+	link             *relay.Relay
+	server           *web.Server
+	registry         *prometheus.Registry
+	cancelSubscriber context.CancelFunc
+	subscriberDone   chan struct{}
 }
 
-// Name of the gateway.
+// Name returns the gateway's name.
 func (g *Gateway) Name() string { return g.name }
 
-// DataCentre where the gateway stands.
+// DataCentre returns the gateway's data centre.
 func (g *Gateway) DataCentre() string { return g.dataCentre }
 
-// Address where other daemons reach the gateway, IP:port.
+// Address returns the IP:port at which other daemons reach the gateway.
 func (g *Gateway) Address() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.address
 }
 
-// Version of the routing table that it holds, 0 for none.
+// Version returns the version of the gateway's routing table, or 0 if it has none.
 func (g *Gateway) Version() uint64 { return tableVersion(g.table.Load()) }
 
-// Runners is how many runners it knows.
+// Runners returns the number of runners in the gateway's fleet view.
 func (g *Gateway) Runners() int { return len(g.fleet.Load().GetRunners()) }
 
-// Daemons is how many daemons it knows that take load digests.
+// Daemons returns the number of daemons in the gateway's fleet view that receive load digests.
 func (g *Gateway) Daemons() int { return len(g.fleet.Load().GetDigestPeers()) }
 
-// Start starts the gateway's process; it knows nothing, and stands at its address of before.
+// Start starts the gateway without any state. A restarted gateway listens at its previous address.
 func (g *Gateway) Start() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -80,39 +81,40 @@
 	g.address, g.server, g.registry = g.link.Address(), server, prometheus.NewRegistry()
 	g.table.Store(nil)
 	g.fleet.Store(nil)
-	board := news.New(news.Config{
+	publisher := news.New(news.Config{
 		Boot: clock.Boot(), Registerer: g.registry, Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
 	})
-	mux.Handle(toucanhingev1connect.NewNewsServiceHandler(board))
-	follower := core.New(core.Config{
-		Name: g.name, DigestAddress: g.address, DataCentre: g.dataCentre, Core: newClient(g.cores), Logger: log.NewNopLogger(), Publisher: board,
+	mux.Handle(toucanhingev1connect.NewNewsServiceHandler(publisher))
+	subscriber := core.New(core.Config{
+		Name: g.name, DigestAddress: g.address, DataCentre: g.dataCentre, Core: newClient(g.coreAddresses), Logger: log.NewNopLogger(), Publisher: publisher,
 		OnTable: func(t *routing.Table) { g.table.Store(t) }, OnFleet: func(v *toucanhingev1.FleetView) { g.fleet.Store(v) },
 		OnUsage: func([]*toucanhingev1.TeamUse, clock.Millis) {}, Boot: clock.Boot(), OnFreshness: func(clock.Millis) {},
-		Seeds: func() []string { return g.cores },
+		Seeds: func() []string { return g.coreAddresses },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	g.deafen, g.followed = cancel, make(chan struct{})
+	g.cancelSubscriber, g.subscriberDone = cancel, make(chan struct{})
 	go func() {
-		defer close(g.followed)
-		follower.Run(ctx)
+		defer close(g.subscriberDone)
+		subscriber.Run(ctx)
 	}()
 	go func() { _ = server.Serve() }()
 	g.running = true
 	return nil
 }
 
-// Deafen lets the gateway hear nothing more of the core, while it answers others.
-func (g *Gateway) Deafen() {
+// StopSubscriber stops the gateway's subscription to the core. The gateway still responds to other
+// daemons.
+func (g *Gateway) StopSubscriber() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.deafen()
-	<-g.followed
+	g.cancelSubscriber()
+	<-g.subscriberDone
 }
 
-// Fail puts faults in force on the way of others to the gateway.
-func (g *Gateway) Fail(faults relay.Faults) { g.link.Set(faults) }
+// SetFaults injects faults into the connections of other daemons to the gateway.
+func (g *Gateway) SetFaults(faults relay.Faults) { g.link.Set(faults) }
 
-// Kill ends the gateway's process.
+// Kill stops the gateway abruptly.
 func (g *Gateway) Kill() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -120,10 +122,10 @@
 		return
 	}
 	g.running = false
-	g.deafen()
+	g.cancelSubscriber()
 	g.link.Close()
-	dead, cancel := context.WithCancel(context.Background())
+	expired, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = g.server.Shutdown(dead)
-	<-g.followed
+	_ = g.server.Shutdown(expired)
+	<-g.subscriberDone
 }
--- a/lab/pkg/newsfleet/steady_state_test.go
+++ b/lab/pkg/newsfleet/steady_state_test.go
@@ -7,26 +7,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The leader used to be called by each gateway 2.5 times a second and at each change; twice the
-// gateways and twice the changes filled its processor on a calm day. It hears one gateway of each
-// data centre, however many there are.
-func TestTheLeaderHearsOneGatewayOfEachDataCentre(t *testing.T) {
-	f := settled(t)
-	before := f.Attends()
-	const span = 2 * time.Second
-	time.Sleep(span)
-	after := f.Attends()
+// Every gateway used to call the leader 2.5 times a second and at each change; twice the gateways
+// and twice the changes saturated the leader's processor without any failure. The leader must
+// serve only one gateway per data centre, regardless of their number.
+func TestLeaderServesOneGatewayPerDataCentre(t *testing.T) {
+	f := startSettledFleet(t)
+	before := f.SubscribeCalls()
+	const interval = 2 * time.Second
+	time.Sleep(interval)
+	after := f.SubscribeCalls()
 	calls := 0.0
 	for outcome, count := range after {
 		calls += count - before[outcome]
 	}
-	// Each waits 0.4 s for news; a change of the list may come in between.
-	require.LessOrEqual(t, calls/span.Seconds(), float64(centres)*4)
+	// Each call waits up to 0.4 s for updates; a change of the runner list may end it earlier.
+	require.LessOrEqual(t, calls/interval.Seconds(), float64(dataCentreCount)*4)
 	require.Positive(t, calls)
 }
 
-// Acknowledged changes reach all gateways over both levels within 200 ms.
-func TestNewsReachAllGateways(t *testing.T) {
-	f := settled(t)
-	requireNews(t, f, f.Gateways, 200*time.Millisecond)
+// Acknowledged changes reach all gateways through both levels of the tree within 200 ms.
+func TestUpdatesReachAllGateways(t *testing.T) {
+	f := startSettledFleet(t)
+	requireUpdates(t, f, f.Gateways, 200*time.Millisecond)
 }
--- a/lab/pkg/newsfleet/vm.go
+++ b/lab/pkg/newsfleet/vm.go
@@ -21,17 +21,17 @@
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
 
-var errNoRunner = errors.New("no runner takes work here")
+var errNoRunner = errors.New("no runner accepts calls in this fleet")
 
-// VM is one of the core.
+// VM is one VM of the core.
 type VM struct {
 	name      string
 	address   string
 	addresses []string
 	folder    string
-	// founders form the group at the first start.
-	founders []string
-	runners  func() []*toucanhingev1.Runner
+	// foundingMembers bootstrap the group at the first start.
+	foundingMembers []string
+	runners         func() []*toucanhingev1.Runner
 
 	mu       sync.Mutex
 	running  bool
@@ -39,18 +39,18 @@
 	server   *web.Server
 	registry *prometheus.Registry
 	cancel   context.CancelFunc
-	// attends keeps the counts of earlier starts.
-	attends map[string]float64
+	// earlierCalls holds the subscribe calls counted before the last restart, by outcome.
+	earlierCalls map[string]float64
 }
 
 func freeAddress() (string, error) { return process.FreeAddress() }
 
-// Start starts the VM's process, with what its disk holds.
+// Start starts the VM with the state in its data folder.
 func (v *VM) Start() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	x, err := digest.Listen(digest.Config{
-		Address: v.address, Source: v.name, DataCentre: centre(0), Core: true, Clock: clock.System(), Logger: log.NewNopLogger(),
+		Address: v.address, Source: v.name, DataCentre: dataCentreName(0), Core: true, Clock: clock.System(), Logger: log.NewNopLogger(),
 		Version: func() uint64 { return 0 },
 	})
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	v.registry = prometheus.NewRegistry()
 	v.core, err = core.Open(core.Config{
-		Name: v.name, Address: v.address, DataCentre: centre(0), Folder: v.folder, FoundingMembers: v.founders, Losses: 1,
+		Name: v.name, Address: v.address, DataCentre: dataCentreName(0), Folder: v.folder, FoundingMembers: v.foundingMembers, Losses: 1,
 		Clock: clock.System(), Boot: clock.Boot(), Logger: log.NewNopLogger(), Registerer: v.registry, Exchange: x,
 		Runners:   runner.Client{Open: func(context.Context, runner.Call) (*runner.Answer, error) { return nil, errNoRunner }},
 		Directory: func(context.Context) ([]*toucanhingev1.Runner, error) { return v.runners(), nil },
@@ -79,11 +79,11 @@
 	v.cancel = cancel
 	go x.Run(ctx)
 	v.core.Start()
-	v.running, v.founders = true, nil
+	v.running, v.foundingMembers = true, nil
 	return nil
 }
 
-// Kill ends the VM's process without a hand-over; its disk stays.
+// Kill stops the VM without a leadership transfer; its data folder is retained.
 func (v *VM) Kill() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -91,32 +91,32 @@
 		return
 	}
 	v.running = false
-	if v.attends == nil {
-		v.attends = map[string]float64{}
+	if v.earlierCalls == nil {
+		v.earlierCalls = map[string]float64{}
 	}
-	counterValues(v.registry, attendCounter, v.attends)
-	dead, cancel := context.WithCancel(context.Background())
+	addCounterValues(v.registry, subscribeCounter, v.earlierCalls)
+	expired, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = v.server.Shutdown(dead)
+	_ = v.server.Shutdown(expired)
 	v.cancel()
-	v.core.Stop(dead)
+	v.core.Stop(expired)
 }
 
-// attendCounter counts gateways' calls for news at a VM of the core.
-const attendCounter = "toucanhinge_attend_calls_total"
+// subscribeCounter is the metric that counts subscribe calls of gateways at a VM of the core.
+const subscribeCounter = "toucanhinge_attend_calls_total"
 
-func (v *VM) addAttends(counts map[string]float64) {
+func (v *VM) addSubscribeCalls(counts map[string]float64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for outcome, count := range v.attends {
+	for outcome, count := range v.earlierCalls {
 		counts[outcome] += count
 	}
 	if v.running {
-		counterValues(v.registry, attendCounter, counts)
+		addCounterValues(v.registry, subscribeCounter, counts)
 	}
 }
 
-// Leads says whether the VM runs and leads.
+// Leads reports whether the VM is running and is the leader.
 func (v *VM) Leads() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
