--- a/lab/pkg/regress/plan.go
+++ b/lab/pkg/regress/plan.go
@@ -1,34 +1,34 @@
-// Package regress plays days of deployments on two versions of the code side by side, and
-// tells by how much the second is better or worse on each.
+// Package regress runs benchmark days of deployments on two versions of the code side by side and
+// computes the difference in worth for each deployment.
 package regress
 
 import "fmt"
 
-// Deployment is one to play, with the days and how often each.
+// Deployment is a deployment to benchmark, with its days and the number of seeds per day.
 type Deployment struct {
-	// File describes it to the bench; Name is for tables.
+	// File is the bench's description of the deployment; Name is shown in tables.
 	File, Name string
 	Days       []string
 	Seeds      int
 }
 
-// Plan is what to play.
+// Plan lists the deployments to benchmark.
 type Plan struct {
 	Deployments []Deployment
-	// FirstSeed is the one of each day's first pair.
+	// FirstSeed is the seed of each day's first pair.
 	FirstSeed int
-	// Most is how far a deployment may fall on the mean, in worth.
-	Most float64
+	// MaxDrop is how far a deployment may fall on the mean, in worth.
+	MaxDrop float64
 }
 
-// Pair is one day with one seed, to be played on both versions.
+// Pair is one day with one seed, to be run on both versions.
 type Pair struct {
 	Deployment Deployment
 	Day        string
 	Seed       int
 }
 
-// Pairs lists what to play, the seeds of a day one after the other.
+// Pairs lists all pairs, grouped by day.
 func (p Plan) Pairs() []Pair {
 	var pairs []Pair
 	for _, d := range p.Deployments {
@@ -41,7 +41,7 @@
 	return pairs
 }
 
-// String names the pair.
+// String returns the deployment's name, the day and the seed.
 func (p Pair) String() string {
 	return fmt.Sprintf("%s %s --seed %d", p.Deployment.Name, p.Day, p.Seed)
 }
--- a/lab/pkg/regress/report.go
+++ b/lab/pkg/regress/report.go
@@ -8,7 +8,7 @@
 	"toucanhinge.example/lab/pkg/plots"
 )
 
-// Gain is by how much a version is better than another.
+// Gain is the difference in worth between two versions.
 type Gain struct {
 	Pairs int
 	Mean  float64
@@ -17,7 +17,7 @@
 	Worst float64
 }
 
-func gainOf(differences []float64) Gain {
+func computeGain(differences []float64) Gain {
 	g := Gain{Pairs: len(differences), Worst: math.Inf(1)}
 	for _, d := range differences {
 		g.Mean += d / float64(len(differences))
@@ -40,24 +40,24 @@
 	Gain             Gain
 }
 
-// Summary is what all pairs say.
+// Summary holds the results of all pairs, grouped by deployment, day and class.
 type Summary struct {
 	Deployments, Days, Classes []Row
-	// Broken are the pairs in which a rule was broken, Failed those without a figure.
+	// Broken holds the pairs in which a rule was broken, Failed those without a result.
 	Broken, Failed []Result
-	most           float64
+	maxDrop        float64
 }
 
-// Sum sums results up, in the order of their deployments, days and classes.
-func (p Plan) Sum(results []Result) Summary {
-	s := Summary{most: p.Most}
+// Summarize groups results by deployment, day and class, in the order of their first occurrence.
+func (p Plan) Summarize(results []Result) Summary {
+	s := Summary{maxDrop: p.MaxDrop}
 	var all, days, classes series
 	for _, r := range results {
 		if r.Err != nil {
 			s.Failed = append(s.Failed, r)
 			continue
 		}
-		if r.Before.Broken != "" || r.After.Broken != "" {
+		if r.Before.BrokenRules != "" || r.After.BrokenRules != "" {
 			s.Broken = append(s.Broken, r)
 		}
 		all.add(r.Deployment.Name, "all", r.Before.Worth, r.After.Worth)
@@ -72,12 +72,12 @@
 	return s
 }
 
-// series collects pairs of figures by name.
+// series collects the worth before and after by deployment and part.
 type series struct {
-	list []*figures
+	list []*samples
 }
 
-type figures struct {
+type samples struct {
 	deployment, part string
 	before, after    []float64
 }
@@ -89,7 +89,7 @@
 			return
 		}
 	}
-	s.list = append(s.list, &figures{deployment, part, []float64{before}, []float64{after}})
+	s.list = append(s.list, &samples{deployment, part, []float64{before}, []float64{after}})
 }
 
 func (s *series) rows() []Row {
@@ -99,34 +99,35 @@
 		for i := range f.before {
 			differences[i] = f.after[i] - f.before[i]
 		}
-		rows = append(rows, Row{f.deployment, f.part, gainOf(f.before).Mean, gainOf(f.after).Mean, gainOf(differences)})
+		rows = append(rows, Row{f.deployment, f.part, computeGain(f.before).Mean, computeGain(f.after).Mean, computeGain(differences)})
 	}
 	return rows
 }
 
-// Fell lists the deployments that fell by more than they may.
-func (s Summary) Fell() []Row {
-	var fell []Row
+// Regressions returns the deployments whose mean worth fell by more than the allowed drop.
+func (s Summary) Regressions() []Row {
+	var regressions []Row
 	for _, row := range s.Deployments {
-		if row.Gain.Mean < -s.most {
-			fell = append(fell, row)
+		if row.Gain.Mean < -s.maxDrop {
+			regressions = append(regressions, row)
 		}
 	}
-	return fell
+	return regressions
 }
 
-// Passed says whether no rule was broken by the second version, every pair gave figures, and no
-// deployment fell too far.
+// Passed reports whether the second version broke no rule, every pair has a result and no
+// deployment fell by more than the allowed drop.
 func (s Summary) Passed() bool {
 	for _, r := range s.Broken {
-		if r.After.Broken != "" {
+		if r.After.BrokenRules != "" {
 			return false
 		}
 	}
-	return len(s.Failed) == 0 && len(s.Fell()) == 0
+	return len(s.Failed) == 0 && len(s.Regressions()) == 0
 }
 
-// Write prints the tables.
+// Write writes the results as Markdown tables, followed by broken rules, failed pairs and
+// regressions.
 func (s Summary) Write(w io.Writer) error {
 	for _, t := range []struct {
 		title string
@@ -143,24 +144,24 @@
 		}
 	}
 	for _, r := range s.Broken {
-		if _, err := fmt.Fprintf(w, "\nrule broken: %s: before %q, after %q\n", r.Pair, r.Before.Broken, r.After.Broken); err != nil {
+		if _, err := fmt.Fprintf(w, "\nrule broken: %s: before %q, after %q\n", r.Pair, r.Before.BrokenRules, r.After.BrokenRules); err != nil {
 			return fmt.Errorf("write a broken rule: %w", err)
 		}
 	}
 	for _, r := range s.Failed {
-		if _, err := fmt.Fprintf(w, "\nno figure: %s: %v\n", r.Pair, r.Err); err != nil {
+		if _, err := fmt.Fprintf(w, "\nno result: %s: %v\n", r.Pair, r.Err); err != nil {
 			return fmt.Errorf("write a failure: %w", err)
 		}
 	}
-	for _, r := range s.Fell() {
-		if _, err := fmt.Fprintf(w, "\nfell by more than %.3f: %s\n", s.most, r.Deployment); err != nil {
-			return fmt.Errorf("write a fall: %w", err)
+	for _, r := range s.Regressions() {
+		if _, err := fmt.Fprintf(w, "\nfell by more than %.3f: %s\n", s.maxDrop, r.Deployment); err != nil {
+			return fmt.Errorf("write a regression: %w", err)
 		}
 	}
 	return nil
 }
 
-// Picture draws the worth of each day before and after, the days side by side.
+// Picture plots the worth of each day before and after.
 func (s Summary) Picture() plots.Picture {
 	before, after := plots.Line{Name: "before"}, plots.Line{Name: "after"}
 	for i, r := range s.Days {
--- a/lab/pkg/regress/runner.go
+++ b/lab/pkg/regress/runner.go
@@ -12,30 +12,30 @@
 	"github.com/pkg/errors"
 )
 
-// Outcome is what one play gave.
+// Outcome is the result of one bench run.
 type Outcome struct {
 	Worth float64
-	// Service is the part of the credit owed that was earned over the whole day.
+	// Service is the fraction of the possible credit earned over the whole day.
 	Service float64
 	Classes []ClassWorth
-	// Broken names the rules that were broken, empty if none was.
-	Broken string
+	// BrokenRules names the rules that were broken, empty if none was.
+	BrokenRules string
 }
 
-// ClassWorth is what one kind of request earned, as a part of what it is owed.
+// ClassWorth is the fraction of the possible credit earned by one class of requests.
 type ClassWorth struct {
 	Class string
 	Worth float64
 }
 
-// Result is a pair that was played.
+// Result is the outcome of both runs of a pair.
 type Result struct {
 	Pair
 	Before, After Outcome
 	Err           error
 }
 
-var errNoFigure = errors.New("the bench gave no figure")
+var errNoResult = errors.New("the bench printed no worth")
 
 var (
 	worthLine = regexp.MustCompile(`(?m)^worth ([\d.-]+) = whole day ([\d.]+)`)
@@ -43,28 +43,28 @@
 	ruleLine  = regexp.MustCompile(`(?m)BROKEN:? ?(.*)$`)
 )
 
-// Parse reads what the bench printed of a play.
+// Parse parses the bench's output of one run.
 func Parse(text string) (Outcome, error) {
 	found := worthLine.FindStringSubmatch(text)
 	if found == nil {
-		return Outcome{}, fmt.Errorf("%w: %s", errNoFigure, lastLine(text))
+		return Outcome{}, fmt.Errorf("%w: %s", errNoResult, lastLine(text))
 	}
-	o := Outcome{Worth: number(found[1]), Service: number(found[2])}
+	o := Outcome{Worth: parseNumber(found[1]), Service: parseNumber(found[2])}
 	classes, _, _ := strings.Cut(text, "clients' zone")
 	for _, c := range classLine.FindAllStringSubmatch(classes, -1) {
-		o.Classes = append(o.Classes, ClassWorth{Class: c[1], Worth: number(c[2])})
+		o.Classes = append(o.Classes, ClassWorth{Class: c[1], Worth: parseNumber(c[2])})
 	}
 	if rule := ruleLine.FindStringSubmatch(text); rule != nil {
-		o.Broken = strings.TrimSpace(rule[1])
-		if o.Broken == "" {
-			o.Broken = "a rule"
+		o.BrokenRules = strings.TrimSpace(rule[1])
+		if o.BrokenRules == "" {
+			o.BrokenRules = "a rule"
 		}
 	}
 	return o, nil
 }
 
-func number(text string) float64 {
-	// The patterns let only numbers through.
+func parseNumber(text string) float64 {
+	// The patterns match only digits, dots and minus signs.
 	value, _ := strconv.ParseFloat(text, 64)
 	return value
 }
@@ -74,69 +74,69 @@
 	return text[strings.LastIndexByte(text, '\n')+1:]
 }
 
-// Players runs pairs of plays.
-type Players struct {
-	// Bench is the program that plays, Before and After are checkouts of the two versions.
+// Runner runs pairs with the bench.
+type Runner struct {
+	// Bench is the path of the bench program, Before and After are checkouts of the two versions.
 	Bench, Before, After string
-	// Why goes into the bench's journal.
+	// Why is the reason that the bench records in its journal.
 	Why string
-	// Jobs is how many pairs are played at once; each takes two processors.
+	// Jobs is the number of pairs to run in parallel; each uses two processors.
 	Jobs int
-	// Played is told of each pair as it ends.
-	Played func(Result)
+	// OnResult is called with the result of each pair; calls don't overlap.
+	OnResult func(Result)
 }
 
-// Play plays all pairs, and returns the results in the order of the pairs.
-func (p Players) Play(ctx context.Context, pairs []Pair) ([]Result, error) {
-	for _, checkout := range []string{p.Before, p.After} {
-		if out, err := p.command(ctx, checkout, "build").CombinedOutput(); err != nil {
+// Run runs all pairs and returns the results in the order of the pairs.
+func (r Runner) Run(ctx context.Context, pairs []Pair) ([]Result, error) {
+	for _, checkout := range []string{r.Before, r.After} {
+		if out, err := r.command(ctx, checkout, "build").CombinedOutput(); err != nil {
 			return nil, fmt.Errorf("build %s: %w: %s", checkout, err, lastLine(string(out)))
 		}
 	}
 	results := make([]Result, len(pairs))
-	turns := make(chan int)
-	var players sync.WaitGroup
+	indexes := make(chan int)
+	var workers sync.WaitGroup
 	var mu sync.Mutex
-	for range max(p.Jobs, 1) {
-		players.Go(func() {
-			for i := range turns {
-				r := p.pair(ctx, pairs[i])
+	for range max(r.Jobs, 1) {
+		workers.Go(func() {
+			for i := range indexes {
+				result := r.runPair(ctx, pairs[i])
 				mu.Lock()
-				results[i] = r
-				p.Played(r)
+				results[i] = result
+				r.OnResult(result)
 				mu.Unlock()
 			}
 		})
 	}
 	for i := range pairs {
-		turns <- i
+		indexes <- i
 	}
-	close(turns)
-	players.Wait()
+	close(indexes)
+	workers.Wait()
 	return results, ctx.Err()
 }
 
-// pair plays both sides at the same time, so that what else the machine does falls on both.
-func (p Players) pair(ctx context.Context, pair Pair) Result {
-	r := Result{Pair: pair}
+// runPair runs both versions at the same time, so that other load on the machine affects both.
+func (r Runner) runPair(ctx context.Context, pair Pair) Result {
+	result := Result{Pair: pair}
 	var before, after error
 	var both sync.WaitGroup
-	both.Go(func() { r.Before, before = p.play(ctx, p.Before, pair, "before") })
-	both.Go(func() { r.After, after = p.play(ctx, p.After, pair, "after") })
+	both.Go(func() { result.Before, before = r.runBench(ctx, r.Before, pair, "before") })
+	both.Go(func() { result.After, after = r.runBench(ctx, r.After, pair, "after") })
 	both.Wait()
 	if before != nil {
-		r.Err = fmt.Errorf("before: %w", before)
+		result.Err = fmt.Errorf("before: %w", before)
 	}
 	if after != nil {
-		r.Err = fmt.Errorf("after: %w", after)
+		result.Err = fmt.Errorf("after: %w", after)
 	}
-	return r
+	return result
 }
 
-func (p Players) play(ctx context.Context, checkout string, pair Pair, side string) (Outcome, error) {
-	command := p.command(ctx, checkout, "run", pair.Deployment.File, pair.Day,
-		"--seed", strconv.Itoa(pair.Seed), "--why", fmt.Sprintf("%s (%s)", p.Why, side))
-	// The bench ends with an error if a rule was broken; its figures stand all the same.
+func (r Runner) runBench(ctx context.Context, checkout string, pair Pair, side string) (Outcome, error) {
+	command := r.command(ctx, checkout, "run", pair.Deployment.File, pair.Day,
+		"--seed", strconv.Itoa(pair.Seed), "--why", fmt.Sprintf("%s (%s)", r.Why, side))
+	// The bench exits with an error if a rule was broken; its output is still valid.
 	out, runErr := command.CombinedOutput()
 	o, err := Parse(string(out))
 	if err != nil && runErr != nil {
@@ -145,8 +145,8 @@
 	return o, err
 }
 
-func (p Players) command(ctx context.Context, checkout string, words ...string) *exec.Cmd {
-	c := exec.CommandContext(ctx, p.Bench, words...)
+func (r Runner) command(ctx context.Context, checkout string, args ...string) *exec.Cmd {
+	c := exec.CommandContext(ctx, r.Bench, args...)
 	c.Dir = checkout
 	return c
 }
