--- a/lab/pkg/relay/link.go
+++ b/lab/pkg/relay/link.go
@@ -8,37 +8,36 @@
 	"time"
 )
 
-const pieceBytes = 64 << 10
+const bufferBytes = 64 << 10
 
 // link is one relayed connection.
 type link struct {
-	// name is who opened it, once its mark was seen.
-	name      atomic.Pointer[string]
-	near, far net.Conn
-	lost      atomic.Bool
-	once      sync.Once
-	done      chan struct{}
+	// callerName is the caller that opened the connection, once its mark has been seen.
+	callerName             atomic.Pointer[string]
+	callerConn, targetConn net.Conn
+	lostBytes              atomic.Bool
+	once                   sync.Once
+	done                   chan struct{}
 }
 
-// caller is who opened the connection, or empty as long as that isn't known.
+// caller returns the name of the caller that opened the connection, or "" if it isn't known yet.
 func (l *link) caller() string {
-	if found := l.name.Load(); found != nil {
+	if found := l.callerName.Load(); found != nil {
 		return *found
 	}
 	return ""
 }
 
-// find looks for a caller's mark. We don't ask the kernel who holds the other
-// end of a connection: its lists aren't read at one moment, so on a busy machine
-// a caller was missed now and then, and the connection that a test meant to cut
-// stayed whole.
-func (l *link) find(callers []Caller, piece []byte) {
-	if l.name.Load() != nil {
+// identifyCaller searches the bytes for a caller's mark. The kernel's connection lists don't serve
+// for this: they aren't read atomically, so on a busy machine a caller was sometimes missed, and a
+// connection that a test meant to cut stayed open.
+func (l *link) identifyCaller(callers []Caller, data []byte) {
+	if l.callerName.Load() != nil {
 		return
 	}
 	for _, c := range callers {
-		if bytes.Contains(piece, c.Mark) {
-			l.name.Store(&c.Name)
+		if bytes.Contains(data, c.Mark) {
+			l.callerName.Store(&c.Name)
 			return
 		}
 	}
@@ -47,25 +46,25 @@
 func (l *link) close() {
 	l.once.Do(func() {
 		close(l.done)
-		_ = l.near.Close()
-		_ = l.far.Close()
+		_ = l.callerConn.Close()
+		_ = l.targetConn.Close()
 	})
 }
 
 func (r *Relay) pump(l *link, from, to net.Conn, forward bool) {
-	piece := make([]byte, pieceBytes)
+	buffer := make([]byte, bufferBytes)
 	for {
-		n, err := from.Read(piece)
+		n, err := from.Read(buffer)
 		if forward {
-			l.find(r.config.Callers, piece[:n])
+			l.identifyCaller(r.config.Callers, buffer[:n])
 		}
-		if n > 0 && !r.pass(l, to, piece[:n], forward) {
+		if n > 0 && !r.forwardBytes(l, to, buffer[:n], forward) {
 			return
 		}
 		if err != nil {
-			// The end of one direction must wait behind a hold, too: a real
-			// partition doesn't tell that the peer has closed.
-			if r.hold(l, forward) {
+			// A hold must delay the close of a direction as well: in a real partition
+			// the peer doesn't see the close.
+			if r.waitWhileHeld(l, forward) {
 				l.close()
 			}
 			return
@@ -73,20 +72,21 @@
 	}
 }
 
-// pass writes a piece on under the present faults; false when the link ended.
-func (r *Relay) pass(l *link, to net.Conn, piece []byte, forward bool) bool {
-	if !r.hold(l, forward) {
+// forwardBytes applies the current faults to data and writes it to the other side. It returns
+// false if the link has closed.
+func (r *Relay) forwardBytes(l *link, to net.Conn, data []byte, forward bool) bool {
+	if !r.waitWhileHeld(l, forward) {
 		return false
 	}
-	faults, _ := r.present(l)
+	faults, _ := r.faultsFor(l)
 	if forward && faults.DropForward || !forward && faults.DropBackward {
-		l.lost.Store(true)
+		l.lostBytes.Store(true)
 		return true
 	}
 	if faults.DelayMs > 0 && !l.sleep(time.Duration(faults.DelayMs)*time.Millisecond) {
 		return false
 	}
-	written, err := to.Write(piece)
+	written, err := to.Write(data)
 	r.bytes.Add(int64(written))
 	if err != nil {
 		l.close()
@@ -94,10 +94,10 @@
 	return err == nil
 }
 
-// hold waits while the direction is held; false when the link ended meanwhile.
-func (r *Relay) hold(l *link, forward bool) bool {
+// waitWhileHeld blocks while the direction is held. It returns false if the link closes meanwhile.
+func (r *Relay) waitWhileHeld(l *link, forward bool) bool {
 	for {
-		faults, changed := r.present(l)
+		faults, changed := r.faultsFor(l)
 		held := forward && faults.HoldForward || !forward && faults.HoldBackward
 		if !held {
 			return true
--- a/lab/pkg/relay/relay.go
+++ b/lab/pkg/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay is a TCP relay that fails on command, for tests of cuts and
-// freezes between two processes. It holds bytes rather than lose them where a
-// real network would retransmit, and breaks a connection whose bytes it lost.
+// Package relay implements a TCP relay with fault injection, for tests of partitions
+// and freezes between two processes. It holds bytes where a real network would
+// retransmit them, and breaks a connection after dropping bytes of it.
 package relay
 
 import (
@@ -11,57 +11,57 @@
 	"time"
 )
 
-// Faults says what the relay does to bytes and connections. The zero value passes all.
+// Faults are the faults that the relay injects. The zero value forwards everything.
 type Faults struct {
 	// HoldForward and HoldBackward stop one direction (forward is from the
-	// caller to the target) as a silent partition does: nothing arrives, nothing
-	// is closed. Held bytes arrive when the hold ends.
+	// caller to the target) as a network partition does: no bytes arrive and no
+	// connection is closed. Held bytes arrive when the hold ends.
 	HoldForward  bool `json:"hold_forward"`
 	HoldBackward bool `json:"hold_backward"`
-	// DropForward and DropBackward lose the bytes; the connection breaks when the fault ends.
+	// DropForward and DropBackward drop the bytes; the connection breaks when the fault ends.
 	DropForward  bool `json:"drop_forward"`
 	DropBackward bool `json:"drop_backward"`
-	// DelayMs is added to each piece in both directions.
+	// DelayMs delays every write in both directions.
 	DelayMs int64 `json:"delay_ms"`
-	// Refuse closes new connections at once.
+	// Refuse closes new connections immediately.
 	Refuse bool `json:"refuse"`
 }
 
-// Cut holds both directions: a silent partition.
+// Cut holds both directions, as a network partition does.
 var Cut = Faults{HoldForward: true, HoldBackward: true}
 
-// Config is how a relay is built.
+// Config configures a relay.
 type Config struct {
-	// Listen is host:port; port 0 takes a free one.
+	// Listen is host:port; port 0 selects a free port.
 	Listen string
 	Target string
-	// Callers, when set, are told apart by what they send: a connection is its
-	// whose mark was seen on it first. SetFrom can then cut one caller off and
-	// not the others.
+	// Callers, if set, are identified by the bytes that they send: a connection
+	// belongs to the caller whose mark is seen on it first. SetFrom can then inject
+	// faults for one caller only.
 	Callers []Caller
 }
 
-// Caller is one who opens connections, and the bytes that only it sends.
+// Caller is a process that opens connections, and a byte sequence that only it sends.
 type Caller struct {
 	Name string
 	Mark []byte
 }
 
-// Relay is one listening address that forwards to one target.
+// Relay listens on one address and forwards its connections to one target.
 type Relay struct {
-	config   Config
-	listener net.Listener
-	mu       sync.Mutex
-	changed  chan struct{}
-	faults   Faults
-	from     map[string]Faults
-	links    map[*link]struct{}
-	closed   bool
-	duties   sync.WaitGroup
-	bytes    atomic.Int64
+	config       Config
+	listener     net.Listener
+	mu           sync.Mutex
+	changed      chan struct{}
+	faults       Faults
+	callerFaults map[string]Faults
+	links        map[*link]struct{}
+	closed       bool
+	goroutines   sync.WaitGroup
+	bytes        atomic.Int64
 }
 
-// Bytes counts what was passed on so far, both ways together.
+// Bytes returns the number of bytes forwarded so far in both directions.
 func (r *Relay) Bytes() int64 { return r.bytes.Load() }
 
 // New starts a relay.
@@ -72,41 +72,40 @@
 	}
 	r := &Relay{
 		config: config, listener: listener, changed: make(chan struct{}),
-		from: make(map[string]Faults), links: make(map[*link]struct{}),
+		callerFaults: make(map[string]Faults), links: make(map[*link]struct{}),
 	}
-	r.duties.Go(r.accept)
+	r.goroutines.Go(r.accept)
 	return r, nil
 }
 
-// Address is where the relay listens.
+// Address returns the address at which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Set puts faults in force, also for open connections. Connections that lost
-// bytes under the faults before are broken.
+// Set replaces the faults of all connections, including open ones. Connections that lost
+// bytes under the previous faults are broken.
 func (r *Relay) Set(faults Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = faults
-	clear(r.from)
-	r.tell(func(*link) bool { return true })
+	clear(r.callerFaults)
+	r.notifyLinks(func(*link) bool { return true })
 }
 
-// SetFrom puts faults in force for the connections of one named caller only,
-// until the next Set.
+// SetFrom replaces the faults of one caller's connections until the next Set.
 func (r *Relay) SetFrom(name string, faults Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.from[name] = faults
-	r.tell(func(l *link) bool { return l.caller() == name })
+	r.callerFaults[name] = faults
+	r.notifyLinks(func(l *link) bool { return l.caller() == name })
 }
 
-// tell lets the links look at the faults anew, and breaks those among the
-// touched ones that have lost bytes.
-func (r *Relay) tell(touched func(*link) bool) {
+// notifyLinks wakes all links to check the faults again, and breaks the affected links that
+// have lost bytes.
+func (r *Relay) notifyLinks(affected func(*link) bool) {
 	close(r.changed)
 	r.changed = make(chan struct{})
 	for l := range r.links {
-		if touched(l) && l.lost.Load() {
+		if affected(l) && l.lostBytes.Load() {
 			l.close()
 		}
 	}
@@ -121,7 +120,7 @@
 	}
 }
 
-// Close stops the relay and breaks what is open.
+// Close stops the relay and closes all connections.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	if r.closed {
@@ -133,14 +132,15 @@
 	_ = r.listener.Close()
 	r.Set(Faults{})
 	r.Break()
-	r.duties.Wait()
+	r.goroutines.Wait()
 }
 
-// present is what is in force for a link.
-func (r *Relay) present(l *link) (Faults, chan struct{}) {
+// faultsFor returns the faults in force for a link and a channel that is closed when faults
+// change.
+func (r *Relay) faultsFor(l *link) (Faults, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if faults, ok := r.from[l.caller()]; ok {
+	if faults, ok := r.callerFaults[l.caller()]; ok {
 		return faults, r.changed
 	}
 	return r.faults, r.changed
@@ -148,29 +148,29 @@
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		callerConn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.duties.Go(func() { r.join(near) })
+		r.goroutines.Go(func() { r.serveLink(callerConn) })
 	}
 }
 
-const dialWait = 5 * time.Second
+const dialTimeout = 5 * time.Second
 
-// join connects to the target and pumps both ways until either side ends.
-func (r *Relay) join(near net.Conn) {
-	l := &link{near: near, done: make(chan struct{})}
-	if faults, _ := r.present(l); faults.Refuse {
-		_ = near.Close()
+// serveLink connects to the target and forwards both directions until either side closes.
+func (r *Relay) serveLink(callerConn net.Conn) {
+	l := &link{callerConn: callerConn, done: make(chan struct{})}
+	if faults, _ := r.faultsFor(l); faults.Refuse {
+		_ = callerConn.Close()
 		return
 	}
-	far, err := net.DialTimeout("tcp", r.config.Target, dialWait)
+	targetConn, err := net.DialTimeout("tcp", r.config.Target, dialTimeout)
 	if err != nil {
-		_ = near.Close()
+		_ = callerConn.Close()
 		return
 	}
-	l.far = far
+	l.targetConn = targetConn
 	r.mu.Lock()
 	if r.closed {
 		l.close()
@@ -178,8 +178,8 @@
 	r.links[l] = struct{}{}
 	r.mu.Unlock()
 	var pumps sync.WaitGroup
-	pumps.Go(func() { r.pump(l, near, far, true) })
-	pumps.Go(func() { r.pump(l, far, near, false) })
+	pumps.Go(func() { r.pump(l, callerConn, targetConn, true) })
+	pumps.Go(func() { r.pump(l, targetConn, callerConn, false) })
 	pumps.Wait()
 	l.close()
 	r.mu.Lock()
--- a/lab/pkg/relay/relay_test.go
+++ b/lab/pkg/relay/relay_test.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	patience = 10 * time.Second
-	// silence is how long we listen to believe that nothing comes.
-	silence = 100 * time.Millisecond
+	testTimeout = 10 * time.Second
+	// quietInterval is how long a test waits to conclude that no bytes arrive.
+	quietInterval = 100 * time.Millisecond
 )
 
-func echo(t *testing.T) string {
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -33,9 +33,9 @@
 	return l.Addr().String()
 }
 
-func through(t *testing.T) (*Relay, net.Conn, *bufio.Reader) {
+func dialThroughRelay(t *testing.T) (*Relay, net.Conn, *bufio.Reader) {
 	t.Helper()
-	r, err := New(Config{Listen: "127.0.0.1:0", Target: echo(t)})
+	r, err := New(Config{Listen: "127.0.0.1:0", Target: startEchoServer(t)})
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
 	c, err := net.Dial("tcp", r.Address())
@@ -44,65 +44,65 @@
 	return r, c, bufio.NewReader(c)
 }
 
-func say(t *testing.T, c net.Conn, line string) {
+func sendLine(t *testing.T, c net.Conn, line string) {
 	t.Helper()
 	_, err := c.Write([]byte(line))
 	require.NoError(t, err)
 }
 
-func hear(c net.Conn, r *bufio.Reader, wait time.Duration) (string, error) {
+func receiveLine(c net.Conn, r *bufio.Reader, wait time.Duration) (string, error) {
 	_ = c.SetReadDeadline(time.Now().Add(wait))
 	return r.ReadString('\n')
 }
 
-func TestHeldBytesArriveAfterTheHold(t *testing.T) {
+func TestHeldBytesArriveAfterHold(t *testing.T) {
 	for _, faults := range []Faults{Cut, {HoldForward: true}, {HoldBackward: true}} {
-		r, c, reader := through(t)
-		say(t, c, "one\n")
-		line, err := hear(c, reader, patience)
+		r, c, reader := dialThroughRelay(t)
+		sendLine(t, c, "one\n")
+		line, err := receiveLine(c, reader, testTimeout)
 		require.NoError(t, err)
 		require.Equal(t, "one\n", line)
 		r.Set(faults)
-		say(t, c, "two\n")
-		_, err = hear(c, reader, silence)
+		sendLine(t, c, "two\n")
+		_, err = receiveLine(c, reader, quietInterval)
 		require.Error(t, err)
 		r.Set(Faults{})
-		line, err = hear(c, reader, patience)
+		line, err = receiveLine(c, reader, testTimeout)
 		require.NoError(t, err)
 		require.Equal(t, "two\n", line)
 	}
 }
 
-func TestLostBytesBreakTheConnection(t *testing.T) {
-	r, c, reader := through(t)
+func TestLostBytesBreakConnection(t *testing.T) {
+	r, c, reader := dialThroughRelay(t)
 	r.Set(Faults{DropForward: true})
-	say(t, c, "lost\n")
-	_, err := hear(c, reader, silence)
+	sendLine(t, c, "lost\n")
+	_, err := receiveLine(c, reader, quietInterval)
 	require.Error(t, err)
 	r.Set(Faults{})
-	_, err = hear(c, reader, patience)
+	_, err = receiveLine(c, reader, testTimeout)
 	require.ErrorIs(t, err, io.EOF)
 }
 
 func TestRefuseAndBreak(t *testing.T) {
-	r, c, reader := through(t)
-	say(t, c, "one\n")
-	_, err := hear(c, reader, patience)
+	r, c, reader := dialThroughRelay(t)
+	sendLine(t, c, "one\n")
+	_, err := receiveLine(c, reader, testTimeout)
 	require.NoError(t, err)
 	r.Break()
-	_, err = hear(c, reader, patience)
+	_, err = receiveLine(c, reader, testTimeout)
 	require.Error(t, err)
 	r.Set(Faults{Refuse: true})
 	again, err := net.Dial("tcp", r.Address())
 	require.NoError(t, err)
-	_, err = hear(again, bufio.NewReader(again), patience)
+	_, err = receiveLine(again, bufio.NewReader(again), testTimeout)
 	require.Error(t, err)
 }
 
-// One of two callers of the same relay is cut off; the other one isn't.
-func TestOnlyTheNamedCallerIsCutOff(t *testing.T) {
+// SetFrom cuts off one of two callers of the same relay; the other stays connected.
+func TestSetFromAffectsOnlyNamedCaller(t *testing.T) {
 	r, err := New(Config{
-		Listen: "127.0.0.1:0", Target: echo(t),
+		Listen: "127.0.0.1:0", Target: startEchoServer(t),
 		Callers: []Caller{{Name: "cut", Mark: []byte("from cut")}, {Name: "free", Mark: []byte("from free")}},
 	})
 	require.NoError(t, err)
@@ -115,15 +115,15 @@
 		return c
 	}
 	cut, free := dial(), dial()
-	say(t, cut, "from cut\n")
-	say(t, free, "from free\n")
+	sendLine(t, cut, "from cut\n")
+	sendLine(t, free, "from free\n")
 	cutReader := bufio.NewReader(cut)
-	_, err = hear(free, bufio.NewReader(free), patience)
+	_, err = receiveLine(free, bufio.NewReader(free), testTimeout)
 	require.NoError(t, err)
-	_, err = hear(cut, cutReader, silence)
+	_, err = receiveLine(cut, cutReader, quietInterval)
 	require.Error(t, err)
 	r.Set(Faults{})
-	line, err := hear(cut, cutReader, patience)
+	line, err := receiveLine(cut, cutReader, testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, "from cut\n", line)
 }
