--- a/lab/pkg/newsfleet/gateway.go
+++ b/lab/pkg/newsfleet/gateway.go
@@ -14,7 +14,7 @@
 	"toucanhinge.example/common/pkg/routing"
 	"toucanhinge.example/common/pkg/web"
 	"toucanhinge.example/gateway/pkg/core"
-	"toucanhinge.example/gateway/pkg/news"
+	"toucanhinge.example/gateway/pkg/updates"
 	"toucanhinge.example/lab/pkg/relay"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
@@ -81,7 +81,7 @@
 	g.address, g.server, g.registry = g.link.Address(), server, prometheus.NewRegistry()
 	g.table.Store(nil)
 	g.fleet.Store(nil)
-	publisher := news.New(news.Config{
+	publisher := updates.New(updates.Config{
 		Boot: clock.Boot(), Registerer: g.registry, Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
 	})
 	mux.Handle(toucanhingev1connect.NewNewsServiceHandler(publisher))
--- a/lab/pkg/replay/decisions.go
+++ b/lab/pkg/replay/decisions.go
@@ -10,7 +10,7 @@
 	"toucanhinge.example/common/pkg/occupancy"
 	"toucanhinge.example/control/pkg/dispatch"
 	"toucanhinge.example/gateway/pkg/admission"
-	"toucanhinge.example/gateway/pkg/place"
+	"toucanhinge.example/gateway/pkg/placement"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -86,9 +86,9 @@
 	}
 }
 
-func (s *simulation) selectRunner(r *request) (place.Choice, admission.Request) {
+func (s *simulation) selectRunner(r *request) (placement.Choice, admission.Request) {
 	g := s.gateways[r.gateway]
-	choice, _ := g.place.Select(s.now, place.Request{
+	choice, _ := g.place.Select(s.now, placement.Request{
 		Service: service, TieBreak: s.random.Float64(), Draw: s.random.Float64(), Age: s.config.DigestDelay + publishInterval,
 	}, s.loadView(g))
 	return choice, admission.Request{
@@ -98,23 +98,23 @@
 }
 
 // loadView returns the load per runner as the placement policy sees it.
-func (s *simulation) loadView(g *gateway) func(string) place.Load {
+func (s *simulation) loadView(g *gateway) func(string) placement.Load {
 	switch s.config.Placement {
 	case OwnCounts:
-		return func(id string) place.Load {
+		return func(id string) placement.Load {
 			l := g.table.Own(id)
-			return place.Load{Online: l.Online, Own: l.Online}
+			return placement.Load{Online: l.Online, Own: l.Online}
 		}
 	case Random:
-		drawn := map[string]place.Load{}
+		drawn := map[string]placement.Load{}
 		for _, r := range s.runners {
-			drawn[r.GetId()] = place.Load{Online: s.random.IntN(1000)}
+			drawn[r.GetId()] = placement.Load{Online: s.random.IntN(1000)}
 		}
-		return func(id string) place.Load { return drawn[id] }
+		return func(id string) placement.Load { return drawn[id] }
 	default:
-		return func(id string) place.Load {
+		return func(id string) placement.Load {
 			l := g.table.Load(id)
-			return place.Load{Online: l.Online, Own: g.table.Own(id).Online, Batch: l.Batch, Foreign: g.table.Foreign(s.now, id)}
+			return placement.Load{Online: l.Online, Own: g.table.Own(id).Online, Batch: l.Batch, Foreign: g.table.Foreign(s.now, id)}
 		}
 	}
 }
--- a/lab/pkg/replay/simulation.go
+++ b/lab/pkg/replay/simulation.go
@@ -9,7 +9,7 @@
 	"toucanhinge.example/common/pkg/occupancy"
 	"toucanhinge.example/control/pkg/dispatch"
 	"toucanhinge.example/gateway/pkg/admission"
-	"toucanhinge.example/gateway/pkg/place"
+	"toucanhinge.example/gateway/pkg/placement"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -54,7 +54,7 @@
 // gateway is a simulated gateway with its own view of the load.
 type gateway struct {
 	table     *occupancy.Table
-	place     *place.Machine
+	place     *placement.Machine
 	waitQueue []*request
 	// overloads tracks the overload periods seen by this gateway.
 	overloads admission.OverloadTracker
@@ -163,7 +163,7 @@
 		s.states[id] = &runnerState{}
 	}
 	for range config.Gateways {
-		g := &gateway{table: occupancy.New(), place: place.New(place.Config{})}
+		g := &gateway{table: occupancy.New(), place: placement.New(placement.Config{})}
 		g.place.SetRunners(s.runners)
 		for range 100 {
 			g.place.RecordHold(service, config.Hold)
