--- a/lab/pkg/bench/config_changes.go
+++ b/lab/pkg/bench/config_changes.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 
 	"toucanhinge.example/common/pkg/control"
-	"toucanhinge.example/common/pkg/web"
 	"toucanhinge.example/common/pkg/fleetconfig"
+	"toucanhinge.example/common/pkg/web"
 	"toucanhinge.example/lab/pkg/fleet"
 	"toucanhinge.example/lab/pkg/load"
 )
--- a/lab/pkg/operator/operator.go
+++ b/lab/pkg/operator/operator.go
@@ -12,8 +12,8 @@
 	"github.com/pkg/errors"
 
 	"toucanhinge.example/common/pkg/control"
-	"toucanhinge.example/common/pkg/web"
 	"toucanhinge.example/common/pkg/fleetconfig"
+	"toucanhinge.example/common/pkg/web"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
--- a/sidecar/pkg/work/run.go
+++ b/sidecar/pkg/work/run.go
@@ -169,9 +169,9 @@
 			r.status = status
 			return nil
 		},
-		OnEvent: r.addEvent,
+		OnEvent:   r.addEvent,
 		MayResume: func() bool { return !r.interrupting.Load() },
-		OnBody: r.addBody,
+		OnBody:    r.addBody,
 	}
 	if !r.request.streamed {
 		r.stream.MaxBufferedBody = r.puller.config.MaxResultBytes
