--- a/control/pkg/core/core.go
+++ b/control/pkg/core/core.go
@@ -27,7 +27,7 @@
 	"toucanhinge.example/common/pkg/signal"
 	"toucanhinge.example/common/pkg/web"
 	"toucanhinge.example/control/pkg/batchrun"
-	"toucanhinge.example/control/pkg/carrier"
+	"toucanhinge.example/control/pkg/callproxy"
 	"toucanhinge.example/control/pkg/replica"
 	"toucanhinge.example/control/pkg/systemstate"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
@@ -130,7 +130,7 @@
 	c.machine = systemstate.NewMachine(systemstate.MachineConfig{
 		Folder: filepath.Join(folder, "state"), Fatal: config.Fatal, Notify: c.notify,
 	})
-	proxy := carrier.New(carrier.Config{
+	proxy := callproxy.New(callproxy.Config{
 		Source: config.Name, Gateways: c.fleet.proxyGateways, Direct: config.Runners, HTTP: web.NewClient, Clock: config.Clock, Logger: config.Logger,
 		Registerer: config.Registerer,
 	})
--- a/control/pkg/work/handler.go
+++ b/control/pkg/work/handler.go
@@ -11,7 +11,7 @@
 
 	"toucanhinge.example/common/pkg/clock"
 	"toucanhinge.example/common/pkg/record"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/control/pkg/fleetstate"
 	"toucanhinge.example/control/pkg/group"
 	"toucanhinge.example/control/pkg/jobstate"
@@ -168,7 +168,7 @@
 			return
 		}
 		for _, team := range s.RestrictedContracts(service) {
-			if !(world.Contract{Contract: team}).Allows(member.GetMember().GetDataCentre()) {
+			if !(fleetconfig.Contract{Contract: team}).Allows(member.GetMember().GetDataCentre()) {
 				excluded = append(excluded, team.GetTeam())
 			}
 		}
--- a/gateway/pkg/app/app.go
+++ b/gateway/pkg/app/app.go
@@ -23,7 +23,7 @@
 
 // Run serves until a signal, an operator or the VM list asks it to leave.
 func Run(settings config.Settings) error {
-	stop := clock.Millis(settings.Drain.Balancer+settings.Drain.Finish) + stopSlack
+	stop := clock.Millis(settings.Drain.BalancerWait+settings.Drain.FinishTimeout) + stopSlack
 	app := fx.New(
 		fx.NopLogger,
 		fx.StopTimeout(stop.Duration()),
@@ -57,5 +57,5 @@
 }
 
 func newBook(settings config.Settings, now clock.Clock) *record.Log {
-	return record.New(record.Config{Clock: now, Process: settings.Name, Size: settings.Records})
+	return record.New(record.Config{Clock: now, Process: settings.Name, Size: settings.DecisionLogSize})
 }
--- a/gateway/pkg/app/caller_faults_test.go
+++ b/gateway/pkg/app/caller_faults_test.go
@@ -17,10 +17,10 @@
 )
 
 func small(s *config.Settings) {
-	s.Limits.Body = 4_096
-	s.Limits.BatchLine = 512
-	s.Limits.BatchItems = 4
-	s.Limits.Sender = 300
+	s.Limits.MaxBodyBytes = 4_096
+	s.Limits.MaxBatchLineBytes = 512
+	s.Limits.MaxBatchItems = 4
+	s.Limits.SenderTimeout = 300
 }
 
 // A caller that sends nonsense must hear at once what is wrong, in a form that
--- a/gateway/pkg/app/claims_test.go
+++ b/gateway/pkg/app/claims_test.go
@@ -12,7 +12,7 @@
 	"connectrpc.com/connect"
 	"github.com/stretchr/testify/require"
 
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/gateway/pkg/config"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
@@ -96,7 +96,7 @@
 // resent; running now would be for nobody. It is not run, said so, and freed.
 func TestClaimAfterTheDeadlineRunsNothing(t *testing.T) {
 	sidecar := newSidecar(t, "p1", plainName)
-	g := startGateway(t, func(s *config.Settings) { s.Retry.Claim = 5_000 }, sidecar)
+	g := startGateway(t, func(s *config.Settings) { s.Retry.ClaimTimeout = 5_000 }, sidecar)
 	g.control.claimDelay = 400 * time.Millisecond
 	r := g.send(http.MethodPost, visitPath, "{}", "X-Request-Id", "visit-1", "X-Deadline-Ms", "100")
 	require.Equal(t, "deadline", r.refusal(t).Error.Reason)
@@ -162,7 +162,7 @@
 		_, _ = w.Write([]byte("older"))
 	}))
 	defer older.Close()
-	g := startGateway(t, func(s *config.Settings) { s.Retry.Claim = 2_000 }, sidecar)
+	g := startGateway(t, func(s *config.Settings) { s.Retry.ClaimTimeout = 2_000 }, sidecar)
 	g.control.put(serviceEntry(plainName, &toucanhingev1.Service{
 		Kind: toucanhingev1.ServiceKind_SERVICE_KIND_PLAIN, OlderPercent: 50, OlderUrl: older.URL,
 	}))
@@ -205,5 +205,5 @@
 }
 
 func hash(key string) string {
-	return world.HashKey(key)
+	return fleetconfig.HashKey(key)
 }
--- a/gateway/pkg/app/cut_test.go
+++ b/gateway/pkg/app/cut_test.go
@@ -31,7 +31,7 @@
 		}
 		return nil
 	}
-	g := startGateway(t, func(s *config.Settings) { s.Limits.Reader, s.Retry.Stall = 300, 60_000 }, sidecar)
+	g := startGateway(t, func(s *config.Settings) { s.Limits.ReaderTimeout, s.Retry.StallTimeout = 300, 60_000 }, sidecar)
 	request, err := http.NewRequest(http.MethodPost, g.url+chatPath, strings.NewReader(streamBody))
 	require.NoError(t, err)
 	request.Header.Set("Authorization", "Bearer "+teamKey)
@@ -61,7 +61,7 @@
 				}
 				return out.Send(b.end(2))
 			}
-			g := startGateway(t, func(s *config.Settings) { s.Limits.Answer = 1_000 }, sidecar)
+			g := startGateway(t, func(s *config.Settings) { s.Limits.ResponseBufferBytes = 1_000 }, sidecar)
 			r := g.send(http.MethodGet, visitPath, "")
 			require.Equal(t, http.StatusOK, r.status)
 			require.Len(t, r.body, 1_600)
--- a/gateway/pkg/app/endpoint_faults_test.go
+++ b/gateway/pkg/app/endpoint_faults_test.go
@@ -199,7 +199,7 @@
 			return idle()
 		}
 	}
-	g := startGateway(t, func(s *config.Settings) { s.Retry.Stall = 3_600_000 }, a, b)
+	g := startGateway(t, func(s *config.Settings) { s.Retry.StallTimeout = 3_600_000 }, a, b)
 	text, whole := g.send(http.MethodPost, chatPath, streamBody).text()
 	require.Equal(t, "aba", text)
 	require.True(t, whole)
@@ -305,7 +305,7 @@
 		return &toucanhingev1.Load{Running: 8, Queued: 90, Slots: 8, Healthy: true, WaitMs: 30_000}
 	}
 	g := startGateway(t, nil, sidecar)
-	require.Eventually(t, func() bool { return g.parts.directory.Short(service) }, patience, tick)
+	require.Eventually(t, func() bool { return g.parts.directory.Saturated(service) }, patience, tick)
 	r := g.send(http.MethodPost, chatPath, streamBody, "X-Deadline-Ms", "1000")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.Equal(t, "deadline", r.refusal(t).Error.Reason)
--- a/gateway/pkg/app/gateway_test.go
+++ b/gateway/pkg/app/gateway_test.go
@@ -38,9 +38,9 @@
 func testSettings(control string) config.Settings {
 	s := config.Defaults()
 	s.Name, s.VM, s.DataCentre, s.Control = gatewayName, "vm-1", dataCentre, []string{control}
-	s.Route.Report = 50
-	s.Retry.Stall = 500
-	s.Retry.Claim = 500
+	s.Route.ReportInterval = 50
+	s.Retry.StallTimeout = 500
+	s.Retry.ClaimTimeout = 500
 	return s
 }
 
--- a/gateway/pkg/app/leave_test.go
+++ b/gateway/pkg/app/leave_test.go
@@ -36,8 +36,8 @@
 	control, address := newControl(t, sidecars...)
 	settings := testSettings(address)
 	settings.Listen, settings.AdminListen = "127.0.0.1:0", "127.0.0.1:0"
-	settings.Drain = config.Drain{Balancer: 300, Finish: 60_000}
-	settings.Retry.Stall = 30_000
+	settings.Drain = config.Drain{BalancerWait: 300, FinishTimeout: 60_000}
+	settings.Retry.StallTimeout = 30_000
 	now, set := clock.System(), metrics.New(program)
 	book := newBook(settings, now)
 	logger := log.NewNopLogger()
--- a/gateway/pkg/app/parts.go
+++ b/gateway/pkg/app/parts.go
@@ -19,7 +19,7 @@
 	"toucanhinge.example/gateway/pkg/control"
 	"toucanhinge.example/gateway/pkg/endpoint"
 	"toucanhinge.example/gateway/pkg/limit"
-	"toucanhinge.example/gateway/pkg/older"
+	"toucanhinge.example/gateway/pkg/legacy"
 	"toucanhinge.example/gateway/pkg/online"
 	"toucanhinge.example/gateway/pkg/route"
 )
@@ -37,24 +37,24 @@
 	client := shared.New(shared.Config{Addresses: settings.Control, HTTP: web.NewClient(), Retried: set.Retried})
 	directory := newDirectory(settings, now, logger, set)
 	watcher := shared.NewWatcher(shared.WatcherConfig{
-		Client: client, Process: settings.Name, Logger: logger, Changed: directory.Changed,
+		Client: client, Process: settings.Name, Logger: logger, Changed: directory.SetFleet,
 	})
 	claims := control.NewClaims(control.ClaimsConfig{
-		Gateway: settings.Name, Client: client, Logger: logger, Wait: clock.Millis(settings.Retry.Claim),
+		Gateway: settings.Name, Client: client, Logger: logger, Timeout: clock.Millis(settings.Retry.ClaimTimeout),
 	})
 	online := online.NewMetrics(set)
 	return &parts{
 		client: client, watcher: watcher, directory: directory, claims: claims,
 		server: caller.New(caller.Config{
-			Gateway: settings.Name, Limits: settings.Limits, PrefixBytes: settings.Route.Prefix,
+			Gateway: settings.Name, Limits: settings.Limits, PrefixBytes: settings.Route.PrefixBytes,
 			Clock: now, Fleet: watcher.Fleet, Ready: func() bool { return started(watcher) },
 			Directory: directory,
 			Runner:    newRunner(settings, now, logger, directory, book, online),
-			Older:     older.New(older.Config{Clock: now}),
+			Legacy:     legacy.New(legacy.Config{Clock: now}),
 			Claims:    claims,
 			Jobs:      control.NewJobs(control.JobsConfig{Gateway: settings.Name, Client: client, Groups: watcher.Groups}),
-			Limiter:   limit.New(limit.Config{InFlight: settings.Limits.InFlight}),
-			Book:      book, Metrics: online, Logger: logger,
+			Limiter:   limit.New(limit.Config{MaxInFlight: settings.Limits.MaxInFlight}),
+			DecisionLog:      book, Metrics: online, Logger: logger,
 		}),
 	}
 }
@@ -80,20 +80,20 @@
 			Name: "toucanhinge_gateway_ejected_total", Help: "Endpoints taken out of use, by reason.",
 		}, []string{"reason"}),
 		Router: route.New(route.Config{
-			Gateway: settings.Name, Policy: route.Policy(r.Policy), Subset: r.Subset, Bound: r.Bound,
-			Failures: r.Failures, Eject: clock.Millis(r.Eject), EjectMost: clock.Millis(r.EjectMost),
-			Outlier: r.Outlier, SlowStart: clock.Millis(r.SlowStart), Report: clock.Millis(r.Report), Reports: r.Reports, Random: random,
+			Gateway: settings.Name, Policy: route.Policy(r.Policy), SubsetSize: r.SubsetSize, LoadBound: r.LoadBound,
+			MaxFailures: r.ConsecutiveFailures, MinEjection: clock.Millis(r.BaseEjectionTime), MaxEjection: clock.Millis(r.MaxEjectionTime),
+			OutlierFactor: r.OutlierFactor, SlowStart: clock.Millis(r.SlowStartWindow), PollInterval: clock.Millis(r.ReportInterval), MaxPollRate: r.MaxReportsPerSecond, Random: random,
 		}),
 	})
 }
 
 func newRunner(
 	settings config.Settings, now clock.Clock, logger log.Logger, directory *endpoint.Directory, book *record.Log, m *online.Metrics,
-) *online.Runner {
+) *online.Executor {
 	r := settings.Retry
 	return online.New(online.Config{
-		Gateway: settings.Name, Clock: now, Directory: directory, Book: book, Metrics: m, Logger: logger,
-		Budget:   attempt.NewBudget(attempt.BudgetConfig{Ratio: r.Ratio, Burst: float64(r.Burst), Refused: float64(r.Refused)}),
-		Attempts: uint32(r.Attempts), Stall: clock.Millis(r.Stall), Held: settings.Limits.Answer,
+		Gateway: settings.Name, Clock: now, Directory: directory, Log: book, Metrics: m, Logger: logger,
+		Budget:   attempt.NewBudget(attempt.BudgetConfig{Ratio: r.Ratio, Burst: float64(r.Burst), RefusedBurst: float64(r.RefusedBurst)}),
+		MaxAttempts: uint32(r.MaxAttempts), StallTimeout: clock.Millis(r.StallTimeout), MaxBuffered: settings.Limits.ResponseBufferBytes,
 	})
 }
--- a/gateway/pkg/attempt/action.go
+++ b/gateway/pkg/attempt/action.go
@@ -42,28 +42,28 @@
 	Status   int
 	Reason   string
 	Ran      Ran
-	Retry    clock.Millis
-	// Begun is true when part of the answer already reached the caller.
-	Begun bool
+	RetryAfter    clock.Millis
+	// Delivered is true when part of the answer already reached the caller.
+	Delivered bool
 }
 
 // Reasons that the machine itself gives.
 const (
 	ReasonDeadline   = "deadline"
-	ReasonUnknown    = "unknown-outcome"
+	ReasonUnknownOutcome    = "unknown-outcome"
 	ReasonAlreadyRun = "already-run"
-	ReasonCut        = "answer-cut"
-	ReasonGone       = "caller-gone"
+	ReasonAnswerCut        = "answer-cut"
+	ReasonCallerGone       = "caller-gone"
 	// Reasons of broken attempts.
-	ReasonShort      = "short-answer"
-	ReasonMiscount   = "miscounted-answer"
-	ReasonGap        = "gap-in-answer"
-	ReasonFalse      = "false-refusal"
-	ReasonStatus     = "endpoint-status"
-	ReasonResume     = "resumed"
+	ReasonShortAnswer      = "short-answer"
+	ReasonMiscountedAnswer   = "miscounted-answer"
+	ReasonMissingFrame        = "gap-in-answer"
+	ReasonFalseRefusal      = "false-refusal"
+	ReasonErrorStatus     = "endpoint-status"
+	ReasonResumed     = "resumed"
 	ReasonNoEndpoint = "no-endpoint"
 	// Reasons of dropped frames.
 	DropSuperseded = "superseded-frame"
-	DropDoubled    = "doubled-frame"
+	DropDuplicate    = "doubled-frame"
 	DropLate       = "late-frame"
 )
--- a/gateway/pkg/attempt/budget.go
+++ b/gateway/pkg/attempt/budget.go
@@ -22,8 +22,8 @@
 	Ratio float64
 	// Burst is the most retries saved up.
 	Burst float64
-	// Refused is the part of the burst that refusals may spend.
-	Refused float64
+	// RefusedBurst is the part of the burst that refusals may spend.
+	RefusedBurst float64
 }
 
 // Budget bounds the retries of one gateway to a share of its requests. Without
@@ -50,7 +50,7 @@
 func (b *Budget) Spend(cause Cause) bool {
 	cost, floor := 1.0, 0.0
 	if cause == CauseRefused {
-		cost, floor = refusedCost, b.config.Burst-b.config.Refused
+		cost, floor = refusedCost, b.config.Burst-b.config.RefusedBurst
 	}
 	if b.level-cost < floor {
 		return false
--- a/gateway/pkg/attempt/event.go
+++ b/gateway/pkg/attempt/event.go
@@ -14,22 +14,22 @@
 	EventStart EventKind = iota + 1
 	// EventChosen answers ActionChoose with an endpoint.
 	EventChosen
-	// EventNone answers ActionChoose when no endpoint can take the request.
-	EventNone
+	// EventNoEndpoint answers ActionChoose when no endpoint can take the request.
+	EventNoEndpoint
 	// EventFrame is one frame from an endpoint.
 	EventFrame
 	// EventBroken tells that an attempt's stream ended without its end frame.
 	EventBroken
-	// EventPassed tells that pieces of a whole answer went to the caller before
+	// EventPartSent tells that pieces of a whole answer went to the caller before
 	// its end, because it outgrew what we hold back.
-	EventPassed
+	EventPartSent
 	// EventTextLost tells that the text so far can't be handed to another
 	// endpoint: too long, or not only text.
 	EventTextLost
 	// EventExpired tells that the caller's deadline has passed.
 	EventExpired
-	// EventGone tells that the caller closed its connection.
-	EventGone
+	// EventCallerGone tells that the caller closed its connection.
+	EventCallerGone
 )
 
 // Event is one thing that happened; which fields count depends on the kind.
@@ -41,13 +41,13 @@
 	Endpoint string
 	// Reason of EventNone and EventBroken, machine-readable.
 	Reason string
-	// Retry is when to come back, a span; 0 when unknown.
-	Retry clock.Millis
+	// RetryAfter is when to come back, a span; 0 when unknown.
+	RetryAfter clock.Millis
 	// Reached is false when the endpoint certainly got nothing of the attempt.
 	Reached bool
-	// Dead is true when the endpoint does not answer at all, so that asking it
+	// Unreachable is true when the endpoint does not answer at all, so that asking it
 	// for the rest would only cost time.
-	Dead  bool
+	Unreachable  bool
 	Frame Frame
 }
 
@@ -82,10 +82,10 @@
 	Data []byte
 	// Status of PartHead.
 	Status int
-	// Frames of PartEnd: data frames in the whole answer.
-	Frames uint64
+	// FrameCount of PartEnd: data frames in the whole answer.
+	FrameCount uint64
 	// Reason of PartRefusal, or the error of PartEnd; an empty error means whole.
 	Reason string
 	Ran    Ran
-	Retry  clock.Millis
+	RetryAfter  clock.Millis
 }
--- a/gateway/pkg/attempt/frames.go
+++ b/gateway/pkg/attempt/frames.go
@@ -37,7 +37,7 @@
 
 func (m *Machine) head(now clock.Millis, f Frame, actions []Action) []Action {
 	if m.config.Model && f.Status >= 500 && !m.begun && m.config.Idempotent && m.retryLeft(now) {
-		return m.broken(now, Event{Reason: ReasonStatus, Reached: true}, append(actions, m.cancel()))
+		return m.broken(now, Event{Reason: ReasonErrorStatus, Reached: true}, append(actions, m.cancel()))
 	}
 	if m.begun {
 		return actions
@@ -48,7 +48,7 @@
 func (m *Machine) data(now clock.Millis, f Frame, actions []Action) []Action {
 	m.received++
 	if f.Sequence < m.next {
-		return append(actions, Action{Kind: ActionDropped, Reason: DropDoubled})
+		return append(actions, Action{Kind: ActionDropped, Reason: DropDuplicate})
 	}
 	if f.Sequence > m.next {
 		return m.hold(now, f, actions)
@@ -68,7 +68,7 @@
 
 func (m *Machine) deliver(f Frame, actions []Action) []Action {
 	m.next = f.Sequence + 1
-	if !m.config.Held {
+	if !m.config.Buffered {
 		m.begun = true
 	}
 	return append(actions, Action{Kind: ActionData, Data: f.Data})
@@ -77,13 +77,13 @@
 // hold keeps a frame that came before an earlier one.
 func (m *Machine) hold(now clock.Millis, f Frame, actions []Action) []Action {
 	if len(m.held) >= window {
-		return m.broken(now, Event{Reason: ReasonGap, Reached: true}, append(actions, m.cancel()))
+		return m.broken(now, Event{Reason: ReasonMissingFrame, Reached: true}, append(actions, m.cancel()))
 	}
 	at, found := slices.BinarySearchFunc(m.held, f.Sequence, func(h Frame, sequence uint64) int {
 		return int(int64(h.Sequence) - int64(sequence))
 	})
 	if found {
-		return append(actions, Action{Kind: ActionDropped, Reason: DropDoubled})
+		return append(actions, Action{Kind: ActionDropped, Reason: DropDuplicate})
 	}
 	m.held = slices.Insert(m.held, at, f)
 	return actions
@@ -101,11 +101,11 @@
 	m.see()
 	have := m.next - 1
 	switch {
-	case have == f.Frames:
+	case have == f.FrameCount:
 		m.phase = phaseEnded
 		return append(actions, Action{Kind: ActionFinish})
-	case have > f.Frames:
-		return m.broken(now, Event{Reason: ReasonMiscount, Reached: true}, actions)
+	case have > f.FrameCount:
+		return m.broken(now, Event{Reason: ReasonMiscountedAnswer, Reached: true}, actions)
 	default:
 		m.end = &f
 		return actions
@@ -120,7 +120,7 @@
 	// "Not run" after a part of the answer can't be true; believing it would run a
 	// non-idempotent request twice.
 	if f.Ran == RanNo && m.seen {
-		return m.broken(now, Event{Reason: ReasonFalse, Reached: true}, actions)
+		return m.broken(now, Event{Reason: ReasonFalseRefusal, Reached: true}, actions)
 	}
 	if f.Ran != RanNo {
 		return m.broken(now, Event{Reason: f.Reason, Reached: true}, actions)
@@ -130,5 +130,5 @@
 	if m.begun {
 		cause = CauseFailed
 	}
-	return m.again(now, cause, Event{Reason: f.Reason, Retry: f.Retry}, actions)
+	return m.again(now, cause, Event{Reason: f.Reason, RetryAfter: f.RetryAfter}, actions)
 }
--- a/gateway/pkg/attempt/fuzz_test.go
+++ b/gateway/pkg/attempt/fuzz_test.go
@@ -46,9 +46,9 @@
 	idempotent := rapid.Bool().Draw(t, "idempotent")
 	w.config = Config{
 		Request: "r", Deadline: 1_000 + clock.Millis(rapid.IntRange(1, 500).Draw(t, "budget")),
-		Idempotent: idempotent, Held: held,
+		Idempotent: idempotent, Buffered: held,
 		Resumable: !held && idempotent && rapid.IntRange(0, 3).Draw(t, "resumable") > 0,
-		Attempts:  uint32(rapid.IntRange(1, 5).Draw(t, "attempts")),
+		MaxAttempts:  uint32(rapid.IntRange(1, 5).Draw(t, "attempts")),
 		Spend: func(Cause) bool {
 			ok := rapid.IntRange(0, 5).Draw(t, "spend") > 0
 			if ok {
@@ -80,7 +80,7 @@
 	case ActionSend:
 		w.sent(a)
 	case ActionData:
-		if w.config.Held {
+		if w.config.Buffered {
 			w.held = append(w.held, string(a.Data))
 		} else {
 			w.got = append(w.got, string(a.Data))
@@ -144,7 +144,7 @@
 	if w.failed != nil && w.failed.Ran == RanNo && w.runs > 0 {
 		w.t.Fatalf("said not run, and %d endpoints ran it", w.runs)
 	}
-	if w.sends > int(w.config.Attempts) || (w.sends > 0 && w.sends-1 > w.spent) {
+	if w.sends > int(w.config.MaxAttempts) || (w.sends > 0 && w.sends-1 > w.spent) {
 		w.t.Fatalf("%d attempts with %d retries allowed", w.sends, w.spent)
 	}
 	if w.finished && w.failed != nil {
@@ -170,7 +170,7 @@
 				t.Skip()
 			}
 			w.choosing = false
-			w.step(Event{Kind: EventNone, Reason: "no-endpoint"})
+			w.step(Event{Kind: EventNoEndpoint, Reason: "no-endpoint"})
 		},
 		"data": func(t *rapid.T) {
 			if !w.running || w.next > w.end {
@@ -201,7 +201,7 @@
 				t.Skip()
 			}
 			w.runNow()
-			f := Frame{Request: "r", Attempt: w.attempt, Part: PartEnd, Frames: w.end, Ran: RanYes}
+			f := Frame{Request: "r", Attempt: w.attempt, Part: PartEnd, FrameCount: w.end, Ran: RanYes}
 			if rapid.IntRange(0, 3).Draw(t, "error") == 0 {
 				f.Reason = "engine-lost"
 			}
@@ -229,7 +229,7 @@
 			if !w.running {
 				t.Skip()
 			}
-			e := Event{Kind: EventBroken, Attempt: w.attempt, Reason: "stream-cut", Dead: rapid.Bool().Draw(t, "dead")}
+			e := Event{Kind: EventBroken, Attempt: w.attempt, Reason: "stream-cut", Unreachable: rapid.Bool().Draw(t, "dead")}
 			if w.seen || rapid.Bool().Draw(t, "reached") {
 				w.runNow()
 				e.Reached = true
@@ -246,12 +246,12 @@
 			w.step(Event{Kind: EventTextLost})
 		},
 		"passed": func(t *rapid.T) {
-			if !w.config.Held || !w.running || len(w.held) == 0 {
+			if !w.config.Buffered || !w.running || len(w.held) == 0 {
 				t.Skip()
 			}
 			w.got, w.held = append(w.got, w.held...), nil
-			w.step(Event{Kind: EventPassed})
-			w.config.Held = false
+			w.step(Event{Kind: EventPartSent})
+			w.config.Buffered = false
 		},
 		"time": func(t *rapid.T) { w.now += clock.Millis(rapid.IntRange(1, 100).Draw(t, "span")) },
 		"expired": func(t *rapid.T) {
@@ -267,7 +267,7 @@
 			if rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
 				t.Skip()
 			}
-			w.step(Event{Kind: EventGone})
+			w.step(Event{Kind: EventCallerGone})
 			w.running, w.choosing = false, false
 		},
 	}
@@ -290,7 +290,7 @@
 func TestRapidBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := BudgetConfig{Ratio: 0.1, Burst: float64(rapid.IntRange(1, 20).Draw(t, "burst"))}
-		config.Refused = float64(rapid.IntRange(0, int(config.Burst)).Draw(t, "refused"))
+		config.RefusedBurst = float64(rapid.IntRange(0, int(config.Burst)).Draw(t, "refused"))
 		b := NewBudget(config)
 		requests, refused, failed := 0, 0, 0
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
@@ -310,7 +310,7 @@
 			if float64(2*refused+failed) > config.Burst+0.1*float64(requests)+1e-6 {
 				t.Fatalf("%d retries for %d requests", refused+failed, requests)
 			}
-			if float64(2*refused) > config.Refused+0.1*float64(requests)+1e-6 {
+			if float64(2*refused) > config.RefusedBurst+0.1*float64(requests)+1e-6 {
 				t.Fatalf("%d retries after refusals for %d requests", refused, requests)
 			}
 		}
--- a/gateway/pkg/attempt/machine.go
+++ b/gateway/pkg/attempt/machine.go
@@ -14,15 +14,15 @@
 	Deadline clock.Millis
 	// Idempotent requests may be run again after an unknown outcome.
 	Idempotent bool
-	// Held is true when the answer is kept back until it is whole.
-	Held bool
+	// Buffered is true when the answer is kept back until it is whole.
+	Buffered bool
 	// Resumable answers go on after a break: streams of one text by a model.
 	Resumable bool
 	// Model is true for a model service, whose status of 500 and above is a
 	// failure of the engine; a plain service's status is its answer.
 	Model bool
-	// Attempts is the most attempts, the first included.
-	Attempts uint32
+	// MaxAttempts is the most attempts, the first included.
+	MaxAttempts uint32
 	// Spend takes one retry from the gateway's budget.
 	Spend func(Cause) bool
 }
@@ -79,8 +79,8 @@
 	return m.phase == phaseEnded
 }
 
-// Reached says whether any attempt may have been run.
-func (m *Machine) Reached() bool {
+// MayHaveRun says whether any attempt may have been run.
+func (m *Machine) MayHaveRun() bool {
 	return m.reached
 }
 
@@ -98,7 +98,7 @@
 		return append(actions, Action{Kind: ActionChoose})
 	case EventChosen:
 		return m.chosen(now, event, actions)
-	case EventNone:
+	case EventNoEndpoint:
 		return m.none(event, actions)
 	case EventFrame:
 		return m.frame(now, event.Frame, actions)
@@ -107,7 +107,7 @@
 			return actions
 		}
 		return m.broken(now, event, actions)
-	case EventPassed:
+	case EventPartSent:
 		m.begun = true
 		return actions
 	case EventTextLost:
@@ -115,7 +115,7 @@
 		return actions
 	case EventExpired:
 		return m.expired(actions)
-	case EventGone:
+	case EventCallerGone:
 		return m.gone(actions)
 	}
 	return actions
@@ -154,9 +154,9 @@
 	if m.phase != phaseChoosing {
 		return actions
 	}
-	reason, retry := event.Reason, event.Retry
+	reason, retry := event.Reason, event.RetryAfter
 	if m.refusal.Reason != "" {
-		reason, retry = m.refusal.Reason, m.refusal.Retry
+		reason, retry = m.refusal.Reason, m.refusal.RetryAfter
 	}
 	return m.giveUp(reason, retry, actions)
 }
@@ -164,9 +164,9 @@
 // giveUp ends a request that no further attempt may be made for. It says "not
 // run" only when no attempt of it can have run.
 func (m *Machine) giveUp(reason string, retry clock.Millis, actions []Action) []Action {
-	fail := Action{Reason: reason, Ran: RanNo, Retry: retry}
+	fail := Action{Reason: reason, Ran: RanNo, RetryAfter: retry}
 	if m.reached {
-		fail = Action{Reason: ReasonUnknown, Ran: RanUnknown}
+		fail = Action{Reason: ReasonUnknownOutcome, Ran: RanUnknown}
 	}
 	return m.fail(fail, actions)
 }
@@ -174,9 +174,9 @@
 func (m *Machine) fail(action Action, actions []Action) []Action {
 	m.phase = phaseEnded
 	action.Kind = ActionFail
-	action.Begun = m.begun
+	action.Delivered = m.begun
 	if m.begun {
-		action.Reason = ReasonCut
+		action.Reason = ReasonAnswerCut
 		action.Ran = RanYes
 	}
 	return append(actions, action)
@@ -192,7 +192,7 @@
 		ran = RanUnknown
 	}
 	m.phase = phaseEnded
-	return append(actions, Action{Kind: ActionFail, Reason: ReasonDeadline, Ran: ran, Begun: m.begun})
+	return append(actions, Action{Kind: ActionFail, Reason: ReasonDeadline, Ran: ran, Delivered: m.begun})
 }
 
 func (m *Machine) gone(actions []Action) []Action {
--- a/gateway/pkg/caller/answer.go
+++ b/gateway/pkg/caller/answer.go
@@ -45,7 +45,7 @@
 	return &answer{
 		writer:  c.Writer,
 		control: http.NewResponseController(c.Writer),
-		reader:  clock.Millis(s.config.Limits.Reader).Duration(),
+		reader:  clock.Millis(s.config.Limits.ReaderTimeout).Duration(),
 		method:  c.Request.Method,
 		stream:  stream,
 	}
@@ -122,10 +122,10 @@
 
 // end closes the answer: with the last event, with an explicit error, or by
 // cutting the connection when there is no other way to show that it isn't whole.
-func (a *answer) end(s *Server, c *gin.Context, e online.Ending) {
+func (a *answer) end(s *Server, c *gin.Context, e online.Result) {
 	switch {
-	case e.Gone:
-	case e.Whole:
+	case e.CallerGone:
+	case e.Complete:
 		if a.events {
 			_, _ = a.writer.Write(eventDone)
 			a.writer.Flush()
--- a/gateway/pkg/caller/body.go
+++ b/gateway/pkg/caller/body.go
@@ -18,7 +18,7 @@
 
 // body reads a whole body within its bounds of size and time.
 func (s *Server) body(c *gin.Context) ([]byte, *refusal) {
-	limit := int64(s.config.Limits.Body)
+	limit := int64(s.config.Limits.MaxBodyBytes)
 	if c.Request.ContentLength > limit {
 		return nil, tooLarge()
 	}
@@ -38,7 +38,7 @@
 // extend gives the sender its time anew. A sender that trickles would otherwise
 // hold a connection and a buffer for as long as it likes.
 func (s *Server) extend(c *gin.Context) {
-	limit := time.Now().Add(clock.Millis(s.config.Limits.Sender).Duration())
+	limit := time.Now().Add(clock.Millis(s.config.Limits.SenderTimeout).Duration())
 	// A connection that can't have a deadline is one of a test's recorder.
 	_ = http.NewResponseController(c.Writer).SetReadDeadline(limit)
 }
--- a/gateway/pkg/caller/entry.go
+++ b/gateway/pkg/caller/entry.go
@@ -10,7 +10,7 @@
 	"github.com/gin-gonic/gin"
 
 	"toucanhinge.example/common/pkg/clock"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/gateway/pkg/limit"
 )
 
@@ -32,8 +32,8 @@
 
 // entry is what every call has in common.
 type entry struct {
-	fleet   *world.Fleet
-	team    world.Team
+	fleet   *fleetconfig.Fleet
+	team    fleetconfig.Team
 	id      string
 	caller  string
 	arrived clock.Millis
@@ -75,12 +75,12 @@
 	if r := e.authenticate(c.GetHeader(headerKey)); r != nil {
 		return nil, r
 	}
-	if r := e.headers(c, clock.Millis(s.config.Limits.LongDeadline)); r != nil {
+	if r := e.headers(c, clock.Millis(s.config.Limits.MaxDeadline)); r != nil {
 		return nil, r
 	}
-	s.config.Book.Add(e.id, "arrived", e.team.Name+" "+c.Request.Method+" "+c.Request.URL.Path)
+	s.config.DecisionLog.Add(e.id, "arrived", e.team.Name+" "+c.Request.Method+" "+c.Request.URL.Path)
 	if e.caller != "" {
-		s.config.Book.Add(e.caller, "known-as", e.id)
+		s.config.DecisionLog.Add(e.caller, "known-as", e.id)
 	}
 	return e, nil
 }
@@ -136,7 +136,7 @@
 }
 
 // contract finds what lets the team use the service.
-func (e *entry) contract(service string, batch bool) (world.Contract, *refusal) {
+func (e *entry) contract(service string, batch bool) (fleetconfig.Contract, *refusal) {
 	contract, found := e.fleet.Contract(e.team.Name, service)
 	if !found || (batch && !contract.GetBatch()) || (!batch && !contract.GetOnline()) {
 		return contract, refuse(http.StatusForbidden, reasonNoContract, "the team has no contract for this use of "+service)
@@ -145,7 +145,7 @@
 }
 
 // deadline is the point in time up to which the caller waits.
-func (e *entry) deadline(service world.Service, standard int64) clock.Millis {
+func (e *entry) deadline(service fleetconfig.Service, standard int64) clock.Millis {
 	wait := e.wait
 	if wait == 0 {
 		wait = clock.Millis(service.GetDeadlineMs())
@@ -158,25 +158,25 @@
 
 // admit applies the team's limits. Each success must be followed by release.
 func (s *Server) admit(e *entry, service string) *refusal {
-	short := s.config.Directory.Short(service)
+	short := s.config.Directory.Saturated(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict := s.config.Limiter.Admit(s.config.Clock.Now(), limit.Ask{
-		Team: e.team.Name, Service: service, Short: short,
-		Terms: limit.Terms{
+	verdict := s.config.Limiter.Admit(s.config.Clock.Now(), limit.Request{
+		Team: e.team.Name, Service: service, Saturated: short,
+		Limits: limit.Limits{
 			Rate: e.team.GetRate(), Burst: float64(e.team.GetBurst()),
-			InFlight: int(e.team.GetInFlight()), Weight: int(e.team.GetWeight()),
+			MaxInFlight: int(e.team.GetInFlight()), Weight: int(e.team.GetWeight()),
 		},
 	})
 	if verdict.Admitted {
 		return nil
 	}
-	s.config.Book.Add(e.id, "refused", verdict.Reason)
+	s.config.DecisionLog.Add(e.id, "refused", verdict.Reason)
 	status := http.StatusTooManyRequests
-	if verdict.Reason == limit.ReasonFull {
+	if verdict.Reason == limit.ReasonGatewayFull {
 		status = http.StatusServiceUnavailable
 	}
-	return refuse(status, verdict.Reason, messages[verdict.Reason]).after(verdict.Retry)
+	return refuse(status, verdict.Reason, messages[verdict.Reason]).after(verdict.RetryAfter)
 }
 
 func (s *Server) release(e *entry, service string) {
--- a/gateway/pkg/caller/jobs.go
+++ b/gateway/pkg/caller/jobs.go
@@ -70,7 +70,7 @@
 		s.refuse(c, controlRefusal(err))
 		return
 	}
-	s.config.Book.Add(e.id, "job-cancelled", job.GetId())
+	s.config.DecisionLog.Add(e.id, "job-cancelled", job.GetId())
 	c.JSON(http.StatusOK, jobOf(job))
 }
 
--- a/gateway/pkg/caller/model.go
+++ b/gateway/pkg/caller/model.go
@@ -67,17 +67,17 @@
 		return nil, r
 	}
 	request := &online.Request{
-		ID: e.id, Caller: e.caller, Team: e.team.Name, Service: service.Name, Method: http.MethodPost, Body: body,
+		ID: e.id, CallerID: e.caller, Team: e.team.Name, Service: service.Name, Method: http.MethodPost, Body: body,
 		Headers:     []*toucanhingev1.Header{{Name: "Content-Type", Value: "application/json"}},
-		Deadline:    e.deadline(service, s.config.Limits.Deadline),
+		Deadline:    e.deadline(service, s.config.Limits.DefaultDeadline),
 		Idempotent:  e.idempotent == nil || *e.idempotent,
 		Stream:      found.isTrue("stream"),
 		Model:       true,
 		DataCentres: contract.GetDataCentres(),
 		Prefix:      s.prefixHash(service.Name, found[prompt]),
 	}
-	if request.Stream && request.Idempotent && resume.Able(found) {
-		request.Text = resume.NewText(resume.Config{Kind: kind, Limit: s.config.Limits.Text})
+	if request.Stream && request.Idempotent && resume.Resumable(found) {
+		request.Text = resume.NewText(resume.Config{Kind: kind, MaxBytes: s.config.Limits.ResumeTextBytes})
 	}
 	return request, nil
 }
@@ -150,9 +150,9 @@
 		return
 	}
 	s.serve(c, e, &online.Request{
-		ID: e.id, Caller: e.caller, Team: e.team.Name, Service: service.Name,
+		ID: e.id, CallerID: e.caller, Team: e.team.Name, Service: service.Name,
 		Method: c.Request.Method, Path: plainPath(c), Headers: forwarded(c.Request.Header), Body: body,
-		Deadline:    e.deadline(service, s.config.Limits.Deadline),
+		Deadline:    e.deadline(service, s.config.Limits.DefaultDeadline),
 		Idempotent:  idempotent(e, c.Request.Method),
 		DataCentres: contract.GetDataCentres(),
 	})
--- a/gateway/pkg/caller/refusal.go
+++ b/gateway/pkg/caller/refusal.go
@@ -59,8 +59,8 @@
 	Reason  string
 	Message string
 	Run     string
-	// Retry is a span; 0 leaves it out.
-	Retry clock.Millis
+	// RetryAfter is a span; 0 leaves it out.
+	RetryAfter clock.Millis
 }
 
 type refusalBody struct {
@@ -80,7 +80,7 @@
 }
 
 func (r *refusal) after(span clock.Millis) *refusal {
-	r.Retry = span
+	r.RetryAfter = span
 	return r
 }
 
@@ -107,7 +107,7 @@
 
 func (r *refusal) json() []byte {
 	text, err := json.Marshal(refusalBody{Error: refusalError{
-		Type: r.kind(), Reason: r.Reason, Message: r.Message, Run: r.Run, RetryMS: int64(r.Retry),
+		Type: r.kind(), Reason: r.Reason, Message: r.Message, Run: r.Run, RetryMS: int64(r.RetryAfter),
 	}})
 	if err != nil {
 		// A struct of strings and a number always encodes.
@@ -118,16 +118,16 @@
 
 // write sends the refusal as the whole answer.
 func (r *refusal) write(c *gin.Context) {
-	if r.Retry > 0 {
-		seconds := (r.Retry + 999) / 1_000
+	if r.RetryAfter > 0 {
+		seconds := (r.RetryAfter + 999) / 1_000
 		c.Header("Retry-After", strconv.FormatInt(int64(seconds), 10))
 	}
 	c.Data(r.Status, "application/json", r.json())
 }
 
 // ended tells in HTTP's terms why a request has no whole answer.
-func ended(e online.Ending) *refusal {
-	r := &refusal{Reason: e.Reason, Run: runOf(e.Ran), Retry: e.Retry, Message: messages[e.Reason]}
+func ended(e online.Result) *refusal {
+	r := &refusal{Reason: e.Reason, Run: runOf(e.Ran), RetryAfter: e.RetryAfter, Message: messages[e.Reason]}
 	if r.Message == "" {
 		r.Message = "the endpoint refused: " + e.Reason
 	}
@@ -140,7 +140,7 @@
 		r.Status = http.StatusBadGateway
 	default:
 		r.Status = http.StatusServiceUnavailable
-		r.Retry = max(r.Retry, 1)
+		r.RetryAfter = max(r.RetryAfter, 1)
 	}
 	return r
 }
@@ -159,14 +159,14 @@
 // messages say in words what the reasons of the decisions mean.
 var messages = map[string]string{
 	attempt.ReasonDeadline:     "the deadline passed, or can't be kept",
-	attempt.ReasonUnknown:      "the connection to the endpoint broke; whether the request was run is not known",
+	attempt.ReasonUnknownOutcome:      "the connection to the endpoint broke; whether the request was run is not known",
 	attempt.ReasonAlreadyRun:   "a request with this id was run already",
-	attempt.ReasonCut:          "the answer broke off and could not be resumed; what was sent is not whole",
-	route.ReasonNone:           "no endpoint of the service can take the request",
+	attempt.ReasonAnswerCut:          "the answer broke off and could not be resumed; what was sent is not whole",
+	route.ReasonNoEndpoint:           "no endpoint of the service can take the request",
 	route.ReasonOverloaded:     "every endpoint of the service is full",
 	endpoint.ReasonUnreachable: "no endpoint of the service could be reached",
 	limit.ReasonRate:           "the team's rate is used up",
 	limit.ReasonInFlight:       "the team has as many requests under way as it may",
-	limit.ReasonShare:          "the service is full and the team has its share of it",
-	limit.ReasonFull:           "this gateway has as many requests under way as it may",
+	limit.ReasonFairShare:          "the service is full and the team has its share of it",
+	limit.ReasonGatewayFull:           "this gateway has as many requests under way as it may",
 }
--- a/gateway/pkg/caller/serve.go
+++ b/gateway/pkg/caller/serve.go
@@ -17,14 +17,14 @@
 // serve runs a checked request and answers it.
 func (s *Server) serve(c *gin.Context, e *entry, request *online.Request) {
 	if r := s.admit(e, request.Service); r != nil {
-		s.outcome(request, online.Ending{Reason: r.Reason})
+		s.outcome(request, online.Result{Reason: r.Reason})
 		s.refuse(c, r)
 		return
 	}
 	defer s.release(e, request.Service)
 	claim, r := s.claim(c, e, request)
 	if r != nil {
-		s.outcome(request, online.Ending{Reason: r.Reason})
+		s.outcome(request, online.Result{Reason: r.Reason})
 		s.refuse(c, r)
 		return
 	}
@@ -35,11 +35,11 @@
 	out.end(s, c, ending)
 }
 
-func (s *Server) run(c *gin.Context, e *entry, request *online.Request, out *answer) online.Ending {
+func (s *Server) run(c *gin.Context, e *entry, request *online.Request, out *answer) online.Result {
 	service, _ := e.fleet.Service(request.Service)
 	if olderWay(e, request, service.GetOlderPercent()) {
-		s.config.Book.Add(request.ID, "chosen", "older system at "+service.GetOlderUrl())
-		return s.config.Older.Forward(c.Request.Context(), service.GetOlderUrl(), request, out.raw())
+		s.config.DecisionLog.Add(request.ID, "chosen", "older system at "+service.GetOlderUrl())
+		return s.config.Legacy.Forward(c.Request.Context(), service.GetOlderUrl(), request, out.raw())
 	}
 	return s.config.Runner.Run(c.Request.Context(), request, out.sink())
 }
@@ -71,7 +71,7 @@
 		return nil, refuse(http.StatusServiceUnavailable, reasonNoClaim,
 			"the right to run the request once could not be had; it was not run").after(2_000)
 	}
-	s.config.Book.Add(e.id, "claim", state.String())
+	s.config.DecisionLog.Add(e.id, "claim", state.String())
 	switch state {
 	case toucanhingev1.ClaimState_CLAIM_STATE_GRANTED:
 		return &claim, nil
@@ -84,7 +84,7 @@
 		r.Run = runYes
 		return nil, r
 	default:
-		r := refuse(http.StatusConflict, attempt.ReasonUnknown, "a request with this id was given up; whether it was run is not known")
+		r := refuse(http.StatusConflict, attempt.ReasonUnknownOutcome, "a request with this id was given up; whether it was run is not known")
 		r.Run = runUnknown
 		return nil, r
 	}
@@ -92,24 +92,24 @@
 
 // settle tells how a claimed request ended. What was certainly not run is freed
 // before the caller hears of it, so that its resend is not refused.
-func (s *Server) settle(c *gin.Context, claim *control.Claim, ending online.Ending) {
+func (s *Server) settle(c *gin.Context, claim *control.Claim, ending online.Result) {
 	switch {
 	case claim == nil:
-	case ending.Whole || ending.Ran == attempt.RanYes:
+	case ending.Complete || ending.Ran == attempt.RanYes:
 		s.config.Claims.Settle(*claim, toucanhingev1.ClaimState_CLAIM_STATE_RUN)
-	case ending.Reached:
+	case ending.MayHaveRun:
 		s.config.Claims.Settle(*claim, toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN)
 	default:
-		s.config.Claims.Free(c.Request.Context(), *claim)
+		s.config.Claims.Release(c.Request.Context(), *claim)
 	}
 }
 
-func (s *Server) outcome(request *online.Request, ending online.Ending) {
+func (s *Server) outcome(request *online.Request, ending online.Result) {
 	outcome := ending.Reason
 	switch {
-	case ending.Gone:
-		outcome = attempt.ReasonGone
-	case ending.Whole:
+	case ending.CallerGone:
+		outcome = attempt.ReasonCallerGone
+	case ending.Complete:
 		outcome = "whole"
 	}
 	s.config.Metrics.Requests.WithLabelValues(request.Service, outcome).Inc()
--- a/gateway/pkg/caller/server.go
+++ b/gateway/pkg/caller/server.go
@@ -13,12 +13,12 @@
 
 	"toucanhinge.example/common/pkg/clock"
 	"toucanhinge.example/common/pkg/record"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/gateway/pkg/config"
 	"toucanhinge.example/gateway/pkg/control"
 	"toucanhinge.example/gateway/pkg/endpoint"
 	"toucanhinge.example/gateway/pkg/limit"
-	"toucanhinge.example/gateway/pkg/older"
+	"toucanhinge.example/gateway/pkg/legacy"
 	"toucanhinge.example/gateway/pkg/online"
 )
 
@@ -29,15 +29,15 @@
 	// PrefixBytes of the prompt that choose its preferred endpoint; 0 is none.
 	PrefixBytes int
 	Clock       clock.Clock
-	Fleet       func() *world.Fleet
+	Fleet       func() *fleetconfig.Fleet
 	Ready       func() bool
 	Directory   *endpoint.Directory
-	Runner      *online.Runner
-	Older       *older.Forwarder
+	Runner      *online.Executor
+	Legacy       *legacy.Forwarder
 	Claims      *control.Claims
 	Jobs        *control.Jobs
 	Limiter     *limit.Limiter
-	Book        *record.Log
+	DecisionLog        *record.Log
 	Metrics     *online.Metrics
 	Logger      log.Logger
 }
@@ -59,9 +59,9 @@
 	return &Server{config: config, prefix: newPrefix(config.Gateway)}
 }
 
-// Leave asks callers to open their next connection elsewhere; what comes is
+// Drain asks callers to open their next connection elsewhere; what comes is
 // still answered.
-func (s *Server) Leave() {
+func (s *Server) Drain() {
 	s.leaving.Store(true)
 }
 
@@ -117,9 +117,9 @@
 		c.Header("Connection", "close")
 	}
 	defer s.open.Add(-1)
-	if s.open.Add(1) > int64(openFactor*s.config.Limits.InFlight+s.config.Limits.Uploads) {
+	if s.open.Add(1) > int64(openFactor*s.config.Limits.MaxInFlight+s.config.Limits.MaxTransfers) {
 		c.Abort()
-		s.refuse(c, refuse(http.StatusServiceUnavailable, limit.ReasonFull, messages[limit.ReasonFull]).after(1_000))
+		s.refuse(c, refuse(http.StatusServiceUnavailable, limit.ReasonGatewayFull, messages[limit.ReasonGatewayFull]).after(1_000))
 		return
 	}
 	c.Next()
--- a/gateway/pkg/caller/upload.go
+++ b/gateway/pkg/caller/upload.go
@@ -51,22 +51,22 @@
 	defer s.uploads.Add(-1)
 	reply, r := s.transfer(c, header)
 	if r != nil {
-		s.config.Book.Add(e.id, "refused", r.Reason)
+		s.config.DecisionLog.Add(e.id, "refused", r.Reason)
 		s.refuse(c, r)
 		return
 	}
-	s.config.Book.Add(e.id, "job", reply.GetJob().GetId())
+	s.config.DecisionLog.Add(e.id, "job", reply.GetJob().GetId())
 	answer := jobOf(reply.GetJob())
 	answer.Resend = reply.GetResend()
 	c.JSON(http.StatusOK, answer)
 }
 
 func (s *Server) beginTransfer() *refusal {
-	if s.uploads.Add(1) <= int64(s.config.Limits.Uploads) {
+	if s.uploads.Add(1) <= int64(s.config.Limits.MaxTransfers) {
 		return nil
 	}
 	s.uploads.Add(-1)
-	return refuse(http.StatusServiceUnavailable, limit.ReasonFull, "this gateway has as many batch transfers under way as it may").after(1_000)
+	return refuse(http.StatusServiceUnavailable, limit.ReasonGatewayFull, "this gateway has as many batch transfers under way as it may").after(1_000)
 }
 
 func (s *Server) uploadHeader(c *gin.Context, e *entry) (*toucanhingev1.UploadHeader, *refusal) {
@@ -105,7 +105,7 @@
 	}
 	defer upload.Abandon()
 	lines := bufio.NewScanner(&progress{server: s, context: c, reader: c.Request.Body})
-	lines.Buffer(make([]byte, 0, min(firstLineBytes, s.config.Limits.BatchLine)), s.config.Limits.BatchLine)
+	lines.Buffer(make([]byte, 0, min(firstLineBytes, s.config.Limits.MaxBatchLineBytes)), s.config.Limits.MaxBatchLineBytes)
 	seen := map[uint64]struct{}{}
 	for number := 1; lines.Scan(); number++ {
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
@@ -162,7 +162,7 @@
 		return nil, bad("custom_id " + line.CustomID + " is given more than once")
 	}
 	seen[hash] = struct{}{}
-	if len(seen) > s.config.Limits.BatchItems {
+	if len(seen) > s.config.Limits.MaxBatchItems {
 		return nil, refuse(http.StatusRequestEntityTooLarge, reasonTooLarge, "the job has more items than this gateway takes")
 	}
 	return &toucanhingev1.Item{CustomId: line.CustomID, Body: line.Body}, nil
@@ -186,7 +186,7 @@
 
 // controlRefusal tells in HTTP's terms what control said.
 func controlRefusal(err error) *refusal {
-	if errors.Is(err, control.ErrUnknown) {
+	if errors.Is(err, control.ErrUnknownOutcome) {
 		r := refuse(http.StatusBadGateway, reasonControl, "the answer was lost; a resend under the same key is harmless")
 		r.Run = runUnknown
 		return r.after(1_000)
--- a/gateway/pkg/control/claims.go
+++ b/gateway/pkg/control/claims.go
@@ -38,8 +38,8 @@
 	Gateway string
 	Client  *control.Client
 	Logger  log.Logger
-	// Wait is the longest wait for a claim, a span.
-	Wait clock.Millis
+	// Timeout is the longest wait for a claim, a span.
+	Timeout clock.Millis
 }
 
 // Claims asks for claims and settles them.
@@ -60,7 +60,7 @@
 // claim, so the request must not be run; a claim that was granted meanwhile
 // runs out unused.
 func (c *Claims) Claim(ctx context.Context, claim Claim, deadline clock.Millis) (toucanhingev1.ClaimState, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Wait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout.Duration())
 	defer cancel()
 	request := &toucanhingev1.ClaimRequest{
 		Team: claim.Team, RequestId: claim.ID, Gateway: c.config.Gateway, Token: claim.Token, DeadlineMs: int64(deadline),
@@ -82,10 +82,10 @@
 	}
 }
 
-// Free gives a claim back at once: the caller that is told "not run" may resend
+// Release gives a claim back at once: the caller that is told "not run" may resend
 // immediately, and must not meet its own claim.
-func (c *Claims) Free(ctx context.Context, claim Claim) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.config.Wait.Duration())
+func (c *Claims) Release(ctx context.Context, claim Claim) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.config.Timeout.Duration())
 	defer cancel()
 	if err := c.settle(ctx, settlement{claim: claim}); err != nil {
 		c.Settle(claim, toucanhingev1.ClaimState_CLAIM_STATE_UNSPECIFIED)
--- a/gateway/pkg/control/upload.go
+++ b/gateway/pkg/control/upload.go
@@ -29,9 +29,9 @@
 // we keep. Nothing of it is visible; the caller's resend under its key is harmless.
 var ErrLeaderMoved = errors.New("the group's leader moved during the upload")
 
-// ErrUnknown ends an upload whose answer was lost after its end was sent: the
+// ErrUnknownOutcome ends an upload whose answer was lost after its end was sent: the
 // job may have been accepted.
-var ErrUnknown = errors.New("the answer to the upload was lost")
+var ErrUnknownOutcome = errors.New("the answer to the upload was lost")
 
 // Upload is one job on its way to the leader of its group.
 type Upload struct {
@@ -172,7 +172,7 @@
 // lost says what the caller may believe when no verdict can be had any more.
 func (u *Upload) lost(err error) error {
 	if u.sent {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
 	return fmt.Errorf("%w: %w", ErrLeaderMoved, err)
 }
--- a/gateway/pkg/endpoint/directory.go
+++ b/gateway/pkg/endpoint/directory.go
@@ -16,7 +16,7 @@
 	"toucanhinge.example/common/pkg/clock"
 	"toucanhinge.example/common/pkg/logs"
 	"toucanhinge.example/common/pkg/ring"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/gateway/pkg/route"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
@@ -55,8 +55,8 @@
 	}
 }
 
-// Changed puts a new configuration in force.
-func (d *Directory) Changed(fleet *world.Fleet) {
+// SetFleet puts a new configuration in force.
+func (d *Directory) SetFleet(fleet *fleetconfig.Fleet) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	present := map[string]bool{}
@@ -83,67 +83,67 @@
 	}
 }
 
-func (d *Directory) endpoints(fleet *world.Fleet, service string) []route.Endpoint {
+func (d *Directory) endpoints(fleet *fleetconfig.Fleet, service string) []route.Endpoint {
 	var list []route.Endpoint
 	for _, e := range fleet.Endpoints(service) {
 		list = append(list, route.Endpoint{
 			Name: e.Name, Address: e.Address, DataCentre: e.DataCentre, Incarnation: e.Incarnation,
-			Slots: e.Slots, Leaving: e.Draining, Near: fleet.LatencyUS(d.config.DataCentre, e.DataCentre),
+			Slots: e.Slots, Draining: e.Draining, LatencyUS: fleet.LatencyUS(d.config.DataCentre, e.DataCentre),
 		})
 	}
 	return list
 }
 
 // Choose asks the router and counts the choice as sent.
-func (d *Directory) Choose(ask route.Ask) route.Choice {
+func (d *Directory) Choose(ask route.Request) route.Choice {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	choice := d.config.Router.Choose(d.config.Clock.Now(), ask)
 	if choice.Endpoint != "" {
-		d.config.Router.Sent(choice.Endpoint)
+		d.config.Router.RecordSent(choice.Endpoint)
 	}
 	return choice
 }
 
-// Sent counts another request to an endpoint that was chosen before. It returns
+// RecordSent counts another request to an endpoint that was chosen before. It returns
 // the endpoint's address, false when it is no longer used.
-func (d *Directory) Sent(endpoint string) (address string, found bool) {
+func (d *Directory) RecordSent(endpoint string) (address string, found bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.config.Router.Sent(endpoint)
+	d.config.Router.RecordSent(endpoint)
 	return d.config.Router.Address(endpoint)
 }
 
-// Short says whether no endpoint of the service has a free slot.
-func (d *Directory) Short(service string) bool {
+// Saturated says whether no endpoint of the service has a free slot.
+func (d *Directory) Saturated(service string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.config.Router.Short(d.config.Clock.Now(), service)
+	return d.config.Router.Saturated(d.config.Clock.Now(), service)
 }
 
-// Ended tells what became of an attempt.
-func (d *Directory) Ended(endpoint string, outcome route.Outcome, first, retry clock.Millis) {
+// RecordEnd tells what became of an attempt.
+func (d *Directory) RecordEnd(endpoint string, outcome route.Outcome, first, retry clock.Millis) {
 	d.mu.Lock()
-	reason := d.config.Router.Ended(d.config.Clock.Now(), endpoint, outcome, first, retry)
+	reason := d.config.Router.RecordEnd(d.config.Clock.Now(), endpoint, outcome, first, retry)
 	d.mu.Unlock()
 	d.ejected(endpoint, reason)
 }
 
-// Reported takes a load that came with a frame.
-func (d *Directory) Reported(endpoint string, load *toucanhingev1.Load) {
+// RecordLoad takes a load that came with a frame.
+func (d *Directory) RecordLoad(endpoint string, load *toucanhingev1.Load) {
 	if load == nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.config.Router.Reported(d.config.Clock.Now(), endpoint, loadOf(load))
+	d.config.Router.RecordLoad(d.config.Clock.Now(), endpoint, loadOf(load))
 }
 
 func loadOf(load *toucanhingev1.Load) route.Load {
 	return route.Load{
 		Running: int(load.GetRunning()), Queued: int(load.GetQueued()), Slots: int(load.GetSlots()),
 		Foreign: int(load.GetForeign()), Wait: clock.Millis(load.GetWaitMs()),
-		Leaving: load.GetLeaving(), Healthy: load.GetHealthy(),
+		Draining: load.GetLeaving(), Healthy: load.GetHealthy(),
 	}
 }
 
@@ -204,7 +204,7 @@
 func (d *Directory) due() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.config.Router.Due(d.config.Clock.Now())
+	return d.config.Router.DuePolls(d.config.Clock.Now())
 }
 
 func (d *Directory) ask(ctx context.Context, endpoint string) {
@@ -228,9 +228,9 @@
 		load = &told
 	}
 	d.mu.Lock()
-	reason := d.config.Router.Polled(d.config.Clock.Now(), endpoint, load)
+	reason := d.config.Router.RecordPoll(d.config.Clock.Now(), endpoint, load)
 	d.mu.Unlock()
-	if reason == route.EjectedSilent {
+	if reason == route.EjectedUnresponsive {
 		d.giveUp(address)
 	}
 	d.ejected(endpoint, reason)
--- a/gateway/pkg/endpoint/stream.go
+++ b/gateway/pkg/endpoint/stream.go
@@ -17,23 +17,23 @@
 // Reasons of a stream that ended without its end frame.
 const (
 	ReasonUnreachable = "unreachable"
-	ReasonSilent      = "silent"
+	ReasonUnresponsive      = "silent"
 	ReasonStalled     = "stalled"
-	ReasonCut         = "stream-cut"
-	ReasonError       = "sidecar-error"
+	ReasonStreamCut         = "stream-cut"
+	ReasonSidecarError       = "sidecar-error"
 )
 
 // silence before a break that marks the endpoint as dead rather than its
 // answer as cut: connection pings found nobody there.
 const silence clock.Millis = 2_000
 
-// Break says how a stream ended before its end frame.
-type Break struct {
+// Failure says how a stream ended before its end frame.
+type Failure struct {
 	Reason string
 	// Reached is false when the sidecar certainly got nothing.
 	Reached bool
-	// Dead is true when the endpoint does not answer at all.
-	Dead bool
+	// Unreachable is true when the endpoint does not answer at all.
+	Unreachable bool
 	Err  error
 }
 
@@ -56,7 +56,7 @@
 // span, 0 for none. The address must come from the router.
 func (d *Directory) Open(
 	ctx context.Context, address string, request *toucanhingev1.RunRequest, limit clock.Millis,
-) (*Stream, *Break) {
+) (*Stream, *Failure) {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &Stream{clock: d.config.Clock, cancel: cancel, leave: func() {}}
 	s.hear()
@@ -66,7 +66,7 @@
 	}
 	// The call below may wait as long as the sidecar sends nothing.
 	if limit > 0 {
-		s.Limit(limit)
+		s.SetTimeout(limit)
 	}
 	frames, err := d.Client(address).Run(ctx, connect.NewRequest(request))
 	if err != nil {
@@ -78,8 +78,8 @@
 	return s, nil
 }
 
-// Limit sets the longest wait for the next frame, a span; it starts anew with each call.
-func (s *Stream) Limit(wait clock.Millis) {
+// SetTimeout sets the longest wait for the next frame, a span; it starts anew with each call.
+func (s *Stream) SetTimeout(wait clock.Millis) {
 	if s.stall == nil {
 		ctx, mark := context.WithCancel(context.Background())
 		s.stalled = ctx
@@ -93,7 +93,7 @@
 }
 
 // Next waits for a frame; the break is nil when there is one.
-func (s *Stream) Next() (*toucanhingev1.Frame, *Break) {
+func (s *Stream) Next() (*toucanhingev1.Frame, *Failure) {
 	if s.frames.Receive() {
 		s.hear()
 		return s.frames.Msg(), nil
@@ -128,26 +128,26 @@
 	s.cancel()
 }
 
-func (s *Stream) judge(err error) *Break {
+func (s *Stream) judge(err error) *Failure {
 	var dial *net.OpError
 	switch {
 	case s.stalled != nil && s.stalled.Err() != nil:
-		return &Break{Reason: ReasonStalled, Reached: true, Dead: true, Err: err}
+		return &Failure{Reason: ReasonStalled, Reached: true, Unreachable: true, Err: err}
 	case s.silent.Load():
-		return &Break{Reason: ReasonSilent, Reached: true, Dead: true, Err: err}
+		return &Failure{Reason: ReasonUnresponsive, Reached: true, Unreachable: true, Err: err}
 	case errors.As(err, &dial) && dial.Op == "dial":
-		return &Break{Reason: ReasonUnreachable, Dead: true, Err: err}
+		return &Failure{Reason: ReasonUnreachable, Unreachable: true, Err: err}
 	case connect.IsWireError(err):
-		return &Break{Reason: ReasonError, Reached: true, Err: err}
+		return &Failure{Reason: ReasonSidecarError, Reached: true, Err: err}
 	case s.quiet() >= silence:
-		return &Break{Reason: ReasonSilent, Reached: true, Dead: true, Err: err}
+		return &Failure{Reason: ReasonUnresponsive, Reached: true, Unreachable: true, Err: err}
 	default:
-		return &Break{Reason: ReasonCut, Reached: true, Err: err}
+		return &Failure{Reason: ReasonStreamCut, Reached: true, Err: err}
 	}
 }
 
-// FrameOf turns a frame into what decisions are made on.
-func FrameOf(f *toucanhingev1.Frame) attempt.Frame {
+// NewFrame turns a frame into what decisions are made on.
+func NewFrame(f *toucanhingev1.Frame) attempt.Frame {
 	frame := attempt.Frame{Request: f.GetRequestId(), Attempt: f.GetAttempt(), Sequence: f.GetSequence()}
 	switch part := f.GetPart().(type) {
 	case *toucanhingev1.Frame_Head:
@@ -158,14 +158,14 @@
 		frame.Data = part.Data
 	case *toucanhingev1.Frame_End:
 		frame.Part = attempt.PartEnd
-		frame.Frames = part.End.GetFrames()
+		frame.FrameCount = part.End.GetFrames()
 		frame.Reason = part.End.GetError()
 		frame.Ran = ranOf(part.End.GetRan())
 	case *toucanhingev1.Frame_Refusal:
 		frame.Part = attempt.PartRefusal
 		frame.Reason = part.Refusal.GetReason()
 		frame.Ran = ranOf(part.Refusal.GetRan())
-		frame.Retry = clock.Millis(part.Refusal.GetRetryMs())
+		frame.RetryAfter = clock.Millis(part.Refusal.GetRetryMs())
 	}
 	return frame
 }
--- a/gateway/pkg/older/forwarder.go
+++ b/gateway/pkg/legacy/forwarder.go
@@ -1,6 +1,6 @@
-// Package older speaks to the older serving system, which takes a share of a
+// Package legacy speaks to the older serving system, which takes a share of a
 // service's requests until it is switched off.
-package older
+package legacy
 
 import (
 	"bytes"
@@ -61,16 +61,16 @@
 }
 
 // Forward sends the request and passes the answer on as it comes.
-func (f *Forwarder) Forward(ctx context.Context, base string, request *online.Request, sink online.Sink) online.Ending {
+func (f *Forwarder) Forward(ctx context.Context, base string, request *online.Request, sink online.Sink) online.Result {
 	now := f.config.Clock.Now()
 	if now >= request.Deadline {
-		return online.Ending{Reason: attempt.ReasonDeadline, Ran: attempt.RanNo}
+		return online.Result{Reason: attempt.ReasonDeadline, Ran: attempt.RanNo}
 	}
 	limited, cancel := context.WithTimeout(ctx, (request.Deadline - now).Duration())
 	defer cancel()
 	out, err := http.NewRequestWithContext(limited, request.Method, strings.TrimSuffix(base, "/")+request.Path, bytes.NewReader(request.Body))
 	if err != nil {
-		return online.Ending{Reason: ReasonUnreachable, Ran: attempt.RanNo}
+		return online.Result{Reason: ReasonUnreachable, Ran: attempt.RanNo}
 	}
 	out.GetBody = nil
 	for _, h := range request.Headers {
@@ -85,15 +85,15 @@
 	return f.pass(ctx, limited, reply.Body, sink)
 }
 
-func (f *Forwarder) pass(ctx, limited context.Context, body io.Reader, sink online.Sink) online.Ending {
+func (f *Forwarder) pass(ctx, limited context.Context, body io.Reader, sink online.Sink) online.Result {
 	piece := make([]byte, pieceBytes)
 	for {
 		n, err := body.Read(piece)
 		if n > 0 && sink.Data(piece[:n]) != nil {
-			return online.Ending{Gone: true, Reached: true, Attempts: 1}
+			return online.Result{CallerGone: true, MayHaveRun: true, Attempts: 1}
 		}
 		if errors.Is(err, io.EOF) {
-			return online.Ending{Whole: true, Ran: attempt.RanYes, Reached: true, Attempts: 1}
+			return online.Result{Complete: true, Ran: attempt.RanYes, MayHaveRun: true, Attempts: 1}
 		}
 		if err != nil {
 			return failed(ctx, limited, err, true)
@@ -102,18 +102,18 @@
 }
 
 // failed says what is known of a request that has no whole answer.
-func failed(ctx, limited context.Context, err error, begun bool) online.Ending {
-	ending := online.Ending{Reason: attempt.ReasonUnknown, Ran: attempt.RanUnknown, Reached: true, Begun: begun, Attempts: 1}
+func failed(ctx, limited context.Context, err error, begun bool) online.Result {
+	ending := online.Result{Reason: attempt.ReasonUnknownOutcome, Ran: attempt.RanUnknown, MayHaveRun: true, Delivered: begun, Attempts: 1}
 	var dial *net.OpError
 	switch {
 	case errors.As(err, &dial) && dial.Op == "dial":
-		ending.Reason, ending.Ran, ending.Reached = ReasonUnreachable, attempt.RanNo, false
+		ending.Reason, ending.Ran, ending.MayHaveRun = ReasonUnreachable, attempt.RanNo, false
 	case ctx.Err() != nil:
-		ending.Gone = true
+		ending.CallerGone = true
 	case limited.Err() != nil:
 		ending.Reason = attempt.ReasonDeadline
 	case begun:
-		ending.Reason = attempt.ReasonCut
+		ending.Reason = attempt.ReasonAnswerCut
 	}
 	return ending
 }
--- a/gateway/pkg/limit/limiter.go
+++ b/gateway/pkg/limit/limiter.go
@@ -10,8 +10,8 @@
 const (
 	ReasonRate     = "rate"
 	ReasonInFlight = "in-flight"
-	ReasonShare    = "fair-share"
-	ReasonFull     = "gateway-full"
+	ReasonFairShare    = "fair-share"
+	ReasonGatewayFull     = "gateway-full"
 )
 
 // Waits told to a caller whose turn depends on other requests ending, spans.
@@ -29,33 +29,33 @@
 // that shares of few requests don't refuse by rounding.
 const shareSlack = 1.1
 
-// Terms are a team's limits, as the configuration has them now.
-type Terms struct {
+// Limits are a team's limits, as the configuration has them now.
+type Limits struct {
 	// Rate is requests a second; 0 means no limit.
 	Rate float64
 	// Burst is the most requests at once above the rate; 0 means one second's worth.
 	Burst float64
-	// InFlight is the most requests under way; 0 means no limit.
-	InFlight int
+	// MaxInFlight is the most requests under way; 0 means no limit.
+	MaxInFlight int
 	// Weight is the share against other teams; 0 means 1.
 	Weight int
 }
 
-// Ask is one request that wants to start.
-type Ask struct {
+// Request is one request that wants to start.
+type Request struct {
 	Team    string
 	Service string
-	Terms   Terms
-	// Short is true when the service's endpoints have no free slot.
-	Short bool
+	Limits   Limits
+	// Saturated is true when the service's endpoints have no free slot.
+	Saturated bool
 }
 
 // Verdict is the answer.
 type Verdict struct {
 	Admitted bool
 	Reason   string
-	// Retry is when to come back, a span.
-	Retry clock.Millis
+	// RetryAfter is when to come back, a span.
+	RetryAfter clock.Millis
 }
 
 type account struct {
@@ -74,8 +74,8 @@
 
 // Config describes a limiter.
 type Config struct {
-	// InFlight is the most requests of all teams together.
-	InFlight int
+	// MaxInFlight is the most requests of all teams together.
+	MaxInFlight int
 }
 
 // Limiter holds the counts of one gateway. It is not safe for concurrent use.
@@ -95,22 +95,22 @@
 
 // Admit counts the request as under way, or refuses it. Every admitted request
 // must be followed by one Done. A refused one changes nothing.
-func (l *Limiter) Admit(now clock.Millis, ask Ask) Verdict {
+func (l *Limiter) Admit(now clock.Millis, ask Request) Verdict {
 	l.sweep(now)
-	if l.inFlight >= l.config.InFlight {
-		return Verdict{Reason: ReasonFull, Retry: fullRetry}
+	if l.inFlight >= l.config.MaxInFlight {
+		return Verdict{Reason: ReasonGatewayFull, RetryAfter: fullRetry}
 	}
 	a := l.account(now, ask)
-	if limit := ask.Terms.InFlight; limit > 0 && a.inFlight >= limit {
-		return Verdict{Reason: ReasonInFlight, Retry: inFlightRetry}
+	if limit := ask.Limits.MaxInFlight; limit > 0 && a.inFlight >= limit {
+		return Verdict{Reason: ReasonInFlight, RetryAfter: inFlightRetry}
 	}
 	s := l.share(ask)
-	if ask.Short && l.overShare(now, ask, s) {
-		return Verdict{Reason: ReasonShare, Retry: shareRetry}
+	if ask.Saturated && l.overShare(now, ask, s) {
+		return Verdict{Reason: ReasonFairShare, RetryAfter: shareRetry}
 	}
-	if ask.Terms.Rate > 0 {
+	if ask.Limits.Rate > 0 {
 		if a.tokens < 1 {
-			return Verdict{Reason: ReasonRate, Retry: clock.Millis((1-a.tokens)/ask.Terms.Rate*1_000) + 1}
+			return Verdict{Reason: ReasonRate, RetryAfter: clock.Millis((1-a.tokens)/ask.Limits.Rate*1_000) + 1}
 		}
 		a.tokens--
 	}
@@ -135,17 +135,17 @@
 	return l.inFlight
 }
 
-func (l *Limiter) account(now clock.Millis, ask Ask) *account {
-	burst := ask.Terms.Burst
+func (l *Limiter) account(now clock.Millis, ask Request) *account {
+	burst := ask.Limits.Burst
 	if burst == 0 {
-		burst = max(ask.Terms.Rate, 1)
+		burst = max(ask.Limits.Rate, 1)
 	}
 	a, found := l.accounts[ask.Team]
 	if !found {
 		a = &account{tokens: burst, at: now}
 		l.accounts[ask.Team] = a
 	}
-	a.burst, a.rate = burst, ask.Terms.Rate
+	a.burst, a.rate = burst, ask.Limits.Rate
 	a.refill(now)
 	return a
 }
@@ -157,7 +157,7 @@
 	}
 }
 
-func (l *Limiter) share(ask Ask) *share {
+func (l *Limiter) share(ask Request) *share {
 	teams, found := l.shares[ask.Service]
 	if !found {
 		teams = map[string]*share{}
@@ -168,14 +168,14 @@
 		s = &share{}
 		teams[ask.Team] = s
 	}
-	s.weight = max(ask.Terms.Weight, 1)
+	s.weight = max(ask.Limits.Weight, 1)
 	return s
 }
 
 // overShare says whether the team already has its share of a service that is
 // short. Without it the team that resends fastest would take every slot, and
 // the others would see nothing but refusals.
-func (l *Limiter) overShare(now clock.Millis, ask Ask, own *share) bool {
+func (l *Limiter) overShare(now clock.Millis, ask Request, own *share) bool {
 	total, weights, others := 0, own.weight, false
 	for _, s := range l.shares[ask.Service] {
 		total += s.inFlight
--- a/gateway/pkg/limit/limiter_test.go
+++ b/gateway/pkg/limit/limiter_test.go
@@ -19,7 +19,7 @@
 
 // oracle counts by going through the whole history each time.
 type oracle struct {
-	terms   map[string]Terms
+	terms   map[string]Limits
 	most    int
 	history []start
 	open    []start
@@ -36,8 +36,8 @@
 				open++
 			}
 		}
-		if terms.InFlight > 0 && open > terms.InFlight {
-			t.Fatalf("%s has %d under way, %d allowed", team, open, terms.InFlight)
+		if terms.MaxInFlight > 0 && open > terms.MaxInFlight {
+			t.Fatalf("%s has %d under way, %d allowed", team, open, terms.MaxInFlight)
 		}
 		for i, from := range o.history {
 			if from.team != team || terms.Rate == 0 {
@@ -62,26 +62,26 @@
 // come back.
 func TestRapidLimiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &oracle{terms: map[string]Terms{}, most: rapid.IntRange(1, 12).Draw(t, "most")}
+		o := &oracle{terms: map[string]Limits{}, most: rapid.IntRange(1, 12).Draw(t, "most")}
 		for _, team := range []string{"a", "b", "c"} {
-			o.terms[team] = Terms{
+			o.terms[team] = Limits{
 				Rate:     rapid.SampledFrom([]float64{0, 0.5, 3, 50}).Draw(t, "rate"),
 				Burst:    float64(rapid.IntRange(1, 4).Draw(t, "burst")),
-				InFlight: rapid.IntRange(0, 5).Draw(t, "in flight"),
+				MaxInFlight: rapid.IntRange(0, 5).Draw(t, "in flight"),
 				Weight:   rapid.IntRange(0, 3).Draw(t, "weight"),
 			}
 		}
-		l := New(Config{InFlight: o.most})
+		l := New(Config{MaxInFlight: o.most})
 		now := clock.Millis(1_000)
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) { o.check(t, now) },
 			"ask": func(t *rapid.T) {
 				s := start{team: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"), service: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "service"), at: now}
-				ask := Ask{Team: s.team, Service: s.service, Terms: o.terms[s.team], Short: rapid.Bool().Draw(t, "short")}
+				ask := Request{Team: s.team, Service: s.service, Limits: o.terms[s.team], Saturated: rapid.Bool().Draw(t, "short")}
 				verdict := l.Admit(now, ask)
 				if verdict.Reason == ReasonRate {
-					now += verdict.Retry
-					ask.Short = false
+					now += verdict.RetryAfter
+					ask.Saturated = false
 					s.at = now
 					verdict = l.Admit(now, ask)
 					if !verdict.Admitted {
@@ -121,13 +121,13 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			l := New(Config{InFlight: 1_000})
+			l := New(Config{MaxInFlight: 1_000})
 			ask := func(team string, short bool) Verdict {
-				terms := Terms{Weight: 1}
+				terms := Limits{Weight: 1}
 				if team == "other" {
 					terms.Weight = s.weight
 				}
-				return l.Admit(10, Ask{Team: team, Service: "x", Short: short, Terms: terms})
+				return l.Admit(10, Request{Team: team, Service: "x", Saturated: short, Limits: terms})
 			}
 			for range 40 {
 				require.True(t, ask("greedy", false).Admitted)
@@ -137,7 +137,7 @@
 			counts["other"]++
 			// A tenth and one more than the exact part is left to rounding.
 			for counts["greedy"] > s.parts[0]+4 {
-				require.Equal(t, ReasonShare, ask("greedy", true).Reason, fmt.Sprint(counts))
+				require.Equal(t, ReasonFairShare, ask("greedy", true).Reason, fmt.Sprint(counts))
 				l.Done(10, "greedy", "x")
 				counts["greedy"]--
 				require.True(t, ask("other", true).Admitted, fmt.Sprint(counts))
@@ -153,13 +153,13 @@
 }
 
 func TestLimiterForgetsTeamsThatAreAway(t *testing.T) {
-	l := New(Config{InFlight: 10_000})
+	l := New(Config{MaxInFlight: 10_000})
 	for i := range 1_000 {
 		team := fmt.Sprint(i)
-		require.True(t, l.Admit(1, Ask{Team: team, Service: "x", Terms: Terms{Rate: 5}}).Admitted)
+		require.True(t, l.Admit(1, Request{Team: team, Service: "x", Limits: Limits{Rate: 5}}).Admitted)
 		l.Done(2, team, "x")
 	}
-	l.Admit(100_000, Ask{Team: "new", Service: "x"})
+	l.Admit(100_000, Request{Team: "new", Service: "x"})
 	require.Len(t, l.accounts, 1)
 	require.Len(t, l.shares["x"], 1)
 }
--- a/gateway/pkg/online/answer.go
+++ b/gateway/pkg/online/answer.go
@@ -22,7 +22,7 @@
 	}
 	if f.request.Text != nil {
 		wasLost := f.request.Text.Lost()
-		piece = f.request.Text.Take(piece)
+		piece = f.request.Text.Process(piece)
 		if f.request.Text.Lost() && !wasLost {
 			f.tell(attempt.EventTextLost)
 		}
@@ -33,7 +33,7 @@
 	f.measure()
 	f.head(unknownLength)
 	if err := f.sink.Data(piece); err != nil {
-		return attempt.Event{Kind: attempt.EventGone}
+		return attempt.Event{Kind: attempt.EventCallerGone}
 	}
 	return attempt.Event{}
 }
@@ -43,14 +43,14 @@
 		f.measure()
 	}
 	f.held = append(f.held, piece...)
-	if len(f.held) <= f.runner.config.Held {
+	if len(f.held) <= f.runner.config.MaxBuffered {
 		return attempt.Event{}
 	}
 	f.passed = true
-	f.tell(attempt.EventPassed)
+	f.tell(attempt.EventPartSent)
 	f.head(unknownLength)
 	if err := f.sink.Data(f.held); err != nil {
-		return attempt.Event{Kind: attempt.EventGone}
+		return attempt.Event{Kind: attempt.EventCallerGone}
 	}
 	f.held = nil
 	return attempt.Event{}
@@ -60,10 +60,10 @@
 	now := time.Now()
 	if f.lastAt.IsZero() {
 		waited := f.runner.config.Clock.Now() - f.arrived
-		f.runner.config.Metrics.First.WithLabelValues(f.request.Service).Observe(waited.Duration().Seconds())
+		f.runner.config.Metrics.FirstChunk.WithLabelValues(f.request.Service).Observe(waited.Duration().Seconds())
 	} else {
 		if f.between == nil {
-			f.between = f.runner.config.Metrics.Between.WithLabelValues(f.request.Service)
+			f.between = f.runner.config.Metrics.ChunkInterval.WithLabelValues(f.request.Service)
 		}
 		f.between.Observe(now.Sub(f.lastAt).Seconds())
 	}
@@ -88,23 +88,23 @@
 	}
 	f.head(length)
 	f.left = abandoned{}
-	f.ending.Whole = true
+	f.ending.Complete = true
 	f.ending.Ran = attempt.RanYes
 	if len(f.held) > 0 {
 		if err := f.sink.Data(f.held); err != nil {
-			f.ending.Gone = true
+			f.ending.CallerGone = true
 		}
 	}
 	f.note("whole", f.choice.Endpoint)
-	f.closeStream(route.OutcomeWhole)
+	f.closeStream(route.OutcomeComplete)
 	return attempt.Event{}
 }
 
 func (f *flight) fail(action attempt.Action) {
 	f.ending.Reason = action.Reason
 	f.ending.Ran = action.Ran
-	f.ending.Retry = action.Retry
-	f.ending.Begun = action.Begun
+	f.ending.RetryAfter = action.RetryAfter
+	f.ending.Delivered = action.Delivered
 	f.closeStream(f.outcome)
 	f.note("failed", action.Reason)
 }
--- a/gateway/pkg/online/flight.go
+++ b/gateway/pkg/online/flight.go
@@ -22,12 +22,12 @@
 // flight is one request under way. It belongs to the caller's goroutine: frames
 // are read and written there, so that no token waits for a hand-over.
 type flight struct {
-	runner  *Runner
+	runner  *Executor
 	request *Request
 	sink    Sink
 	machine *attempt.Machine
 	actions []attempt.Action
-	ending  Ending
+	ending  Result
 
 	arrived clock.Millis
 	// choice is the last endpoint chosen; stream is the open attempt to it.
@@ -82,7 +82,7 @@
 	}
 	if f.machine.Ended() {
 		f.done = true
-		f.ending.Reached = f.machine.Reached()
+		f.ending.MayHaveRun = f.machine.MayHaveRun()
 	}
 	return next
 }
@@ -91,10 +91,10 @@
 // attempt because of it.
 func (f *flight) judge(event attempt.Event) {
 	switch {
-	case event.Kind == attempt.EventGone || event.Kind == attempt.EventExpired:
+	case event.Kind == attempt.EventCallerGone || event.Kind == attempt.EventExpired:
 		f.outcome = route.OutcomeNeutral
 	case event.Kind == attempt.EventFrame && event.Frame.Ran == attempt.RanNo && event.Frame.Reason != "":
-		f.outcome, f.retry = refusalOutcome(event.Frame.Reason), event.Frame.Retry
+		f.outcome, f.retry = refusalOutcome(event.Frame.Reason), event.Frame.RetryAfter
 		f.notRun = f.firstAt == 0
 	case event.Kind == attempt.EventFrame:
 		f.outcome, f.retry = route.OutcomeFailed, 0
@@ -149,13 +149,13 @@
 }
 
 func (f *flight) note(event, detail string) {
-	f.runner.config.Book.Add(f.request.ID, event, detail)
+	f.runner.config.Log.Add(f.request.ID, event, detail)
 }
 
 func (f *flight) choose() attempt.Event {
 	f.closeStream(f.outcome)
 	f.cancelLeft()
-	choice := f.runner.config.Directory.Choose(route.Ask{
+	choice := f.runner.config.Directory.Choose(route.Request{
 		Service:     f.request.Service,
 		DataCentres: f.request.DataCentres,
 		Prefix:      f.request.Prefix,
@@ -166,9 +166,9 @@
 	f.choice = choice
 	if choice.Endpoint == "" {
 		f.note("no-choice", choice.Reason)
-		return attempt.Event{Kind: attempt.EventNone, Reason: choice.Reason, Retry: choice.Retry}
+		return attempt.Event{Kind: attempt.EventNoEndpoint, Reason: choice.Reason, RetryAfter: choice.RetryAfter}
 	}
-	f.note("chosen", choice.Endpoint+" "+choice.Why)
+	f.note("chosen", choice.Endpoint+" "+choice.Rule)
 	return attempt.Event{Kind: attempt.EventChosen, Endpoint: choice.Endpoint}
 }
 
@@ -177,10 +177,10 @@
 		f.keepRun = true
 		f.closeStream(f.outcome)
 		f.keepRun = false
-		address, found := f.runner.config.Directory.Sent(action.Endpoint)
+		address, found := f.runner.config.Directory.RecordSent(action.Endpoint)
 		if !found {
 			f.attempt = action.Attempt
-			return f.broken(endpoint.Break{Reason: endpoint.ReasonUnreachable, Dead: true})
+			return f.broken(endpoint.Failure{Reason: endpoint.ReasonUnreachable, Unreachable: true})
 		}
 		f.choice.Endpoint, f.choice.Address = action.Endpoint, address
 	}
@@ -193,7 +193,7 @@
 			f.closeStream(route.OutcomeNeutral)
 			return attempt.Event{Kind: attempt.EventBroken, Attempt: action.Attempt, Reason: "not-resumable"}
 		}
-		f.request.Text.Move()
+		f.request.Text.SwitchEndpoint()
 		body = joined
 	}
 	now := f.runner.config.Clock.Now()
@@ -230,7 +230,7 @@
 		return f.brokenBy(ctx, *failure)
 	}
 	now := f.runner.config.Clock.Now()
-	event := attempt.Event{Kind: attempt.EventFrame, Frame: endpoint.FrameOf(frame)}
+	event := attempt.Event{Kind: attempt.EventFrame, Frame: endpoint.NewFrame(frame)}
 	switch event.Frame.Part {
 	case attempt.PartHead:
 		f.left = abandoned{}
@@ -242,7 +242,7 @@
 			f.firstAt = now
 		}
 		if f.request.Stream {
-			f.stream.Limit(f.runner.config.Stall)
+			f.stream.SetTimeout(f.runner.config.StallTimeout)
 		}
 	default:
 		// The last frame's load no longer counts this request, so it is told
@@ -251,7 +251,7 @@
 		return event
 	}
 	if load := frame.GetLoad(); load != nil {
-		f.runner.config.Directory.Reported(f.choice.Endpoint, load)
+		f.runner.config.Directory.RecordLoad(f.choice.Endpoint, load)
 	}
 	return event
 }
@@ -263,10 +263,10 @@
 const deadlineSkew clock.Millis = 10
 
 // brokenBy tells the caller's leaving and the deadline apart from a failure of the endpoint.
-func (f *flight) brokenBy(ctx context.Context, failure endpoint.Break) attempt.Event {
+func (f *flight) brokenBy(ctx context.Context, failure endpoint.Failure) attempt.Event {
 	switch ctx.Err() {
 	case context.Canceled:
-		return attempt.Event{Kind: attempt.EventGone}
+		return attempt.Event{Kind: attempt.EventCallerGone}
 	case context.DeadlineExceeded:
 		return attempt.Event{Kind: attempt.EventExpired}
 	}
@@ -279,23 +279,23 @@
 	return f.broken(failure)
 }
 
-func (f *flight) broken(failure endpoint.Break) attempt.Event {
+func (f *flight) broken(failure endpoint.Failure) attempt.Event {
 	// The machine may ask this endpoint for the rest, so its run is left alone
 	// until it decides otherwise.
 	f.left = abandoned{}
-	if failure.Reached && !failure.Dead {
+	if failure.Reached && !failure.Unreachable {
 		f.left = abandoned{address: f.choice.Address, attempt: f.attempt}
 	}
 	f.keepRun = true
 	outcome := route.OutcomeFailed
-	if failure.Dead {
-		outcome = route.OutcomeDead
+	if failure.Unreachable {
+		outcome = route.OutcomeUnreachable
 	}
 	f.closeStream(outcome)
 	f.keepRun = false
 	return attempt.Event{
 		Kind: attempt.EventBroken, Attempt: f.attempt, Reason: failure.Reason,
-		Reached: failure.Reached, Dead: failure.Dead,
+		Reached: failure.Reached, Unreachable: failure.Unreachable,
 	}
 }
 
@@ -322,7 +322,7 @@
 		f.stream.Close()
 		f.stream = nil
 	}
-	if f.open && !f.keepRun && !f.notRun && outcome != route.OutcomeWhole {
+	if f.open && !f.keepRun && !f.notRun && outcome != route.OutcomeComplete {
 		f.runner.config.Directory.Cancel(f.choice.Address, f.request.ID, f.attempt)
 	}
 	f.open, f.notRun = false, false
@@ -333,8 +333,8 @@
 	if outcome == 0 {
 		outcome = route.OutcomeNeutral
 	}
-	f.runner.config.Directory.Ended(f.choice.Endpoint, outcome, first, f.retry)
-	f.runner.config.Directory.Reported(f.choice.Endpoint, f.load)
+	f.runner.config.Directory.RecordEnd(f.choice.Endpoint, outcome, first, f.retry)
+	f.runner.config.Directory.RecordLoad(f.choice.Endpoint, f.load)
 	f.outcome, f.retry, f.load = 0, 0, nil
 	f.choice.Endpoint = ""
 }
--- a/gateway/pkg/online/metrics.go
+++ b/gateway/pkg/online/metrics.go
@@ -14,8 +14,8 @@
 	Requests *prometheus.CounterVec
 	Attempts prometheus.Counter
 	Dropped  *prometheus.CounterVec
-	First    *prometheus.HistogramVec
-	Between  *prometheus.HistogramVec
+	FirstChunk    *prometheus.HistogramVec
+	ChunkInterval  *prometheus.HistogramVec
 	InFlight prometheus.Gauge
 }
 
@@ -33,11 +33,11 @@
 		Dropped: factory.NewCounterVec(prometheus.CounterOpts{
 			Name: "toucanhinge_gateway_dropped_frames_total", Help: "Frames that belong to no running attempt, by reason.",
 		}, []string{"reason"}),
-		First: factory.NewHistogramVec(prometheus.HistogramOpts{
+		FirstChunk: factory.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "toucanhinge_gateway_first_seconds", Help: "Time from a request's arrival to the first piece of its answer.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 1.6, 24),
 		}, []string{"service"}),
-		Between: factory.NewHistogramVec(prometheus.HistogramOpts{
+		ChunkInterval: factory.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "toucanhinge_gateway_between_seconds", Help: "Time between two pieces of a streamed answer.",
 			Buckets: prometheus.ExponentialBuckets(0.0005, 1.6, 22),
 		}, []string{"service"}),
--- a/gateway/pkg/online/request.go
+++ b/gateway/pkg/online/request.go
@@ -13,7 +13,7 @@
 type Request struct {
 	// ID is unique in the fleet; Caller is the caller's own id, which may be empty.
 	ID      string
-	Caller  string
+	CallerID  string
 	Team    string
 	Service string
 	Method  string
@@ -44,19 +44,19 @@
 	Data func(data []byte) error
 }
 
-// Ending says how a request ended. When Whole is false and Gone too, the caller
+// Result says how a request ended. When Whole is false and Gone too, the caller
 // is owed an explicit error.
-type Ending struct {
-	Whole bool
-	// Gone is true when the caller left.
-	Gone   bool
+type Result struct {
+	Complete bool
+	// CallerGone is true when the caller left.
+	CallerGone   bool
 	Reason string
 	Ran    attempt.Ran
-	// Retry is when to come back, a span; 0 when there is nothing to say.
-	Retry clock.Millis
-	// Begun is true when the caller has part of the answer.
-	Begun    bool
+	// RetryAfter is when to come back, a span; 0 when there is nothing to say.
+	RetryAfter clock.Millis
+	// Delivered is true when the caller has part of the answer.
+	Delivered    bool
 	Attempts uint32
-	// Reached is true when it may have run.
-	Reached bool
+	// MayHaveRun is true when it may have run.
+	MayHaveRun bool
 }
--- a/gateway/pkg/online/runner.go
+++ b/gateway/pkg/online/runner.go
@@ -17,43 +17,43 @@
 	Gateway   string
 	Clock     clock.Clock
 	Directory *endpoint.Directory
-	Book      *record.Log
+	Log      *record.Log
 	Metrics   *Metrics
 	Logger    log.Logger
 	Budget    *attempt.Budget
-	// Attempts is the most attempts of one request.
-	Attempts uint32
-	// Stall is the longest silence between two pieces, a span.
-	Stall clock.Millis
-	// Held is the most bytes of a whole answer kept back until its end.
-	Held int
+	// MaxAttempts is the most attempts of one request.
+	MaxAttempts uint32
+	// StallTimeout is the longest silence between two pieces, a span.
+	StallTimeout clock.Millis
+	// MaxBuffered is the most bytes of a whole answer kept back until its end.
+	MaxBuffered int
 }
 
-// Runner runs the online requests of one gateway.
-type Runner struct {
+// Executor runs the online requests of one gateway.
+type Executor struct {
 	config Config
 	mu     sync.Mutex
 }
 
 // New makes a runner.
-func New(config Config) *Runner {
-	return &Runner{config: config}
+func New(config Config) *Executor {
+	return &Executor{config: config}
 }
 
-func (r *Runner) earn() {
+func (r *Executor) earn() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.config.Budget.Earn()
 }
 
-func (r *Runner) spend(cause attempt.Cause) bool {
+func (r *Executor) spend(cause attempt.Cause) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.config.Budget.Spend(cause)
 }
 
 // Run carries the request to its end. The context ends when the caller leaves.
-func (r *Runner) Run(ctx context.Context, request *Request, sink Sink) Ending {
+func (r *Executor) Run(ctx context.Context, request *Request, sink Sink) Result {
 	r.earn()
 	ctx, cancel := context.WithTimeout(ctx, (request.Deadline - r.config.Clock.Now()).Duration())
 	defer cancel()
@@ -68,10 +68,10 @@
 			Request:    request.ID,
 			Deadline:   request.Deadline,
 			Idempotent: request.Idempotent,
-			Held:       !request.Stream,
+			Buffered:       !request.Stream,
 			Resumable:  request.Stream && request.Text != nil,
 			Model:      request.Model,
-			Attempts:   r.config.Attempts,
+			MaxAttempts:   r.config.MaxAttempts,
 			Spend:      r.spend,
 		}),
 	}
--- a/gateway/pkg/resume/body.go
+++ b/gateway/pkg/resume/body.go
@@ -15,9 +15,9 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// Able says whether an answer to this body can be resumed from its text: one
+// Resumable says whether an answer to this body can be resumed from its text: one
 // choice, and nothing that the text doesn't show.
-func Able(body map[string]json.RawMessage) bool {
+func Resumable(body map[string]json.RawMessage) bool {
 	for _, key := range []string{"continue_final_message", "logprobs", "echo", "best_of", "suffix", "use_beam_search"} {
 		if value, found := body[key]; found && !isDefault(value) {
 			return false
--- a/gateway/pkg/resume/text.go
+++ b/gateway/pkg/resume/text.go
@@ -28,8 +28,8 @@
 // Config describes a text.
 type Config struct {
 	Kind Kind
-	// Limit is the most bytes kept.
-	Limit int
+	// MaxBytes is the most bytes kept.
+	MaxBytes int
 }
 
 // Text is the text of one answer so far. It is kept as it stands in the JSON,
@@ -57,9 +57,9 @@
 	return t.lost
 }
 
-// Take notes one piece and returns it as the caller is to see it; nil when the
+// Process notes one piece and returns it as the caller is to see it; nil when the
 // caller has it already.
-func (t *Text) Take(data []byte) []byte {
+func (t *Text) Process(data []byte) []byte {
 	if t.moved {
 		data = t.keepID(data)
 	} else if t.id == nil {
@@ -85,7 +85,7 @@
 	if t.lost {
 		return
 	}
-	if special(data) || len(t.raw)+len(text) > t.config.Limit {
+	if special(data) || len(t.raw)+len(text) > t.config.MaxBytes {
 		t.lost = true
 		t.raw = nil
 		return
@@ -110,8 +110,8 @@
 	return !bytes.HasPrefix(value, []byte("null")) && !bytes.HasPrefix(value, []byte("[]"))
 }
 
-// Move tells that another endpoint goes on with the answer.
-func (t *Text) Move() {
+// SwitchEndpoint tells that another endpoint goes on with the answer.
+func (t *Text) SwitchEndpoint() {
 	t.moved = true
 }
 
--- a/gateway/pkg/resume/text_test.go
+++ b/gateway/pkg/resume/text_test.go
@@ -24,10 +24,10 @@
 			rapid.String(),
 			rapid.SampledFrom([]string{`"content":"x"`, `\"`, `\`, `"`, `{"id":"y"}`, "\n", "é", "\u2028", `"finish_reason":"stop"`, `"tool_calls":[1]`}),
 		), 0, 8).Draw(t, "texts")
-		text := NewText(Config{Kind: KindChat, Limit: 1 << 20})
+		text := NewText(Config{Kind: KindChat, MaxBytes: 1 << 20})
 		for _, s := range texts {
 			data := chunk("a", s)
-			if got := text.Take(data); string(got) != string(data) {
+			if got := text.Process(data); string(got) != string(data) {
 				t.Fatalf("changed %s to %s", data, got)
 			}
 		}
@@ -71,8 +71,8 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			text := NewText(Config{Kind: KindChat, Limit: 100})
-			text.Take(s.data)
+			text := NewText(Config{Kind: KindChat, MaxBytes: 100})
+			text.Process(s.data)
 			require.True(t, text.Lost())
 			_, err := text.Body([]byte(`{}`))
 			require.ErrorIs(t, err, ErrNotResumable)
@@ -81,8 +81,8 @@
 }
 
 func TestCompletionGoesOn(t *testing.T) {
-	text := NewText(Config{Kind: KindCompletion, Limit: 100})
-	text.Take([]byte(`{"id":"a","choices":[{"text":"say \"hi\"","finish_reason":null}]}`))
+	text := NewText(Config{Kind: KindCompletion, MaxBytes: 100})
+	text.Process([]byte(`{"id":"a","choices":[{"text":"say \"hi\"","finish_reason":null}]}`))
 	body, err := text.Body([]byte(`{"model":"m","prompt":"p: ","max_tokens":5}`))
 	require.NoError(t, err)
 	require.JSONEq(t, `{"model":"m","prompt":"p: say \"hi\"","max_tokens":4}`, string(body))
@@ -107,6 +107,6 @@
 	for _, s := range scenarios {
 		var body map[string]json.RawMessage
 		require.NoError(t, json.Unmarshal([]byte(s.body), &body))
-		require.Equal(t, s.able, Able(body), s.body)
+		require.Equal(t, s.able, Resumable(body), s.body)
 	}
 }
--- a/gateway/pkg/route/choose.go
+++ b/gateway/pkg/route/choose.go
@@ -7,8 +7,8 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// Ask describes a request that needs an endpoint.
-type Ask struct {
+// Request describes a request that needs an endpoint.
+type Request struct {
 	Service string
 	// DataCentres that the contract allows; empty means all.
 	DataCentres []string
@@ -26,24 +26,24 @@
 type Choice struct {
 	Endpoint string
 	Address  string
-	// Why this endpoint, for the records.
-	Why string
+	// Rule this endpoint, for the records.
+	Rule string
 	// Reason and Retry (a span) when there is none.
 	Reason string
-	Retry  clock.Millis
+	RetryAfter  clock.Millis
 }
 
 // Reasons for a choice and for none.
 const (
-	WhyProbe    = "probe-after-ejection"
-	WhyAffinity = "prefix"
-	WhySecond   = "prefix-second"
-	WhyTwo      = "two-choices"
-	WhyFar      = "near-ones-full"
-	WhyPolicy   = "baseline"
-	WhyLast     = "all-ejected"
+	RuleProbe    = "probe-after-ejection"
+	RuleAffinity = "prefix"
+	RuleSecondAffinity   = "prefix-second"
+	RuleTwoChoices      = "two-choices"
+	RuleRemote      = "near-ones-full"
+	RuleBaseline   = "baseline"
+	RuleAllEjected     = "all-ejected"
 
-	ReasonNone       = "no-endpoint"
+	ReasonNoEndpoint       = "no-endpoint"
 	ReasonOverloaded = "overloaded"
 	ReasonDeadline   = "deadline"
 )
@@ -65,23 +65,23 @@
 
 // Choose picks an endpoint. It changes nothing but the random source and which
 // reports are wanted; Sent tells that the choice was used.
-func (r *Router) Choose(now clock.Millis, ask Ask) Choice {
+func (r *Router) Choose(now clock.Millis, ask Request) Choice {
 	r.wanted(now, ask.Service)
 	able := r.able(now, ask)
 	if len(able) == 0 {
 		return r.lastResort(now, ask)
 	}
 	if retry, full := allFull(now, able); full {
-		return Choice{Reason: ReasonOverloaded, Retry: retry}
+		return Choice{Reason: ReasonOverloaded, RetryAfter: retry}
 	}
 	// What can't be in time isn't started: it would take a slot from one that can.
 	if wait := leastWait(now, able); wait > ask.Budget {
-		return Choice{Reason: ReasonDeadline, Retry: wait}
+		return Choice{Reason: ReasonDeadline, RetryAfter: wait}
 	}
 	if ask.Idempotent {
 		for _, s := range able {
 			if s.probing && s.own == 0 {
-				return chosen(s, WhyProbe)
+				return chosen(s, RuleProbe)
 			}
 		}
 	}
@@ -101,10 +101,10 @@
 }
 
 func chosen(s *state, why string) Choice {
-	return Choice{Endpoint: s.Name, Address: s.Address, Why: why}
+	return Choice{Endpoint: s.Name, Address: s.Address, Rule: why}
 }
 
-func (r *Router) able(now clock.Millis, ask Ask) []*state {
+func (r *Router) able(now clock.Millis, ask Request) []*state {
 	pool := r.pools[ask.Service]
 	able := make([]*state, 0, len(pool))
 	for _, s := range pool {
@@ -115,7 +115,7 @@
 	return able
 }
 
-func (a Ask) allows(s *state) bool {
+func (a Request) allows(s *state) bool {
 	if slices.Contains(a.Tried, s.Name) {
 		return false
 	}
@@ -124,10 +124,10 @@
 
 // lastResort takes an ejected endpoint when there is no other: our evidence may
 // be wrong, and a refusal would help the caller less. One that leaves is never taken.
-func (r *Router) lastResort(now clock.Millis, ask Ask) Choice {
+func (r *Router) lastResort(now clock.Millis, ask Request) Choice {
 	var best *state
 	for _, s := range r.pools[ask.Service] {
-		if s.Leaving || s.load.Leaving || !ask.allows(s) || s.own > 0 || now >= s.ejectedUntil {
+		if s.Draining || s.load.Draining || !ask.allows(s) || s.own > 0 || now >= s.ejectedUntil {
 			continue
 		}
 		if best == nil || s.ejectedUntil < best.ejectedUntil {
@@ -135,9 +135,9 @@
 		}
 	}
 	if best == nil || !ask.Idempotent {
-		return Choice{Reason: ReasonNone, Retry: noneRetry}
+		return Choice{Reason: ReasonNoEndpoint, RetryAfter: noneRetry}
 	}
-	return chosen(best, WhyLast)
+	return chosen(best, RuleAllEjected)
 }
 
 // allFull is true when every endpoint refused a moment ago: asking again now
@@ -178,20 +178,20 @@
 }
 
 func (r *Router) cost(now clock.Millis, s *state) float64 {
-	return r.ratio(now, s) + float64(s.Near)/nearUnit
+	return r.ratio(now, s) + float64(s.LatencyUS)/nearUnit
 }
 
-func (r *Router) pick(now clock.Millis, ask Ask, able []*state) Choice {
+func (r *Router) pick(now clock.Millis, ask Request, able []*state) Choice {
 	switch r.config.Policy {
 	case PolicyRandom:
-		return chosen(able[r.config.Random.IntN(len(able))], WhyPolicy)
-	case PolicyLeast:
-		return chosen(slices.MinFunc(able, func(a, b *state) int { return cmp.Compare(r.cost(now, a), r.cost(now, b)) }), WhyPolicy)
-	case PolicyTwo:
-		return chosen(r.two(now, able), WhyPolicy)
+		return chosen(able[r.config.Random.IntN(len(able))], RuleBaseline)
+	case PolicyLeastLoaded:
+		return chosen(slices.MinFunc(able, func(a, b *state) int { return cmp.Compare(r.cost(now, a), r.cost(now, b)) }), RuleBaseline)
+	case PolicyTwoChoices:
+		return chosen(r.two(now, able), RuleBaseline)
 	case PolicyAffinity:
 		first, _ := preferred(able, ask.Prefix)
-		return chosen(first, WhyPolicy)
+		return chosen(first, RuleBaseline)
 	default:
 		return r.ours(now, ask, able)
 	}
@@ -200,27 +200,27 @@
 // ours keeps a prompt's prefix where its cache is while that endpoint is not
 // loaded above the rest, then takes the better of two random ones: the least
 // loaded of all by stale reports would be everybody's choice at once.
-func (r *Router) ours(now clock.Millis, ask Ask, able []*state) Choice {
+func (r *Router) ours(now clock.Millis, ask Request, able []*state) Choice {
 	near := nearest(able)
 	if ask.Prefix != 0 {
 		limit := r.limit(now, near)
 		first, second := preferred(near, ask.Prefix)
 		if r.ratio(now, first) <= limit {
-			return chosen(first, WhyAffinity)
+			return chosen(first, RuleAffinity)
 		}
 		if second != nil && r.ratio(now, second) <= limit {
-			return chosen(second, WhySecond)
+			return chosen(second, RuleSecondAffinity)
 		}
 	}
 	best := r.two(now, near)
 	if len(near) == len(able) || r.ratio(now, best) <= 1 {
-		return chosen(best, WhyTwo)
+		return chosen(best, RuleTwoChoices)
 	}
 	far := r.two(now, able)
 	if r.cost(now, far) < r.cost(now, best) {
-		return chosen(far, WhyFar)
+		return chosen(far, RuleRemote)
 	}
-	return chosen(best, WhyTwo)
+	return chosen(best, RuleTwoChoices)
 }
 
 // limit is the load up to which a preferred endpoint is kept. A full one is
@@ -231,17 +231,17 @@
 		online += float64(s.online())
 		capacity += s.capacity(now, r.config.SlowStart)
 	}
-	return min(max(r.config.Bound*online/capacity, halfFull), 1)
+	return min(max(r.config.LoadBound*online/capacity, halfFull), 1)
 }
 
 func nearest(able []*state) []*state {
-	least := able[0].Near
+	least := able[0].LatencyUS
 	for _, s := range able {
-		least = min(least, s.Near)
+		least = min(least, s.LatencyUS)
 	}
 	near := make([]*state, 0, len(able))
 	for _, s := range able {
-		if s.Near <= least+nearBand {
+		if s.LatencyUS <= least+nearBand {
 			near = append(near, s)
 		}
 	}
@@ -279,8 +279,8 @@
 	return a
 }
 
-// Short says whether no usable endpoint of the service has a free slot.
-func (r *Router) Short(now clock.Millis, service string) bool {
+// Saturated says whether no usable endpoint of the service has a free slot.
+func (r *Router) Saturated(now clock.Millis, service string) bool {
 	for _, s := range r.pools[service] {
 		if s.usable(now) && r.ratio(now, s) <= 1 {
 			return false
--- a/gateway/pkg/route/endpoint.go
+++ b/gateway/pkg/route/endpoint.go
@@ -11,9 +11,9 @@
 	DataCentre  string
 	Incarnation uint64
 	Slots       int
-	Leaving     bool
-	// Near is the usual one-way time from this gateway, microseconds.
-	Near uint32
+	Draining     bool
+	// LatencyUS is the usual one-way time from this gateway, microseconds.
+	LatencyUS uint32
 }
 
 // Load is what a sidecar last said of its endpoint.
@@ -24,7 +24,7 @@
 	Foreign int
 	// Wait expected for a new online request, a span.
 	Wait    clock.Millis
-	Leaving bool
+	Draining bool
 	Healthy bool
 }
 
@@ -33,14 +33,14 @@
 
 // Outcomes of attempts.
 const (
-	// OutcomeWhole is a whole answer.
-	OutcomeWhole Outcome = iota + 1
+	// OutcomeComplete is a whole answer.
+	OutcomeComplete Outcome = iota + 1
 	// OutcomeRefused is a refusal that says not run.
 	OutcomeRefused
 	// OutcomeFailed is an answer that broke, stalled or made no sense.
 	OutcomeFailed
-	// OutcomeDead is an endpoint that can't be reached at all.
-	OutcomeDead
+	// OutcomeUnreachable is an endpoint that can't be reached at all.
+	OutcomeUnreachable
 	// OutcomeNeutral says nothing of the endpoint: the caller left or ran out of time.
 	OutcomeNeutral
 )
@@ -105,7 +105,7 @@
 
 // usable says whether new work may go there at all.
 func (s *state) usable(now clock.Millis) bool {
-	if s.Leaving || s.load.Leaving || now < s.ejectedUntil {
+	if s.Draining || s.load.Draining || now < s.ejectedUntil {
 		return false
 	}
 	return s.loadAt == 0 || s.load.Healthy
--- a/gateway/pkg/route/health.go
+++ b/gateway/pkg/route/health.go
@@ -20,23 +20,23 @@
 	outlierPart = 3
 )
 
-// Sent tells that a request went to the endpoint.
-func (r *Router) Sent(endpoint string) {
+// RecordSent tells that a request went to the endpoint.
+func (r *Router) RecordSent(endpoint string) {
 	if s, found := r.states[endpoint]; found {
 		s.own++
 	}
 }
 
-// Ended tells how an attempt ended; first is the span to its first piece, 0 when
+// RecordEnd tells how an attempt ended; first is the span to its first piece, 0 when
 // there was none. It returns the reason when the endpoint is ejected for it.
-func (r *Router) Ended(now clock.Millis, endpoint string, outcome Outcome, first, retry clock.Millis) (ejected string) {
+func (r *Router) RecordEnd(now clock.Millis, endpoint string, outcome Outcome, first, retry clock.Millis) (ejected string) {
 	s, found := r.states[endpoint]
 	if !found {
 		return ""
 	}
 	s.own = max(s.own-1, 0)
 	switch outcome {
-	case OutcomeWhole:
+	case OutcomeComplete:
 		s.failures = 0
 		if s.probing {
 			s.back(now)
@@ -49,13 +49,13 @@
 		}
 	case OutcomeFailed:
 		s.failures++
-		if s.probing || s.failures >= r.config.Failures {
+		if s.probing || s.failures >= r.config.MaxFailures {
 			return r.eject(now, s, EjectedFailures)
 		}
-	case OutcomeDead:
+	case OutcomeUnreachable:
 		s.failures++
 		s.unreachable = true
-		return r.eject(now, s, EjectedDead)
+		return r.eject(now, s, EjectedUnreachable)
 	case OutcomeNeutral:
 	}
 	return ""
@@ -64,9 +64,9 @@
 // Reasons for ejections.
 const (
 	EjectedFailures = "failures"
-	EjectedDead     = "unreachable"
+	EjectedUnreachable     = "unreachable"
 	EjectedSlow     = "slow"
-	EjectedSilent   = "silent"
+	EjectedUnresponsive   = "silent"
 )
 
 // eject keeps work away for a while, longer each time; then one request tries it out.
@@ -74,7 +74,7 @@
 	if now < s.ejectedUntil {
 		return ""
 	}
-	span := min(r.config.Eject<<min(s.ejections, 20), r.config.EjectMost)
+	span := min(r.config.MinEjection<<min(s.ejections, 20), r.config.MaxEjection)
 	// Gateways that ejected together would otherwise come back together.
 	span += clock.Millis(r.config.Random.Int64N(int64(span)/4 + 1))
 	s.ejections++
@@ -107,11 +107,11 @@
 	if s.samples > samplesLeast*10 && s.ejections > 0 {
 		s.ejections, s.samples = 0, samplesLeast
 	}
-	if r.config.Outlier == 0 || s.samples < samplesLeast {
+	if r.config.OutlierFactor == 0 || s.samples < samplesLeast {
 		return ""
 	}
 	median, enough := r.peersMedian(now, s)
-	if !enough || s.first < median*r.config.Outlier || s.first < median+outlierLeast {
+	if !enough || s.first < median*r.config.OutlierFactor || s.first < median+outlierLeast {
 		return ""
 	}
 	return r.eject(now, s, EjectedSlow)
@@ -142,8 +142,8 @@
 	return means[len(means)/2], true
 }
 
-// Reported takes a load that an endpoint told, on a frame or when asked.
-func (r *Router) Reported(now clock.Millis, endpoint string, load Load) {
+// RecordLoad takes a load that an endpoint told, on a frame or when asked.
+func (r *Router) RecordLoad(now clock.Millis, endpoint string, load Load) {
 	s, found := r.states[endpoint]
 	if !found {
 		return
@@ -152,12 +152,12 @@
 	s.loadAt = now
 	s.ownThen = s.own
 	// Never sooner than Due put it: the answer to a poll would undo its span.
-	s.nextPoll = max(s.nextPoll, now+r.config.Report)
+	s.nextPoll = max(s.nextPoll, now+r.config.PollInterval)
 }
 
-// Polled takes the outcome of asking for a load. An answer brings back an
+// RecordPoll takes the outcome of asking for a load. An answer brings back an
 // endpoint that was only out of reach; silence counts as a failure.
-func (r *Router) Polled(now clock.Millis, endpoint string, load *Load) (ejected string) {
+func (r *Router) RecordPoll(now clock.Millis, endpoint string, load *Load) (ejected string) {
 	s, found := r.states[endpoint]
 	if !found {
 		return ""
@@ -167,15 +167,15 @@
 		if s.unreachable && s.probing {
 			s.back(now)
 		}
-		r.Reported(now, endpoint, *load)
+		r.RecordLoad(now, endpoint, *load)
 		return ""
 	}
 	s.silent++
 	// Whether it is gone has to be known soon, however long its service's span is.
-	s.nextPoll = now + r.config.Report
-	if s.silent >= r.config.Failures {
+	s.nextPoll = now + r.config.PollInterval
+	if s.silent >= r.config.MaxFailures {
 		s.unreachable = true
-		return r.eject(now, s, EjectedSilent)
+		return r.eject(now, s, EjectedUnresponsive)
 	}
 	return ""
 }
--- a/gateway/pkg/route/policy_bench_test.go
+++ b/gateway/pkg/route/policy_bench_test.go
@@ -116,13 +116,13 @@
 
 func (w *benchWorld) arrive(now clock.Millis, r *benchRequest) {
 	router := w.routers[r.gateway]
-	for _, name := range router.Due(now) {
+	for _, name := range router.DuePolls(now) {
 		load := w.endpoints[name].load()
-		router.Polled(now, name, &load)
+		router.RecordPoll(now, name, &load)
 	}
-	choice := router.Choose(now, Ask{Service: service, Budget: 1 << 40, Idempotent: true, Prefix: r.prefix})
+	choice := router.Choose(now, Request{Service: service, Budget: 1 << 40, Idempotent: true, Prefix: r.prefix})
 	r.endpoint = choice.Endpoint
-	router.Sent(r.endpoint)
+	router.RecordSent(r.endpoint)
 	w.endpoints[r.endpoint].queue = append(w.endpoints[r.endpoint].queue, r)
 	w.begin(now, r.endpoint)
 }
@@ -131,8 +131,8 @@
 	e := w.endpoints[r.endpoint]
 	e.running--
 	w.firsts = append(w.firsts, r.first-r.arrived)
-	w.routers[r.gateway].Ended(now, r.endpoint, OutcomeWhole, r.first-r.arrived, 0)
-	w.routers[r.gateway].Reported(now, r.endpoint, e.load())
+	w.routers[r.gateway].RecordEnd(now, r.endpoint, OutcomeComplete, r.first-r.arrived, 0)
+	w.routers[r.gateway].RecordLoad(now, r.endpoint, e.load())
 	w.begin(now, r.endpoint)
 }
 
@@ -148,7 +148,7 @@
 	for g := range benchGateways {
 		r := newRouter(policy)
 		r.config.Random = rand.New(rand.NewPCG(seed, uint64(g+2)))
-		r.config.Report = c.report
+		r.config.PollInterval = c.report
 		r.SetEndpoints(service, list)
 		w.routers = append(w.routers, r)
 	}
@@ -185,7 +185,7 @@
 		{12, 500, true, true},
 	}
 	for _, c := range cases {
-		for _, policy := range []Policy{PolicyRandom, PolicyLeast, PolicyTwo, PolicyAffinity, PolicyOurs} {
+		for _, policy := range []Policy{PolicyRandom, PolicyLeastLoaded, PolicyTwoChoices, PolicyAffinity, PolicyDefault} {
 			b.Run(fmt.Sprintf("n=%d/report=%d/slow=%v/lies=%v/%s", c.endpoints, c.report, c.slow, c.lies, policy), func(b *testing.B) {
 				var p50, p99, warm float64
 				for i := range b.N {
@@ -204,7 +204,7 @@
 
 // BenchmarkChoose is the cost of one choice in a subset of the usual size.
 func BenchmarkChoose(b *testing.B) {
-	r := newRouter(PolicyOurs)
+	r := newRouter(PolicyDefault)
 	r.SetEndpoints(service, fleet(40))
 	a := ask()
 	b.ReportAllocs()
--- a/gateway/pkg/route/reports.go
+++ b/gateway/pkg/route/reports.go
@@ -23,7 +23,7 @@
 		return
 	}
 	for _, s := range r.pools[service] {
-		s.nextPoll = min(s.nextPoll, now+r.jitter(r.config.Report))
+		s.nextPoll = min(s.nextPoll, now+r.jitter(r.config.PollInterval))
 	}
 }
 
@@ -32,7 +32,7 @@
 	return !before || now-last >= idleAfter
 }
 
-// Due returns the endpoints whose load is too old and marks them as asked. The
+// DuePolls returns the endpoints whose load is too old and marks them as asked. The
 // spread keeps many gateways from asking one endpoint in the same moment.
 //
 // What a gateway spends on reports would grow with services times endpoints: 14
@@ -40,7 +40,7 @@
 // services are asked seldom, and all spans are stretched together to keep
 // Reports. That is enough because loads also come with every answer, and a
 // choice between two stays good with reports that are seconds old.
-func (r *Router) Due(now clock.Millis) []string {
+func (r *Router) DuePolls(now clock.Millis) []string {
 	stretch := r.stretch(now)
 	var due []string
 	// In the services' order, so that the same history draws the same spreads.
@@ -60,9 +60,9 @@
 
 func (r *Router) span(now clock.Millis, service string) clock.Millis {
 	if r.idle(now, service) {
-		return r.config.Report * idleFactor
+		return r.config.PollInterval * idleFactor
 	}
-	return r.config.Report
+	return r.config.PollInterval
 }
 
 // stretch is the factor by which spans grow so that no more than Reports are due in a second.
@@ -71,7 +71,7 @@
 	for service, pool := range r.pools {
 		rate += float64(len(pool)) * second / float64(r.span(now, service))
 	}
-	return max(1, rate/float64(r.config.Reports))
+	return max(1, rate/float64(r.config.MaxPollRate))
 }
 
 func (r *Router) jitter(span clock.Millis) clock.Millis {
--- a/gateway/pkg/route/reports_test.go
+++ b/gateway/pkg/route/reports_test.go
@@ -28,9 +28,9 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			config := testConfig()
-			config.Subset, config.Reports = 40, 50
+			config.SubsetSize, config.MaxPollRate = 40, 50
 			if s.services == 1 {
-				config.Reports = 100
+				config.MaxPollRate = 100
 			}
 			r := New(config)
 			for n := range s.services {
@@ -39,12 +39,12 @@
 			count := 0
 			for now := clock.Millis(0); now < 70_000; now += 50 {
 				for n := range s.busy {
-					r.Choose(now, Ask{Service: fmt.Sprint("service-", n), Budget: 1_000})
+					r.Choose(now, Request{Service: fmt.Sprint("service-", n), Budget: 1_000})
 				}
-				due := r.Due(now)
+				due := r.DuePolls(now)
 				for _, name := range due {
 					load := idle()
-					r.Polled(now, name, &load)
+					r.RecordPoll(now, name, &load)
 				}
 				if now >= 10_000 {
 					count += len(due)
@@ -59,13 +59,13 @@
 // After an idle time the loads are old; the first request makes them due soon.
 func TestAWakingServiceIsAskedSoon(t *testing.T) {
 	config := testConfig()
-	config.Subset, config.Reports = 40, 10
+	config.SubsetSize, config.MaxPollRate = 40, 10
 	r := New(config)
 	r.SetEndpoints("service-0", manyEndpoints(0, 40))
-	r.Due(0)
-	require.Empty(t, r.Due(600))
-	r.Choose(1_000, Ask{Service: "service-0", Budget: 1_000})
-	require.Len(t, r.Due(1_000+config.Report), 40)
+	r.DuePolls(0)
+	require.Empty(t, r.DuePolls(600))
+	r.Choose(1_000, Request{Service: "service-0", Budget: 1_000})
+	require.Len(t, r.DuePolls(1_000+config.PollInterval), 40)
 }
 
 // An endpoint of an idle service gives no answer once. Whether it is gone must be
@@ -73,9 +73,9 @@
 func TestASilentEndpointIsAskedAgainSoon(t *testing.T) {
 	r := New(testConfig())
 	r.SetEndpoints("service-0", manyEndpoints(0, 2))
-	r.Due(0)
-	r.Polled(10, "0-1", nil)
-	require.Equal(t, []string{"0-1"}, r.Due(10+r.config.Report))
+	r.DuePolls(0)
+	r.RecordPoll(10, "0-1", nil)
+	require.Equal(t, []string{"0-1"}, r.DuePolls(10+r.config.PollInterval))
 }
 
 func manyEndpoints(service, count int) []Endpoint {
--- a/gateway/pkg/route/router.go
+++ b/gateway/pkg/route/router.go
@@ -18,10 +18,10 @@
 
 // Policies; all but the first are baselines to measure against.
 const (
-	PolicyOurs     Policy = "ours"
+	PolicyDefault     Policy = "ours"
 	PolicyRandom   Policy = "random"
-	PolicyLeast    Policy = "least"
-	PolicyTwo      Policy = "two"
+	PolicyLeastLoaded    Policy = "least"
+	PolicyTwoChoices      Policy = "two"
 	PolicyAffinity Policy = "affinity"
 )
 
@@ -29,23 +29,23 @@
 type Config struct {
 	Gateway string
 	Policy  Policy
-	// Subset is the most endpoints of a service that are used.
-	Subset int
-	// Bound is the load above the mean up to which a prompt's preferred endpoint is kept.
-	Bound float64
-	// Failures in a row that eject.
-	Failures int
-	// Eject is the first ejection, EjectMost the longest, spans.
-	Eject     clock.Millis
-	EjectMost clock.Millis
-	// Outlier ejects above this factor of the peers' median time to the first piece; 0 is off.
-	Outlier float64
+	// SubsetSize is the most endpoints of a service that are used.
+	SubsetSize int
+	// LoadBound is the load above the mean up to which a prompt's preferred endpoint is kept.
+	LoadBound float64
+	// MaxFailures in a row that eject.
+	MaxFailures int
+	// MinEjection is the first ejection, EjectMost the longest, spans.
+	MinEjection     clock.Millis
+	MaxEjection clock.Millis
+	// OutlierFactor ejects above this factor of the peers' median time to the first piece; 0 is off.
+	OutlierFactor float64
 	// SlowStart is the span over which a returning endpoint gets its full share.
 	SlowStart clock.Millis
-	// Report is the age of a load at which it is asked for again, a span.
-	Report clock.Millis
-	// Reports is the most loads asked for in a second, over all services.
-	Reports int
+	// PollInterval is the age of a load at which it is asked for again, a span.
+	PollInterval clock.Millis
+	// MaxPollRate is the most loads asked for in a second, over all services.
+	MaxPollRate int
 	Random  *rand.Rand
 }
 
@@ -68,7 +68,7 @@
 func (r *Router) SetEndpoints(service string, endpoints []Endpoint) {
 	before := r.pools[service]
 	var pool []*state
-	for _, e := range Subset(r.config.Gateway, endpoints, r.config.Subset) {
+	for _, e := range Subset(r.config.Gateway, endpoints, r.config.SubsetSize) {
 		s, found := r.states[e.Name]
 		if !found || s.Incarnation != e.Incarnation || s.Address != e.Address {
 			s = &state{hash: xxhash.Sum64String(e.Name)}
--- a/sidecar/pkg/admit/action.go
+++ b/sidecar/pkg/admit/action.go
@@ -41,6 +41,6 @@
 	Verb   Verb
 	ID     ID
 	Reason Reason
-	// Retry is when to come back after a refusal.
-	Retry clock.Millis
+	// RetryAfter is when to come back after a refusal.
+	RetryAfter clock.Millis
 }
--- a/sidecar/pkg/admit/config.go
+++ b/sidecar/pkg/admit/config.go
@@ -26,18 +26,18 @@
 	Policy Policy
 	// Slots is how many requests the engine runs at once.
 	Slots int
-	// Floor is the least number of slots that we use however much load of
+	// MinSlots is the least number of slots that we use however much load of
 	// others the engine reports; it keeps a wrong report from stopping us.
-	Floor int
-	// Queue is the most online requests that wait.
-	Queue int
+	MinSlots int
+	// QueueLimit is the most online requests that wait.
+	QueueLimit int
 	// BatchSlots is the most slots that batch may hold; under Fixed, what it owns.
 	BatchSlots int
-	// PrefillTokens is the most batch prompt tokens in prefill at once; one
+	// MaxPrefillTokens is the most batch prompt tokens in prefill at once; one
 	// item may always go.
-	PrefillTokens int
-	// Weight is the trade-off until Weigh says otherwise, 0 to 100.
-	Weight int
+	MaxPrefillTokens int
+	// BatchWeight is the trade-off until Weigh says otherwise, 0 to 100.
+	BatchWeight int
 	// BurstWindow is the span in which arrivals count as one burst.
 	BurstWindow clock.Millis
 	// BurstHalfLife is how fast a past burst is forgotten.
--- a/sidecar/pkg/admit/event.go
+++ b/sidecar/pkg/admit/event.go
@@ -27,16 +27,16 @@
 // Finished frees the slot of an online request or a batch item, however it ended.
 type Finished struct {
 	ID ID
-	// Sound is true when the answer was whole, so that its time counts as a
+	// Complete is true when the answer was whole, so that its time counts as a
 	// measure of the service rate.
-	Sound bool
+	Complete bool
 }
 
 // Offer is a leased batch item that may start from now on.
 type Offer struct {
 	ID ID
-	// Prefill is the estimated number of prompt tokens.
-	Prefill int
+	// PrefillTokens is the estimated number of prompt tokens.
+	PrefillTokens int
 }
 
 // Withdraw takes a batch item back: its lease was lost or its job cancelled.
@@ -45,11 +45,11 @@
 // Suspended confirms that a batch item left its slot.
 type Suspended struct{ ID ID }
 
-// Lost reports tokens of a suspended item that must be computed again after all.
-type Lost struct{ Tokens int }
+// TokensLost reports tokens of a suspended item that must be computed again after all.
+type TokensLost struct{ Count int }
 
-// Foreign is the share of the engine that others use, worked out from its report.
-type Foreign struct{ Slots int }
+// ForeignLoad is the share of the engine that others use, worked out from its report.
+type ForeignLoad struct{ Slots int }
 
 // Gate opens or closes the endpoint for new work: the engine does not answer,
 // or loads weights.
@@ -58,14 +58,14 @@
 	Reason Reason
 }
 
-// Leave refuses new work for good and hands back batch items.
-type Leave struct{}
+// Drain refuses new work for good and hands back batch items.
+type Drain struct{}
 
 // DrainEnd gives up on what still waits at the end of the drain time.
 type DrainEnd struct{}
 
-// Weigh sets the service's trade-off: 0 favours online latency most, 100 batch throughput.
-type Weigh struct{ Weight int }
+// SetBatchWeight sets the service's trade-off: 0 favours online latency most, 100 batch throughput.
+type SetBatchWeight struct{ Weight int }
 
 // Tick lets time pass.
 type Tick struct{}
@@ -77,10 +77,10 @@
 func (Offer) event()      {}
 func (Withdraw) event()   {}
 func (Suspended) event()  {}
-func (Lost) event()       {}
-func (Foreign) event()    {}
+func (TokensLost) event()       {}
+func (ForeignLoad) event()    {}
 func (Gate) event()       {}
-func (Leave) event()      {}
+func (Drain) event()      {}
 func (DrainEnd) event()   {}
-func (Weigh) event()      {}
+func (SetBatchWeight) event()      {}
 func (Tick) event()       {}
--- a/sidecar/pkg/admit/foreign.go
+++ b/sidecar/pkg/admit/foreign.go
@@ -28,8 +28,8 @@
 	count int
 }
 
-// Own notes how many requests we have at the engine from now on.
-func (f *ForeignEstimator) Own(now clock.Millis, count int) {
+// RecordOwn notes how many requests we have at the engine from now on.
+func (f *ForeignEstimator) RecordOwn(now clock.Millis, count int) {
 	if n := len(f.own); n > 0 && f.own[n-1].count == count {
 		return
 	}
@@ -41,9 +41,9 @@
 	f.own = f.own[drop:]
 }
 
-// Report takes the engine's report of what it runs and queues as of a moment,
+// Estimate takes the engine's report of what it runs and queues as of a moment,
 // and returns the slots that others use.
-func (f *ForeignEstimator) Report(now, asOf clock.Millis, inFlight int) int {
+func (f *ForeignEstimator) Estimate(now, asOf clock.Millis, inFlight int) int {
 	from, to := asOf-reportSlack, asOf+reportSlack
 	if asOf > now || now-asOf > ownKept {
 		// The engine's clock is another one: all we know is what we had lately.
--- a/sidecar/pkg/admit/item.go
+++ b/sidecar/pkg/admit/item.go
@@ -39,7 +39,7 @@
 		m.act(Return, e.ID, m.shutReason(), 0)
 		return
 	}
-	i := &item{id: e.ID, state: itemWaiting, prefill: e.Prefill}
+	i := &item{id: e.ID, state: itemWaiting, prefill: e.PrefillTokens}
 	m.items[e.ID] = i
 	m.waiting = append(m.waiting, i)
 }
@@ -231,7 +231,7 @@
 	if m.weight < 100 && m.onlinePrefill() {
 		return false
 	}
-	budget := m.config.PrefillTokens
+	budget := m.config.MaxPrefillTokens
 	if len(m.online) > 0 {
 		budget = budget * m.weight / 100
 	}
--- a/sidecar/pkg/admit/machine.go
+++ b/sidecar/pkg/admit/machine.go
@@ -50,10 +50,10 @@
 func New(config Config) *Machine {
 	return &Machine{
 		config: config,
-		queue:  newQueue(config.Queue),
+		queue:  newQueue(config.QueueLimit),
 		online: map[ID]*request{},
 		items:  map[ID]*item{},
-		weight: config.Weight,
+		weight: config.BatchWeight,
 		bursts: burst{window: config.BurstWindow, halfLife: config.BurstHalfLife},
 	}
 }
@@ -87,24 +87,24 @@
 		m.withdraw(e.ID)
 	case Suspended:
 		m.suspended(now, e)
-	case Lost:
-		m.stats.TokensLost += uint64(max(e.Tokens, 0))
-	case Foreign:
+	case TokensLost:
+		m.stats.TokensLost += uint64(max(e.Count, 0))
+	case ForeignLoad:
 		m.foreign = max(0, e.Slots)
 	case Gate:
 		m.gate(e)
-	case Leave:
+	case Drain:
 		m.leaving = true
 		m.returnItems()
 	case DrainEnd:
 		m.refuseQueue(ReasonLeaving)
-	case Weigh:
+	case SetBatchWeight:
 		m.weight = min(max(e.Weight, 0), 100)
 	}
 }
 
 func (m *Machine) act(verb Verb, id ID, reason Reason, retry clock.Millis) {
-	m.actions = append(m.actions, Action{Verb: verb, ID: id, Reason: reason, Retry: retry})
+	m.actions = append(m.actions, Action{Verb: verb, ID: id, Reason: reason, RetryAfter: retry})
 }
 
 func (m *Machine) refuse(id ID, reason Reason, retry clock.Millis) {
@@ -114,7 +114,7 @@
 
 // capacity is how many slots are ours now.
 func (m *Machine) capacity() int {
-	return max(m.config.Slots-m.foreign, min(m.config.Floor, m.config.Slots))
+	return max(m.config.Slots-m.foreign, min(m.config.MinSlots, m.config.Slots))
 }
 
 // onlineCapacity is how many of them online may use.
@@ -144,16 +144,16 @@
 	}
 	m.bursts.arrive(now)
 	if now >= e.Deadline || m.late(now, e) {
-		m.refuse(e.ID, ReasonDeadline, m.Wait())
+		m.refuse(e.ID, ReasonDeadline, m.ExpectedWait())
 		return
 	}
 	evicted, taken := m.queue.add(waiter{Arrive: e, since: now})
 	if !taken {
-		m.refuse(e.ID, ReasonQueueFull, m.Wait())
+		m.refuse(e.ID, ReasonQueueFull, m.ExpectedWait())
 		return
 	}
 	if evicted != 0 {
-		m.refuse(evicted, ReasonQueueFull, m.Wait())
+		m.refuse(evicted, ReasonQueueFull, m.ExpectedWait())
 	}
 }
 
@@ -175,8 +175,8 @@
 	return clock.Millis(math.Ceil(m.service * float64(ahead+1) / rate))
 }
 
-// Wait is the expected wait of a new online request.
-func (m *Machine) Wait() clock.Millis {
+// ExpectedWait is the expected wait of a new online request.
+func (m *Machine) ExpectedWait() clock.Millis {
 	if len(m.online)+m.queue.len() < m.onlineCapacity() {
 		return 0
 	}
@@ -198,7 +198,7 @@
 func (m *Machine) finish(now clock.Millis, e Finished) {
 	if r, online := m.online[e.ID]; online {
 		delete(m.online, e.ID)
-		if e.Sound {
+		if e.Complete {
 			m.service = smoothed(m.service, float64(now-r.started))
 		}
 		return
@@ -225,7 +225,7 @@
 			return
 		}
 		m.queue.remove(first.ID)
-		m.refuse(first.ID, ReasonDeadline, m.Wait())
+		m.refuse(first.ID, ReasonDeadline, m.ExpectedWait())
 	}
 }
 
@@ -236,7 +236,7 @@
 	for m.queue.len() > 0 && m.onlineMayStart() {
 		w := m.queue.next(m.fair())
 		if m.hopeless(now, w) {
-			m.refuse(w.ID, ReasonDeadline, m.Wait())
+			m.refuse(w.ID, ReasonDeadline, m.ExpectedWait())
 			continue
 		}
 		m.online[w.ID] = &request{started: now, prefilling: true}
--- a/sidecar/pkg/admit/machine_test.go
+++ b/sidecar/pkg/admit/machine_test.go
@@ -10,7 +10,7 @@
 
 func machine(change func(*Config)) *Machine {
 	config := Config{
-		Policy: Yield, Slots: 4, Floor: 1, Queue: 4, BatchSlots: 4, PrefillTokens: 100, Weight: 100,
+		Policy: Yield, Slots: 4, MinSlots: 1, QueueLimit: 4, BatchSlots: 4, MaxPrefillTokens: 100, BatchWeight: 100,
 		BurstWindow: 50, BurstHalfLife: 1_000,
 	}
 	if change != nil {
@@ -49,7 +49,7 @@
 func offers(ids ...ID) []Event {
 	var events []Event
 	for _, id := range ids {
-		events = append(events, Offer{ID: id, Prefill: 1})
+		events = append(events, Offer{ID: id, PrefillTokens: 1})
 	}
 	return events
 }
@@ -65,19 +65,19 @@
 	require.Empty(t, verbs(actions, Start), "a slot that is not confirmed free would make the engine queue")
 	require.Equal(t, []ID{10}, verbs(play(m, 12, Suspended{ID: 4}), Start))
 	require.Equal(t, []ID{11}, verbs(play(m, 12, Suspended{ID: 3}), Start))
-	require.Equal(t, []ID{4}, verbs(play(m, 100, Finished{ID: 10, Sound: true}), Resume))
+	require.Equal(t, []ID{4}, verbs(play(m, 100, Finished{ID: 10, Complete: true}), Resume))
 	require.Equal(t, uint64(2), m.Snapshot(100).Stats.Yields)
 }
 
 func TestRefusals(t *testing.T) {
 	full := func() *Machine {
-		m := machine(func(c *Config) { c.Slots, c.Queue = 1, 2 })
+		m := machine(func(c *Config) { c.Slots, c.QueueLimit = 1, 2 })
 		play(m, 0, arrivals("d", 10_000, 1)...)
 		return m
 	}
 	measured := func() *Machine {
 		m := full()
-		play(m, 100, Finished{ID: 1, Sound: true})
+		play(m, 100, Finished{ID: 1, Complete: true})
 		play(m, 100, arrivals("d", 10_000, 2)...)
 		return m
 	}
@@ -92,7 +92,7 @@
 		{"already late", full(), nil, Arrive{ID: 4, Deadline: 50}, ReasonDeadline},
 		{"can't be in time", measured(), nil, Arrive{ID: 4, Deadline: 250}, ReasonDeadline},
 		{"can be in time", measured(), nil, Arrive{ID: 4, Deadline: 400}, ""},
-		{"leaving", full(), []Event{Leave{}}, Arrive{ID: 4, Deadline: 10_000}, ReasonLeaving},
+		{"leaving", full(), []Event{Drain{}}, Arrive{ID: 4, Deadline: 10_000}, ReasonLeaving},
 		{"unhealthy", full(), []Event{Gate{Reason: ReasonUnhealthy}}, Arrive{ID: 4, Deadline: 10_000}, ReasonUnhealthy},
 		{"loading", full(), []Event{Gate{Reason: ReasonLoading}}, Arrive{ID: 4, Deadline: 10_000}, ReasonLoading},
 		{"duplicate", full(), nil, Arrive{ID: 1, Deadline: 10_000}, ReasonDuplicate},
@@ -108,7 +108,7 @@
 			require.Len(t, actions, 1)
 			require.Equal(t, Refuse, actions[0].Verb)
 			require.Equal(t, s.wants, actions[0].Reason)
-			require.Positive(t, actions[0].Retry)
+			require.Positive(t, actions[0].RetryAfter)
 		})
 	}
 }
@@ -144,16 +144,16 @@
 func TestServiceTimeCantLockTheDoor(t *testing.T) {
 	m := machine(func(c *Config) { c.Slots = 1 })
 	play(m, 0, arrivals("d", 100_000, 1)...)
-	play(m, 50_000, Finished{ID: 1, Sound: true})
+	play(m, 50_000, Finished{ID: 1, Complete: true})
 	require.Equal(t, []ID{2}, verbs(play(m, 50_001, Arrive{ID: 2, Deadline: 51_000}), Start))
 }
 
 func TestForeignLoadLowersTheShare(t *testing.T) {
 	m := machine(nil)
 	play(m, 0, offers(1, 2, 3, 4)...)
-	require.Equal(t, []ID{4, 3, 2}, verbs(play(m, 1, Foreign{Slots: 3}), Suspend))
+	require.Equal(t, []ID{4, 3, 2}, verbs(play(m, 1, ForeignLoad{Slots: 3}), Suspend))
 	require.Equal(t, 1, m.Snapshot(1).Capacity)
-	play(m, 2, Foreign{Slots: 100})
+	play(m, 2, ForeignLoad{Slots: 100})
 	require.Equal(t, 1, m.Snapshot(2).Capacity, "a wrong report must not take the last slot")
 }
 
@@ -178,10 +178,10 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			m := machine(func(c *Config) { c.Weight, c.Slots, c.BatchSlots = s.weight, 4, 4 })
-			play(m, 0, Offer{ID: 99}, Foreign{Slots: 3})
+			m := machine(func(c *Config) { c.BatchWeight, c.Slots, c.BatchSlots = s.weight, 4, 4 })
+			play(m, 0, Offer{ID: 99}, ForeignLoad{Slots: 3})
 			play(m, 0, arrivals("d", 10_000, 1)...)
-			play(m, s.yield, Suspended{ID: 99}, Withdraw{ID: 99}, Foreign{}, Finished{ID: 1})
+			play(m, s.yield, Suspended{ID: 99}, Withdraw{ID: 99}, ForeignLoad{}, Finished{ID: 1})
 			play(m, 90, arrivals("d", 10_000, 2, 3, 4)...)
 			play(m, 95, Finished{ID: 2}, Finished{ID: 3}, Finished{ID: 4})
 			require.Len(t, verbs(play(m, s.now, offers(11, 12, 13, 14)...), Start), s.wants)
@@ -193,7 +193,7 @@
 // its first token, so batch waits for that token. With an online stream running,
 // batch prompts go one at a time when the weight is on latency.
 func TestBatchPrefillWaitsForOnline(t *testing.T) {
-	m := machine(func(c *Config) { c.Weight = 0 })
+	m := machine(func(c *Config) { c.BatchWeight = 0 })
 	play(m, 0, arrivals("d", 10_000, 1)...)
 	require.Empty(t, play(m, 1, offers(11, 12)...))
 	require.Equal(t, []ID{11}, verbs(play(m, 2, FirstToken{ID: 1}), Start))
@@ -204,7 +204,7 @@
 // so many tokens are in prefill at once; a single long one still runs.
 func TestBatchPrefillIsBounded(t *testing.T) {
 	m := machine(nil)
-	require.Equal(t, []ID{1}, verbs(play(m, 0, Offer{ID: 1, Prefill: 500}, Offer{ID: 2, Prefill: 60}, Offer{ID: 3, Prefill: 60}), Start))
+	require.Equal(t, []ID{1}, verbs(play(m, 0, Offer{ID: 1, PrefillTokens: 500}, Offer{ID: 2, PrefillTokens: 60}, Offer{ID: 3, PrefillTokens: 60}), Start))
 	require.Equal(t, []ID{2}, verbs(play(m, 1, FirstToken{ID: 1}), Start))
 	require.Equal(t, []ID{3}, verbs(play(m, 2, FirstToken{ID: 2}), Start))
 }
@@ -240,9 +240,9 @@
 		t.Run(s.name, func(t *testing.T) {
 			var f ForeignEstimator
 			for _, o := range s.own {
-				f.Own(o.at, o.count)
+				f.RecordOwn(o.at, o.count)
 			}
-			require.Equal(t, s.wants, f.Report(s.now, s.asOf, s.inFlight))
+			require.Equal(t, s.wants, f.Estimate(s.now, s.asOf, s.inFlight))
 		})
 	}
 }
--- a/sidecar/pkg/admit/oracle_test.go
+++ b/sidecar/pkg/admit/oracle_test.go
@@ -35,8 +35,8 @@
 		queued: map[ID]Arrive{}, running: map[ID]bool{}, ended: map[ID]bool{}, items: map[ID]itemState{}, stopped: map[ID]bool{},
 	}
 	o.m = New(Config{
-		Policy: Yield, Slots: slots, Floor: o.floor, Queue: rapid.IntRange(1, 8).Draw(t, "queue"),
-		BatchSlots: slots, PrefillTokens: 100, Weight: rapid.IntRange(0, 100).Draw(t, "weight"),
+		Policy: Yield, Slots: slots, MinSlots: o.floor, QueueLimit: rapid.IntRange(1, 8).Draw(t, "queue"),
+		BatchSlots: slots, MaxPrefillTokens: 100, BatchWeight: rapid.IntRange(0, 100).Draw(t, "weight"),
 		BurstWindow: 50, BurstHalfLife: 500,
 	})
 	return o
@@ -88,7 +88,7 @@
 		o.need(o.used() <= o.capacity(), "%d on %d slots after an online start", o.used(), o.capacity())
 	case Refuse:
 		o.need(queued, "%d refused as not run, but it was started or ended", a.ID)
-		o.need(a.Retry > 0 && a.Reason != "", "a refusal without reason or time")
+		o.need(a.RetryAfter > 0 && a.Reason != "", "a refusal without reason or time")
 		delete(o.queued, a.ID)
 		o.ended[a.ID] = true
 	case Stop:
@@ -235,7 +235,7 @@
 func (o *oracle) offer(t *rapid.T) {
 	o.next++
 	o.items[o.next] = itemWaiting
-	o.step(Offer{ID: o.next, Prefill: rapid.IntRange(1, 150).Draw(t, "prefill")})
+	o.step(Offer{ID: o.next, PrefillTokens: rapid.IntRange(1, 150).Draw(t, "prefill")})
 }
 
 func (o *oracle) cancel(t *rapid.T) {
@@ -256,7 +256,7 @@
 	}
 	delete(o.running, id)
 	o.ended[id] = true
-	o.step(Finished{ID: id, Sound: rapid.Bool().Draw(t, "sound")})
+	o.step(Finished{ID: id, Complete: rapid.Bool().Draw(t, "sound")})
 }
 
 func (o *oracle) endItem(t *rapid.T) {
@@ -278,7 +278,7 @@
 	case itemRunning, itemStopping:
 	}
 	delete(o.items, id)
-	o.step(Finished{ID: id, Sound: true})
+	o.step(Finished{ID: id, Complete: true})
 }
 
 func (o *oracle) withdraw(t *rapid.T) {
@@ -301,7 +301,7 @@
 
 func (o *oracle) setForeign(t *rapid.T) {
 	o.foreign = rapid.IntRange(0, o.slots+2).Draw(t, "foreign")
-	o.step(Foreign{Slots: o.foreign})
+	o.step(ForeignLoad{Slots: o.foreign})
 }
 
 func (o *oracle) gate(t *rapid.T) {
@@ -315,7 +315,7 @@
 		t.Skip("stays")
 	}
 	o.leaving = true
-	o.step(Leave{})
+	o.step(Drain{})
 }
 
 func (o *oracle) pass(t *rapid.T) {
@@ -329,7 +329,7 @@
 // finishAll lets everything that runs end; then nothing may be left over.
 func (o *oracle) finishAll() {
 	o.foreign, o.closed = 0, false
-	o.step(Foreign{})
+	o.step(ForeignLoad{})
 	o.step(Gate{Open: true})
 	for o.finishOne() {
 	}
@@ -355,7 +355,7 @@
 		o.ended[id] = o.running[id]
 		delete(o.running, id)
 		delete(o.items, id)
-		o.step(Finished{ID: id, Sound: true})
+		o.step(Finished{ID: id, Complete: true})
 		return true
 	}
 	return false
--- a/sidecar/pkg/admit/stats.go
+++ b/sidecar/pkg/admit/stats.go
@@ -10,9 +10,9 @@
 	Yields       uint64
 	// TokensLost counts tokens that yielding made the engine compute again.
 	TokensLost uint64
-	// LeftMS is slot time that online left, BatchMS what batch used of it;
+	// LeftoverMS is slot time that online left, BatchMS what batch used of it;
 	// their ratio is the fill. Both in slot milliseconds.
-	LeftMS  uint64
+	LeftoverMS  uint64
 	BatchMS uint64
 }
 
@@ -22,13 +22,13 @@
 	Queued   int
 	Batch    int
 	Waiting  int
-	Halted   int
-	Foreign  int
+	Suspended   int
+	ForeignSlots  int
 	Capacity int
 	Headroom int
-	Wait     clock.Millis
-	Closed   Reason
-	Leaving  bool
+	ExpectedWait     clock.Millis
+	CloseReason   Reason
+	Draining  bool
 	Stats    Stats
 }
 
@@ -36,9 +36,9 @@
 func (m *Machine) Snapshot(now clock.Millis) Snapshot {
 	return Snapshot{
 		Online: len(m.online), Queued: m.queue.len(), Batch: len(m.holding),
-		Waiting: len(m.waiting), Halted: len(m.halted),
-		Foreign: m.foreign, Capacity: m.capacity(), Headroom: m.Headroom(now),
-		Wait: m.Wait(), Closed: m.closed, Leaving: m.leaving, Stats: m.stats,
+		Waiting: len(m.waiting), Suspended: len(m.halted),
+		ForeignSlots: m.foreign, Capacity: m.capacity(), Headroom: m.Headroom(now),
+		ExpectedWait: m.ExpectedWait(), CloseReason: m.closed, Draining: m.leaving, Stats: m.stats,
 	}
 }
 
@@ -46,7 +46,7 @@
 func (m *Machine) account(now clock.Millis) {
 	if m.stepped > 0 && now > m.stepped {
 		span := uint64(now - m.stepped)
-		m.stats.LeftMS += span * uint64(max(m.capacity()-len(m.online), 0))
+		m.stats.LeftoverMS += span * uint64(max(m.capacity()-len(m.online), 0))
 		m.stats.BatchMS += span * uint64(len(m.holding))
 	}
 	m.stepped = max(m.stepped, now)
--- a/sidecar/pkg/order/machine.go
+++ b/sidecar/pkg/order/machine.go
@@ -20,8 +20,8 @@
 	KindRole    = "set_role"
 )
 
-// Wanted is an order of the durable state.
-type Wanted struct {
+// Desired is an order of the durable state.
+type Desired struct {
 	engine.Order
 	// NotBefore keeps the weight store's rate.
 	NotBefore clock.Millis
@@ -30,23 +30,23 @@
 // Event is one thing that happened. Its kinds are the types below.
 type Event interface{ event() }
 
-// Order tells the newest order for this endpoint.
-type Order struct{ Wanted Wanted }
+// Update tells the newest order for this endpoint.
+type Update struct{ Desired Desired }
 
-// Started tells that the configuration is at least as new as what a quorum had
+// ConfigConfirmed tells that the configuration is at least as new as what a quorum had
 // accepted when this process started. Before, an older order could look like
 // the newest: a restarted process knows of no numbers but the engine's, and
 // not every engine tells them.
-type Started struct{}
+type ConfigConfirmed struct{}
 
-// Held is what the engine says it is; Failed when it did not say.
-type Held struct {
-	Held   engine.Held
+// ReadResult is what the engine says it is; Failed when it did not say.
+type ReadResult struct {
+	State   engine.State
 	Failed bool
 }
 
-// Sent is the engine's answer to an order.
-type Sent struct {
+// SendResult is the engine's answer to an order.
+type SendResult struct {
 	Fence uint64
 	// Current is the number that the engine holds, when it refused.
 	Current uint64
@@ -61,10 +61,10 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Order) event()   {}
-func (Started) event() {}
-func (Held) event()    {}
-func (Sent) event()    {}
+func (Update) event()   {}
+func (ConfigConfirmed) event() {}
+func (ReadResult) event()    {}
+func (SendResult) event()    {}
 func (Drained) event() {}
 func (Tick) event()    {}
 
@@ -91,12 +91,12 @@
 
 // Config describes a machine.
 type Config struct {
-	// Poll is how long to wait between two readings of an engine that loads or
+	// PollInterval is how long to wait between two readings of an engine that loads or
 	// did not answer.
-	Poll clock.Millis
-	// Recheck is how often a resting engine is read: one that restarted has
+	PollInterval clock.Millis
+	// RecheckInterval is how often a resting engine is read: one that restarted has
 	// forgotten its orders.
-	Recheck clock.Millis
+	RecheckInterval clock.Millis
 }
 
 type phase int
@@ -116,13 +116,13 @@
 type Machine struct {
 	config Config
 	phase  phase
-	wanted Wanted
+	wanted Desired
 	// highest is the highest number known to exist for this engine; nothing
 	// below is ever sent.
 	highest uint64
 	// acked is the number of the last order that the engine took.
 	acked uint64
-	held  engine.Held
+	held  engine.State
 	// pollAt is when to read again; 0 means when there is a reason.
 	pollAt clock.Millis
 	// recheckAt is when a resting engine is read again.
@@ -148,17 +148,17 @@
 // Step takes one event and returns what to do.
 func (m *Machine) Step(now clock.Millis, event Event) []Action {
 	switch e := event.(type) {
-	case Order:
-		if e.Wanted.Fence > m.wanted.Fence {
-			m.wanted = e.Wanted
+	case Update:
+		if e.Desired.Fence > m.wanted.Fence {
+			m.wanted = e.Desired
 		}
 		return m.decide(now)
-	case Started:
+	case ConfigConfirmed:
 		m.started = true
 		return m.decide(now)
-	case Held:
+	case ReadResult:
 		return m.heard(now, e)
-	case Sent:
+	case SendResult:
 		return m.sent(now, e)
 	case Drained:
 		return m.drained(now)
@@ -182,20 +182,20 @@
 	return m.decide(now)
 }
 
-func (m *Machine) heard(now clock.Millis, e Held) []Action {
+func (m *Machine) heard(now clock.Millis, e ReadResult) []Action {
 	if m.phase != reading {
 		return nil
 	}
 	m.phase = resting
 	if e.Failed {
-		m.pollAt = now + m.config.Poll
+		m.pollAt = now + m.config.PollInterval
 		return nil
 	}
 	m.pollAt = 0
 	m.known = true
-	m.recheckAt = now + m.config.Recheck
-	m.held = e.Held
-	m.highest = max(m.highest, e.Held.Fence)
+	m.recheckAt = now + m.config.RecheckInterval
+	m.held = e.State
+	m.highest = max(m.highest, e.State.Fence)
 	return m.decide(now)
 }
 
@@ -205,7 +205,7 @@
 		return nil
 	}
 	if m.held.Loading {
-		m.pollAt = now + m.config.Poll
+		m.pollAt = now + m.config.PollInterval
 		return m.close()
 	}
 	if !m.due() {
@@ -232,7 +232,7 @@
 }
 
 // fulfils says whether an engine is what an order asks for.
-func fulfils(h engine.Held, o engine.Order) bool {
+func fulfils(h engine.State, o engine.Order) bool {
 	switch o.Kind {
 	case KindModel:
 		return h.Model == o.Model && (o.Version == "" || h.Version == o.Version)
@@ -265,13 +265,13 @@
 
 // sent always reads back: an engine that took an order may still be loading,
 // and after a lost answer only the engine knows.
-func (m *Machine) sent(now clock.Millis, e Sent) []Action {
+func (m *Machine) sent(now clock.Millis, e SendResult) []Action {
 	if m.phase != sending {
 		return nil
 	}
 	if e.Failed {
 		m.phase = resting
-		m.pollAt = now + m.config.Poll
+		m.pollAt = now + m.config.PollInterval
 		return nil
 	}
 	if e.Refused {
--- a/sidecar/pkg/order/machine_test.go
+++ b/sidecar/pkg/order/machine_test.go
@@ -14,7 +14,7 @@
 // tell them or not, and lose its state.
 type fakeEngine struct {
 	checks bool
-	held   engine.Held
+	held   engine.State
 	// highest is the highest number that ever reached it.
 	highest uint64
 	reverts int
@@ -28,7 +28,7 @@
 		e.reverts++
 	}
 	e.highest = max(e.highest, o.Fence)
-	e.held = engine.Held{Fence: o.Fence, Model: o.Model, Loading: true}
+	e.held = engine.State{Fence: o.Fence, Model: o.Model, Loading: true}
 	return false
 }
 
@@ -47,8 +47,8 @@
 	started bool
 }
 
-func order(number uint64, model string) Order {
-	return Order{Wanted: Wanted{Order: engine.Order{Fence: number, Kind: KindModel, Model: model}}}
+func order(number uint64, model string) Update {
+	return Update{Desired: Desired{Order: engine.Order{Fence: number, Kind: KindModel, Model: model}}}
 }
 
 func (w *world) step(e Event) {
@@ -90,10 +90,10 @@
 	lostThere := rapid.IntRange(0, 4).Draw(t, "there") == 0
 	lostBack := rapid.IntRange(0, 4).Draw(t, "back") == 0
 	if a.Verb == Read {
-		w.step(Held{Held: w.engine.held, Failed: lostThere || lostBack})
+		w.step(ReadResult{State: w.engine.held, Failed: lostThere || lostBack})
 		return
 	}
-	sent := Sent{Fence: a.Order.Fence, Failed: lostThere || lostBack}
+	sent := SendResult{Fence: a.Order.Fence, Failed: lostThere || lostBack}
 	if !lostThere {
 		sent.Refused = w.engine.take(a.Order)
 		sent.Current = w.engine.held.Fence
@@ -102,7 +102,7 @@
 }
 
 func (w *world) restart(_ *rapid.T) {
-	w.m = New(Config{Poll: 100, Recheck: 1_000})
+	w.m = New(Config{PollInterval: 100, RecheckInterval: 1_000})
 	w.pending = nil
 	w.closed = true
 	w.started = false
@@ -158,7 +158,7 @@
 	}
 	w.started = true
 	w.step(order(w.number, w.model))
-	w.step(Started{})
+	w.step(ConfigConfirmed{})
 }
 
 func (w *world) tick(t *rapid.T) {
@@ -179,7 +179,7 @@
 
 // loseState is an engine that restarted: it has forgotten its orders.
 func (w *world) loseState(*rapid.T) {
-	w.engine.held = engine.Held{}
+	w.engine.held = engine.State{}
 	w.engine.highest = 0
 }
 
@@ -193,10 +193,10 @@
 			a := w.pending[0]
 			w.pending = nil
 			if a.Verb == Read {
-				w.step(Held{Held: w.engine.held})
+				w.step(ReadResult{State: w.engine.held})
 			} else {
 				refused := w.engine.take(a.Order)
-				w.step(Sent{Fence: a.Order.Fence, Refused: refused, Current: w.engine.held.Fence})
+				w.step(SendResult{Fence: a.Order.Fence, Refused: refused, Current: w.engine.held.Fence})
 			}
 		}
 		if w.closed {
@@ -214,10 +214,10 @@
 // quiet makes a machine that has read an engine without orders.
 func quiet(t *testing.T) *Machine {
 	t.Helper()
-	m := New(Config{Poll: 100, Recheck: 1_000})
+	m := New(Config{PollInterval: 100, RecheckInterval: 1_000})
 	require.Equal(t, []Action{{Verb: Read}}, m.Step(0, Tick{}))
-	require.Equal(t, []Action{{Verb: Open}}, m.Step(0, Held{}))
-	require.Empty(t, m.Step(0, Started{}))
+	require.Equal(t, []Action{{Verb: Open}}, m.Step(0, ReadResult{}))
+	require.Empty(t, m.Step(0, ConfigConfirmed{}))
 	return m
 }
 
@@ -228,10 +228,10 @@
 	m := quiet(t)
 	require.Equal(t, []Action{{Verb: Close}}, m.Step(1, order(5, "a")))
 	require.Equal(t, Send, m.Step(2, Drained{})[0].Verb)
-	require.Empty(t, m.Step(3, Sent{Fence: 5, Failed: true}))
+	require.Empty(t, m.Step(3, SendResult{Fence: 5, Failed: true}))
 	require.Empty(t, m.Step(50, Tick{}))
 	require.Equal(t, []Action{{Verb: Read}}, m.Step(103, Tick{}))
-	require.Empty(t, m.Step(104, Held{}))
+	require.Empty(t, m.Step(104, ReadResult{}))
 	require.Equal(t, uint64(5), m.Step(105, Drained{})[0].Order.Fence)
 }
 
@@ -242,8 +242,8 @@
 	m := quiet(t)
 	m.Step(1, order(5, "a"))
 	m.Step(2, Drained{})
-	require.Equal(t, []Action{{Verb: Read}}, m.Step(3, Sent{Fence: 5, Refused: true, Current: 9}))
-	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, Held{Held: engine.Held{Fence: 9, Model: "z"}}))
+	require.Equal(t, []Action{{Verb: Read}}, m.Step(3, SendResult{Fence: 5, Refused: true, Current: 9}))
+	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, ReadResult{State: engine.State{Fence: 9, Model: "z"}}))
 	require.Equal(t, uint64(9), m.Fence())
 	require.Empty(t, m.Step(5, order(8, "b")))
 }
@@ -251,7 +251,7 @@
 func TestNotBefore(t *testing.T) {
 	m := quiet(t)
 	o := order(5, "a")
-	o.Wanted.NotBefore = 500
+	o.Desired.NotBefore = 500
 	require.Empty(t, m.Step(1, o))
 	require.Empty(t, m.Step(499, Tick{}))
 	require.Equal(t, []Action{{Verb: Close}}, m.Step(500, Tick{}))
@@ -260,7 +260,7 @@
 // A change of role needs no weights, so the work that runs goes on.
 func TestRoleNeedsNoDrain(t *testing.T) {
 	m := quiet(t)
-	o := Order{Wanted: Wanted{Order: engine.Order{Fence: 5, Kind: KindRole, Role: "prefill"}}}
+	o := Update{Desired: Desired{Order: engine.Order{Fence: 5, Kind: KindRole, Role: "prefill"}}}
 	require.Equal(t, Send, m.Step(1, o)[0].Verb)
 }
 
@@ -270,8 +270,8 @@
 	m := quiet(t)
 	m.Step(1, order(5, "a"))
 	m.Step(2, Drained{})
-	m.Step(3, Sent{Fence: 5})
-	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, Held{Held: engine.Held{Model: "a"}}))
+	m.Step(3, SendResult{Fence: 5})
+	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, ReadResult{State: engine.State{Model: "a"}}))
 }
 
 // A process died with an order under way; the engine, which was frozen, takes it
@@ -281,10 +281,10 @@
 	m := quiet(t)
 	m.Step(1, order(6, "new"))
 	m.Step(2, Drained{})
-	m.Step(3, Sent{Fence: 6})
-	m.Step(4, Held{Held: engine.Held{Fence: 6, Model: "new"}})
+	m.Step(3, SendResult{Fence: 6})
+	m.Step(4, ReadResult{State: engine.State{Fence: 6, Model: "new"}})
 	require.Equal(t, []Action{{Verb: Read}}, m.Step(1_100, Tick{}))
-	require.Equal(t, []Action{{Verb: Close}}, m.Step(1_101, Held{Held: engine.Held{Fence: 5, Model: "old"}}))
+	require.Equal(t, []Action{{Verb: Close}}, m.Step(1_101, ReadResult{State: engine.State{Fence: 5, Model: "old"}}))
 	require.Equal(t, uint64(6), m.Step(1_102, Drained{})[0].Order.Fence)
 }
 
@@ -298,13 +298,13 @@
 	}{
 		{"by reading", func(m *Machine) {
 			m.Step(1_100, Tick{})
-			m.Step(1_101, Held{Held: engine.Held{Fence: 9, Model: "z"}})
+			m.Step(1_101, ReadResult{State: engine.State{Fence: 9, Model: "z"}})
 		}},
 		{"by a refusal", func(m *Machine) {
 			m.Step(1, order(4, "a"))
 			m.Step(2, Drained{})
-			m.Step(3, Sent{Fence: 4, Refused: true, Current: 9})
-			m.Step(4, Held{})
+			m.Step(3, SendResult{Fence: 4, Refused: true, Current: 9})
+			m.Step(4, ReadResult{})
 		}},
 	}
 	for _, s := range scenarios {
@@ -313,7 +313,7 @@
 			s.learn(m)
 			require.Empty(t, m.Step(1_200, order(5, "a")), "an order below a known number")
 			m.Step(2_200, Tick{})
-			require.Empty(t, m.Step(2_201, Held{}), "an order below a known number")
+			require.Empty(t, m.Step(2_201, ReadResult{}), "an order below a known number")
 			require.Equal(t, []Action{{Verb: Close}}, m.Step(2_202, order(10, "b")))
 		})
 	}
--- a/sidecar/pkg/order/runner.go
+++ b/sidecar/pkg/order/runner.go
@@ -26,14 +26,14 @@
 	Logger  log.Logger
 	Machine *Machine
 	// Read and Send call the engine.
-	Read func(context.Context) (engine.Held, error)
+	Read func(context.Context) (engine.State, error)
 	Send func(context.Context, engine.Order) (held uint64, refused bool, err error)
 	// Gate opens and closes the endpoint for new work.
 	Gate func(open bool)
 	// Idle says that nothing of ours runs at the engine.
 	Idle func() bool
-	// Noted is told what happened to an order, for records and counters.
-	Noted func(fence uint64, event, detail string)
+	// RecordEvent is told what happened to an order, for records and counters.
+	RecordEvent func(fence uint64, event, detail string)
 }
 
 // Runner is the runtime of a machine.
@@ -49,9 +49,9 @@
 	return &Runner{config: config, events: ring.New[Event](ring.Config{Size: eventRing})}
 }
 
-// Tell hands in the newest order, or the start. A full ring drops it; the next
+// Submit hands in the newest order, or the start. A full ring drops it; the next
 // change of the configuration, or the caller, tells it again.
-func (r *Runner) Tell(event Event) bool {
+func (r *Runner) Submit(event Event) bool {
 	return r.events.Offer(event)
 }
 
@@ -120,12 +120,12 @@
 	if err != nil {
 		level.Debug(r.config.Logger).Log(logs.KeyEvent, "orders-unreadable", logs.KeyError, err)
 	}
-	return Held{Held: held, Failed: err != nil}
+	return ReadResult{State: held, Failed: err != nil}
 }
 
 func (r *Runner) send(ctx context.Context, o engine.Order) Event {
 	held, refused, err := r.config.Send(ctx, o)
-	sent := Sent{Fence: o.Fence, Current: held, Refused: refused, Failed: err != nil}
+	sent := SendResult{Fence: o.Fence, Current: held, Refused: refused, Failed: err != nil}
 	event := "order-taken"
 	switch {
 	case err != nil:
@@ -134,12 +134,12 @@
 		event = "order-refused"
 	}
 	level.Info(r.config.Logger).Log(logs.KeyEvent, event, "fence", o.Fence, "held", held, logs.KeyError, err)
-	r.config.Noted(o.Fence, event, o.Kind)
+	r.config.RecordEvent(o.Fence, event, o.Kind)
 	return sent
 }
 
-// Of turns an entry of the configuration into what is wanted; false when it is none.
-func Of(e *toucanhingev1.Entry) (Wanted, bool) {
+// DesiredFromEntry turns an entry of the configuration into what is wanted; false when it is none.
+func DesiredFromEntry(e *toucanhingev1.Entry) (Desired, bool) {
 	o := e.GetOrder()
 	var kind string
 	switch o.GetKind() {
@@ -152,9 +152,9 @@
 	case toucanhingev1.OrderKind_ORDER_KIND_SET_ROLE:
 		kind = KindRole
 	default:
-		return Wanted{}, false
+		return Desired{}, false
 	}
-	return Wanted{
+	return Desired{
 		Order: engine.Order{
 			Fence: e.GetVersion(), Kind: kind, Model: o.GetModel(), Adapter: o.GetAdapter(),
 			Version: o.GetModelVersion(), Role: o.GetEngineRole(),
--- a/sidecar/pkg/work/assemble.go
+++ b/sidecar/pkg/work/assemble.go
@@ -140,7 +140,7 @@
 func (a *assembly) add(data []byte) error {
 	var c chunk
 	if err := json.Unmarshal(data, &c); err != nil {
-		return fmt.Errorf("read a piece: %w: %w", engine.ErrGarbage, err)
+		return fmt.Errorf("read a piece: %w: %w", engine.ErrMalformed, err)
 	}
 	a.pieces++
 	if a.first == nil {
--- a/sidecar/pkg/work/item.go
+++ b/sidecar/pkg/work/item.go
@@ -67,7 +67,7 @@
 		outcome, suspended := r.turn(resume)
 		if !suspended {
 			r.puller.ended(r, outcome)
-			r.puller.config.Dispatcher.Tell(admit.Finished{ID: r.id, Sound: outcome.outcome == toucanhingev1.Outcome_OUTCOME_DONE})
+			r.puller.config.Dispatcher.Submit(admit.Finished{ID: r.id, Complete: outcome.outcome == toucanhingev1.Outcome_OUTCOME_DONE})
 			return
 		}
 		if a := <-r.verdicts; a.Verb != admit.Resume {
@@ -101,7 +101,7 @@
 	// so we tell it before our own side has cleared up.
 	told := suspend && r.suspendAtEngine()
 	if told {
-		r.puller.config.Dispatcher.Tell(admit.Suspended{ID: r.id})
+		r.puller.config.Dispatcher.Submit(admit.Suspended{ID: r.id})
 	}
 	cancel()
 	if err := <-done; err == nil {
@@ -113,7 +113,7 @@
 		return returned(string(a.Reason)), false
 	}
 	if !told {
-		r.puller.config.Dispatcher.Tell(admit.Suspended{ID: r.id})
+		r.puller.config.Dispatcher.Submit(admit.Suspended{ID: r.id})
 	}
 	return result{}, true
 }
@@ -141,12 +141,12 @@
 // no longer holds the stream, it starts again from the beginning.
 func (r *run) generate(ctx context.Context, resume bool) error {
 	if resume && r.request.streamed && r.stream.Sent() {
-		err := r.stream.Resume(ctx, r.stream.Last())
+		err := r.stream.Resume(ctx, r.stream.LastID())
 		var status *engine.StatusError
 		if err == nil || ctx.Err() != nil || !errors.As(err, &status) {
 			return err
 		}
-		r.puller.config.Dispatcher.Tell(admit.Lost{Tokens: int(r.taken.Load())})
+		r.puller.config.Dispatcher.Submit(admit.TokensLost{Count: int(r.taken.Load())})
 	}
 	return r.start(ctx)
 }
@@ -162,29 +162,29 @@
 			ID: r.name, Method: http.MethodPost, Path: r.request.path, Body: r.request.body,
 			Headers: []engine.Header{{Name: "Content-Type", Value: "application/json"}},
 		},
-		Head: func(status int, _ http.Header) error {
+		OnHead: func(status int, _ http.Header) error {
 			r.status = status
 			return nil
 		},
-		Emit: r.take,
-		Mend: func() bool { return !r.halting.Load() },
-		Body: r.takeBody,
+		OnEvent: r.take,
+		MayResume: func() bool { return !r.halting.Load() },
+		OnBody: r.takeBody,
 	}
 	if !r.request.streamed {
-		r.stream.Whole = r.puller.config.ResultBytes
+		r.stream.MaxBufferedBody = r.puller.config.MaxResultBytes
 	}
 	return r.stream.Run(ctx)
 }
 
 func (r *run) take(e engine.Event) error {
 	if r.assembly.pieces == 0 {
-		r.puller.config.Dispatcher.Tell(admit.FirstToken{ID: r.id})
+		r.puller.config.Dispatcher.Submit(admit.FirstToken{ID: r.id})
 	}
 	if err := r.assembly.add(e.Data); err != nil {
 		return err
 	}
 	r.taken.Add(1)
-	if r.assembly.text > r.puller.config.ResultBytes {
+	if r.assembly.text > r.puller.config.MaxResultBytes {
 		return errTooLarge
 	}
 	return nil
@@ -192,7 +192,7 @@
 
 func (r *run) takeBody(piece []byte) error {
 	r.body = append(r.body, piece...)
-	if len(r.body) > r.puller.config.ResultBytes {
+	if len(r.body) > r.puller.config.MaxResultBytes {
 		return errTooLarge
 	}
 	return nil
@@ -222,7 +222,7 @@
 func (r *run) outcome(err error) result {
 	switch {
 	case errors.Is(err, engine.ErrNotSent):
-		r.puller.config.Unreachable()
+		r.puller.config.OnUnreachable()
 		return returned(reasonUnreachable)
 	case errors.Is(err, errTooLarge):
 		r.cancelAtEngine()
@@ -242,7 +242,7 @@
 // doneWhole is an answer that came in one.
 func (r *run) doneWhole() result {
 	if !json.Valid(r.body) {
-		return retry(engine.Cause(engine.ErrGarbage))
+		return retry(engine.Cause(engine.ErrMalformed))
 	}
 	return result{outcome: toucanhingev1.Outcome_OUTCOME_DONE, body: r.body}
 }
--- a/sidecar/pkg/work/item_test.go
+++ b/sidecar/pkg/work/item_test.go
@@ -206,16 +206,16 @@
 		url = engines.URL
 	}
 	ticking := clock.FromFunc(func() clock.Millis { return f.now() })
-	machine := admit.New(admit.Config{Policy: admit.Yield, Slots: 1, Floor: 1, Queue: 2, BatchSlots: 1, PrefillTokens: 999, Weight: 100, BurstHalfLife: 1})
+	machine := admit.New(admit.Config{Policy: admit.Yield, Slots: 1, MinSlots: 1, QueueLimit: 2, BatchSlots: 1, MaxPrefillTokens: 999, BatchWeight: 100, BurstHalfLife: 1})
 	f.dispatcher = dispatch.New(dispatch.Config{Clock: ticking, Machine: machine, Ring: ring.Config{Size: 64}})
 	f.puller = New(Config{
 		Clock: ticking, Logger: log.NewNopLogger(), Dispatcher: f.dispatcher, Engine: engine.New(engine.Config{URL: url}),
 		Control: control.New(control.Config{Addresses: []string{server.Address()}, HTTP: web.NewClient()}),
-		Keeper:  KeeperConfig{Most: 4, Ask: 4, Flush: 1, FlushMost: 64}, Name: "e1", Service: "s", ResultBytes: 4_000,
-		Unreachable: func() { f.suspicions <- struct{}{} }, Noted: func(string, string, string) {},
+		Leases:  LeaseManagerConfig{MaxItems: 4, MaxPerRequest: 4, FlushDelay: 1, FlushSize: 64}, Name: "e1", Service: "s", MaxResultBytes: 4_000,
+		OnUnreachable: func() { f.suspicions <- struct{}{} }, RecordEvent: func(string, string, string) {},
 	})
-	f.puller.Groups(job.FirstGroup + 1)
-	f.puller.Open(true)
+	f.puller.SetGroupCount(job.FirstGroup + 1)
+	f.puller.SetOpen(true)
 	ctx, cancel := context.WithCancel(context.Background())
 	var duties sync.WaitGroup
 	duties.Go(func() { _ = server.Serve() })
@@ -249,14 +249,14 @@
 	f.t.Helper()
 	id := f.dispatcher.NextID()
 	started := make(chan admit.Action, 2)
-	require.True(f.t, f.dispatcher.Ask(admit.Arrive{ID: id, Deadline: 1 << 50}, func(a admit.Action) { started <- a }))
+	require.True(f.t, f.dispatcher.SubmitRequest(admit.Arrive{ID: id, Deadline: 1 << 50}, func(a admit.Action) { started <- a }))
 	select {
 	case a := <-started:
 		require.Equal(f.t, admit.Start, a.Verb)
 	case <-time.After(patience):
 		f.t.Fatal("the online request got no slot")
 	}
-	return func() { f.dispatcher.Tell(admit.Finished{ID: id}) }
+	return func() { f.dispatcher.Submit(admit.Finished{ID: id}) }
 }
 
 func text(t *testing.T, body []byte) string {
@@ -287,7 +287,7 @@
 			f.eventually(func() bool { posts, _, _ := f.model.counts(); return posts == 1 && f.dispatcher.Snapshot().Batch == 1 })
 			f.eventually(func() bool { return f.pieces() == 2 })
 			release := f.online()
-			require.Equal(t, 1, f.dispatcher.Snapshot().Halted)
+			require.Equal(t, 1, f.dispatcher.Snapshot().Suspended)
 			close(f.model.gate)
 			release()
 			completion := f.first()
@@ -365,7 +365,7 @@
 			if s.outcome == toucanhingev1.Outcome_OUTCOME_DONE {
 				require.Equal(t, "t1t2t3t4", text(t, completion.GetBody()))
 			}
-			f.eventually(func() bool { return f.puller.Held() == 0 && f.dispatcher.Snapshot().Batch == 0 })
+			f.eventually(func() bool { return f.puller.LeaseCount() == 0 && f.dispatcher.Snapshot().Batch == 0 })
 			require.Len(t, f.leaser.completions(), 1)
 		})
 	}
@@ -388,7 +388,7 @@
 	f := newFixture(t, soundly)
 	f.leaser.lose = 1
 	f.start("")
-	f.eventually(func() bool { return len(f.leaser.completions()) == 2 && f.puller.Held() == 0 })
+	f.eventually(func() bool { return len(f.leaser.completions()) == 2 && f.puller.LeaseCount() == 0 })
 }
 
 // A job is cancelled while its item runs, or while it is suspended for an online
@@ -408,10 +408,10 @@
 			}
 			f.eventually(func() bool {
 				_, _, cancels := f.model.counts()
-				return cancels == 1 && f.puller.Held() == 0
+				return cancels == 1 && f.puller.LeaseCount() == 0
 			})
 			release()
-			f.eventually(func() bool { s := f.dispatcher.Snapshot(); return s.Batch+s.Halted+s.Online == 0 })
+			f.eventually(func() bool { s := f.dispatcher.Snapshot(); return s.Batch+s.Suspended+s.Online == 0 })
 			_, resumes, _ := f.model.counts()
 			require.Zero(t, resumes)
 			require.Empty(t, f.leaser.completions())
--- a/sidecar/pkg/work/keeper.go
+++ b/sidecar/pkg/work/keeper.go
@@ -8,16 +8,16 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// KeeperConfig describes a keeper.
-type KeeperConfig struct {
-	// Most is how many items are held at once, running or waiting.
-	Most int
-	// Ask is the most items asked for in one call.
-	Ask int
-	// Flush is how long an outcome waits for others before it is reported.
-	Flush clock.Millis
-	// FlushMost is how many outcomes are reported at once without waiting.
-	FlushMost int
+// LeaseManagerConfig describes a keeper.
+type LeaseManagerConfig struct {
+	// MaxItems is how many items are held at once, running or waiting.
+	MaxItems int
+	// MaxPerRequest is the most items asked for in one call.
+	MaxPerRequest int
+	// FlushDelay is how long an outcome waits for others before it is reported.
+	FlushDelay clock.Millis
+	// FlushSize is how many outcomes are reported at once without waiting.
+	FlushSize int
 }
 
 // Key names one item under a lease. A lease covers several items, and each
@@ -37,7 +37,7 @@
 	return Key{Group: group, Lease: c.GetLease(), Job: c.GetJob(), Index: c.GetIndex()}
 }
 
-// Keeper keeps the leases of this process: it asks for items, renews in time,
+// LeaseManager keeps the leases of this process: it asks for items, renews in time,
 // stops what ran out, and reports outcomes. It is pure: each method takes the
 // time and returns what to do.
 //
@@ -46,8 +46,8 @@
 // whose lease has run out here may still be ours, but one that we run never is
 // another's as well for longer than control's own reckoning allows. A process
 // that was frozen sees on its first step that its leases ran out.
-type Keeper struct {
-	config  KeeperConfig
+type LeaseManager struct {
+	config  LeaseManagerConfig
 	groups  []groupState
 	next    int
 	leases  map[Key]*lease
@@ -77,8 +77,8 @@
 
 // Verbs.
 const (
-	// VerbAsk leases up to Most items of a group.
-	VerbAsk Verb = iota + 1
+	// VerbLease leases up to Most items of a group.
+	VerbLease Verb = iota + 1
 	// VerbRenew renews Leases.
 	VerbRenew
 	// VerbReport reports Completions.
@@ -93,43 +93,43 @@
 type Action struct {
 	Verb        Verb
 	Group       uint32
-	Most        uint32
+	MaxItems        uint32
 	Leases      []uint64
 	Completions []*toucanhingev1.Completion
 	Item        *toucanhingev1.LeasedItem
 	Key         Key
 }
 
-// NewKeeper makes a keeper that holds nothing and asks for nothing yet.
-func NewKeeper(config KeeperConfig) *Keeper {
-	return &Keeper{config: config, leases: map[Key]*lease{}}
+// NewLeaseManager makes a keeper that holds nothing and asks for nothing yet.
+func NewLeaseManager(config LeaseManagerConfig) *LeaseManager {
+	return &LeaseManager{config: config, leases: map[Key]*lease{}}
 }
 
-// Groups tells how many groups control runs.
-func (k *Keeper) Groups(count uint32) {
+// SetGroupCount tells how many groups control runs.
+func (k *LeaseManager) SetGroupCount(count uint32) {
 	for uint32(len(k.groups)) < count {
 		k.groups = append(k.groups, groupState{})
 	}
 }
 
-// Open lets the keeper ask for items, or not.
-func (k *Keeper) Open(open bool) {
+// SetOpen lets the keeper ask for items, or not.
+func (k *LeaseManager) SetOpen(open bool) {
 	k.open = open
 }
 
-// Held is how many leases are held.
-func (k *Keeper) Held() int {
+// LeaseCount is how many leases are held.
+func (k *LeaseManager) LeaseCount() int {
 	return len(k.leases)
 }
 
-// Holds says whether the lease is believed to hold.
-func (k *Keeper) Holds(now clock.Millis, key Key) bool {
+// IsValid says whether the lease is believed to hold.
+func (k *LeaseManager) IsValid(now clock.Millis, key Key) bool {
 	l, found := k.leases[key]
 	return found && now < l.expires
 }
 
 // Granted takes in the answer to an ask that was sent at sent.
-func (k *Keeper) Granted(now, sent clock.Millis, group uint32, answer *toucanhingev1.LeaseResponse) []Action {
+func (k *LeaseManager) Granted(now, sent clock.Millis, group uint32, answer *toucanhingev1.LeaseResponse) []Action {
 	k.begin(now)
 	g := &k.groups[group]
 	g.asking = false
@@ -149,7 +149,7 @@
 // whatever its answer says.
 const leastPause = clock.Millis(20)
 
-func (k *Keeper) grant(now, sent, span clock.Millis, key Key, item *toucanhingev1.LeasedItem) {
+func (k *LeaseManager) grant(now, sent, span clock.Millis, key Key, item *toucanhingev1.LeasedItem) {
 	if _, known := k.leases[key]; known || now >= sent+span {
 		return
 	}
@@ -157,8 +157,8 @@
 	k.actions = append(k.actions, Action{Verb: VerbRun, Key: key, Group: key.Group, Item: item})
 }
 
-// AskFailed ends an ask without an answer; what it may have granted runs out.
-func (k *Keeper) AskFailed(now clock.Millis, group uint32) []Action {
+// LeaseFailed ends an ask without an answer; what it may have granted runs out.
+func (k *LeaseManager) LeaseFailed(now clock.Millis, group uint32) []Action {
 	k.begin(now)
 	k.groups[group].asking = false
 	k.groups[group].askAfter = now + failurePause
@@ -168,7 +168,7 @@
 const failurePause = clock.Millis(200)
 
 // Renewed takes in the answer to a renewal of leases that was sent at sent.
-func (k *Keeper) Renewed(now, sent clock.Millis, group uint32, leases []uint64, answer *toucanhingev1.RenewResponse) []Action {
+func (k *LeaseManager) Renewed(now, sent clock.Millis, group uint32, leases []uint64, answer *toucanhingev1.RenewResponse) []Action {
 	k.begin(now)
 	k.groups[group].renewing = false
 	span := clock.Millis(answer.GetLeaseMs())
@@ -186,7 +186,7 @@
 }
 
 // RenewFailed ends a renewal without an answer.
-func (k *Keeper) RenewFailed(now clock.Millis, group uint32) []Action {
+func (k *LeaseManager) RenewFailed(now clock.Millis, group uint32) []Action {
 	k.begin(now)
 	k.groups[group].renewing = false
 	return k.plan(now)
@@ -194,7 +194,7 @@
 
 // Ended takes in an item's outcome. False means that its lease no longer holds,
 // so that it is not reported.
-func (k *Keeper) Ended(now clock.Millis, key Key, completion *toucanhingev1.Completion) ([]Action, bool) {
+func (k *LeaseManager) Ended(now clock.Millis, key Key, completion *toucanhingev1.Completion) ([]Action, bool) {
 	k.begin(now)
 	l, found := k.leases[key]
 	if !found || l.outcome {
@@ -210,7 +210,7 @@
 }
 
 // Reported takes in the acknowledgement of completions.
-func (k *Keeper) Reported(now clock.Millis, group uint32, completions []*toucanhingev1.Completion) []Action {
+func (k *LeaseManager) Reported(now clock.Millis, group uint32, completions []*toucanhingev1.Completion) []Action {
 	k.begin(now)
 	k.groups[group].reporting = false
 	for _, c := range completions {
@@ -221,7 +221,7 @@
 
 // ReportFailed puts completions back that were not acknowledged. Reporting them
 // again is harmless: the first one counts.
-func (k *Keeper) ReportFailed(now clock.Millis, group uint32, completions []*toucanhingev1.Completion) []Action {
+func (k *LeaseManager) ReportFailed(now clock.Millis, group uint32, completions []*toucanhingev1.Completion) []Action {
 	k.begin(now)
 	g := &k.groups[group]
 	g.reporting = false
@@ -235,14 +235,14 @@
 }
 
 // Tick lets time pass.
-func (k *Keeper) Tick(now clock.Millis) []Action {
+func (k *LeaseManager) Tick(now clock.Millis) []Action {
 	k.begin(now)
 	return k.plan(now)
 }
 
 // begin drops what ran out before anything else is looked at, so that no step
 // acts on a lease that no longer holds.
-func (k *Keeper) begin(now clock.Millis) {
+func (k *LeaseManager) begin(now clock.Millis) {
 	k.actions = nil
 	for key, l := range k.leases {
 		if now >= l.expires {
@@ -251,7 +251,7 @@
 	}
 }
 
-func (k *Keeper) lose(key Key) {
+func (k *LeaseManager) lose(key Key) {
 	l, held := k.leases[key]
 	if !held {
 		return
@@ -270,7 +270,7 @@
 	}
 }
 
-func (k *Keeper) plan(now clock.Millis) []Action {
+func (k *LeaseManager) plan(now clock.Millis) []Action {
 	for group := range k.groups {
 		k.report(now, uint32(group))
 		k.renew(now, uint32(group))
@@ -279,13 +279,13 @@
 	return k.actions
 }
 
-func (k *Keeper) report(now clock.Millis, group uint32) {
+func (k *LeaseManager) report(now clock.Millis, group uint32) {
 	g := &k.groups[group]
-	due := now >= g.since+k.config.Flush || len(g.pending) >= k.config.FlushMost && now >= g.since
+	due := now >= g.since+k.config.FlushDelay || len(g.pending) >= k.config.FlushSize && now >= g.since
 	if g.reporting || len(g.pending) == 0 || !due {
 		return
 	}
-	count := min(len(g.pending), k.config.FlushMost)
+	count := min(len(g.pending), k.config.FlushSize)
 	completions := append([]*toucanhingev1.Completion(nil), g.pending[:count]...)
 	g.pending = append([]*toucanhingev1.Completion(nil), g.pending[count:]...)
 	g.reporting = true
@@ -294,7 +294,7 @@
 }
 
 // renew asks for all leases of a group once one of them has half its span left.
-func (k *Keeper) renew(now clock.Millis, group uint32) {
+func (k *LeaseManager) renew(now clock.Millis, group uint32) {
 	if k.groups[group].renewing {
 		return
 	}
@@ -316,12 +316,12 @@
 }
 
 // ask takes the groups in turn, so that no group's jobs wait behind another's.
-func (k *Keeper) ask(now clock.Millis) {
+func (k *LeaseManager) ask(now clock.Millis) {
 	if !k.open {
 		return
 	}
 	for range k.groups {
-		room := k.config.Most - len(k.leases) - k.askedFor()
+		room := k.config.MaxItems - len(k.leases) - k.askedFor()
 		if room <= 0 {
 			return
 		}
@@ -332,17 +332,17 @@
 			continue
 		}
 		g.asking = true
-		most := min(room, k.config.Ask)
-		k.actions = append(k.actions, Action{Verb: VerbAsk, Group: uint32(group), Most: uint32(most)})
+		most := min(room, k.config.MaxPerRequest)
+		k.actions = append(k.actions, Action{Verb: VerbLease, Group: uint32(group), MaxItems: uint32(most)})
 	}
 }
 
 // askedFor is what may still be granted by asks under way.
-func (k *Keeper) askedFor() int {
+func (k *LeaseManager) askedFor() int {
 	count := 0
 	for i := range k.groups {
 		if k.groups[i].asking {
-			count += k.config.Ask
+			count += k.config.MaxPerRequest
 		}
 	}
 	return count
--- a/sidecar/pkg/work/keeper_lease_test.go
+++ b/sidecar/pkg/work/keeper_lease_test.go
@@ -14,9 +14,9 @@
 // number alone runs the first item of each and forgets the others. They come
 // back only when their lease runs out, and most are forgotten again.
 func TestEveryItemUnderALeaseIsRun(t *testing.T) {
-	k := NewKeeper(KeeperConfig{Most: 8, Ask: 8, Flush: 5, FlushMost: 2})
-	k.Groups(job.FirstGroup + 1)
-	k.Open(true)
+	k := NewLeaseManager(LeaseManagerConfig{MaxItems: 8, MaxPerRequest: 8, FlushDelay: 5, FlushSize: 2})
+	k.SetGroupCount(job.FirstGroup + 1)
+	k.SetOpen(true)
 	asked := k.Tick(0)
 	require.Len(t, asked, 1)
 	require.Equal(t, uint32(job.FirstGroup), asked[0].Group, "no items stand in the configuration's group")
@@ -36,7 +36,7 @@
 	_, counted := k.Ended(2, ran[1], completion)
 	require.True(t, counted)
 	k.Reported(3, job.FirstGroup, []*toucanhingev1.Completion{completion})
-	require.Equal(t, 2, k.Held(), "the other items of the lease are still ours")
+	require.Equal(t, 2, k.LeaseCount(), "the other items of the lease are still ours")
 
 	var stopped, renewed int
 	for _, a := range k.Tick(600) {
--- a/sidecar/pkg/work/keeper_test.go
+++ b/sidecar/pkg/work/keeper_test.go
@@ -29,7 +29,7 @@
 // from when it answers, which is never before we sent.
 type bench struct {
 	t       *rapid.T
-	k       *Keeper
+	k       *LeaseManager
 	now     clock.Millis
 	next    uint64
 	truths  map[Key]*truth
@@ -44,7 +44,7 @@
 func (b *bench) take(actions []Action) {
 	for _, a := range actions {
 		switch a.Verb {
-		case VerbAsk, VerbRenew, VerbReport:
+		case VerbLease, VerbRenew, VerbReport:
 			b.checkCall(a)
 			b.calls = append(b.calls, call{action: a, sent: b.now})
 		case VerbRun:
@@ -63,7 +63,7 @@
 	for _, c := range b.calls {
 		require.False(b.t, c.action.Verb == a.Verb && c.action.Group == a.Group, "two calls of a kind to one group")
 	}
-	if a.Verb == VerbAsk {
+	if a.Verb == VerbLease {
 		require.True(b.t, b.open, "asked while closed")
 	}
 	for _, c := range a.Completions {
@@ -78,7 +78,7 @@
 	for key := range b.running {
 		require.Less(b.t, b.now, b.truths[key].expires, "an item runs on although its lease ran out")
 	}
-	require.LessOrEqual(b.t, b.k.Held(), 6)
+	require.LessOrEqual(b.t, b.k.LeaseCount(), 6)
 }
 
 // Leases are granted, renewed, revoked and reported; answers are slow or lost;
@@ -89,10 +89,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		b := &bench{
 			t: t, now: 1_000, truths: map[Key]*truth{}, running: map[Key]bool{}, stopping: map[Key]bool{}, reported: map[Key]int{}, open: true,
-			k: NewKeeper(KeeperConfig{Most: 6, Ask: 3, Flush: 20, FlushMost: 2}),
+			k: NewLeaseManager(LeaseManagerConfig{MaxItems: 6, MaxPerRequest: 3, FlushDelay: 20, FlushSize: 2}),
 		}
-		b.k.Groups(3)
-		b.k.Open(true)
+		b.k.SetGroupCount(3)
+		b.k.SetOpen(true)
 		t.Repeat(map[string]func(*rapid.T){
 			"tick": func(t *rapid.T) {
 				b.now += clock.Millis(rapid.IntRange(1, 100).Draw(t, "passed"))
@@ -108,7 +108,7 @@
 			"revoke": b.revoke,
 			"open": func(t *rapid.T) {
 				b.open = rapid.Bool().Draw(t, "open")
-				b.k.Open(b.open)
+				b.k.SetOpen(b.open)
 			},
 		})
 		b.settle()
@@ -131,10 +131,10 @@
 func (b *bench) reply(c call, handled clock.Millis, lost bool, items int) {
 	a := c.action
 	switch a.Verb {
-	case VerbAsk:
-		answer := b.lease(a, handled, min(items, int(a.Most)))
+	case VerbLease:
+		answer := b.lease(a, handled, min(items, int(a.MaxItems)))
 		if lost {
-			b.take(b.k.AskFailed(b.now, a.Group))
+			b.take(b.k.LeaseFailed(b.now, a.Group))
 			return
 		}
 		b.take(b.k.Granted(b.now, c.sent, a.Group, answer))
@@ -229,7 +229,7 @@
 }
 
 func (b *bench) settle() {
-	b.k.Open(false)
+	b.k.SetOpen(false)
 	b.open = false
 	for range 300 {
 		b.now += 10
@@ -245,16 +245,16 @@
 			b.take(actions)
 		}
 	}
-	require.Zero(b.t, b.k.Held(), "leases stay held")
+	require.Zero(b.t, b.k.LeaseCount(), "leases stay held")
 }
 
 // A process is frozen for longer than its leases last. On its first step after
 // that it stops the item and drops the finished outcome: another process may
 // have both by now, and control would refuse ours.
 func TestThawedProcessStops(t *testing.T) {
-	k := NewKeeper(KeeperConfig{Most: 4, Ask: 4, Flush: 20, FlushMost: 64})
-	k.Groups(1)
-	k.Open(true)
+	k := NewLeaseManager(LeaseManagerConfig{MaxItems: 4, MaxPerRequest: 4, FlushDelay: 20, FlushSize: 64})
+	k.SetGroupCount(1)
+	k.SetOpen(true)
 	k.Tick(0)
 	k.Granted(5, 0, 0, &toucanhingev1.LeaseResponse{LeaseMs: span, Items: []*toucanhingev1.LeasedItem{{Lease: 1}, {Lease: 2}}})
 	_, held := k.Ended(10, Key{Lease: 1}, completion(Key{Lease: 1}))
@@ -270,9 +270,9 @@
 // The keeper looks at all groups in turn, so that the jobs of one group don't
 // wait behind those of another.
 func TestGroupsTakeTurns(t *testing.T) {
-	k := NewKeeper(KeeperConfig{Most: 1, Ask: 1, Flush: 20, FlushMost: 64})
-	k.Groups(4)
-	k.Open(true)
+	k := NewLeaseManager(LeaseManagerConfig{MaxItems: 1, MaxPerRequest: 1, FlushDelay: 20, FlushSize: 64})
+	k.SetGroupCount(4)
+	k.SetOpen(true)
 	var asked []uint32
 	pending := k.Tick(0)
 	for now := clock.Millis(100); len(asked) < 6; now += 100 {
@@ -288,11 +288,11 @@
 // handled the call, long before we read the answer. Counted from the answer, the
 // item would run on while control hands it to another process.
 func TestRenewalCountsFromItsSending(t *testing.T) {
-	k := NewKeeper(KeeperConfig{Most: 4, Ask: 4, Flush: 20, FlushMost: 64})
-	k.Groups(1)
+	k := NewLeaseManager(LeaseManagerConfig{MaxItems: 4, MaxPerRequest: 4, FlushDelay: 20, FlushSize: 64})
+	k.SetGroupCount(1)
 	k.Granted(0, 0, 0, &toucanhingev1.LeaseResponse{LeaseMs: span, Items: []*toucanhingev1.LeasedItem{{Lease: 1}}})
 	require.Equal(t, VerbRenew, k.Tick(500)[0].Verb)
 	k.Renewed(900, 500, 0, []uint64{1}, &toucanhingev1.RenewResponse{LeaseMs: span})
-	require.True(t, k.Holds(1_499, Key{Lease: 1}))
-	require.False(t, k.Holds(1_500, Key{Lease: 1}))
+	require.True(t, k.IsValid(1_499, Key{Lease: 1}))
+	require.False(t, k.IsValid(1_500, Key{Lease: 1}))
 }
--- a/sidecar/pkg/work/puller.go
+++ b/sidecar/pkg/work/puller.go
@@ -42,23 +42,23 @@
 	Control     *control.Client
 	Dispatcher  *dispatch.Dispatcher
 	Engine      *engine.Client
-	Keeper      KeeperConfig
+	Leases      LeaseManagerConfig
 	Name        string
 	Incarnation uint64
 	Service     string
-	// ResultBytes is the largest result.
-	ResultBytes int
-	// Unreachable is told that the engine can't be reached.
-	Unreachable func()
-	// Noted is told what became of an item, for counters and records.
-	Noted func(item, event, detail string)
+	// MaxResultBytes is the largest result.
+	MaxResultBytes int
+	// OnUnreachable is told that the engine can't be reached.
+	OnUnreachable func()
+	// RecordEvent is told what became of an item, for counters and records.
+	RecordEvent func(item, event, detail string)
 }
 
 // Puller is the runtime of a keeper.
 type Puller struct {
 	config Config
 	events *ring.Ring[func(now clock.Millis) []Action]
-	keeper *Keeper
+	keeper *LeaseManager
 	runs   map[Key]*run
 	open   atomic.Bool
 	groups atomic.Uint32
@@ -77,25 +77,25 @@
 	p := &Puller{
 		config: config,
 		events: ring.New[func(clock.Millis) []Action](ring.Config{Size: eventRing}),
-		keeper: NewKeeper(config.Keeper),
+		keeper: NewLeaseManager(config.Leases),
 		runs:   map[Key]*run{},
 	}
 	p.alive, p.stop = context.WithCancel(context.Background())
 	return p
 }
 
-// Open lets the puller ask for items, or not.
-func (p *Puller) Open(open bool) {
+// SetOpen lets the puller ask for items, or not.
+func (p *Puller) SetOpen(open bool) {
 	p.open.Store(open)
 }
 
-// Groups tells how many groups control runs.
-func (p *Puller) Groups(count uint32) {
+// SetGroupCount tells how many groups control runs.
+func (p *Puller) SetGroupCount(count uint32) {
 	p.groups.Store(count)
 }
 
-// Held is how many leases are held.
-func (p *Puller) Held() int {
+// LeaseCount is how many leases are held.
+func (p *Puller) LeaseCount() int {
 	return int(p.held.Load())
 }
 
@@ -115,7 +115,7 @@
 			p.step(p.keeper.Tick)
 		}
 		// Each event steps the keeper too, so putting the tick off loses nothing.
-		if p.keeper.Held() > 0 {
+		if p.keeper.LeaseCount() > 0 {
 			timer.Reset(tickPeriod)
 		} else {
 			timer.Reset(idlePeriod)
@@ -124,12 +124,12 @@
 }
 
 func (p *Puller) step(event func(clock.Millis) []Action) {
-	p.keeper.Groups(p.groups.Load())
-	p.keeper.Open(p.open.Load())
+	p.keeper.SetGroupCount(p.groups.Load())
+	p.keeper.SetOpen(p.open.Load())
 	for _, a := range event(p.config.Clock.Now()) {
 		p.act(a)
 	}
-	p.held.Store(int64(p.keeper.Held()))
+	p.held.Store(int64(p.keeper.LeaseCount()))
 }
 
 // tell hands an event to the keeper's goroutine.
@@ -139,7 +139,7 @@
 
 func (p *Puller) act(a Action) {
 	switch a.Verb {
-	case VerbAsk:
+	case VerbLease:
 		p.call(func(ctx context.Context) { p.ask(ctx, a) })
 	case VerbRenew:
 		p.call(func(ctx context.Context) { p.renew(ctx, a) })
@@ -169,12 +169,12 @@
 			sent = p.config.Clock.Now()
 			return r.Work.Lease(ctx, connect.NewRequest(&toucanhingev1.LeaseRequest{
 				Sidecar: p.config.Name, Incarnation: p.config.Incarnation, Service: p.config.Service,
-				Group: a.Group, Most: a.Most,
+				Group: a.Group, Most: a.MaxItems,
 			}))
 		})
 	if err != nil {
 		p.warn("lease-failed", a.Group, err)
-		p.tell(func(now clock.Millis) []Action { return p.keeper.AskFailed(now, a.Group) })
+		p.tell(func(now clock.Millis) []Action { return p.keeper.LeaseFailed(now, a.Group) })
 		return
 	}
 	p.tell(func(now clock.Millis) []Action { return p.keeper.Granted(now, sent, a.Group, reply.Msg) })
@@ -210,7 +210,7 @@
 		return
 	}
 	for i, c := range a.Completions {
-		p.config.Noted(itemName(c.GetJob(), c.GetIndex()), "verdict", verdictName(reply.Msg.GetVerdicts()[i]))
+		p.config.RecordEvent(itemName(c.GetJob(), c.GetIndex()), "verdict", verdictName(reply.Msg.GetVerdicts()[i]))
 	}
 	p.tell(func(now clock.Millis) []Action { return p.keeper.Reported(now, a.Group, a.Completions) })
 }
@@ -234,14 +234,14 @@
 		verdicts: make(chan admit.Action, 8),
 	}
 	p.runs[a.Key] = r
-	p.config.Noted(itemName(a.Item.GetJob(), a.Item.GetIndex()), "leased", fmt.Sprintf("lease %d attempt %d", a.Key.Lease, a.Item.GetAttempt()))
+	p.config.RecordEvent(itemName(a.Item.GetJob(), a.Item.GetIndex()), "leased", fmt.Sprintf("lease %d attempt %d", a.Key.Lease, a.Item.GetAttempt()))
 	request, err := prepare(a.Item.GetBody())
 	if err != nil {
 		go p.ended(r, failed(reasonMalformed))
 		return
 	}
 	r.request = request
-	p.config.Dispatcher.Offer(admit.Offer{ID: r.id, Prefill: request.prefill}, r.deliver)
+	p.config.Dispatcher.SubmitItem(admit.Offer{ID: r.id, PrefillTokens: request.prefill}, r.deliver)
 }
 
 // lost stops an item whose lease no longer holds: another process may run it
@@ -252,8 +252,8 @@
 		return
 	}
 	delete(p.runs, key)
-	p.config.Noted(itemName(r.item.GetJob(), r.item.GetIndex()), "lease-lost", "")
-	p.config.Dispatcher.Tell(admit.Withdraw{ID: r.id})
+	p.config.RecordEvent(itemName(r.item.GetJob(), r.item.GetIndex()), "lease-lost", "")
+	p.config.Dispatcher.Submit(admit.Withdraw{ID: r.id})
 }
 
 // ended takes an item's outcome from its goroutine, or from the dispatcher's.
@@ -269,7 +269,7 @@
 		if !held {
 			event = "unreported"
 		}
-		p.config.Noted(itemName(r.item.GetJob(), r.item.GetIndex()), event, end.reason)
+		p.config.RecordEvent(itemName(r.item.GetJob(), r.item.GetIndex()), event, end.reason)
 		return actions
 	})
 }
