--- a/gateway/pkg/admission/admission.go
+++ b/gateway/pkg/admission/admission.go
@@ -1,11 +1,11 @@
 // Package admission decides whether an online request is admitted, waits or is refused. It is designed for bursts that
-// need two or three times the slots of the fleet for some seconds, with nearly idle seconds in between, from callers
-// that retry once if they are told when.
+// need two or three times the slots of the fleet for some seconds, with nearly idle seconds in between. Callers retry
+// once, after the delay that the refusal contains.
 //
 // A request that can't start in time is refused at once: started late, it would hold a slot that another request could
-// still use in time, and with a queue for every slot all requests would be late. The caller is told to retry at a
-// random time within a third of its remaining time. A retry isn't refused as long as it can be served at all: it
-// waits for a slot that is really free, behind requests that can be in time, and is served once the burst ends. The
+// still use in time, and with a queue for every slot all requests would be late. The refusal asks the caller to retry
+// at a random time within a third of its remaining time. A retry isn't refused as long as it can be served before its
+// deadline: it waits for a free slot, behind requests that can be in time, and is served once the burst ends. The
 // package uses no goroutine, socket or clock.
 package admission
 
@@ -19,11 +19,11 @@
 	// firstEventReserve is the part of the objective that is reserved for the first event itself: reading the
 	// prompt and making the event takes some 40 ms, and sending it to the caller up to 10 ms.
 	firstEventReserve clock.Millis = 60
-	// minOnTimeProbability is the lowest probability of being in time with which a request is sent to a runner's
+	// minOnTimeProbability is the minimum probability of starting in time for a request to be sent to a runner's
 	// queue. Queues of length two at every runner absorb hardly more requests of a burst than queues of length
 	// one, but double the wait of all requests that pass them.
 	minOnTimeProbability = 0.75
-	// minRetryAfter is the shortest time after which a caller is told to retry.
+	// minRetryAfter is the shortest retry delay that a refusal contains.
 	minRetryAfter clock.Millis = 200
 	// minRetrySpread is the shortest interval over which the retries of callers that were refused together are
 	// spread.
@@ -33,20 +33,20 @@
 	// finishSlack is reserved when a request may wait, since a started request must end before its deadline.
 	finishSlack clock.Millis = 150
 	// waitDivisor limits the wait of a request to its total time divided by it. A caller whose request is refused
-	// after a wait must learn that while it can still do something else.
+	// after a wait must receive the refusal early enough to try something else.
 	waitDivisor = 2
 	// minCallerTimeout, timeoutObjectives and timeoutGaps estimate after how long without an event callers close a
 	// stream: the maximum of minCallerTimeout, timeoutObjectives times the objective and timeoutGaps times the
-	// longest gap that is in time. timeoutSlack is subtracted from the estimate.
+	// longest allowed gap between events. timeoutSlack is subtracted from the estimate.
 	minCallerTimeout  clock.Millis = 2_000
 	timeoutObjectives              = 4
 	timeoutGaps                    = 8
 	timeoutSlack      clock.Millis = 300
 	// queueDivisor limits the waiting requests of all gateways together to the fleet's slots divided by it. If
-	// each request holds its slot for a second, that many are served within two seconds after a burst. Of more
-	// requests, most would wait in vain.
+	// each request holds its slot for a second, a queue of this length is served within two seconds after a burst.
+	// In a longer queue, most requests would wait in vain.
 	queueDivisor = 2
-	// retrySlack is how much shorter than the longest timeout seen the timeout of a retry is at least.
+	// retrySlack is the minimum difference between the longest timeout seen for a route and the timeout of a retry.
 	retrySlack clock.Millis = 50
 )
 
@@ -56,7 +56,7 @@
 const (
 	// Admit sends the request to the selected runner.
 	Admit Verdict = iota
-	// Wait keeps the request in the wait queue until a slot is free.
+	// Wait puts the request into the wait queue until a slot is free.
 	Wait
 	// Refuse refuses the request at once.
 	Refuse
@@ -78,12 +78,12 @@
 	QueuePosition, Slots int
 	// Hold is the time for which such a request holds its slot.
 	Hold clock.Millis
-	// Gap is the longest gap between events that is in time, or 0 if there is none.
+	// Gap is the longest allowed gap between events, or 0 if there is no limit.
 	Gap clock.Millis
 	// QueueFull reports whether the wait queue of the gateway is full.
 	QueueFull bool
-	// MayHaveRun reports whether a runner may have run the request. A refusal, which says that the request
-	// didn't run, could be wrong then.
+	// MayHaveRun reports whether a runner may have run the request. A refusal would then be wrong, since it states
+	// that the request didn't run.
 	MayHaveRun bool
 }
 
--- a/gateway/pkg/admission/overload_tracker_test.go
+++ b/gateway/pkg/admission/overload_tracker_test.go
@@ -44,7 +44,7 @@
 	require.False(t, known, "longer than usual")
 }
 
-// Callers are refused during a burst and told when to retry. If they retried during the same burst, they would be
+// Callers are refused during a burst, with a retry delay. If they retried during the same burst, they would be
 // refused for good.
 func TestRetryAfterFollowsOverloadPeriods(t *testing.T) {
 	for _, c := range []struct {
--- a/gateway/pkg/app/components.go
+++ b/gateway/pkg/app/components.go
@@ -51,7 +51,7 @@
 			Gateway: settings.Name, Limits: settings.Limits, PrefixBytes: settings.Route.PrefixBytes,
 			Clock: now, Fleet: watcher.Fleet, Ready: func() bool { return watcherStarted(watcher) },
 			Directory:   directory,
-			Runner:      newRunner(settings, now, logger, directory, decisionLog, onlineMetrics),
+			Executor:    newExecutor(settings, now, logger, directory, decisionLog, onlineMetrics),
 			Legacy:      legacy.New(legacy.Config{Clock: now}),
 			Claims:      claims,
 			Jobs:        control.NewJobs(control.JobsConfig{Gateway: settings.Name, Client: client, Groups: watcher.Groups}),
@@ -89,13 +89,13 @@
 	})
 }
 
-func newRunner(
+func newExecutor(
 	settings config.Settings, now clock.Clock, logger log.Logger, directory *endpoint.Directory,
 	decisionLog *record.Log, m *online.Metrics,
 ) *online.Executor {
 	r := settings.Retry
 	return online.New(online.Config{
-		Gateway: settings.Name, Clock: now, Directory: directory, Log: decisionLog, Metrics: m, Logger: logger,
+		Gateway: settings.Name, Clock: now, Directory: directory, DecisionLog: decisionLog, Metrics: m, Logger: logger,
 		Budget: attempt.NewBudget(attempt.BudgetConfig{
 			Ratio: r.Ratio, Burst: float64(r.Burst), RefusedBurst: float64(r.RefusedBurst),
 		}),
--- a/gateway/pkg/app/endpoint_faults_test.go
+++ b/gateway/pkg/app/endpoint_faults_test.go
@@ -329,9 +329,9 @@
 	}
 	require.Empty(t, a.requests())
 	require.Len(t, b.requests(), 20)
-	leaving := b.entry()
-	leaving.GetMember().State = toucanhingev1.MemberState_MEMBER_STATE_LEAVING
-	g.control.putEntries(leaving)
+	draining := b.entry()
+	draining.GetMember().State = toucanhingev1.MemberState_MEMBER_STATE_LEAVING
+	g.control.putEntries(draining)
 	require.Eventually(t, func() bool {
 		return g.send(http.MethodPost, chatPath, streamBody).status == http.StatusServiceUnavailable
 	}, testTimeout, pollInterval)
--- a/gateway/pkg/app/shutdown_test.go
+++ b/gateway/pkg/app/shutdown_test.go
@@ -135,8 +135,8 @@
 	require.NoError(t, p.stop(context.Background()))
 }
 
-// The explain call returns where and why a request was sent, by the id that the gateway assigned and by the id of
-// the caller.
+// The explain call returns to which endpoint a request was sent and why. It finds the request by the id that the
+// gateway assigned and by the id of the caller.
 func TestExplainReturnsRequestHistory(t *testing.T) {
 	sidecar := newSidecar(t, "e1", service)
 	runSteps([]step{refuseStep("queue-full", toucanhingev1.Ran_RAN_NO)}, sidecar)
--- a/gateway/pkg/attempt/frames.go
+++ b/gateway/pkg/attempt/frames.go
@@ -50,7 +50,7 @@
 		return append(actions, Action{Kind: ActionDropped, Reason: DropDuplicate})
 	}
 	if f.Sequence > m.next {
-		return m.holdOutOfOrder(now, f, actions)
+		return m.bufferOutOfOrder(now, f, actions)
 	}
 	actions = m.deliver(f, actions)
 	for len(m.outOfOrder) > 0 && m.outOfOrder[0].Sequence <= m.next {
@@ -73,8 +73,8 @@
 	return append(actions, Action{Kind: ActionData, Data: f.Data})
 }
 
-// holdOutOfOrder holds a frame that arrived before an earlier one.
-func (m *Machine) holdOutOfOrder(now clock.Millis, f Frame, actions []Action) []Action {
+// bufferOutOfOrder buffers a frame that arrived before an earlier one.
+func (m *Machine) bufferOutOfOrder(now clock.Millis, f Frame, actions []Action) []Action {
 	if len(m.outOfOrder) >= reorderWindow {
 		return m.handleBroken(now, Event{Reason: ReasonMissingFrame, Reached: true}, append(actions, m.cancelAction()))
 	}
--- a/gateway/pkg/attempt/machine.go
+++ b/gateway/pkg/attempt/machine.go
@@ -4,7 +4,7 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// reorderWindow is the maximum number of frames held for an earlier one. Frames travel on one
+// reorderWindow is the maximum number of frames buffered until an earlier one arrives. Frames travel on one
 // ordered stream, so a gap is a fault near the source and is filled at once or never.
 const reorderWindow = 64
 
--- a/gateway/pkg/attempt/machine_test.go
+++ b/gateway/pkg/attempt/machine_test.go
@@ -19,7 +19,8 @@
 	// answer is the number of chunks of the complete answer; chunk i is the string "i".
 	answer int
 
-	// received lists the chunks that the caller has; buffered lists those held back.
+	// received lists the chunks that the caller has; buffered lists the chunks that the runtime has not
+	// sent to the caller yet.
 	received, buffered []string
 	finished           bool
 	failure            *Action
@@ -42,7 +43,7 @@
 
 func newModel(t *rapid.T) *model {
 	m := &model{t: t, now: 1_000, answer: rapid.IntRange(1, 6).Draw(t, "answer")}
-	buffered := rapid.IntRange(0, 2).Draw(t, "held") == 0
+	buffered := rapid.IntRange(0, 2).Draw(t, "buffered") == 0
 	idempotent := rapid.Bool().Draw(t, "idempotent")
 	m.config = Config{
 		Request: "r", Deadline: 1_000 + clock.Millis(rapid.IntRange(1, 500).Draw(t, "budget")),
@@ -253,7 +254,7 @@
 			m.step(Event{Kind: EventPartSent})
 			m.config.Buffered = false
 		},
-		"time": func(t *rapid.T) { m.now += clock.Millis(rapid.IntRange(1, 100).Draw(t, "span")) },
+		"time": func(t *rapid.T) { m.now += clock.Millis(rapid.IntRange(1, 100).Draw(t, "elapsed")) },
 		"expired": func(t *rapid.T) {
 			if m.now < m.config.Deadline {
 				t.Skip()
--- a/gateway/pkg/caller/fields.go
+++ b/gateway/pkg/caller/fields.go
@@ -88,7 +88,7 @@
 		if err := decoder.Decode(&value); err != nil {
 			return nil, malformedJSON(err)
 		}
-		// The engine might use the other one of the two values.
+		// Of two values, the gateway and the engine might use different ones.
 		if _, duplicate := found[name]; duplicate {
 			return nil, newRefusal(http.StatusBadRequest, reasonDuplicateField, "the field "+name+" is given more than once")
 		}
--- a/gateway/pkg/caller/refusal.go
+++ b/gateway/pkg/caller/refusal.go
@@ -125,8 +125,8 @@
 	c.Data(r.Status, "application/json", r.json())
 }
 
-// endingRefusal returns the refusal for a request that ended without a complete response.
-func endingRefusal(e online.Result) *refusal {
+// failureRefusal returns the refusal for a request that ended without a complete response.
+func failureRefusal(e online.Result) *refusal {
 	r := &refusal{Reason: e.Reason, Run: runValue(e.Ran), RetryAfter: e.RetryAfter, Message: reasonMessages[e.Reason]}
 	if r.Message == "" {
 		r.Message = "the endpoint refused: " + e.Reason
--- a/gateway/pkg/caller/request_info.go
+++ b/gateway/pkg/caller/request_info.go
@@ -37,9 +37,9 @@
 	id       string
 	callerID string
 	arrived  clock.Millis
-	// timeout requested by the caller; 0 if it requested none.
+	// timeout is the timeout requested by the caller, 0 if it requested none.
 	timeout clock.Millis
-	// idempotent as declared by the caller; nil if it declared nothing.
+	// idempotent is the caller's declaration that the request is idempotent or isn't; nil if there is none.
 	idempotent *bool
 }
 
@@ -63,7 +63,7 @@
 	}
 	c.Header(headerRequestID, info.id)
 	for _, name := range []string{headerAuthorization, headerCallerID, headerDeadline, headerIdempotent} {
-		// The gateway and a proxy in front of it could pick different ones of two values.
+		// Of two values, the gateway and a proxy in front of it might use different ones.
 		if len(c.Request.Header.Values(name)) > 1 {
 			return nil, newRefusal(http.StatusBadRequest, reasonDuplicateHeader, "the header "+name+" is given more than once")
 		}
--- a/gateway/pkg/caller/response.go
+++ b/gateway/pkg/caller/response.go
@@ -29,10 +29,10 @@
 type response struct {
 	writer  gin.ResponseWriter
 	control *http.ResponseController
-	// writeTimeout is the maximum time that the caller may take to read one piece.
+	// writeTimeout is the maximum time that the caller may take to read one chunk.
 	writeTimeout time.Duration
 	method       string
-	// streamRequested is true when the caller asked for server-sent events, sendsEvents when the
+	// streamRequested is true when the caller requested server-sent events, sendsEvents when the
 	// response consists of them.
 	streamRequested bool
 	sendsEvents     bool
@@ -85,7 +85,7 @@
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// writeData writes one piece and flushes it at once, so that no token is delayed in a buffer.
+// writeData writes one chunk and flushes it at once, so that no token is delayed in a buffer.
 func (r *response) writeData(piece []byte) error {
 	r.extendWriteDeadline()
 	if r.sendsEvents {
@@ -131,9 +131,9 @@
 			r.writer.Flush()
 		}
 	case !r.headSent:
-		s.refuse(c, endingRefusal(e))
+		s.refuse(c, failureRefusal(e))
 	case r.sendsEvents:
-		failure := endingRefusal(e)
+		failure := failureRefusal(e)
 		s.config.Metrics.Set.Refused.WithLabelValues("caller", failure.Reason).Inc()
 		_, _ = r.writer.Write(errorEventLine)
 		_, _ = r.writer.Write(bytes.Clone(r.encodeEvent(failure.json())))
--- a/gateway/pkg/caller/serve.go
+++ b/gateway/pkg/caller/serve.go
@@ -29,10 +29,10 @@
 		return
 	}
 	resp := s.newResponse(c, request.Stream)
-	ending := s.run(c, info, request, resp)
-	s.settle(c, claim, ending)
-	s.recordOutcome(request, ending)
-	resp.finish(s, c, ending)
+	result := s.run(c, info, request, resp)
+	s.settle(c, claim, result)
+	s.recordOutcome(request, result)
+	resp.finish(s, c, result)
 }
 
 func (s *Server) run(c *gin.Context, info *requestInfo, request *online.Request, resp *response) online.Result {
@@ -41,7 +41,7 @@
 		s.config.DecisionLog.Add(request.ID, "chosen", "older system at "+service.GetOlderUrl())
 		return s.config.Legacy.Forward(c.Request.Context(), service.GetOlderUrl(), request, resp.rawSink())
 	}
-	return s.config.Runner.Run(c.Request.Context(), request, resp.sink())
+	return s.config.Executor.Run(c.Request.Context(), request, resp.sink())
 }
 
 // usesLegacy reports whether the request goes to the legacy system, which gets the given percentage. The choice
@@ -93,27 +93,27 @@
 
 // settle reports to control how a claimed request ended. The claim of a request that was certainly not run is
 // released before the caller gets its response, so that a resend is not refused.
-func (s *Server) settle(c *gin.Context, claim *control.Claim, ending online.Result) {
+func (s *Server) settle(c *gin.Context, claim *control.Claim, result online.Result) {
 	switch {
 	case claim == nil:
-	case ending.Complete || ending.Ran == attempt.RanYes:
+	case result.Complete || result.Ran == attempt.RanYes:
 		s.config.Claims.Settle(*claim, toucanhingev1.ClaimState_CLAIM_STATE_RUN)
-	case ending.MayHaveRun:
+	case result.MayHaveRun:
 		s.config.Claims.Settle(*claim, toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN)
 	default:
 		s.config.Claims.Release(c.Request.Context(), *claim)
 	}
 }
 
-func (s *Server) recordOutcome(request *online.Request, ending online.Result) {
-	outcome := ending.Reason
+func (s *Server) recordOutcome(request *online.Request, result online.Result) {
+	outcome := result.Reason
 	switch {
-	case ending.CallerGone:
+	case result.CallerGone:
 		outcome = attempt.ReasonCallerGone
-	case ending.Complete:
+	case result.Complete:
 		outcome = "whole"
 	}
 	s.config.Metrics.Requests.WithLabelValues(request.Service, outcome).Inc()
 	level.Debug(s.config.Logger).Log(logs.KeyEvent, "request-ended", logs.KeyRequest, request.ID,
-		"team", request.Team, "service", request.Service, "outcome", outcome, "attempts", ending.Attempts)
+		"team", request.Team, "service", request.Service, "outcome", outcome, "attempts", result.Attempts)
 }
--- a/gateway/pkg/callproxy/call.go
+++ b/gateway/pkg/callproxy/call.go
@@ -22,11 +22,11 @@
 	eventTimeout = time.Second
 	// readBufferSize fits several events of about 100 bytes.
 	readBufferSize = 4 << 10
-	// maxBufferedBytes limits the buffered output of a call: some seconds of a fast runner's events.
+	// maxBufferedBytes limits the buffered output of a call. It fits some seconds of a fast runner's events.
 	maxBufferedBytes = 64 << 10
 )
 
-var errRunnerUnresponsive = errors.New("the runner is unresponsive")
+var errRunnerUnresponsive = errors.New("nothing comes from the runner")
 
 // call is a proxied call. Its own goroutine reads the runner's answer, and the session collects the buffered events.
 type call struct {
@@ -100,7 +100,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("read the runner's answer: %w", err)
+			return fmt.Errorf("read an answer: %w", err)
 		}
 	}
 }
--- a/gateway/pkg/callproxy/server.go
+++ b/gateway/pkg/callproxy/server.go
@@ -38,9 +38,9 @@
 )
 
 var (
-	errDraining           = errors.New("this gateway is shutting down")
-	errDaemonUnresponsive = errors.New("the calling daemon is unresponsive")
-	errReleased           = errors.New("the calling daemon released the call")
+	errDraining           = errors.New("this gateway is leaving")
+	errDaemonUnresponsive = errors.New("the daemon that asked is gone")
+	errReleased           = errors.New("the daemon that asked wants no more")
 )
 
 // Config holds the dependencies and settings of a Server.
@@ -159,7 +159,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("receive commands: %w", err)
+			return fmt.Errorf("take commands: %w", err)
 		}
 		session.setFlushInterval(time.Duration(m.GetGatherMs()) * time.Millisecond)
 		for _, request := range m.GetStarts() {
--- a/gateway/pkg/callproxy/session.go
+++ b/gateway/pkg/callproxy/session.go
@@ -29,7 +29,7 @@
 	// urgent signals that there are urgent events to send. It has capacity one.
 	urgent chan struct{}
 
-	// intervals holds a new flush interval. It has capacity one.
+	// intervals passes a new flush interval to sendEvents. It has capacity one.
 	intervals chan time.Duration
 
 	mu    sync.Mutex
--- a/gateway/pkg/core/subscriber.go
+++ b/gateway/pkg/core/subscriber.go
@@ -181,7 +181,7 @@
 	s.queriedAt = s.config.Boot.Now()
 	all := address != s.reportedTo
 	if all && s.queriedAt-s.updatedAt > clock.Millis(leaderMaxWait.Milliseconds()) {
-		// The subscribers of this gateway have waited long enough.
+		// The calls of this gateway's subscribers have waited for longer than leaderMaxWait already.
 		maxWait = 0
 	}
 	request := &toucanhingev1.AttendRequest{
--- a/gateway/pkg/core/subscriber_test.go
+++ b/gateway/pkg/core/subscriber_test.go
@@ -180,7 +180,7 @@
 }
 
 // All VMs of the core lose power for a while and restart. The gateway must find the new leader within
-// half a second, independent of when it queried them last: callers are refused until then, and retry
+// half a second, independent of the time of its last query: callers are refused until then, and retry
 // only once.
 func TestLeaderIsFoundSoonAfterOutage(t *testing.T) {
 	for _, outage := range []time.Duration{900, 1200, 1500, 1800} {
--- a/gateway/pkg/core/upstream.go
+++ b/gateway/pkg/core/upstream.go
@@ -9,7 +9,7 @@
 
 const (
 	// failureBlockDuration is how long a gateway is blocked after a failed call. The leader removes a
-	// gateway that is gone after four seconds; one that was frozen is queried again soon enough.
+	// gateway that is gone after four seconds; one that was frozen for a while is queried again after this time.
 	failureBlockDuration clock.Millis = 3_000
 	// lagBlockDuration is how long a gateway is blocked because its state lagged. Without a leader all
 	// gateways lag, and shortly after the next leader starts none does.
@@ -21,7 +21,7 @@
 )
 
 // upstream selects where this gateway queries updates of the core: a parent in the tree of gateways, or
-// the leader. It handles parents that are frozen, unreachable or gone, which only their answers show. It
+// the leader. It detects parents that are frozen, unreachable or gone by the results of queries only. It
 // uses no goroutine, socket or clock.
 type upstream struct {
 	self fanout.Gateway
@@ -41,8 +41,8 @@
 // setTree sets the tree of the current fleet.
 func (u *upstream) setTree(t fanout.Tree) { u.tree = t }
 
-// next returns the address of the gateway to query, empty for the leader. With insists, the query tells
-// the leader that none of the gateways that it named answers.
+// next returns the address of the gateway to query, empty for the leader. insists is set if the query must
+// inform the leader that none of the gateways that it named answers.
 func (u *upstream) next(now clock.Millis) (gateway string, insists bool) {
 	for _, list := range [][]string{u.tree.Parents(u.self), u.referrals} {
 		for _, address := range list {
--- a/gateway/pkg/endpoint/directory.go
+++ b/gateway/pkg/endpoint/directory.go
@@ -195,7 +195,7 @@
 					<-workers
 				}()
 			default:
-				// All workers wait for unresponsive endpoints; the endpoint is polled again later.
+				// All workers are waiting for unresponsive endpoints. This endpoint is polled again later.
 			}
 		}
 	}
--- a/gateway/pkg/endpoint/stream.go
+++ b/gateway/pkg/endpoint/stream.go
@@ -23,8 +23,8 @@
 	ReasonSidecarError = "sidecar-error"
 )
 
-// unresponsiveAfter is the idle time from which a failed stream counts as an unresponsive endpoint and
-// not only as a cut answer: the failure then comes from unanswered connection pings.
+// unresponsiveAfter is the idle time from which a failed stream means that its endpoint is unresponsive, and
+// not only that the answer was cut off: after that time, the failure comes from unanswered connection pings.
 const unresponsiveAfter clock.Millis = 2_000
 
 // Failure describes how a stream ended before its end frame.
--- a/gateway/pkg/forward/authorize.go
+++ b/gateway/pkg/forward/authorize.go
@@ -13,8 +13,8 @@
 	"toucanhinge.example/common/pkg/routing"
 )
 
-// A gateway that can't confirm its keys is cut off from the core, usually as the only one. Callers
-// retry soon, and the balancer sends them to another gateway.
+// A gateway that can't confirm its keys is cut off from the core, usually without other gateways being cut
+// off. Callers retry soon, and the balancer sends them to another gateway.
 const (
 	staleKeyRetryDelay  = 200 * time.Millisecond
 	staleKeyRetryJitter = 400 * time.Millisecond
@@ -83,8 +83,8 @@
 	return hash, nil
 }
 
-// KeysFresh reports whether the balancer should send new connections here: this gateway knows which
-// keys are valid and will know it for a while, or needs no keys.
+// KeysFresh reports whether the balancer should send new connections to this gateway: either its lease on
+// the keys is valid and won't expire soon, or the routing table needs no keys.
 func (s *Server) KeysFresh() bool {
 	table := s.table.Load()
 	return table == nil || !table.Keyed() || !s.config.KeyLease.ExpiresSoon(s.config.Boot.Now())
--- a/gateway/pkg/forward/crash_test.go
+++ b/gateway/pkg/forward/crash_test.go
@@ -235,7 +235,7 @@
 // each: all twelve runners were down within three seconds, with 34 and 36 crashes in total, and the
 // streams of other requests broke with them, 0.1 to 0.2 s apart.
 //
-// Three crashes suffice for a quarantine. Three more runs are allowed until all gateways know of it.
+// Three crashes suffice for a quarantine. The test allows three more runs until all gateways know of it.
 func TestCrashingRequestIsQuarantinedAtAllGateways(t *testing.T) {
 	f := startCrashFleet(t, 3)
 	stop := make(chan struct{})
@@ -316,7 +316,7 @@
 
 // A request is quarantined by its third crash, during an attempt. The attempt that caused the crash
 // ends with an error for a request that may have run; the next one is refused at once. Both answers
-// say when to retry.
+// contain the time after which to retry.
 func TestQuarantineDuringAttempt(t *testing.T) {
 	f := startCrashFleet(t, 1)
 	x := f.servers[0].config.Exchange
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -209,7 +209,7 @@
 			e.server.updatePlacement(func(m *placement.Machine) { m.Block(r.GetId(), e.now()+unreachableBlockDuration) })
 		}
 		if unsent.Unresponsive {
-			// Otherwise each gateway would lose time with a request of its own at this runner.
+			// Otherwise each other gateway would lose time by sending a request to this runner.
 			e.server.config.Exchange.SetUnresponsive(r.GetId(), true)
 		}
 		return e.recordRetry(r, "unreachable", err)
--- a/gateway/pkg/forward/quota.go
+++ b/gateway/pkg/forward/quota.go
@@ -12,8 +12,8 @@
 	"toucanhinge.example/common/pkg/quota"
 )
 
-// maxQuotaWait limits the wait until other gateways know of the team's requests here. This takes
-// about 20 ms, or 60 ms if data centres exchange summed digests.
+// maxQuotaWait limits the wait until other gateways know of the requests that this gateway counted for the
+// team. The exchange takes about 20 ms, or 60 ms if data centres exchange summed digests.
 const maxQuotaWait clock.Millis = 100
 
 // AcquireQuota counts a request for its team's quota, or refuses it. A request that isn't run
@@ -53,7 +53,7 @@
 	}
 }
 
-// sleep waits for a duration, and reports whether the context is still alive.
+// sleep waits for a duration, and reports whether the context hasn't ended meanwhile.
 func sleep(ctx context.Context, duration clock.Millis) bool {
 	timer := time.NewTimer(duration.Duration())
 	defer timer.Stop()
--- a/gateway/pkg/forward/request.go
+++ b/gateway/pkg/forward/request.go
@@ -1,6 +1,6 @@
 // Package forward serves online requests. It authorizes a request, places it on a runner and forwards
 // the answer as it arrives. A request whose call fails is retried at another runner if its route
-// allows it; otherwise the caller receives an error that tells whether the request may have run.
+// allows it; otherwise the caller receives an error that states whether the request may have run.
 package forward
 
 import (
--- a/gateway/pkg/forward/server_test.go
+++ b/gateway/pkg/forward/server_test.go
@@ -33,11 +33,12 @@
 	status        int
 	notRun        bool
 	otherInstance bool
-	// text is the body; after it, fails returns an error and hangs blocks until the call ends.
+	// text is the body. After the body, the call returns an error if fails is set, and blocks until it ends if
+	// hangs is set.
 	text  string
 	fails bool
 	hangs bool
-	// noAnswer blocks until the call ends.
+	// noAnswer is set if the call blocks until it ends and returns nothing.
 	noAnswer bool
 	// load is the load that the runner reports, 0 if it reports none.
 	load int
@@ -277,7 +278,7 @@
 }
 
 // A caller disconnects during a stream. The call to the runner must end, so that the runner doesn't
-// continue to generate events that nobody reads.
+// continue to generate events in vain.
 func TestCallerDisconnectEndsRunnerCall(t *testing.T) {
 	f := start(t, reply{text: events(1, 1), hangs: true})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/gateway/pkg/forward/stream.go
+++ b/gateway/pkg/forward/stream.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// eventBuffer has room for some events of about 100 bytes.
+	// eventBuffer is the size of the read buffer, which fits several events of about 100 bytes.
 	eventBuffer = 2 << 10
 	// gapTimeoutShare is the part of the route's objective for the gap between events after which a
 	// stream continues at another runner: the rest is left for that runner's first event.
--- a/gateway/pkg/forward/unresponsive_test.go
+++ b/gateway/pkg/forward/unresponsive_test.go
@@ -47,7 +47,7 @@
 
 // In a burst a request waits in the queue of a full runner, and its gateway has no other call there. The
 // runner works. If it were reported as unresponsive, no gateway would send it requests, and the other
-// runners would fill up in turn.
+// runners would fill up one after the other.
 func TestFullRunnerIsNotReportedUnresponsive(t *testing.T) {
 	for _, c := range []struct {
 		name         string
--- a/gateway/pkg/jobs/service.go
+++ b/gateway/pkg/jobs/service.go
@@ -29,7 +29,8 @@
 	attemptTimeout = 400 * time.Millisecond
 	// answerMargin is the part of a caller's timeout that is reserved for returning the answer.
 	answerMargin = 200 * time.Millisecond
-	// retryDelay is when a job that exceeds the quota may be accepted, since items run for seconds.
+	// retryDelay is the retry delay for a job that exceeds the quota. Items run for seconds, so the job may be
+	// accepted then.
 	retryDelay = time.Second
 )
 
--- a/gateway/pkg/lease/lease.go
+++ b/gateway/pkg/lease/lease.go
@@ -19,7 +19,7 @@
 	// durationShare is the part of the bound for which the lease is valid. The rest allows for clocks
 	// that run at different rates.
 	durationShare = 0.9
-	// warnShare is the part of the lease's duration after which a gateway wants no new connections. The
+	// warnShare is the part of the lease's duration after which a gateway should get no new connections. The
 	// balancer needs up to two seconds to send them to another gateway.
 	warnShare = 0.4
 )
--- a/gateway/pkg/limit/limiter_test.go
+++ b/gateway/pkg/limit/limiter_test.go
@@ -100,7 +100,7 @@
 				l.Done(now, o.open[i].team, o.open[i].service)
 				o.open = append(o.open[:i], o.open[i+1:]...)
 			},
-			"time": func(t *rapid.T) { now += clock.Millis(rapid.SampledFrom([]int{1, 30, 400, 70_000}).Draw(t, "span")) },
+			"time": func(t *rapid.T) { now += clock.Millis(rapid.SampledFrom([]int{1, 30, 400, 70_000}).Draw(t, "elapsed")) },
 		})
 	})
 }
--- a/gateway/pkg/online/exchange.go
+++ b/gateway/pkg/online/exchange.go
@@ -43,11 +43,11 @@
 	lastChunkAt  time.Time
 	// chunkInterval is looked up once for each stream, because a lookup for each token is measurably slow.
 	chunkInterval prometheus.Observer
-	// open is true from when an attempt is sent until it ends.
+	// open is true while an attempt is in flight.
 	open bool
 	// notRun is true once the endpoint has refused the open attempt, so that no cancel is needed.
 	notRun bool
-	// keepRun is true while a stream is closed whose run may still return the rest of the answer.
+	// keepRun makes closeStream leave the run uncancelled, because the run may still return the rest of the answer.
 	keepRun   bool
 	abandoned abandonedRun
 
@@ -149,7 +149,7 @@
 }
 
 func (e *exchange) record(event, detail string) {
-	e.executor.config.Log.Add(e.request.ID, event, detail)
+	e.executor.config.DecisionLog.Add(e.request.ID, event, detail)
 }
 
 func (e *exchange) choose() attempt.Event {
@@ -259,7 +259,7 @@
 // deadlineSkew is how much earlier a request's deadline may expire at the endpoint than at the
 // gateway: the budget is sent in whole milliseconds, and the gateway's timer may be late. An attempt
 // that breaks so shortly before the deadline can't be retried anyway. Without the skew, some
-// expired requests were reported as broken off by the endpoint.
+// expired requests were reported as endpoint failures.
 const deadlineSkew clock.Millis = 10
 
 // handleStreamFailure distinguishes a disconnected caller and an expired deadline from a failure of the
--- a/gateway/pkg/online/executor.go
+++ b/gateway/pkg/online/executor.go
@@ -14,13 +14,13 @@
 
 // Config configures an Executor.
 type Config struct {
-	Gateway   string
-	Clock     clock.Clock
-	Directory *endpoint.Directory
-	Log       *record.Log
-	Metrics   *Metrics
-	Logger    log.Logger
-	Budget    *attempt.Budget
+	Gateway     string
+	Clock       clock.Clock
+	Directory   *endpoint.Directory
+	DecisionLog *record.Log
+	Metrics     *Metrics
+	Logger      log.Logger
+	Budget      *attempt.Budget
 	// MaxAttempts is the maximum number of attempts of one request.
 	MaxAttempts uint32
 	// StallTimeout is the maximum time between two chunks of a stream.
--- a/gateway/pkg/placement/candidates.go
+++ b/gateway/pkg/placement/candidates.go
@@ -14,7 +14,7 @@
 	position int
 	wait     float64
 	cost     float64
-	// order is the number of the candidate. It breaks ties between equal costs.
+	// order is the position at which the candidate was generated. It breaks ties between equal costs.
 	order int
 }
 
@@ -75,7 +75,7 @@
 }
 
 // candidates returns the best candidates in order. Their number grows with the number of requests that other gateways
-// have probably placed without being visible here yet.
+// have probably placed and that no received digest contains yet.
 func (m *Machine) candidates(now clock.Millis, runners []*toucanhingev1.Runner, req Request, hold float64, load func(runner string) Load) []candidate {
 	loads := make([]Load, len(runners))
 	others := 0
--- a/gateway/pkg/placement/candidates_test.go
+++ b/gateway/pkg/placement/candidates_test.go
@@ -47,7 +47,7 @@
 			own := rapid.IntRange(0, 2).Draw(t, "own")
 			loads[r.Id] = Load{
 				Own: own, Online: own + rapid.IntRange(0, 9).Draw(t, "online"), Batch: rapid.IntRange(0, 3).Draw(t, "batch"),
-				Foreign: rapid.IntRange(0, 1).Draw(t, "foreign"), Unresponsive: rapid.Bool().Draw(t, "silent"),
+				Foreign: rapid.IntRange(0, 1).Draw(t, "foreign"), Unresponsive: rapid.Bool().Draw(t, "unresponsive"),
 			}
 		}
 		m := newMachine(runners...)
--- a/gateway/pkg/placement/machine.go
+++ b/gateway/pkg/placement/machine.go
@@ -27,9 +27,9 @@
 	holdWeight = 0.05
 	// initialHold is the mean before any request was measured.
 	initialHold = 700.0
-	// spreadFactor is the number of candidates for each request that other gateways have probably placed without being
-	// visible here yet. Ended requests aren't visible either, and gateways draw independently, so with a
-	// factor of one two requests often get the same slot.
+	// spreadFactor is the number of candidates for each request that other gateways have probably placed and that no
+	// received digest contains yet. The digests also lack the requests that ended since, and gateways draw
+	// independently, so with a factor of one two requests often get the same slot.
 	spreadFactor = 3
 	// maxCandidatesPerRunner limits the candidates of one runner.
 	maxCandidatesPerRunner = 4
--- a/gateway/pkg/route/endpoint.go
+++ b/gateway/pkg/route/endpoint.go
@@ -4,7 +4,7 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// Endpoint describes an endpoint as the configuration has it.
+// Endpoint describes an endpoint as it is configured.
 type Endpoint struct {
 	Name        string
 	Address     string
@@ -41,7 +41,7 @@
 	OutcomeFailed
 	// OutcomeUnreachable is an endpoint that can't be reached or does not answer at all.
 	OutcomeUnreachable
-	// OutcomeNeutral is no evidence about the endpoint: the caller left, or the deadline passed.
+	// OutcomeNeutral is no evidence about the endpoint: the caller disconnected, or the deadline passed.
 	OutcomeNeutral
 )
 
--- a/gateway/pkg/route/router_test.go
+++ b/gateway/pkg/route/router_test.go
@@ -104,7 +104,7 @@
 				r.RecordLoad(now, n, l)
 			},
 			"silent": func(t *rapid.T) { r.RecordPoll(now, name.Draw(t, "endpoint"), nil) },
-			"time":   func(t *rapid.T) { now += clock.Millis(rapid.IntRange(1, 2_000).Draw(t, "span")) },
+			"time":   func(t *rapid.T) { now += clock.Millis(rapid.IntRange(1, 2_000).Draw(t, "elapsed")) },
 		})
 	})
 }
