--- a/common/pkg/control/client.go
+++ b/common/pkg/control/client.go
@@ -31,7 +31,7 @@
 	// it as well name it until they have elected another leader, within 0.6 s. A longer period
 	// would keep gateways from a leader that is back after a power failure.
 	unresponsivePeriod = 700 * time.Millisecond
-	// probeTimeoutout is the time limit of the probe of a control VM that didn't answer in time. It is
+	// probeTimeout is the time limit of the probe of a control VM that didn't answer in time. It is
 	// shorter than unresponsivePeriod.
 	probeTimeout = 600 * time.Millisecond
 )
@@ -136,7 +136,7 @@
 	}
 }
 
-// dropConnectionsConnections closes the connections to a control VM that didn't answer.
+// dropConnections closes the connections to a control VM that didn't answer.
 func (c *Client) dropConnections(r *Replica) {
 	if c.config.NewHTTP == nil {
 		return
@@ -179,7 +179,7 @@
 	return c.Replica(address)
 }
 
-// KnownLeaderLeader returns the address of the replica believed to lead the group, empty if none is
+// KnownLeader returns the address of the replica believed to lead the group, empty if none is
 // known.
 func (c *Client) KnownLeader(group uint32) string {
 	c.mu.Lock()
@@ -254,15 +254,15 @@
 			}
 		}
 		replica := c.Leader(group)
-		tryCtx, cancel := context.WithTimeout(ctx, c.config.AttemptTimeout)
-		answer, err := call(tryCtx, replica)
+		attemptCtx, cancel := context.WithTimeout(ctx, c.config.AttemptTimeout)
+		answer, err := call(attemptCtx, replica)
 		cancel()
 		if err == nil {
 			c.markResponsive(replica)
 			c.setLeader(group, replica.Address)
 			return answer, nil
 		}
-		reason, again := c.classifyError(group, err)
+		reason, retry := c.classifyError(group, err)
 		switch reason {
 		case reasonLate:
 			c.deprioritize(replica)
@@ -271,7 +271,7 @@
 		case reasonNotLeader:
 			c.markResponsive(replica)
 		}
-		if !again || ctx.Err() != nil {
+		if !retry || ctx.Err() != nil {
 			return answer, fmt.Errorf("%s at %s: %w", operation, replica.Address, err)
 		}
 		if c.config.Retried != nil {
@@ -292,7 +292,7 @@
 
 // classifyError returns the retry reason of a failed attempt and whether to try again. It clears
 // or replaces the cached leader.
-func (c *Client) classifyError(group uint32, err error) (reason string, again bool) {
+func (c *Client) classifyError(group uint32, err error) (reason string, retry bool) {
 	if leader, refused := LeaderOf(err); refused {
 		c.setLeader(group, leader)
 		return reasonNotLeader, true
--- a/common/pkg/control/find_leader.go
+++ b/common/pkg/control/find_leader.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// findTimeoutout is the time limit of the query for the leader. A control VM usually answers
+	// findTimeout is the time limit of the query for the leader. A control VM usually answers
 	// within a millisecond, and a VM without power never does. When the VMs were queried one after
 	// the other with the time limit of a call, two VMs without power kept gateways from their
 	// routing table for a second after the leader was elected.
@@ -22,23 +22,23 @@
 	maxQueried = 4
 )
 
-var errNoLeader = errors.New("no control VM knows the leader")
+var errNoLeader = errors.New("no control VM names a leader")
 
-// findLeaderLeader queries several control VMs at once for the leader and accepts the first answer that
+// findLeader queries several control VMs at once for the leader and accepts the first answer that
 // names one. It reports whether there was such an answer.
 func (c *Client) findLeader(ctx context.Context, group uint32) bool {
 	ctx, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
 	addresses := c.nextAddresses()
-	named := make(chan string, len(addresses))
+	leaders := make(chan string, len(addresses))
 	for _, address := range addresses {
-		go func() { named <- c.queryAddress(ctx, address) }()
+		go func() { leaders <- c.queryAddress(ctx, address) }()
 	}
 	for range addresses {
 		select {
 		case <-ctx.Done():
 			return false
-		case leader := <-named:
+		case leader := <-leaders:
 			c.setLeader(group, leader)
 			if c.KnownLeader(group) != "" {
 				return true
--- a/common/pkg/control/watcher.go
+++ b/common/pkg/control/watcher.go
@@ -135,8 +135,8 @@
 // RaiseMinVersion records an accepted version, which heartbeats report.
 func (w *Watcher) RaiseMinVersion(version uint64) {
 	for {
-		known := w.minVersion.Load()
-		if version <= known || w.minVersion.CompareAndSwap(known, version) {
+		current := w.minVersion.Load()
+		if version <= current || w.minVersion.CompareAndSwap(current, version) {
 			return
 		}
 	}
--- a/common/pkg/crashes/evidence.go
+++ b/common/pkg/crashes/evidence.go
@@ -6,7 +6,7 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// Numbers of crashes that put a request into quarantine.
+// Numbers of crashes that are sufficient for a quarantine, and limits used to derive them.
 const (
 	// minCrashes are sufficient while crashes are rare, if the request leads every other suspect
 	// of these crashes by minLead. A harmless request in the same queues as a crashing one, which
@@ -15,9 +15,10 @@
 	minLead    = 2
 	// sufficientLikeliest crashes are sufficient with any lead over the other suspects.
 	sufficientLikeliest = 5
-	// sufficientCrashes are sufficient without a lead. Crashes of early runs are included, except
-	// while runners crash so often for other reasons that harmless requests meet as many. Then
-	// sufficientUnstable crashes are needed if early runs are included.
+	// sufficientCrashes are sufficient without a lead. Crashes of early runs are included. While
+	// runners crash often for other reasons, a harmless request may meet sufficientCrashes
+	// crashes. Then only crashes before the first event count, or sufficientUnstable crashes with
+	// those of early runs are needed.
 	sufficientCrashes  = 6
 	sufficientUnstable = 8
 	// sufficientShared crashes are sufficient even if a quarantined request explains some of
@@ -26,8 +27,8 @@
 	// maxFalsePositive is the maximum probability that a harmless request meets the needed number
 	// of consecutive crashes before its first event.
 	maxFalsePositive = 2e-6
-	// exposure is how long a request waits for its first event, queues included.
-	exposure clock.Millis = 150
+	// firstEventWait is how long a request waits for its first event, queues included.
+	firstEventWait clock.Millis = 150
 	// crashWindow is the period over which crashes for other reasons are counted.
 	crashWindow clock.Millis = 10_000
 	// propagationDelay is the time after a crash until all gateways have received the reports of
@@ -74,7 +75,7 @@
 			otherCrashes++
 		}
 	}
-	probability := float64(otherCrashes+1) * float64(exposure) / (float64(crashWindow) * float64(max(m.runnerCount, 1)))
+	probability := float64(otherCrashes+1) * float64(firstEventWait) / (float64(crashWindow) * float64(max(m.runnerCount, 1)))
 	// The first two crashes are often close together, so they count as one.
 	falsePositive := math.Pow(probability, minCrashes-1)
 	for crashes := minCrashes; crashes < sufficientCrashes; crashes++ {
@@ -103,11 +104,11 @@
 		if c.at+propagationDelay > now || c.suspects[s.fingerprint] != BeforeFirstEvent {
 			continue
 		}
-		rival := m.strongestRival(c, s.fingerprint)
-		if rival < e.beforeFirstEvent {
+		otherCount := m.maxOtherCount(c, s.fingerprint)
+		if otherCount < e.beforeFirstEvent {
 			e.likeliest++
 		}
-		if rival <= e.beforeFirstEvent-minLead {
+		if otherCount <= e.beforeFirstEvent-minLead {
 			e.leading++
 		}
 	}
@@ -126,13 +127,13 @@
 	return count
 }
 
-// strongestRival returns the beforeFirstEvent count of the likeliest other suspect of a crash.
-func (m *Machine) strongestRival(c *crash, fingerprint Fingerprint) int {
-	likeliest := 0
+// maxOtherCount returns the highest beforeFirstEvent count among the other suspects of a crash.
+func (m *Machine) maxOtherCount(c *crash, fingerprint Fingerprint) int {
+	maxCount := 0
 	for other := range c.suspects {
 		if other != fingerprint {
-			likeliest = max(likeliest, m.countBeforeFirstEvent(m.suspects[other]))
+			maxCount = max(maxCount, m.countBeforeFirstEvent(m.suspects[other]))
 		}
 	}
-	return likeliest
+	return maxCount
 }
--- a/common/pkg/crashes/machine.go
+++ b/common/pkg/crashes/machine.go
@@ -15,7 +15,7 @@
 	maxDelay           clock.Millis = 1_500
 )
 
-// Status tells how to treat a request.
+// Status is the treatment of a request.
 type Status int
 
 // Statuses of a request.
--- a/common/pkg/crashes/machine_test.go
+++ b/common/pkg/crashes/machine_test.go
@@ -145,7 +145,7 @@
 		m, now := New(), start
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += clock.Millis(rapid.IntRange(0, 5_000).Draw(t, "pause"))
-			fingerprint := simFingerprint(rapid.IntRange(0, 3_000).Draw(t, "content"))
+			fingerprint := simFingerprint(rapid.IntRange(0, 3_000).Draw(t, "fingerprint"))
 			age := clock.Millis(rapid.IntRange(0, 60_000).Draw(t, "age"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
@@ -153,7 +153,7 @@
 				for n := range rapid.IntRange(1, 60).Draw(t, "runs") {
 					m.AddReport(now, Report{
 						Crash:       Crash{Runner: fmt.Sprint(rapid.IntRange(0, 900).Draw(t, "runner"))},
-						Fingerprint: simFingerprint(first + n), Phase: Phase(rapid.IntRange(-1, 4).Draw(t, "sign")), At: now - age,
+						Fingerprint: simFingerprint(first + n), Phase: Phase(rapid.IntRange(-1, 4).Draw(t, "phase")), At: now - age,
 					})
 				}
 			case 1:
--- a/common/pkg/crashes/simulation_test.go
+++ b/common/pkg/crashes/simulation_test.go
@@ -21,12 +21,12 @@
 	events   eventQueue
 	machines []*Machine
 	runners  []*simRunner
-	// crashed counts the runs of each request that a runner crash ended, reached all its runs,
-	// and reachedLate the runs that started more than three seconds after its third crash.
+	// crashed counts the runs of each request that ended with a runner crash, runs all its runs,
+	// and lateRuns the runs that started more than three seconds after its third crash.
 	crashed        map[Fingerprint]int
-	reached        map[Fingerprint]int
+	runs           map[Fingerprint]int
 	thirdAt        map[Fingerprint]clock.Millis
-	reachedLate    map[Fingerprint]int
+	lateRuns       map[Fingerprint]int
 	harmless       map[Fingerprint]bool
 	served         int
 	refused        int
@@ -36,9 +36,9 @@
 type simulationConfig struct {
 	seed              uint64
 	gateways, runners int
-	// perSecond is the number of harmless requests per second, crashers the number of requests
-	// that crash their runners.
-	perSecond, crashers int
+	// requestsPerSecond is the number of harmless requests per second, crashingRequests the number
+	// of requests that crash their runners.
+	requestsPerSecond, crashingRequests int
 	// crashInterval is the mean time between waves of unrelated crashes, 0 for none. wave is the
 	// number of runners that crash in a wave, waveGap the time between two of them.
 	crashInterval, waveGap clock.Millis
@@ -105,8 +105,8 @@
 
 func runSimulation(c simulationConfig) *simulation {
 	s := &simulation{
-		config: c, random: rand.New(rand.NewPCG(c.seed, 1)), crashed: map[Fingerprint]int{}, reached: map[Fingerprint]int{},
-		thirdAt: map[Fingerprint]clock.Millis{}, reachedLate: map[Fingerprint]int{}, harmless: map[Fingerprint]bool{}, now: 1_000_000,
+		config: c, random: rand.New(rand.NewPCG(c.seed, 1)), crashed: map[Fingerprint]int{}, runs: map[Fingerprint]int{},
+		thirdAt: map[Fingerprint]clock.Millis{}, lateRuns: map[Fingerprint]int{}, harmless: map[Fingerprint]bool{}, now: 1_000_000,
 	}
 	for range c.gateways {
 		m := New()
@@ -117,11 +117,11 @@
 		s.runners = append(s.runners, &simRunner{up: true, startedAt: int64(s.now)})
 	}
 	end := s.now + c.duration
-	for n := range c.crashers {
+	for n := range c.crashingRequests {
 		request := &simRequest{fingerprint: simFingerprint(1<<32 + n), crashing: true}
 		s.after(1_000+clock.Millis(s.random.IntN(2_000)), func() { s.arrive(request) })
 	}
-	for n := range int(c.duration) * c.perSecond / 1_000 {
+	for n := range int(c.duration) * c.requestsPerSecond / 1_000 {
 		request := &simRequest{fingerprint: simFingerprint(n), remaining: clock.Millis(simRunTime/2 + s.random.IntN(simRunTime))}
 		s.harmless[request.fingerprint] = true
 		s.after(clock.Millis(s.random.Int64N(int64(c.duration))), func() { s.arrive(request) })
@@ -193,9 +193,9 @@
 	}
 	run := &simRun{request: q, gateway: gateway, runner: leastLoaded, sent: s.now}
 	q.runs++
-	s.reached[q.fingerprint]++
+	s.runs[q.fingerprint]++
 	if thirdAt := s.thirdAt[q.fingerprint]; thirdAt > 0 && s.now > thirdAt+3_000 {
-		s.reachedLate[q.fingerprint]++
+		s.lateRuns[q.fingerprint]++
 	}
 	r := s.runners[leastLoaded]
 	r.waiting = append(r.waiting, run)
@@ -335,13 +335,13 @@
 // and are retried must not be quarantined.
 func TestOnlyRequestsThatCrashRunnersAreQuarantined(t *testing.T) {
 	for _, c := range []simulationConfig{
-		{gateways: 3, runners: 12, perSecond: 60, crashers: 1},
-		{gateways: 8, runners: 12, perSecond: 60, crashers: 2},
-		{gateways: 8, runners: 12, perSecond: 100, crashers: 4},
-		{gateways: 8, runners: 12, perSecond: 100, crashers: 6},
-		{gateways: 27, runners: 54, perSecond: 280, crashers: 3, loss: .05},
-		{gateways: 89, runners: 144, perSecond: 700, crashers: 4, loss: .02},
-		{gateways: 8, runners: 12, perSecond: 60, crashers: 2, retries: 4, crashInterval: 2_000, wave: 4, waveGap: 150},
+		{gateways: 3, runners: 12, requestsPerSecond: 60, crashingRequests: 1},
+		{gateways: 8, runners: 12, requestsPerSecond: 60, crashingRequests: 2},
+		{gateways: 8, runners: 12, requestsPerSecond: 100, crashingRequests: 4},
+		{gateways: 8, runners: 12, requestsPerSecond: 100, crashingRequests: 6},
+		{gateways: 27, runners: 54, requestsPerSecond: 280, crashingRequests: 3, loss: .05},
+		{gateways: 89, runners: 144, requestsPerSecond: 700, crashingRequests: 4, loss: .02},
+		{gateways: 8, runners: 12, requestsPerSecond: 60, crashingRequests: 2, retries: 4, crashInterval: 2_000, wave: 4, waveGap: 150},
 	} {
 		seeds := uint64(40)
 		if c.gateways > 20 {
@@ -349,20 +349,20 @@
 		}
 		c.duration = 12_000
 		c.retries = max(c.retries, 1)
-		reached := map[int]int{}
+		runCounts := map[int]int{}
 		for seed := range seeds {
 			c.seed = seed
 			s := runSimulation(c)
 			name := fmt.Sprintf("%+v", c)
 			require.Empty(t, s.falsePositives, name)
-			for n := range c.crashers {
+			for n := range c.crashingRequests {
 				fingerprint := simFingerprint(1<<32 + n)
-				require.LessOrEqual(t, s.reachedLate[fingerprint], 3, name)
-				reached[s.reached[fingerprint]]++
+				require.LessOrEqual(t, s.lateRuns[fingerprint], 3, name)
+				runCounts[s.runs[fingerprint]]++
 			}
 			require.Positive(t, s.refused, name)
 		}
-		t.Logf("%d gateways, %d runners, %d crashing requests: runs per request %v", c.gateways, c.runners, c.crashers, reached)
+		t.Logf("%d gateways, %d runners, %d crashing requests: runs per request %v", c.gateways, c.runners, c.crashingRequests, runCounts)
 	}
 }
 
@@ -381,7 +381,7 @@
 		{simulationConfig{gateways: 8, runners: 4, crashInterval: 500, wave: 2, waveGap: 50}, 0},
 		{simulationConfig{gateways: 8, runners: 12, crashInterval: 800, wave: 3, waveGap: 100}, 2},
 	} {
-		c.duration, c.perSecond, c.retries = 20_000, 60, 4
+		c.duration, c.requestsPerSecond, c.retries = 20_000, 60, 4
 		met, quarantined, requests := 0, 0, 0
 		for seed := range uint64(100) {
 			c.seed = seed
--- a/common/pkg/digest/crashes.go
+++ b/common/pkg/digest/crashes.go
@@ -18,7 +18,7 @@
 
 const (
 	// crashBatchDelay is how long a crash report waits for further ones before it is sent. All
-	// calls on a crashed runner break off within 2 ms.
+	// calls on a crashed runner fail within 2 ms.
 	crashBatchDelay = 3 * time.Millisecond
 	// crashBroadcasts is the number of times that a crash update is sent to all daemons, and
 	// crashResendInterval the time between. If one datagram in a hundred is lost, one daemon
--- a/common/pkg/digest/crashes_test.go
+++ b/common/pkg/digest/crashes_test.go
@@ -33,7 +33,7 @@
 	for range daemons {
 		f.add()
 	}
-	f.introduce()
+	f.connectPeers()
 	return f
 }
 
@@ -55,8 +55,8 @@
 	return x
 }
 
-// introduce makes all daemons peers of one another.
-func (f *loopbackFleet) introduce() {
+// connectPeers makes all daemons peers of one another.
+func (f *loopbackFleet) connectPeers() {
 	for _, x := range f.daemons {
 		x.SetPeers(f.peers)
 	}
@@ -120,7 +120,7 @@
 	f.reportCrashes(bad)
 	require.Eventually(t, func() bool { return f.countQuarantined(bad) >= 5 }, 2*time.Second, 10*time.Millisecond)
 	require.False(t, rejoined.HasSuspects())
-	f.introduce()
+	f.connectPeers()
 	require.Eventually(t, func() bool { return rejoined.CheckRequest(bad).Status == crashes.Quarantined }, 3*time.Second, 10*time.Millisecond)
 }
 
--- a/common/pkg/digest/exchange.go
+++ b/common/pkg/digest/exchange.go
@@ -265,11 +265,11 @@
 	return peers
 }
 
-// delayFactor is the factor by which delays and intervals grow in a large fleet. The caller
+// delayFactor returns the factor by which delays and intervals grow in a large fleet. The caller
 // holds the lock.
 func (x *Exchange) delayFactor() int { return max(len(x.peers)/batchDelayPeers, 1) }
 
-// interval is the maximum time until the next digest.
+// interval returns the maximum time until the next digest.
 func (x *Exchange) interval() clock.Millis {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/common/pkg/digest/hubs_test.go
+++ b/common/pkg/digest/hubs_test.go
@@ -23,7 +23,7 @@
 	changes := 2 * requestsPerGateway * len(f.addresses)
 	for n := range 1_000 {
 		for range changes*(n+1)/1_000 - changes*n/1_000 {
-			f.changeLoad(f.any())
+			f.changeLoad(f.randomDaemon())
 		}
 		f.run(1)
 	}
@@ -49,7 +49,7 @@
 	f := newFleet(t, 2, 40)
 	f.run(2 * relayTimeout)
 	for range 300 {
-		f.changeLoad(f.any())
+		f.changeLoad(f.randomDaemon())
 		f.run(2)
 	}
 	f.run(4*relayInterval + 6)
@@ -122,7 +122,7 @@
 		if n == 300 {
 			f.daemons[f.addresses[0]].down = true
 		}
-		if d := f.any(); !d.down {
+		if d := f.randomDaemon(); !d.down {
 			admitted += f.acquireQuota(d, l, 1)
 		}
 		f.run(5)
--- a/common/pkg/digest/isolation.go
+++ b/common/pkg/digest/isolation.go
@@ -26,7 +26,7 @@
 
 // isolated reports whether this daemon, or with summaries its data centre, is partitioned. A
 // daemon receives digests of its own data centre several times a second. They keep arriving if
-// the whole data centre is partitioned, which shows only in the missing summaries of the others.
+// the whole data centre is partitioned. Only missing summaries of other data centres reveal that.
 func (i *isolation) isolated(now clock.Millis, summaries bool) bool {
 	if now-max(i.digestAt, i.startedAt) > isolationTimeout {
 		return true
--- a/common/pkg/digest/isolation_test.go
+++ b/common/pkg/digest/isolation_test.go
@@ -17,7 +17,7 @@
 		name string
 		// localDigests is set if digests of the own data centre still arrive.
 		summaries, localDigests bool
-		within                  clock.Millis
+		maxDelay                clock.Millis
 	}{
 		{"gateway, without summaries", false, false, isolationTimeout},
 		{"gateway, with summaries", true, false, isolationTimeout},
@@ -32,7 +32,7 @@
 					i.digestAt = now
 				}
 			}
-			require.LessOrEqual(t, now-partitionedAt, c.within+1)
+			require.LessOrEqual(t, now-partitionedAt, c.maxDelay+1)
 		})
 	}
 }
--- a/common/pkg/digest/quota_test.go
+++ b/common/pkg/digest/quota_test.go
@@ -35,8 +35,8 @@
 	for _, c := range []struct {
 		name string
 		lost float64
-		// within is the permitted relative error of a gateway's count.
-		within float64
+		// tolerance is the permitted relative error of a gateway's count.
+		tolerance float64
 	}{{"no loss", 0, 0.001}, {"loss of one datagram in twenty", 0.05, 0.02}} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 5, 12)
@@ -45,13 +45,13 @@
 			l := quota.Limit{Team: "a", Rate: 1_000}
 			admitted := 0
 			for range 400 {
-				admitted += f.acquireQuota(f.any(), l, 1)
+				admitted += f.acquireQuota(f.randomDaemon(), l, 1)
 				f.run(3)
 			}
 			f.run(3 * 250)
 			require.Equal(t, 400, admitted)
 			for _, address := range f.addresses {
-				require.InDelta(t, float64(admitted), f.daemons[address].counter.Used(f.now, "a"), c.within*float64(admitted), address)
+				require.InDelta(t, float64(admitted), f.daemons[address].counter.Used(f.now, "a"), c.tolerance*float64(admitted), address)
 			}
 		})
 	}
@@ -69,7 +69,7 @@
 		if n == 300 {
 			f.daemons["10.0.0.00:1"].down = true
 		}
-		if d := f.any(); !d.down {
+		if d := f.randomDaemon(); !d.down {
 			admitted += f.acquireQuota(d, l, 1)
 		}
 		f.run(5)
--- a/common/pkg/digest/watch.go
+++ b/common/pkg/digest/watch.go
@@ -35,8 +35,8 @@
 	return w
 }
 
-// check runs when the call has received no event for a while. An event of another call proves
-// that the runner is alive and that only this call's response was lost.
+// check runs when the call has received no event for UnresponsiveAfter. An event of another call
+// proves that the runner is alive and that only this call's response was lost.
 func (w *Watch) check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// runnerSeenAt is the time of a runner's last event over all calls of this daemon, 0 for none.
+// runnerSeenAt returns the time of a runner's last event over all calls of this daemon, 0 for none.
 func (x *Exchange) runnerSeenAt(id string) clock.Millis {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/common/pkg/fanout/tree.go
+++ b/common/pkg/fanout/tree.go
@@ -34,32 +34,32 @@
 // first gateway is the root, and the next ones are hubs. Adding or removing a gateway changes the
 // parents of few others. The zero value has no gateways.
 type Tree struct {
-	dataCentres map[string][]ranked
+	dataCentres map[string][]hashedGateway
 }
 
-// ranked is a gateway with the hash that determines its position in the order.
-type ranked struct {
+// hashedGateway is a gateway with the hash that determines its position in the order.
+type hashedGateway struct {
 	address string
-	rank    uint64
+	hash    uint64
 }
 
 // New builds the tree of a fleet. It is empty if the fleet has at most MaxDirect gateways.
 func New(gateways []Gateway) Tree {
-	t := Tree{dataCentres: map[string][]ranked{}}
+	t := Tree{dataCentres: map[string][]hashedGateway{}}
 	if len(gateways) <= MaxDirect {
 		return t
 	}
 	for _, g := range gateways {
-		t.dataCentres[g.DataCentre] = append(t.dataCentres[g.DataCentre], ranked{g.Address, hash(g.Address)})
+		t.dataCentres[g.DataCentre] = append(t.dataCentres[g.DataCentre], hashedGateway{g.Address, hash(g.Address)})
 	}
 	for _, list := range t.dataCentres {
-		slices.SortFunc(list, ranked.compare)
+		slices.SortFunc(list, hashedGateway.compare)
 	}
 	return t
 }
 
-func (r ranked) compare(other ranked) int {
-	return cmp.Or(cmp.Compare(r.rank, other.rank), cmp.Compare(r.address, other.address))
+func (g hashedGateway) compare(other hashedGateway) int {
+	return cmp.Or(cmp.Compare(g.hash, other.hash), cmp.Compare(g.address, other.address))
 }
 
 // Empty reports whether all gateways receive from the leader directly.
@@ -71,8 +71,8 @@
 // cycle, even between gateways with different views of the fleet.
 func (t Tree) Parents(g Gateway) []string {
 	list := t.dataCentres[g.DataCentre]
-	self := ranked{g.Address, hash(g.Address)}
-	position, found := slices.BinarySearchFunc(list, self, ranked.compare)
+	self := hashedGateway{g.Address, hash(g.Address)}
+	position, found := slices.BinarySearchFunc(list, self, hashedGateway.compare)
 	if position == 0 {
 		return nil
 	}
@@ -102,24 +102,24 @@
 
 // preferredHubs lists the first hubs in the order of a gateway. Each gateway orders the hubs
 // differently, so the children of a removed hub spread over all others.
-func preferredHubs(hubs []ranked, address string) []string {
+func preferredHubs(hubs []hashedGateway, address string) []string {
 	own := slices.Clone(hubs)
 	for i, h := range own {
-		own[i].rank = hash(h.address + " " + address)
+		own[i].hash = hash(h.address + " " + address)
 	}
-	slices.SortFunc(own, ranked.compare)
+	slices.SortFunc(own, hashedGateway.compare)
 	return addresses(own[:min(len(own), maxParentHubs)])
 }
 
-func addresses(list []ranked) []string {
-	texts := make([]string, 0, len(list)+1)
+func addresses(list []hashedGateway) []string {
+	result := make([]string, 0, len(list)+1)
 	for _, r := range list {
-		texts = append(texts, r.address)
+		result = append(result, r.address)
 	}
-	return texts
+	return result
 }
 
-// hash distributes addresses evenly that differ only in their last digit.
+// hash spreads addresses evenly, even if they differ only in their last digit.
 func hash(text string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(text))
--- a/common/pkg/fanout/tree_test.go
+++ b/common/pkg/fanout/tree_test.go
@@ -46,10 +46,10 @@
 			list := fleetOf(gateways, dataCentres)
 			counts := children(New(list), list)
 			require.Equal(t, dataCentres, counts[""], "%d gateways, %d data centres", gateways, dataCentres)
-			root := math.Sqrt(float64(gateways)/float64(dataCentres) + 1)
+			squareRoot := math.Sqrt(float64(gateways)/float64(dataCentres) + 1)
 			delete(counts, "")
 			for address, count := range counts {
-				require.LessOrEqual(t, float64(count), 3*root+2, "%s of %d gateways in %d data centres", address, gateways, dataCentres)
+				require.LessOrEqual(t, float64(count), 3*squareRoot+2, "%s of %d gateways in %d data centres", address, gateways, dataCentres)
 			}
 		}
 	}
--- a/common/pkg/fleetconfig/fleet_test.go
+++ b/common/pkg/fleetconfig/fleet_test.go
@@ -23,10 +23,10 @@
 		member("a", "vm2", toucanhingev1.MemberState_MEMBER_STATE_READY),
 	})
 	require.Equal(t, "a", first.Endpoints("s")[0].Name)
-	gone := member("a", "", 0)
-	gone.Removed = true
+	removed := member("a", "", 0)
+	removed.Removed = true
 	second := first.With(4, false, []*toucanhingev1.Entry{
-		gone,
+		removed,
 		{Kind: toucanhingev1.Kind_KIND_DRAIN, Name: "vm1", Body: &toucanhingev1.Entry_Drain{Drain: &toucanhingev1.Drain{}}},
 	})
 	require.Len(t, first.Endpoints("s"), 2, "an older version must not change")
--- a/common/pkg/fleetview/change_log.go
+++ b/common/pkg/fleetview/change_log.go
@@ -1,7 +1,7 @@
 // Package fleetview computes the differences between the fleet view that a gateway has and the
 // current one.
 //
-// It is designed for hundreds of gateways and hundreds of runners, with a runner starting or leaving
+// It is designed for hundreds of gateways and hundreds of runners, where some runner starts or stops
 // all the time. Full views sent to each gateway at each change would be most of the traffic of the
 // core's leader. Each view has a revision. The leader sends a gateway the runners and daemons that
 // changed since the gateway's revision. A gateway with a view of another leader, or with a view that
@@ -64,26 +64,26 @@
 	l.runners, l.peers = newChangeRecord(), newChangeRecord()
 }
 
-// Since returns the view to send to a gateway that has the given revision: differences if the
+// Since returns the view to send to a gateway at revision known: differences if the
 // gateway can read them, else the full view, and nil if the gateway is up to date.
-func (l *ChangeLog) Since(have uint64, readsDifferences bool) *toucanhingev1.FleetView {
+func (l *ChangeLog) Since(known uint64, readsDifferences bool) *toucanhingev1.FleetView {
 	switch {
-	case l.current == nil || have == l.current.GetRevision():
+	case l.current == nil || known == l.current.GetRevision():
 		return nil
-	case !readsDifferences || have == 0 || have < l.minRevision || have > l.current.GetRevision():
+	case !readsDifferences || known == 0 || known < l.minRevision || known > l.current.GetRevision():
 		return l.current
 	}
 	v := &toucanhingev1.FleetView{
-		Revision: l.current.GetRevision(), Since: have, CoreAddresses: l.current.GetCoreAddresses(),
-		GoneRunners: l.runners.removedSince(have), GonePeers: l.peers.removedSince(have),
+		Revision: l.current.GetRevision(), Since: known, CoreAddresses: l.current.GetCoreAddresses(),
+		GoneRunners: l.runners.removedSince(known), GonePeers: l.peers.removedSince(known),
 	}
 	for _, r := range l.current.GetRunners() {
-		if l.runners.changed[r.GetId()] > have {
+		if l.runners.changed[r.GetId()] > known {
 			v.Runners = append(v.Runners, r)
 		}
 	}
 	for _, p := range l.current.GetDigestPeers() {
-		if l.peers.changed[p.GetAddress()] > have {
+		if l.peers.changed[p.GetAddress()] > known {
 			v.DigestPeers = append(v.DigestPeers, p)
 		}
 	}
@@ -92,7 +92,7 @@
 
 // recordChanges records the differences between two views. It returns false if a name occurs more
 // than once, since differences identify entries by name.
-func (r changeRecord) recordChanges(revision uint64, old, current parts) (ok bool) {
+func (r changeRecord) recordChanges(revision uint64, old, current viewEntries) (ok bool) {
 	if old.hasDuplicates || current.hasDuplicates {
 		return false
 	}
@@ -111,32 +111,32 @@
 	return true
 }
 
-func (r changeRecord) removedSince(have uint64) []string {
+func (r changeRecord) removedSince(known uint64) []string {
 	var names []string
 	for name, revision := range r.removed {
-		if revision > have {
+		if revision > known {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// parts holds the runners or the daemons of a view.
-type parts struct {
+// viewEntries holds the runners or the daemons of a view.
+type viewEntries struct {
 	byName        map[string]proto.Message
 	hasDuplicates bool
 }
 
-func runnersOf(v *toucanhingev1.FleetView) parts {
-	return partsOf(v.GetRunners(), (*toucanhingev1.Runner).GetId)
+func runnersOf(v *toucanhingev1.FleetView) viewEntries {
+	return entriesOf(v.GetRunners(), (*toucanhingev1.Runner).GetId)
 }
 
-func peersOf(v *toucanhingev1.FleetView) parts {
-	return partsOf(v.GetDigestPeers(), (*toucanhingev1.DigestPeer).GetAddress)
+func peersOf(v *toucanhingev1.FleetView) viewEntries {
+	return entriesOf(v.GetDigestPeers(), (*toucanhingev1.DigestPeer).GetAddress)
 }
 
-func partsOf[T proto.Message](list []T, name func(T) string) parts {
-	p := parts{byName: make(map[string]proto.Message, len(list))}
+func entriesOf[T proto.Message](list []T, name func(T) string) viewEntries {
+	p := viewEntries{byName: make(map[string]proto.Message, len(list))}
 	for _, m := range list {
 		p.byName[name(m)] = m
 	}
--- a/common/pkg/fleetview/fleetview_test.go
+++ b/common/pkg/fleetview/fleetview_test.go
@@ -44,11 +44,11 @@
 	return &model{log: &ChangeLog{}, term: 1, revision: 1 << 32, runners: map[string]*toucanhingev1.Runner{}, peers: map[string]*toucanhingev1.DigestPeer{}}
 }
 
-func (m *model) query(have uint64, readsDifferences bool) *toucanhingev1.FleetView {
+func (m *model) query(known uint64, readsDifferences bool) *toucanhingev1.FleetView {
 	if m.log.Revision() != m.revision {
 		m.log.Apply(m.fullView())
 	}
-	return m.log.Since(have, readsDifferences)
+	return m.log.Since(known, readsDifferences)
 }
 
 // Runners and daemons are added, changed, removed and added again, the leader changes, and replies
@@ -137,7 +137,7 @@
 	m.runners["3"] = &toucanhingev1.Runner{Id: "3"}
 	for _, c := range []struct {
 		name             string
-		have             uint64
+		known            uint64
 		readsDifferences bool
 		want             int
 	}{
@@ -147,7 +147,7 @@
 		{"view of a later leader", m.revision + 1, true, 4},
 		{"previous view", first.GetRevision(), true, 1},
 	} {
-		require.Len(t, m.query(c.have, c.readsDifferences).GetRunners(), c.want, c.name)
+		require.Len(t, m.query(c.known, c.readsDifferences).GetRunners(), c.want, c.name)
 	}
 	require.Nil(t, m.query(m.revision, true))
 }
--- a/common/pkg/job/job_test.go
+++ b/common/pkg/job/job_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestIDNamesItsGroup(t *testing.T) {
+func TestIDContainsGroup(t *testing.T) {
 	counts := map[uint32]int{}
 	for i := range 1_000 {
 		id := ID("agence", fmt.Sprintf("lot-%d", i), 5)
--- a/common/pkg/logs/logs.go
+++ b/common/pkg/logs/logs.go
@@ -26,12 +26,12 @@
 // Events in the course of a request, an item or a job. docs/OPERATIONS.md lists them with the keys of
 // their lines.
 const (
-	EventRequestEnded     = "request-ended"
-	EventRequestElsewhere = "request-goes-elsewhere"
-	EventRunnerCrashed    = "runner-crashed"
-	EventItemPaused       = "item-paused"
-	EventItemEnded        = "item-call-ended"
-	EventJobAnswered      = "job-answered"
+	EventRequestEnded   = "request-ended"
+	EventRequestRetried = "request-goes-elsewhere"
+	EventRunnerCrashed  = "runner-crashed"
+	EventItemPaused     = "item-paused"
+	EventItemEnded      = "item-call-ended"
+	EventJobAnswered    = "job-answered"
 )
 
 // Config configures a logger.
--- a/common/pkg/logs/queue.go
+++ b/common/pkg/logs/queue.go
@@ -21,8 +21,8 @@
 	// about 400 bytes, so the queue holds up to a quarter of a megabyte.
 	routineLines  = 256
 	priorityLines = 256
-	// maxPerSecond limits the priority lines of one event per second. If a fault repeats for every
-	// request, a hundred lines describe it as well as more.
+	// maxPerSecond limits the priority lines of one event per second. A hundred lines suffice to
+	// diagnose a fault that repeats for every request.
 	maxPerSecond = 100
 	// batchBytes limits the size of one write. Lines are batched because a write costs more than
 	// a line.
@@ -88,7 +88,7 @@
 
 // routineEvents occur for each request or item in normal operation.
 var routineEvents = map[string]bool{
-	EventRequestEnded: true, EventRequestElsewhere: true, EventItemPaused: true, EventItemEnded: true, EventJobAnswered: true,
+	EventRequestEnded: true, EventRequestRetried: true, EventItemPaused: true, EventItemEnded: true, EventJobAnswered: true,
 }
 
 // classify returns the event of a line, and whether the line is a warning or an error.
--- a/common/pkg/occupancy/cache.go
+++ b/common/pkg/occupancy/cache.go
@@ -12,7 +12,8 @@
 
 // Cache holds a value per runner that is derived from a table. In a large fleet the load changes
 // hundreds of times a second, each time at a few runners. Reading all runners at each refresh took
-// a tenth of the deciding process's processor time. A table has at most one cache.
+// a tenth of the processor time of the process that places requests or items. A table has at most
+// one cache.
 type Cache[T any] struct {
 	// Read derives the value of one runner.
 	Read func(now clock.Millis, runner string, t *Table) T
--- a/common/pkg/occupancy/cache_test.go
+++ b/common/pkg/occupancy/cache_test.go
@@ -54,10 +54,10 @@
 				table.Observe(now, runner.Draw(t, "runner"), rapid.IntRange(0, 9).Draw(t, "held"))
 			},
 			"a runner becomes unresponsive or responsive": func(t *rapid.T) {
-				table.SetUnresponsive(now, runner.Draw(t, "runner"), rapid.Bool().Draw(t, "silent"))
+				table.SetUnresponsive(now, runner.Draw(t, "runner"), rapid.Bool().Draw(t, "unresponsive"))
 			},
 			"time passes": func(t *rapid.T) {
-				now += clock.Millis(rapid.IntRange(1, 1_500).Draw(t, "span"))
+				now += clock.Millis(rapid.IntRange(1, 1_500).Draw(t, "duration"))
 				table.Expire(now)
 			},
 			"the list of runners changes": func(*rapid.T) {
--- a/common/pkg/occupancy/detector.go
+++ b/common/pkg/occupancy/detector.go
@@ -19,7 +19,7 @@
 // second call at the same runner that would prove it alive. A call without a first event is
 // therefore ignored while the runner has more requests than slots. Without this rule, bursts on a
 // healthy fleet of 54 runners and 27 gateways caused 300 false alarms in two seconds. These kept
-// all work off runners that were only full, which filled the other runners in turn.
+// all work off runners that were only full, so the other runners filled up as well.
 type Detector struct {
 	// Started is set when the first event of the call has arrived.
 	Started bool
--- a/common/pkg/occupancy/foreign.go
+++ b/common/pkg/occupancy/foreign.go
@@ -90,13 +90,13 @@
 }
 
 // addForeign adds this daemon's current findings to a digest.
-func (t *Table) addForeign(now clock.Millis, at func(runner string) *toucanhingev1.RunnerLoad) {
+func (t *Table) addForeign(now clock.Millis, entry func(runner string) *toucanhingev1.RunnerLoad) {
 	for runner, f := range t.ownForeign {
 		if !f.fresh(now) {
 			delete(t.ownForeign, runner)
 			continue
 		}
 		count := uint32(f.count)
-		at(runner).Foreign, at(runner).ForeignAgeMs = &count, uint32(now-f.at)
+		entry(runner).Foreign, entry(runner).ForeignAgeMs = &count, uint32(now-f.at)
 	}
 }
--- a/common/pkg/occupancy/foreign_test.go
+++ b/common/pkg/occupancy/foreign_test.go
@@ -14,25 +14,25 @@
 // would wait behind them. The next response of the runner must reveal the foreign work, and the
 // digest must spread it.
 func TestForeignWorkIsFoundAndPublished(t *testing.T) {
-	here, there := New(), New()
-	here.ApplyDigest(0, &toucanhingev1.LoadDigest{
+	sender, receiver := New(), New()
+	sender.ApplyDigest(0, &toucanhingev1.LoadDigest{
 		Source: "leader", Epoch: 1, Sequence: 1, Loads: []*toucanhingev1.RunnerLoad{{Runner: "r", Batch: 5}},
 	})
-	here.Add("r", Load{Online: 1})
-	found, changed := here.Observe(10, "r", 6)
+	sender.Add("r", Load{Online: 1})
+	found, changed := sender.Observe(10, "r", 6)
 	require.Zero(t, found)
 	require.False(t, changed)
-	here.Expire(Expiry + 1)
-	found, changed = here.Observe(Expiry+1, "r", 6)
+	sender.Expire(Expiry + 1)
+	found, changed = sender.Observe(Expiry+1, "r", 6)
 	require.Equal(t, 5, found)
 	require.True(t, changed)
-	require.Equal(t, 5, here.Foreign(Expiry+1, "r"))
+	require.Equal(t, 5, sender.Foreign(Expiry+1, "r"))
 
 	// The clock of the other daemon differs.
 	const otherNow = 7_000_000
-	there.ApplyDigest(otherNow, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 1, Loads: here.Loads(Expiry + 101)})
-	require.Equal(t, 5, there.Foreign(otherNow, "r"))
-	require.Zero(t, there.Foreign(otherNow+ForeignExpiry-99, "r"), "the finding was 100 ms old when it arrived")
+	receiver.ApplyDigest(otherNow, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 1, Loads: sender.Loads(Expiry + 101)})
+	require.Equal(t, 5, receiver.Foreign(otherNow, "r"))
+	require.Zero(t, receiver.Foreign(otherNow+ForeignExpiry-99, "r"), "the finding was 100 ms old when it arrived")
 }
 
 func TestObserve(t *testing.T) {
--- a/common/pkg/occupancy/local_sum_test.go
+++ b/common/pkg/occupancy/local_sum_test.go
@@ -53,7 +53,7 @@
 				d := &toucanhingev1.LoadDigest{Source: rapid.SampledFrom([]string{"a", "b", "far"}).Draw(t, "source"), Epoch: 1, Sequence: 1 + sequence}
 				for _, id := range rapid.SliceOfNDistinct(runner, 0, 3, rapid.ID).Draw(t, "runners") {
 					d.Loads = append(d.Loads, &toucanhingev1.RunnerLoad{
-						Runner: id, Online: uint32(rapid.IntRange(0, 3).Draw(t, "online")), Silent: rapid.Bool().Draw(t, "silent"),
+						Runner: id, Online: uint32(rapid.IntRange(0, 3).Draw(t, "online")), Silent: rapid.Bool().Draw(t, "unresponsive"),
 					})
 				}
 				table.ApplyDigest(now, d)
@@ -67,7 +67,7 @@
 				table.Add(id, Load{Online: change})
 			},
 			"time passes": func(t *rapid.T) {
-				now += clock.Millis(rapid.IntRange(1, 1_500).Draw(t, "span"))
+				now += clock.Millis(rapid.IntRange(1, 1_500).Draw(t, "duration"))
 				table.Expire(now)
 			},
 			"": func(t *rapid.T) {
--- a/common/pkg/occupancy/table.go
+++ b/common/pkg/occupancy/table.go
@@ -44,7 +44,7 @@
 	total   map[string]Load
 	own     map[string]Load
 	// unresponsive counts the other daemons that find a runner unresponsive. ownUnresponsive
-	// holds the time until which this daemon does.
+	// holds the runners that this daemon finds unresponsive, with the time when that expires.
 	unresponsive    map[string]int
 	ownUnresponsive map[string]clock.Millis
 	// foreign holds the newest finding of any daemon, ownForeign the newest of this one.
@@ -205,23 +205,23 @@
 // digest.
 func (t *Table) Loads(now clock.Millis) []*toucanhingev1.RunnerLoad {
 	byRunner := make(map[string]*toucanhingev1.RunnerLoad, len(t.own))
-	at := func(runner string) *toucanhingev1.RunnerLoad {
+	entry := func(runner string) *toucanhingev1.RunnerLoad {
 		if byRunner[runner] == nil {
 			byRunner[runner] = &toucanhingev1.RunnerLoad{Runner: runner}
 		}
 		return byRunner[runner]
 	}
 	for runner, l := range t.own {
-		at(runner).Online, at(runner).Batch = uint32(l.Online), uint32(l.Batch)
+		entry(runner).Online, entry(runner).Batch = uint32(l.Online), uint32(l.Batch)
 	}
 	for runner, until := range t.ownUnresponsive {
 		if until <= now {
 			delete(t.ownUnresponsive, runner)
 			continue
 		}
-		at(runner).Silent = true
+		entry(runner).Silent = true
 	}
-	t.addForeign(now, at)
+	t.addForeign(now, entry)
 	return slices.Collect(maps.Values(byRunner))
 }
 
--- a/common/pkg/occupancy/table_test.go
+++ b/common/pkg/occupancy/table_test.go
@@ -96,7 +96,7 @@
 				own[r] = own[r].plus(Load{Online: 1})
 			},
 			"time": func(t *rapid.T) {
-				now += clock.Millis(rapid.IntRange(1, 700).Draw(t, "span"))
+				now += clock.Millis(rapid.IntRange(1, 700).Draw(t, "duration"))
 				table.Expire(now)
 			},
 			"": func(t *rapid.T) {
@@ -119,17 +119,17 @@
 // A daemon detects that a runner is unresponsive. The others must learn it from the daemon's
 // digest, and the state must end when the runner responds again or after a second.
 func TestUnresponsiveRunnerIsPublished(t *testing.T) {
-	here, there := New(), New()
-	here.SetUnresponsive(0, "r", true)
-	require.True(t, here.Unresponsive(0, "r"))
-	there.ApplyDigest(0, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 1, Loads: here.Loads(0)})
-	require.True(t, there.Unresponsive(0, "r"))
-	require.False(t, there.Unresponsive(0, "other"))
-	here.SetUnresponsive(300, "r", false)
-	there.ApplyDigest(300, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 2, Loads: here.Loads(300)})
-	require.False(t, there.Unresponsive(300, "r"))
-	here.SetUnresponsive(400, "r", true)
-	require.True(t, here.Unresponsive(399+UnresponsiveExpiry, "r"))
-	require.False(t, here.Unresponsive(400+UnresponsiveExpiry, "r"))
-	require.Empty(t, here.Loads(400+UnresponsiveExpiry))
+	sender, receiver := New(), New()
+	sender.SetUnresponsive(0, "r", true)
+	require.True(t, sender.Unresponsive(0, "r"))
+	receiver.ApplyDigest(0, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 1, Loads: sender.Loads(0)})
+	require.True(t, receiver.Unresponsive(0, "r"))
+	require.False(t, receiver.Unresponsive(0, "other"))
+	sender.SetUnresponsive(300, "r", false)
+	receiver.ApplyDigest(300, &toucanhingev1.LoadDigest{Source: "here", Epoch: 1, Sequence: 2, Loads: sender.Loads(300)})
+	require.False(t, receiver.Unresponsive(300, "r"))
+	sender.SetUnresponsive(400, "r", true)
+	require.True(t, sender.Unresponsive(399+UnresponsiveExpiry, "r"))
+	require.False(t, sender.Unresponsive(400+UnresponsiveExpiry, "r"))
+	require.Empty(t, sender.Loads(400+UnresponsiveExpiry))
 }
--- a/common/pkg/quota/counter.go
+++ b/common/pkg/quota/counter.go
@@ -7,7 +7,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Counter is a Machine that is safe for concurrent u. A nil Counter counts nothing.
+// Counter is a Machine that is safe for concurrent use. A nil Counter counts nothing.
 type Counter struct {
 	config Config
 
--- a/common/pkg/quota/machine.go
+++ b/common/pkg/quota/machine.go
@@ -27,11 +27,11 @@
 	// assumedUsage is the share of its limit that a team is assumed to have used before the start.
 	// Callers within their quota use less.
 	assumedUsage = 0.6
-	// hotRate and hotBurst are the factors of rate and burst above which the requests since the
-	// start mark a team as far above its limit. Such a team was so before the start as well, and
-	// may just have used its whole limit.
-	hotRate  = 1.5
-	hotBurst = 0.5
+	// excessRateFactor and excessBurstFactor are the factors of rate and burst above which the
+	// requests since the start mark a team as far above its limit. Such a team was probably above
+	// its limit before the start as well, and may just have used its whole limit.
+	excessRateFactor  = 1.5
+	excessBurstFactor = 0.5
 	// isolatedGateways is the number of gateways that may be cut off from all others at the same
 	// time; each may use an equal share of the margin.
 	isolatedGateways = 8
@@ -110,7 +110,7 @@
 	started    bool
 	teams      map[ID]*account
 	sources    map[string]*source
-	pruned     clock.Millis
+	prunedAt   clock.Millis
 	// lastAlive is the time of the last MarkAlive call. resumedAt is when the process ran again
 	// after its last long pause, and pausedFor is the length of that pause.
 	lastAlive, resumedAt, pausedFor clock.Millis
@@ -135,7 +135,7 @@
 	refusedTotal int64
 	// lastRefusal is the time of the last refusal at this gateway, 0 before the first.
 	lastRefusal clock.Millis
-	// roundStartStart is the start of the current round. Other gateways may not know yet of the requests
+	// roundStart is the start of the current round. Other gateways may not know yet of the requests
 	// admitted in it. roundAdmitted is the number of those requests, and roundShare the most
 	// allowed.
 	roundStart    clock.Millis
@@ -195,7 +195,7 @@
 	used, allowed := a.all.sum(now), limit
 	if unknown := m.unknown(now); unknown > 0 {
 		allowed += unknownMarginShare * m.margin(limit)
-		if m.hot(now, a, l) {
+		if m.farAboveLimit(now, a, l) {
 			used += limit
 		} else {
 			used += limit * (1 - assumedUsage*(1-unknown))
@@ -243,10 +243,10 @@
 	return 0
 }
 
-// hot reports whether a team has sent so many requests since the start that it must have been
-// refused before.
-func (m *Machine) hot(now clock.Millis, a *account, l Limit) bool {
-	return float64(a.requests) > hotRate*l.Rate*float64(now-m.knownSince)/1_000+hotBurst*l.Burst+unknownMarginShare*m.config.OverrunRequests
+// farAboveLimit reports whether a team has sent so many requests since the start that it must have
+// been refused before.
+func (m *Machine) farAboveLimit(now clock.Millis, a *account, l Limit) bool {
+	return float64(a.requests) > excessRateFactor*l.Rate*float64(now-m.knownSince)/1_000+excessBurstFactor*l.Burst+unknownMarginShare*m.config.OverrunRequests
 }
 
 // unknown returns the share of the window for which the requests aren't known.
@@ -270,10 +270,10 @@
 
 // prune removes teams without requests, and sources that no longer report.
 func (m *Machine) prune(now clock.Millis) {
-	if now-m.pruned < m.config.Window {
+	if now-m.prunedAt < m.config.Window {
 		return
 	}
-	m.pruned = now
+	m.prunedAt = now
 	for id, a := range m.teams {
 		if now-a.lastUsed > expiryWindows*m.config.Window && a.local == (tally{}) && a.centre == (tally{}) {
 			delete(m.teams, id)
@@ -317,8 +317,8 @@
 	if a.roundStart > 0 && now-a.roundStart < peers.Age {
 		return
 	}
-	part := (a.own.sum(now) + 1) / (a.all.sum(now) + float64(max(peers.Gateways, 1)))
-	a.roundStart, a.roundAdmitted, a.roundShare = now, 0, max(remaining*part, 1)
+	share := (a.own.sum(now) + 1) / (a.all.sum(now) + float64(max(peers.Gateways, 1)))
+	a.roundStart, a.roundAdmitted, a.roundShare = now, 0, max(remaining*share, 1)
 }
 
 func (a *account) admit(now clock.Millis) {
--- a/common/pkg/quota/machine_test.go
+++ b/common/pkg/quota/machine_test.go
@@ -188,13 +188,13 @@
 }
 
 func TestRefusalsArePublished(t *testing.T) {
-	here, there := startedMachine(), startedMachine()
+	sender, receiver := startedMachine(), startedMachine()
 	l := Limit{Team: "a", Rate: 0.2}
 	for range 4 {
-		here.Admit(100_000, l, singleGateway)
+		sender.Admit(100_000, l, singleGateway)
 	}
-	require.Equal(t, int64(3), here.Refused("a"))
-	there.Receive(100_010, Report{Source: "here", Epoch: 1, Sequence: 1, CountingFor: 10, Usage: here.Publish()})
-	require.Equal(t, int64(3), there.Refused("a"))
-	require.InDelta(t, 1, there.Used(100_010, "a"), 0.01)
+	require.Equal(t, int64(3), sender.Refused("a"))
+	receiver.Receive(100_010, Report{Source: "here", Epoch: 1, Sequence: 1, CountingFor: 10, Usage: sender.Publish()})
+	require.Equal(t, int64(3), receiver.Refused("a"))
+	require.InDelta(t, 1, receiver.Used(100_010, "a"), 0.01)
 }
--- a/common/pkg/quota/replay_test.go
+++ b/common/pkg/quota/replay_test.go
@@ -50,7 +50,7 @@
 	sequence  []uint64
 	cutUntil  []clock.Millis
 	lastSeen  []clock.Millis
-	wire      []datagram
+	inTransit []datagram
 	random    *rand.Rand
 	loss      float64
 	// age is the greatest lag of a digest; one sent directly arrives within half of it.
@@ -96,7 +96,7 @@
 			for to := range w.machines {
 				lost := w.random.Float64() < w.loss || w.cutUntil[i] > now || w.cutUntil[to] > now
 				if to != i && !lost {
-					w.wire = append(w.wire, datagram{at: now + clock.Millis(2+w.random.IntN(int(w.age)/2)), to: to, report: r})
+					w.inTransit = append(w.inTransit, datagram{at: now + clock.Millis(2+w.random.IntN(int(w.age)/2)), to: to, report: r})
 				}
 			}
 		}
@@ -109,7 +109,7 @@
 			}
 		}
 	}
-	w.wire = slices.DeleteFunc(w.wire, func(d datagram) bool {
+	w.inTransit = slices.DeleteFunc(w.inTransit, func(d datagram) bool {
 		if d.at > now {
 			return false
 		}
@@ -135,7 +135,7 @@
 		}
 	}
 	if gateway < 0 {
-		w.wire = nil
+		w.inTransit = nil
 	}
 }
 
@@ -176,10 +176,10 @@
 // leased has one leader that keeps the exact count and leases blocks of requests to gateways. When
 // a block expires, its unused requests are released.
 type leased struct {
-	granted  []clock.Millis
-	stock    []int
-	ends     []clock.Millis
-	cutUntil []clock.Millis
+	granted   []clock.Millis
+	remaining []int
+	expiresAt []clock.Millis
+	cutUntil  []clock.Millis
 	// outageUntil is the end of the time without a leader. emptySince is when a leader without any
 	// counts started.
 	outageUntil, emptySince clock.Millis
@@ -190,12 +190,12 @@
 const maxBlock = 4
 
 func newLeased(gateways int) *leased {
-	return &leased{stock: make([]int, gateways), ends: make([]clock.Millis, gateways), cutUntil: make([]clock.Millis, gateways), emptySince: -replayWindow}
+	return &leased{remaining: make([]int, gateways), expiresAt: make([]clock.Millis, gateways), cutUntil: make([]clock.Millis, gateways), emptySince: -replayWindow}
 }
 
 func (b *leased) admit(now clock.Millis, gateway int, l Limit) (bool, clock.Millis) {
-	if b.stock[gateway] > 0 && now < b.ends[gateway] {
-		b.stock[gateway]--
+	if b.remaining[gateway] > 0 && now < b.expiresAt[gateway] {
+		b.remaining[gateway]--
 		return true, 0
 	}
 	if now < b.outageUntil || now < b.cutUntil[gateway] {
@@ -209,30 +209,30 @@
 	if known := now - b.emptySince; known < replayWindow {
 		used += limit * (1 - float64(known)/float64(replayWindow))
 	}
-	size := min(max(int(limit)/maxBlock/len(b.stock), 1), maxBlock, int(allowed-used))
+	size := min(max(int(limit)/maxBlock/len(b.remaining), 1), maxBlock, int(allowed-used))
 	if size < 1 {
 		return false, 0
 	}
 	for range size {
 		b.granted = append(b.granted, now)
 	}
-	b.stock[gateway], b.ends[gateway] = size-1, now+blockLease
+	b.remaining[gateway], b.expiresAt[gateway] = size-1, now+blockLease
 	return true, 0
 }
 
 func (b *leased) advance(now clock.Millis) {
-	for i := range b.stock {
-		if b.stock[i] > 0 && now >= b.ends[i] {
-			b.granted = b.granted[:max(len(b.granted)-b.stock[i], 0)]
-			b.stock[i] = 0
+	for i := range b.remaining {
+		if b.remaining[i] > 0 && now >= b.expiresAt[i] {
+			b.granted = b.granted[:max(len(b.granted)-b.remaining[i], 0)]
+			b.remaining[i] = 0
 		}
 	}
 }
 
 func (b *leased) restart(now clock.Millis, gateway int) {
-	for i := range b.stock {
+	for i := range b.remaining {
 		if gateway < 0 || gateway == i {
-			b.stock[i] = 0
+			b.remaining[i] = 0
 		}
 	}
 	if gateway < 0 {
@@ -254,31 +254,31 @@
 
 // oracle keeps an exact count.
 type oracle struct {
-	admitted []clock.Millis
-	worst    float64
-	// owed is the number of requests that a gateway with all counts would have admitted, and
-	// admittedCount the number that were admitted.
-	owed, admittedCount int
-	// fitting are the requests in the window that count for owed.
-	fitting []clock.Millis
+	admitted   []clock.Millis
+	worstRatio float64
+	// expectedCount is the number of requests that a gateway with all counts would have admitted,
+	// and admittedCount the number that were admitted.
+	expectedCount, admittedCount int
+	// expectedInWindow holds the requests in the window that expectedCount includes.
+	expectedInWindow []clock.Millis
 }
 
-func (o *oracle) record(now clock.Millis, l Limit, admitted bool, lenient bool) {
+func (o *oracle) record(now clock.Millis, l Limit, admitted bool, ignoreExcess bool) {
 	limit := l.Rate*float64(replayWindow)/1_000 + l.Burst
 	recent := func(list []clock.Millis) []clock.Millis {
 		i, _ := slices.BinarySearch(list, now-replayWindow+1)
 		return list[i:]
 	}
-	o.fitting = recent(o.fitting)
-	if float64(len(o.fitting)+1) <= limit {
-		o.fitting = append(o.fitting, now)
-		o.owed++
+	o.expectedInWindow = recent(o.expectedInWindow)
+	if float64(len(o.expectedInWindow)+1) <= limit {
+		o.expectedInWindow = append(o.expectedInWindow, now)
+		o.expectedCount++
 	}
 	if admitted {
 		o.admittedCount++
 		o.admitted = append(recent(o.admitted), now)
-		if !lenient {
-			o.worst = max(o.worst, float64(len(o.admitted))/(limit*(1+overrunRatio)+overrunRequests))
+		if !ignoreExcess {
+			o.worstRatio = max(o.worstRatio, float64(len(o.admitted))/(limit*(1+overrunRatio)+overrunRequests))
 		}
 	}
 }
@@ -290,11 +290,11 @@
 	limit    Limit
 	// age is the greatest lag of a digest.
 	age clock.Millis
-	// demand is the team's request rate per second at a given time, and where the gateway of a
-	// request.
-	demand func(now clock.Millis) float64
-	where  func(now clock.Millis, random *rand.Rand) int
-	event  func(now clock.Millis, w scheme)
+	// rateAt returns the team's request rate per second at a given time, gatewayAt the gateway of
+	// a request.
+	rateAt    func(now clock.Millis) float64
+	gatewayAt func(now clock.Millis, random *rand.Rand) int
+	event     func(now clock.Millis, w scheme)
 	// limitAt returns the limit in force; nil if limit is always in force.
 	limitAt func(now clock.Millis) Limit
 	// neverRuns is the share of the admitted requests that no runner accepts.
@@ -303,16 +303,16 @@
 	exceedsLimit bool
 }
 
-func anywhere(gateways int) func(clock.Millis, *rand.Rand) int {
+func randomGateway(gateways int) func(clock.Millis, *rand.Rand) int {
 	return func(_ clock.Millis, random *rand.Rand) int { return random.IntN(gateways) }
 }
 
-func steadily(rate float64) func(clock.Millis) float64 {
+func constantRate(rate float64) func(clock.Millis) float64 {
 	return func(clock.Millis) float64 { return rate }
 }
 
-// bursts is the load of online callers: 1.85 times the mean for 2.2 s of each 5.2 s.
-func bursts(rate float64) func(clock.Millis) float64 {
+// burstyRate returns the load of online callers: 1.85 times the mean for 2.2 s of each 5.2 s.
+func burstyRate(rate float64) func(clock.Millis) float64 {
 	return func(now clock.Millis) float64 {
 		if now%5_200 >= 3_000 {
 			return 1.85 * rate
@@ -324,18 +324,18 @@
 func patterns() []pattern {
 	large, small := Limit{Team: "t", Rate: 80, Burst: 80}, Limit{Team: "t", Rate: 6.4, Burst: 6}
 	direct := []pattern{
-		{name: "a large team's usual load", gateways: 24, limit: large, demand: bursts(50), where: anywhere(24)},
-		{name: "a team with four requests per second, 24 gateways", gateways: 24, limit: small, demand: steadily(4), where: anywhere(24)},
-		{name: "a team with four requests per second, 89 gateways", gateways: 89, limit: small, demand: steadily(4), where: anywhere(89)},
-		{name: "ten times the limit", exceedsLimit: true, gateways: 24, limit: large, demand: steadily(800), where: anywhere(24)},
-		{name: "a small team, twenty times its limit, 89 gateways", exceedsLimit: true, gateways: 89, limit: small, demand: steadily(128), where: anywhere(89)},
+		{name: "a large team's usual load", gateways: 24, limit: large, rateAt: burstyRate(50), gatewayAt: randomGateway(24)},
+		{name: "a team with four requests per second, 24 gateways", gateways: 24, limit: small, rateAt: constantRate(4), gatewayAt: randomGateway(24)},
+		{name: "a team with four requests per second, 89 gateways", gateways: 89, limit: small, rateAt: constantRate(4), gatewayAt: randomGateway(89)},
+		{name: "ten times the limit", exceedsLimit: true, gateways: 24, limit: large, rateAt: constantRate(800), gatewayAt: randomGateway(24)},
+		{name: "a small team, twenty times its limit, 89 gateways", exceedsLimit: true, gateways: 89, limit: small, rateAt: constantRate(128), gatewayAt: randomGateway(89)},
 		{
-			name: "all requests at one gateway, then all at another", exceedsLimit: true, gateways: 24, limit: large, demand: steadily(160),
-			where: func(now clock.Millis, _ *rand.Rand) int { return int(now/2_000) % 24 },
+			name: "all requests at one gateway, then all at another", exceedsLimit: true, gateways: 24, limit: large, rateAt: constantRate(160),
+			gatewayAt: func(now clock.Millis, _ *rand.Rand) int { return int(now/2_000) % 24 },
 		},
 		{
-			name: "a gateway with a quarter of the callers is cut off", exceedsLimit: true, gateways: 24, limit: large, demand: steadily(200),
-			where: func(_ clock.Millis, random *rand.Rand) int {
+			name: "a gateway with a quarter of the callers is cut off", exceedsLimit: true, gateways: 24, limit: large, rateAt: constantRate(200),
+			gatewayAt: func(_ clock.Millis, random *rand.Rand) int {
 				if random.IntN(4) == 0 {
 					return 7
 				}
@@ -348,8 +348,8 @@
 			},
 		},
 		{
-			name: "a gateway with half of the callers is cut off", exceedsLimit: true, gateways: 24, limit: large, demand: steadily(200),
-			where: func(_ clock.Millis, random *rand.Rand) int { return random.IntN(2) * (1 + random.IntN(23)) },
+			name: "a gateway with half of the callers is cut off", exceedsLimit: true, gateways: 24, limit: large, rateAt: constantRate(200),
+			gatewayAt: func(_ clock.Millis, random *rand.Rand) int { return random.IntN(2) * (1 + random.IntN(23)) },
 			event: func(now clock.Millis, w scheme) {
 				if now == 8_000 {
 					w.isolate(0, 18_000)
@@ -357,7 +357,7 @@
 			},
 		},
 		{
-			name: "all gateways restart at once, above the limit", exceedsLimit: true, gateways: 24, limit: large, demand: steadily(200), where: anywhere(24),
+			name: "all gateways restart at once, above the limit", exceedsLimit: true, gateways: 24, limit: large, rateAt: constantRate(200), gatewayAt: randomGateway(24),
 			event: func(now clock.Millis, w scheme) {
 				if now == 8_000 {
 					w.restart(now, -1)
@@ -365,7 +365,7 @@
 			},
 		},
 		{
-			name: "all gateways restart at once, usual load", exceedsLimit: true, gateways: 24, limit: large, demand: bursts(50), where: anywhere(24),
+			name: "all gateways restart at once, usual load", exceedsLimit: true, gateways: 24, limit: large, rateAt: burstyRate(50), gatewayAt: randomGateway(24),
 			event: func(now clock.Millis, w scheme) {
 				if now == 8_000 {
 					w.restart(now, -1)
@@ -373,7 +373,7 @@
 			},
 		},
 		{
-			name: "gateways restart one after the other", exceedsLimit: true, gateways: 24, limit: large, demand: steadily(200), where: anywhere(24),
+			name: "gateways restart one after the other", exceedsLimit: true, gateways: 24, limit: large, rateAt: constantRate(200), gatewayAt: randomGateway(24),
 			event: func(now clock.Millis, w scheme) {
 				if now > 3_000 && now%500 == 0 {
 					w.restart(now, int(now/500)%24)
@@ -381,7 +381,7 @@
 			},
 		},
 		{
-			name: "leaders change, usual load", gateways: 24, limit: large, demand: bursts(50), where: anywhere(24),
+			name: "leaders change, usual load", gateways: 24, limit: large, rateAt: burstyRate(50), gatewayAt: randomGateway(24),
 			event: func(now clock.Millis, w scheme) {
 				if now%6_000 == 4_000 {
 					w.outage(now + 1_000)
@@ -389,7 +389,7 @@
 			},
 		},
 		{
-			name: "the limit drops to a tenth", exceedsLimit: true, gateways: 24, demand: steadily(160), where: anywhere(24), limit: large,
+			name: "the limit drops to a tenth", exceedsLimit: true, gateways: 24, rateAt: constantRate(160), gatewayAt: randomGateway(24), limit: large,
 			limitAt: func(now clock.Millis) Limit {
 				if now < 8_000 {
 					return large
@@ -398,7 +398,7 @@
 			},
 		},
 		{
-			name: "the limit rises tenfold", exceedsLimit: true, gateways: 24, demand: steadily(60), where: anywhere(24), limit: large,
+			name: "the limit rises tenfold", exceedsLimit: true, gateways: 24, rateAt: constantRate(60), gatewayAt: randomGateway(24), limit: large,
 			limitAt: func(now clock.Millis) Limit {
 				if now < 8_000 {
 					return Limit{Team: "t", Rate: 8, Burst: 8}
@@ -406,10 +406,10 @@
 				return large
 			},
 		},
-		{name: "runners accept half of the requests", gateways: 24, limit: large, demand: steadily(130), where: anywhere(24), neverRuns: 0.5},
+		{name: "runners accept half of the requests", gateways: 24, limit: large, rateAt: constantRate(130), gatewayAt: randomGateway(24), neverRuns: 0.5},
 		{
-			name: "a hundred requests in one millisecond at all gateways", exceedsLimit: true, gateways: 24, limit: small, where: anywhere(24),
-			demand: func(now clock.Millis) float64 {
+			name: "a hundred requests in one millisecond at all gateways", exceedsLimit: true, gateways: 24, limit: small, gatewayAt: randomGateway(24),
+			rateAt: func(now clock.Millis) float64 {
 				if now%6_000 == 1_000 {
 					return 100_000
 				}
@@ -458,11 +458,11 @@
 			}
 			return q.retryAt <= now
 		})
-		for n := p.demand(now) / 1_000; n > 0; n-- {
+		for n := p.rateAt(now) / 1_000; n > 0; n-- {
 			if n < 1 && random.Float64() > n {
 				break
 			}
-			ready = append(ready, waiter{retryAt: now, since: now, gateway: p.where(now, random)})
+			ready = append(ready, waiter{retryAt: now, since: now, gateway: p.gatewayAt(now, random)})
 		}
 		for _, q := range ready {
 			admitted, wait := w.admit(now, q.gateway, l)
@@ -486,12 +486,12 @@
 // tenths of the requests that a gateway with all counts would admit. The other schemes run for
 // comparison only.
 func TestReplayThreeSchemes(t *testing.T) {
-	const maxBeyond = 0.1
+	const maxRefusedShare = 0.1
 	for _, p := range patterns() {
 		t.Run(p.name, func(t *testing.T) {
 			row := fmt.Sprintf("%-52s", p.name)
 			for _, kind := range []string{"exchanged", "split", "leased"} {
-				worst, owed, refused := 0.0, 0, 0
+				worst, expected, refused := 0.0, 0, 0
 				for seed := range uint64(3) {
 					random := rand.New(rand.NewPCG(seed, 7))
 					var w scheme
@@ -504,15 +504,15 @@
 						w = newLeased(p.gateways)
 					}
 					o := replay(p, w, random)
-					worst, owed, refused = max(worst, o.worst), owed+o.owed, refused+max(o.owed-o.admittedCount, 0)
+					worst, expected, refused = max(worst, o.worstRatio), expected+o.expectedCount, refused+max(o.expectedCount-o.admittedCount, 0)
 				}
-				share := float64(refused) / float64(max(owed, 1))
+				share := float64(refused) / float64(max(expected, 1))
 				row += fmt.Sprintf("  %s: worst window %.2f of the bound, refused within the limit %.3f", kind, worst, share)
 				if kind == "exchanged" {
 					require.LessOrEqual(t, worst, 1.0, "%s", row)
 					allowed := 0.0
 					if p.exceedsLimit {
-						allowed = maxBeyond
+						allowed = maxRefusedShare
 					}
 					require.LessOrEqual(t, share, allowed, "%s", row)
 				}
--- a/common/pkg/quota/report.go
+++ b/common/pkg/quota/report.go
@@ -23,7 +23,7 @@
 	// the datagram.
 	Source          string
 	Epoch, Sequence uint64
-	// CountingForFor is how long the source has counted.
+	// CountingFor is how long the source has counted.
 	CountingFor clock.Millis
 	Usage       []TeamUsage
 }
--- a/common/pkg/routing/table.go
+++ b/common/pkg/routing/table.go
@@ -131,7 +131,7 @@
 	known := map[string]bool{}
 	for _, s := range wire.GetServices() {
 		if s.GetName() == "" || known[s.GetName()] {
-			return fmt.Errorf("%w: service %q has no name or is listed twice", ErrInvalid, s.GetName())
+			return fmt.Errorf("%w: service %q has no name or stands twice", ErrInvalid, s.GetName())
 		}
 		known[s.GetName()] = true
 	}
@@ -155,16 +155,16 @@
 	case r.GetHost() == "":
 		return fmt.Errorf("%w: route %q has no host", ErrInvalid, r.GetName())
 	case !strings.HasPrefix(r.GetPrefix(), "/") || !strings.HasSuffix(r.GetPrefix(), "/"):
-		return fmt.Errorf("%w: the prefix of route %q must begin and end with a slash", ErrInvalid, r.GetName())
+		return fmt.Errorf("%w: the prefix of route %q doesn't begin and end with a slash", ErrInvalid, r.GetName())
 	case r.GetKind() == toucanhingev1.RouteKind_ROUTE_KIND_UNSPECIFIED:
-		return fmt.Errorf("%w: route %q has an unknown kind", ErrInvalid, r.GetName())
+		return fmt.Errorf("%w: the kind of route %q is unknown", ErrInvalid, r.GetName())
 	case r.GetTimeLimitMs() == 0:
 		return fmt.Errorf("%w: the time limit of route %q is 0", ErrInvalid, r.GetName())
 	}
 	total := uint32(0)
 	for _, s := range r.GetShares() {
 		if !known[s.GetService()] {
-			return fmt.Errorf("%w: route %q refers to unknown service %q", ErrInvalid, r.GetName(), s.GetService())
+			return fmt.Errorf("%w: route %q names the unknown service %q", ErrInvalid, r.GetName(), s.GetService())
 		}
 		total += s.GetWeight()
 	}
--- a/common/pkg/routing/table_test.go
+++ b/common/pkg/routing/table_test.go
@@ -119,13 +119,13 @@
 		part := rapid.SampledFrom([]string{"a", "b", "ab", "a/b", "b/a"})
 		wire := validTable()
 		wire.Routes = wire.Routes[:0]
-		taken := map[string]bool{}
+		used := map[string]bool{}
 		for _, p := range rapid.SliceOf(part).Draw(t, "prefixes") {
 			prefix := "/" + p + "/"
-			if taken[prefix] {
+			if used[prefix] {
 				continue
 			}
-			taken[prefix] = true
+			used[prefix] = true
 			r, ok := proto.Clone(validTable().Routes[0]).(*toucanhingev1.Route)
 			require.True(t, ok)
 			r.Name, r.Prefix = prefix, prefix
@@ -135,7 +135,7 @@
 		require.NoError(t, err)
 		path := "/" + strings.Join(rapid.SliceOf(part).Draw(t, "path"), "/") + "/"
 		want := ""
-		for prefix := range taken {
+		for prefix := range used {
 			if strings.HasPrefix(path, prefix) && len(prefix) > len(want) {
 				want = prefix
 			}
--- a/common/pkg/routing/team.go
+++ b/common/pkg/routing/team.go
@@ -77,11 +77,11 @@
 	owners := map[apikey.Hash]string{}
 	for _, team := range wire.GetTeams() {
 		if team.GetName() == "" || names[team.GetName()] {
-			return fmt.Errorf("%w: team %q has no name or is listed twice", ErrInvalid, team.GetName())
+			return fmt.Errorf("%w: team %q has no name or stands twice", ErrInvalid, team.GetName())
 		}
 		names[team.GetName()] = true
 		if !isValidLimit(team.GetRate()) || !isValidLimit(team.GetBurst()) {
-			return fmt.Errorf("%w: the rate or the burst of team %q is negative, infinite or not a number", ErrInvalid, team.GetName())
+			return fmt.Errorf("%w: the rate or the burst of team %q is negative or endless", ErrInvalid, team.GetName())
 		}
 		for i, key := range team.GetKeys() {
 			hash, ok := apikey.Parse(key)
@@ -95,7 +95,7 @@
 		}
 	}
 	if len(wire.GetTeams()) > 0 && !wire.GetKeyed() {
-		return fmt.Errorf("%w: there are teams, but keys are not required", ErrInvalid)
+		return fmt.Errorf("%w: there are teams, but no keys are asked for", ErrInvalid)
 	}
 	return nil
 }
--- a/common/pkg/routing/team_test.go
+++ b/common/pkg/routing/team_test.go
@@ -29,14 +29,14 @@
 		want   string
 	}{
 		{"two teams share a key", func(w *toucanhingev1.RoutingTable) { w.Teams[1].Keys[0] = apikey.Bytes("two-of-a") }, "share a key"},
-		{"two teams with the same name", func(w *toucanhingev1.RoutingTable) { w.Teams[1].Name = "a" }, "listed twice"},
+		{"two teams with the same name", func(w *toucanhingev1.RoutingTable) { w.Teams[1].Name = "a" }, "stands twice"},
 		{"a team without a name", func(w *toucanhingev1.RoutingTable) { w.Teams[1].Name = "" }, "no name"},
 		{"an empty key", func(w *toucanhingev1.RoutingTable) { w.Teams[1].Keys[0] = apikey.Bytes("") }, "is empty"},
-		{"a negative rate", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Rate = -1 }, "negative, infinite or not a number"},
-		{"an infinite rate", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Rate = math.Inf(1) }, "negative, infinite or not a number"},
-		{"a rate that is not a number", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Rate = math.NaN() }, "negative, infinite or not a number"},
-		{"a negative burst", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Burst = -0.5 }, "negative, infinite or not a number"},
-		{"teams, but keys not required", func(w *toucanhingev1.RoutingTable) { w.Keyed = false }, "keys are not required"},
+		{"a negative rate", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Rate = -1 }, "negative or endless"},
+		{"an infinite rate", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Rate = math.Inf(1) }, "negative or endless"},
+		{"a rate that is not a number", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Rate = math.NaN() }, "negative or endless"},
+		{"a negative burst", func(w *toucanhingev1.RoutingTable) { w.Teams[0].Burst = -0.5 }, "negative or endless"},
+		{"teams, but keys not required", func(w *toucanhingev1.RoutingTable) { w.Keyed = false }, "no keys are asked for"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			wire := keyedTable()
--- a/common/pkg/runner/runner.go
+++ b/common/pkg/runner/runner.go
@@ -46,13 +46,12 @@
 	Body io.ReadCloser
 	// NotRun is set if the runner didn't run the request and never will.
 	NotRun bool
-	// OtherInstanceInstance is set if another instance has the address now.
+	// OtherInstance is set if another instance has the address now.
 	OtherInstance bool
 	// Load is the runner's load when it answered, nil if not reported.
 	Load *Load
-	// Release ends the answer of a call early that another daemon forwards. The body still
-	// returns the data that the daemon has buffered, and then an error. Release never blocks. It
-	// is nil if no data is buffered.
+	// Release ends a proxied call early. The body still returns the data that the proxying daemon
+	// has buffered, and then an error. Release never blocks. It is nil if no data is buffered.
 	Release func()
 }
 
@@ -84,7 +83,7 @@
 }
 
 func (e *NotSentError) Error() string {
-	return fmt.Sprintf("runner %s is unreachable: %v", e.Runner, e.Err)
+	return fmt.Sprintf("runner %s can't be reached: %v", e.Runner, e.Err)
 }
 
 func (e *NotSentError) Unwrap() error { return e.Err }
@@ -97,7 +96,7 @@
 }
 
 func (e *BrokenError) Error() string {
-	return fmt.Sprintf("the call to runner %s failed after it was sent: %v", e.Runner, e.Err)
+	return fmt.Sprintf("the call to runner %s broke off: %v", e.Runner, e.Err)
 }
 
 func (e *BrokenError) Unwrap() error { return e.Err }
--- a/common/pkg/web/limit.go
+++ b/common/pkg/web/limit.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// limitedListenerListener is a listener with a limit on its open connections.
+// limitedListener is a listener with a limit on its open connections.
 type limitedListener struct {
 	net.Listener
 	limit    int64
@@ -33,7 +33,7 @@
 	}
 }
 
-// limitedConn stops counting towards the limit when it is closed.
+// limitedConn is a connection that counts towards the limit until it is closed.
 type limitedConn struct {
 	net.Conn
 	release func()
--- a/common/pkg/web/server.go
+++ b/common/pkg/web/server.go
@@ -95,8 +95,8 @@
 const (
 	dialTimeout = 2 * time.Second
 	// dialAttemptTimeout limits one attempt to connect; the next one begins at once. The SYN
-	// packet to a VM without power is lost, and the system repeats it only after a second: after
-	// a power failure of all VMs, those that were back first connected to the others 0.8 s late,
+	// packet to a VM without power is lost, and the system repeats it only after a second. After
+	// a power failure of all VMs, the first VMs to start connected to the later ones 0.8 s late,
 	// and callers waited for that time. An attempt usually takes a few milliseconds, and 100 ms
 	// is more than the round trip between any data centres of a region.
 	dialAttemptTimeout = 100 * time.Millisecond
