--- a/common/pkg/crashes/simulation_test.go
+++ b/common/pkg/crashes/simulation_test.go
@@ -382,7 +382,7 @@
 		{simulationConfig{gateways: 8, runners: 12, crashInterval: 800, wave: 3, waveGap: 100}, 2},
 	} {
 		c.duration, c.requestsPerSecond, c.retries = 20_000, 60, 4
-		met, quarantined, requests := 0, 0, 0
+		withThreeCrashes, quarantined, requests := 0, 0, 0
 		for seed := range uint64(100) {
 			c.seed = seed
 			s := runSimulation(c.simulationConfig)
@@ -390,11 +390,11 @@
 			requests += len(s.harmless)
 			for _, n := range s.crashed {
 				if n >= 3 {
-					met++
+					withThreeCrashes++
 				}
 			}
 		}
 		require.LessOrEqual(t, quarantined, c.maxQuarantined, "%+v", c)
-		t.Logf("%+v: %d of %d requests met three crashes or more, %d quarantined", c.simulationConfig, met, requests, quarantined)
+		t.Logf("%+v: %d of %d requests met three crashes or more, %d quarantined", c.simulationConfig, withThreeCrashes, requests, quarantined)
 	}
 }
--- a/common/pkg/digest/hubs_test.go
+++ b/common/pkg/digest/hubs_test.go
@@ -23,7 +23,7 @@
 	changes := 2 * requestsPerGateway * len(f.addresses)
 	for n := range 1_000 {
 		for range changes*(n+1)/1_000 - changes*n/1_000 {
-			f.changeLoad(f.randomDaemon())
+			f.changeLoad(f.any())
 		}
 		f.run(1)
 	}
@@ -37,19 +37,19 @@
 // twice the fleet costs four times the bytes. That overloaded the links of small VMs, and the
 // relay role moved from daemon to daemon. With hubs the bytes must grow less than quadratically.
 func TestRelayTrafficGrowsLessThanQuadratically(t *testing.T) {
-	single, double := newFleet(t, 2, 45), newFleet(t, 2, 90)
-	single.run(2 * relayTimeout)
-	double.run(2 * relayTimeout)
-	one, two := single.simulateSecond(t), double.simulateSecond(t)
-	t.Logf("busiest daemon: %d kB/s with 45 gateways in a data centre, %d kB/s with 90", one/1000, two/1000)
-	require.Less(t, float64(two), 3.2*float64(one))
+	small, large := newFleet(t, 2, 45), newFleet(t, 2, 90)
+	small.run(2 * relayTimeout)
+	large.run(2 * relayTimeout)
+	smallBytes, largeBytes := small.simulateSecond(t), large.simulateSecond(t)
+	t.Logf("busiest daemon: %d kB/s with 45 gateways in a data centre, %d kB/s with 90", smallBytes/1000, largeBytes/1000)
+	require.Less(t, float64(largeBytes), 3.2*float64(smallBytes))
 }
 
 func TestAllDaemonsSeeSameLoadWithHubs(t *testing.T) {
 	f := newFleet(t, 2, 40)
 	f.run(2 * relayTimeout)
 	for range 300 {
-		f.changeLoad(f.randomDaemon())
+		f.changeLoad(f.any())
 		f.run(2)
 	}
 	f.run(4*relayInterval + 6)
@@ -122,7 +122,7 @@
 		if n == 300 {
 			f.daemons[f.addresses[0]].down = true
 		}
-		if d := f.randomDaemon(); !d.down {
+		if d := f.any(); !d.down {
 			admitted += f.acquireQuota(d, l, 1)
 		}
 		f.run(5)
--- a/common/pkg/digest/quota_test.go
+++ b/common/pkg/digest/quota_test.go
@@ -14,12 +14,12 @@
 
 // acquireQuota requests quota for some requests at a daemon and returns how many were admitted.
 func (f *fleet) acquireQuota(d *daemon, l quota.Limit, requests int) (admitted int) {
-	surroundings := quota.Peers{Gateways: len(f.addresses), Age: 60}
+	peers := quota.Peers{Gateways: len(f.addresses), Age: 60}
 	for range requests {
-		v := d.counter.Admit(f.now, l, surroundings)
+		v := d.counter.Admit(f.now, l, peers)
 		for v.Wait > 0 {
 			f.run(v.Wait)
-			v = d.counter.Admit(f.now, l, surroundings)
+			v = d.counter.Admit(f.now, l, peers)
 		}
 		if v.Admitted {
 			admitted++
@@ -45,7 +45,7 @@
 			l := quota.Limit{Team: "a", Rate: 1_000}
 			admitted := 0
 			for range 400 {
-				admitted += f.acquireQuota(f.randomDaemon(), l, 1)
+				admitted += f.acquireQuota(f.any(), l, 1)
 				f.run(3)
 			}
 			f.run(3 * 250)
@@ -69,7 +69,7 @@
 		if n == 300 {
 			f.daemons["10.0.0.00:1"].down = true
 		}
-		if d := f.randomDaemon(); !d.down {
+		if d := f.any(); !d.down {
 			admitted += f.acquireQuota(d, l, 1)
 		}
 		f.run(5)
--- a/common/pkg/digest/relay_test.go
+++ b/common/pkg/digest/relay_test.go
@@ -66,10 +66,8 @@
 	return f
 }
 
-// randomDaemon returns a random daemon.
-func (f *fleet) randomDaemon() *daemon {
-	return f.daemons[f.addresses[f.random.IntN(len(f.addresses))]]
-}
+// any returns a random daemon.
+func (f *fleet) any() *daemon { return f.daemons[f.addresses[f.random.IntN(len(f.addresses))]] }
 
 // run simulates the given time.
 func (f *fleet) run(duration clock.Millis) {
@@ -194,7 +192,7 @@
 	f := newFleet(t, 5, 12)
 	f.run(2 * relayTimeout)
 	for range 500 {
-		f.changeLoad(f.randomDaemon())
+		f.changeLoad(f.any())
 		f.run(2)
 	}
 	f.run(4*relayInterval + 4)
@@ -207,7 +205,7 @@
 	f := newFleet(t, 5, 12)
 	f.lossRate = 0.1
 	for range 300 {
-		f.changeLoad(f.randomDaemon())
+		f.changeLoad(f.any())
 		f.run(2)
 	}
 	f.lossRate = 0
@@ -278,7 +276,7 @@
 	direct := 0
 	for n := range 1_000 {
 		for range 1 + n%5/3 {
-			r := request{f.randomDaemon(), fmt.Sprintf("i-%08x", f.random.IntN(144))}
+			r := request{f.any(), fmt.Sprintf("i-%08x", f.random.IntN(144))}
 			r.at.table.Add(r.runner, occupancy.Load{Online: 1})
 			r.at.dirty = true
 			running = append(running, r)
