--- a/lab/cmd/losses/main.go
+++ b/lab/cmd/losses/main.go
@@ -31,7 +31,7 @@
 }
 
 func run(a arguments) error {
-	ledger := losses.New(losses.Weights{Late: a.Late, CameBack: a.SecondAttempt})
+	ledger := losses.New(losses.Weights{Late: a.Late, InTimeOnRetry: a.SecondAttempt})
 	if len(a.Logs) == 0 {
 		if err := readLog("standard input", os.Stdin, ledger); err != nil {
 			return err
--- a/toucanctl/pkg/output/trace.go
+++ b/toucanctl/pkg/output/trace.go
@@ -35,7 +35,7 @@
 			}
 		}
 	}
-	if cause, ok := trace.Cause(); ok {
+	if cause, ok := trace.LastFailure(); ok {
 		return p.line("last failure: %s at %s: %s", cause.Event, cause.Process, cause.Text)
 	}
 	return p.line("no line tells of a failure")
