--- a/common/pkg/digest/hubs_test.go
+++ b/common/pkg/digest/hubs_test.go
@@ -37,12 +37,12 @@
 // twice the fleet costs four times the bytes. That overloaded the links of small VMs, and the
 // relay role moved from daemon to daemon. With hubs the bytes must grow less than quadratically.
 func TestRelayTrafficGrowsLessThanQuadratically(t *testing.T) {
-	single, double := newFleet(t, 2, 45), newFleet(t, 2, 90)
-	single.run(2 * relayTimeout)
-	double.run(2 * relayTimeout)
-	one, two := single.simulateSecond(t), double.simulateSecond(t)
-	t.Logf("busiest daemon: %d kB/s with 45 gateways in a data centre, %d kB/s with 90", one/1000, two/1000)
-	require.Less(t, float64(two), 3.2*float64(one))
+	small, large := newFleet(t, 2, 45), newFleet(t, 2, 90)
+	small.run(2 * relayTimeout)
+	large.run(2 * relayTimeout)
+	smallBytes, largeBytes := small.simulateSecond(t), large.simulateSecond(t)
+	t.Logf("busiest daemon: %d kB/s with 45 gateways in a data centre, %d kB/s with 90", smallBytes/1000, largeBytes/1000)
+	require.Less(t, float64(largeBytes), 3.2*float64(smallBytes))
 }
 
 func TestAllDaemonsSeeSameLoadWithHubs(t *testing.T) {
--- a/common/pkg/digest/quota_test.go
+++ b/common/pkg/digest/quota_test.go
@@ -14,12 +14,12 @@
 
 // acquireQuota requests quota for some requests at a daemon and returns how many were admitted.
 func (f *fleet) acquireQuota(d *daemon, l quota.Limit, requests int) (admitted int) {
-	surroundings := quota.Peers{Gateways: len(f.addresses), Age: 60}
+	peers := quota.Peers{Gateways: len(f.addresses), Age: 60}
 	for range requests {
-		v := d.counter.Admit(f.now, l, surroundings)
+		v := d.counter.Admit(f.now, l, peers)
 		for v.Wait > 0 {
 			f.run(v.Wait)
-			v = d.counter.Admit(f.now, l, surroundings)
+			v = d.counter.Admit(f.now, l, peers)
 		}
 		if v.Admitted {
 			admitted++
@@ -35,8 +35,8 @@
 	for _, c := range []struct {
 		name string
 		lost float64
-		// within is the permitted relative error of a gateway's count.
-		within float64
+		// tolerance is the permitted relative error of a gateway's count.
+		tolerance float64
 	}{{"no loss", 0, 0.001}, {"loss of one datagram in twenty", 0.05, 0.02}} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 5, 12)
@@ -51,7 +51,7 @@
 			f.run(3 * 250)
 			require.Equal(t, 400, admitted)
 			for _, address := range f.addresses {
-				require.InDelta(t, float64(admitted), f.daemons[address].counter.Used(f.now, "a"), c.within*float64(admitted), address)
+				require.InDelta(t, float64(admitted), f.daemons[address].counter.Used(f.now, "a"), c.tolerance*float64(admitted), address)
 			}
 		})
 	}
