--- a/sidecar/pkg/admit/action.go
+++ b/sidecar/pkg/admit/action.go
@@ -19,7 +19,7 @@
 	Suspend
 	// Resume continues a suspended batch item.
 	Resume
-	// Return gives a batch item that holds no slot back to control.
+	// Return returns a batch item that holds no slot to control.
 	Return
 )
 
--- a/sidecar/pkg/admit/event.go
+++ b/sidecar/pkg/admit/event.go
@@ -19,7 +19,7 @@
 	Deadline clock.Millis
 }
 
-// Cancel means that the caller of an online request has gone away.
+// Cancel means that the caller of an online request has disconnected.
 type Cancel struct{ ID ID }
 
 // FirstToken means that the prefill of a request or item is done.
--- a/sidecar/pkg/admit/foreign.go
+++ b/sidecar/pkg/admit/foreign.go
@@ -18,8 +18,8 @@
 // ForeignEstimator estimates how many engine slots are used by requests that did
 // not come through this sidecar. It subtracts from the engine's lagging report the
 // highest number of own requests in flight around the time of the report; the
-// remainder is foreign load. Own starts and ends near that time hide foreign load,
-// so the highest estimate of the last second is used.
+// remainder is foreign load. Own requests that start or end near that time hide foreign
+// load, so the highest estimate of the last second is used.
 type ForeignEstimator struct {
 	ownCounts []sample
 	estimates []sample
@@ -30,8 +30,8 @@
 	count int
 }
 
-// RecordOwn records the number of own requests at the engine from now on.
-func (f *ForeignEstimator) RecordOwn(now clock.Millis, count int) {
+// RecordOwnCount records the number of own requests at the engine from now on.
+func (f *ForeignEstimator) RecordOwnCount(now clock.Millis, count int) {
 	if n := len(f.ownCounts); n > 0 && f.ownCounts[n-1].count == count {
 		return
 	}
--- a/sidecar/pkg/admit/item.go
+++ b/sidecar/pkg/admit/item.go
@@ -101,7 +101,7 @@
 	m.stopItem(i, ReasonWithdrawn)
 }
 
-// stopItem stops an item that holds a slot, or returns one that holds none.
+// stopItem stops an item that holds a slot, or returns an item without a slot to control.
 func (m *Machine) stopItem(i *item, reason Reason) {
 	switch i.state {
 	case itemRunning, itemSuspending:
--- a/sidecar/pkg/admit/oracle_test.go
+++ b/sidecar/pkg/admit/oracle_test.go
@@ -183,7 +183,7 @@
 // Requests and items arrive, end, are cancelled, withdrawn and suspended in random
 // order, foreign load changes, the engine stops answering and the process drains.
 // After every step the slots in use don't exceed the capacity, no online request
-// waits for a slot that a batch item keeps, and a refused request was never started.
+// waits for a slot that a batch item holds, and a refused request was never started.
 // At the end every request got exactly one decision, and batch fills an idle engine.
 func TestRapidAdmission(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/sidecar/pkg/app/app.go
+++ b/sidecar/pkg/app/app.go
@@ -120,7 +120,7 @@
 	} {
 		p.run(ctx, task)
 	}
-	if takesOrders(p.config.Settings) {
+	if acceptsOrders(p.config.Settings) {
 		p.run(ctx, p.config.Orders.Run)
 	}
 	return nil
--- a/sidecar/pkg/app/app_test.go
+++ b/sidecar/pkg/app/app_test.go
@@ -142,7 +142,7 @@
 }
 
 // A VM is drained while a caller's stream and batch items run. The caller receives its
-// whole answer, control learns of the drain at once and gets the items back, a new request
+// whole answer, control is notified of the drain at once and receives the items back, a new request
 // is refused as not run, and then the process exits. A drain that cut the stream would
 // leave the caller with a truncated answer.
 func TestDrainFinishesStreamsAndReturnsItems(t *testing.T) {
--- a/sidecar/pkg/app/config_watcher.go
+++ b/sidecar/pkg/app/config_watcher.go
@@ -52,11 +52,11 @@
 // submitOrder submits the newest order for this endpoint.
 func (w *configWatcher) submitOrder() {
 	e, found := w.fleet.Load().Entry(toucanhingev1.Kind_KIND_ORDER, w.settings.Name)
-	if !found || !takesOrders(w.settings) {
+	if !found || !acceptsOrders(w.settings) {
 		return
 	}
-	if wanted, known := order.DesiredFromEntry(e); known {
-		w.orders.Submit(order.Update{Desired: wanted})
+	if desired, known := order.DesiredFromEntry(e); known {
+		w.orders.Submit(order.Update{Desired: desired})
 	}
 }
 
--- a/sidecar/pkg/app/counters.go
+++ b/sidecar/pkg/app/counters.go
@@ -9,7 +9,7 @@
 	"toucanhinge.example/sidecar/pkg/dispatch"
 )
 
-// Places at which refusals are counted, as values of a metric label.
+// Label values of the refusal counter: the stage that refused a request, event or report.
 const (
 	refusedAtOnline  = "online"
 	refusedAtRing    = "ring"
@@ -18,11 +18,11 @@
 
 // counters holds the sidecar's own metrics, in addition to the common ones.
 type counters struct {
-	set      *metrics.Set
-	ended    *prometheus.CounterVec
-	items    *prometheus.CounterVec
-	verdicts *prometheus.CounterVec
-	orders   *prometheus.CounterVec
+	set           *metrics.Set
+	brokenAnswers *prometheus.CounterVec
+	items         *prometheus.CounterVec
+	verdicts      *prometheus.CounterVec
+	orders        *prometheus.CounterVec
 }
 
 func newCounters(set *metrics.Set) *counters {
@@ -31,11 +31,11 @@
 		return factory.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, []string{label})
 	}
 	return &counters{
-		set:      set,
-		ended:    vector("toucanhinge_answers_broken_total", "Answers that ended with an error, by reason.", "reason"),
-		items:    vector("toucanhinge_items_total", "Batch items by event.", "event"),
-		verdicts: vector("toucanhinge_verdicts_total", "Control's verdicts on reported outcomes.", "verdict"),
-		orders:   vector("toucanhinge_orders_total", "Orders to the engine by event.", "event"),
+		set:           set,
+		brokenAnswers: vector("toucanhinge_answers_broken_total", "Answers that ended with an error, by reason.", "reason"),
+		items:         vector("toucanhinge_items_total", "Batch items by event.", "event"),
+		verdicts:      vector("toucanhinge_verdicts_total", "Control's verdicts on reported outcomes.", "verdict"),
+		orders:        vector("toucanhinge_orders_total", "Orders to the engine by event.", "event"),
 	}
 }
 
@@ -57,7 +57,7 @@
 	total("toucanhinge_online_started_total", "Online requests started.", func(s admit.Stats) uint64 { return s.Started })
 	total("toucanhinge_batch_started_total", "Batch items started.", func(s admit.Stats) uint64 { return s.ItemsStarted })
 	total("toucanhinge_batch_yields_total", "Batch items suspended for online requests.", func(s admit.Stats) uint64 { return s.Yields })
-	total("toucanhinge_batch_tokens_lost_total", "Tokens computed again because of yielding.", func(s admit.Stats) uint64 { return s.TokensLost })
+	total("toucanhinge_batch_tokens_lost_total", "Tokens computed again because of yields.", func(s admit.Stats) uint64 { return s.TokensLost })
 	total("toucanhinge_slots_left_ms_total", "Slot time left over by online requests, in milliseconds.", func(s admit.Stats) uint64 { return s.LeftoverMS })
 	total("toucanhinge_slots_batch_ms_total", "Slot time used by batch items, in milliseconds.", func(s admit.Stats) uint64 { return s.BatchMS })
 }
--- a/sidecar/pkg/app/fakes_test.go
+++ b/sidecar/pkg/app/fakes_test.go
@@ -202,9 +202,9 @@
 func (e *fakeEngine) holdStream() (release func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	held := make(chan struct{})
-	e.release = held
-	return func() { close(held) }
+	unblock := make(chan struct{})
+	e.release = unblock
+	return func() { close(unblock) }
 }
 
 func (e *fakeEngine) chat(w http.ResponseWriter, r *http.Request) {
--- a/sidecar/pkg/app/gate.go
+++ b/sidecar/pkg/app/gate.go
@@ -19,12 +19,12 @@
 
 // newGate returns a closed gate, because the engine's state is not known yet.
 func newGate(s config.Settings, dispatcher *dispatch.Dispatcher) *gate {
-	g := &gate{dispatcher: dispatcher, unhealthy: true, loading: takesOrders(s)}
+	g := &gate{dispatcher: dispatcher, unhealthy: true, loading: acceptsOrders(s)}
 	g.update()
 	return g
 }
 
-func takesOrders(s config.Settings) bool {
+func acceptsOrders(s config.Settings) bool {
 	return s.Kind == config.KindModel && s.Engine.Orders
 }
 
--- a/sidecar/pkg/app/recorder.go
+++ b/sidecar/pkg/app/recorder.go
@@ -41,7 +41,7 @@
 		r.records.Add(requestID, "answered", "")
 		return
 	}
-	r.counters.ended.WithLabelValues(reason).Inc()
+	r.counters.brokenAnswers.WithLabelValues(reason).Inc()
 	r.records.Add(requestID, "broken", reason)
 	level.Info(r.logger).Log(logs.KeyEvent, "broken", logs.KeyRequest, requestID, "reason", reason)
 }
--- a/sidecar/pkg/dispatch/dispatcher.go
+++ b/sidecar/pkg/dispatch/dispatcher.go
@@ -59,8 +59,8 @@
 		deliverFuncs: map[admit.ID]Deliver{},
 	}
 	d.runCtx, d.cancelRun = context.WithCancel(context.Background())
-	first := config.Machine.Snapshot(config.Clock.Now())
-	d.snapshot.Store(&first)
+	initial := config.Machine.Snapshot(config.Clock.Now())
+	d.snapshot.Store(&initial)
 	return d
 }
 
--- a/sidecar/pkg/engine/client.go
+++ b/sidecar/pkg/engine/client.go
@@ -44,7 +44,7 @@
 type Config struct {
 	// URL is the address of the engine or service, http://IP:port.
 	URL string
-	// Connections limits the idle connections that are kept for idempotent calls.
+	// Connections limits the idle connections that stay open for idempotent calls.
 	Connections int
 }
 
@@ -65,7 +65,7 @@
 }
 
 // newHTTPClient returns a client that never resends a request of its own accord. Go's
-// transport retries a request whose reused connection died, even if the server has read
+// transport retries a request whose reused connection broke, even if the server has read
 // it, when the request seems idempotent or has an Idempotency-Key header. It never does so
 // on a new connection, so each call that must run at most once gets its own connection.
 // Other calls can run twice at worst on a connection that closed while idle.
--- a/sidecar/pkg/engine/contract_test.go
+++ b/sidecar/pkg/engine/contract_test.go
@@ -252,15 +252,15 @@
 	}
 }
 
-// After a lost event, the engine keeps sending. The answer can't become complete any more,
-// and holding all further events would exhaust the memory.
-func TestSorterLimitsHeldEvents(t *testing.T) {
+// After a lost event, the engine continues to send. The answer can't become complete any more,
+// and buffering all further events would exhaust the memory.
+func TestSorterLimitsBufferedEvents(t *testing.T) {
 	s := NewSorter(0)
 	emit := func(Event) error { return nil }
-	for id := uint64(2); id < maxHeldEvents+2; id++ {
+	for id := uint64(2); id < maxBufferedEvents+2; id++ {
 		require.NoError(t, s.Add(Event{ID: id}, emit))
 	}
-	require.ErrorIs(t, s.Add(Event{ID: maxHeldEvents + 2}, emit), ErrGap)
+	require.ErrorIs(t, s.Add(Event{ID: maxBufferedEvents + 2}, emit), ErrGap)
 }
 
 func TestUnreachableEngineReportsNotSent(t *testing.T) {
@@ -278,7 +278,7 @@
 		name    string
 		status  int
 		body    string
-		held    uint64
+		current uint64
 		refused bool
 		err     error
 	}{
@@ -294,8 +294,8 @@
 				_, _ = io.WriteString(w, s.body)
 			}))
 			t.Cleanup(server.Close)
-			held, refused, err := New(Config{URL: server.URL}).SendOrder(context.Background(), Order{Fence: 7})
-			require.Equal(t, s.held, held)
+			current, refused, err := New(Config{URL: server.URL}).SendOrder(context.Background(), Order{Fence: 7})
+			require.Equal(t, s.current, current)
 			require.Equal(t, s.refused, refused)
 			var status *StatusError
 			switch {
--- a/sidecar/pkg/engine/control_calls.go
+++ b/sidecar/pkg/engine/control_calls.go
@@ -35,8 +35,8 @@
 	return load, nil
 }
 
-// CheckReachable checks whether the port accepts connections. Plain services have no call
-// that could be made without running something.
+// CheckReachable checks whether the port accepts connections. A plain service has no call
+// that is free of side effects.
 func (c *Client) CheckReachable(ctx context.Context) error {
 	dialer := &net.Dialer{}
 	connection, err := dialer.DialContext(ctx, "tcp", strings.TrimPrefix(c.url, "http://"))
@@ -85,8 +85,8 @@
 }
 
 // SendOrder sends an order to the engine. If the engine refuses it, refused is true and
-// held is the higher fence that the engine has.
-func (c *Client) SendOrder(ctx context.Context, order Order) (held uint64, refused bool, err error) {
+// current is the higher fence that the engine has.
+func (c *Client) SendOrder(ctx context.Context, order Order) (current uint64, refused bool, err error) {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return 0, false, fmt.Errorf("encode the order: %w", err)
--- a/sidecar/pkg/engine/event.go
+++ b/sidecar/pkg/engine/event.go
@@ -47,8 +47,8 @@
 }
 
 // Next returns the next event that has data. It returns io.EOF at the end of the body. An
-// event that is cut off by the end is dropped, because it can't be told apart from a
-// truncated one.
+// event without its closing blank line at the end of the body is dropped, because it may be
+// truncated.
 func (s *Scanner) Next() (Event, error) {
 	var e Event
 	found := false
--- a/sidecar/pkg/engine/sorter.go
+++ b/sidecar/pkg/engine/sorter.go
@@ -2,9 +2,9 @@
 
 import "github.com/pkg/errors"
 
-// maxHeldEvents limits the events that wait for an earlier one. Engines swap adjacent
+// maxBufferedEvents limits the events that wait for an earlier one. Engines swap adjacent
 // events at most, so a longer gap means that an event was lost.
-const maxHeldEvents = 32
+const maxBufferedEvents = 32
 
 // ErrGap reports that an event of the stream is missing.
 var ErrGap = errors.New("event of the stream is missing")
@@ -15,12 +15,12 @@
 type Sorter struct {
 	lastID   uint64
 	numbered bool
-	held     map[uint64]Event
+	buffered map[uint64]Event
 }
 
 // NewSorter returns a sorter for a stream that continues after the given event number.
 func NewSorter(after uint64) *Sorter {
-	return &Sorter{lastID: after, numbered: after > 0, held: map[uint64]Event{}}
+	return &Sorter{lastID: after, numbered: after > 0, buffered: map[uint64]Event{}}
 }
 
 // Add adds one event and emits all events that are now in order.
@@ -43,8 +43,8 @@
 		return nil
 	}
 	if e.ID > s.lastID+1 {
-		s.held[e.ID] = e
-		if len(s.held) > maxHeldEvents {
+		s.buffered[e.ID] = e
+		if len(s.buffered) > maxBufferedEvents {
 			return ErrGap
 		}
 		return nil
@@ -58,8 +58,8 @@
 		if err := emit(e); err != nil {
 			return err
 		}
-		e, found = s.held[s.lastID+1]
-		delete(s.held, s.lastID+1)
+		e, found = s.buffered[s.lastID+1]
+		delete(s.buffered, s.lastID+1)
 	}
 	return nil
 }
@@ -71,5 +71,5 @@
 
 // HasGap reports whether events wait for a missing one.
 func (s *Sorter) HasGap() bool {
-	return len(s.held) > 0
+	return len(s.buffered) > 0
 }
--- a/sidecar/pkg/entry/attempt.go
+++ b/sidecar/pkg/entry/attempt.go
@@ -41,7 +41,7 @@
 }
 
 // resumesEngineStream reports whether this attempt continues a stream that only the engine
-// knows, such as one from before a restart of the sidecar.
+// retains, such as one that started before a restart of the sidecar.
 func (t *attempt) resumesEngineStream() bool {
 	return t.request.GetResumeAfter() > 0
 }
--- a/sidecar/pkg/entry/handler.go
+++ b/sidecar/pkg/entry/handler.go
@@ -66,7 +66,7 @@
 
 // compressMinBytes is larger than any frame, which turns compression off. Connect
 // otherwise compresses every answer whose caller accepts it. For a token of some hundred
-// bytes between two VMs of one site, that costs several times the rest of the transfer.
+// bytes between two VMs of one data centre, that costs several times the rest of the transfer.
 const compressMinBytes = 1 << 30
 
 // Mount returns the path and the HTTP handler of the service.
--- a/sidecar/pkg/entry/handler_test.go
+++ b/sidecar/pkg/entry/handler_test.go
@@ -45,8 +45,8 @@
 	require.Equal(t, 1, f.backend.totalRuns())
 }
 
-// After a restart, the sidecar does not know the request, but the engine still has its
-// stream. The answer continues from there.
+// After a restart, the sidecar has no record of the request, but the engine still retains
+// its stream. The answer is resumed from that stream.
 func TestResumeFromEngineAfterRestart(t *testing.T) {
 	f := newFixture(t, nil)
 	r := request("kept", 2)
@@ -58,7 +58,7 @@
 	f.run(r).readAll().requireRefused(reasonResumeGone, toucanhingev1.Ran_RAN_YES)
 }
 
-// A gateway gives up on an attempt and starts the request again on the same endpoint. The
+// A gateway abandons an attempt and starts the request again on the same endpoint. The
 // first attempt is cancelled at the engine by its own stream ID; the second runs under
 // another ID.
 func TestLaterAttemptSupersedesEarlier(t *testing.T) {
--- a/sidecar/pkg/order/machine_test.go
+++ b/sidecar/pkg/order/machine_test.go
@@ -121,7 +121,7 @@
 		s.restartSidecar(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"order":   s.newOrder,
-			"old":     s.oldOrder,
+			"old":     s.deliverStaleOrder,
 			"start":   func(*rapid.T) { s.confirmConfig() },
 			"answer":  s.completeCall,
 			"tick":    s.tick,
@@ -131,7 +131,7 @@
 			"restart": s.restartSidecar,
 			"":        func(t *rapid.T) { require.Zero(t, s.engine.reverts, "older order after a newer one") },
 		})
-		s.settle()
+		s.finishWithoutFaults()
 	})
 }
 
@@ -143,9 +143,9 @@
 	}
 }
 
-// oldOrder delivers an order with an old fence, as a stale replica or a late delivery
+// deliverStaleOrder delivers an order with an old fence, as a stale replica or a late delivery
 // does.
-func (s *simulation) oldOrder(t *rapid.T) {
+func (s *simulation) deliverStaleOrder(t *rapid.T) {
 	if s.lastFence == 0 {
 		t.Skip("no order yet")
 	}
@@ -184,7 +184,7 @@
 	s.engine.highestFence = 0
 }
 
-func (s *simulation) settle() {
+func (s *simulation) finishWithoutFaults() {
 	s.confirmConfig()
 	s.running = 0
 	for range 200 {
@@ -275,10 +275,10 @@
 	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, ReadResult{State: engine.State{Model: "a"}}))
 }
 
-// A process died with an order in flight. The engine was frozen, ignores fences and
+// A process crashed with an order in flight. The engine was frozen, ignores fences and
 // executes that order after a newer order of the next process. The next recheck finds
 // the old state, and the newer order is sent again.
-func TestRecheckRepairsLateOrderOfDeadProcess(t *testing.T) {
+func TestRecheckRepairsLateOrderOfCrashedProcess(t *testing.T) {
 	m := newIdleMachine(t)
 	m.Step(1, newOrderUpdate(6, "new"))
 	m.Step(2, Drained{})
--- a/sidecar/pkg/work/lease_manager_test.go
+++ b/sidecar/pkg/work/lease_manager_test.go
@@ -111,7 +111,7 @@
 				s.manager.SetOpen(s.open)
 			},
 		})
-		s.settle()
+		s.finishWithoutFaults()
 	})
 }
 
@@ -210,7 +210,7 @@
 	s.apply(actions)
 }
 
-// endStopping reports the outcome of a stopped item whose goroutine still ended.
+// endStopping reports the outcome of a stopped item whose goroutine ends after the stop.
 func (s *simulation) endStopping(t *rapid.T) {
 	key, found := s.firstOf(s.stopping)
 	if !found {
@@ -228,7 +228,7 @@
 	}
 }
 
-func (s *simulation) settle() {
+func (s *simulation) finishWithoutFaults() {
 	s.manager.SetOpen(false)
 	s.open = false
 	for range 300 {
--- a/sidecar/pkg/work/run.go
+++ b/sidecar/pkg/work/run.go
@@ -37,7 +37,7 @@
 	started bool
 
 	// interrupting is set from just before a suspension or stop until the run holds
-	// a slot again. A stream that breaks meanwhile must not be resumed.
+	// a slot again. A stream that breaks in this state must not be resumed.
 	interrupting atomic.Bool
 	// chunkCount is the number of chunks received since the last start from the
 	// beginning.
@@ -169,9 +169,9 @@
 			r.status = status
 			return nil
 		},
-		OnEvent: r.addEvent,
+		OnEvent:   r.addEvent,
 		MayResume: func() bool { return !r.interrupting.Load() },
-		OnBody: r.addBody,
+		OnBody:    r.addBody,
 	}
 	if !r.request.streamed {
 		r.stream.MaxBufferedBody = r.puller.config.MaxResultBytes
--- a/sidecar/pkg/work/run_test.go
+++ b/sidecar/pkg/work/run_test.go
@@ -90,18 +90,18 @@
 	return append([]*toucanhingev1.Completion(nil), c.completed...)
 }
 
-// fakeEngine is an engine whose streams wait after the second token until the gate is
+// fakeEngine is an engine whose streams wait after the second token until the gate channel is
 // closed, and end there if they are suspended. Suspended streams can be resumed, except
-// if forgetsStreams is set.
+// if losesStreams is set.
 type fakeEngine struct {
-	mu             sync.Mutex
-	posts          int
-	resumes        int
-	cancels        int
-	forgetsStreams bool
-	gate           chan struct{}
-	suspended      chan struct{}
-	answer         http.HandlerFunc
+	mu           sync.Mutex
+	posts        int
+	resumes      int
+	cancels      int
+	losesStreams bool
+	gate         chan struct{}
+	suspended    chan struct{}
+	answer       http.HandlerFunc
 }
 
 func (e *fakeEngine) handler() http.Handler {
@@ -135,11 +135,11 @@
 	mux.HandleFunc("GET /streams/{id}/resume", func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
 		e.resumes++
-		forgets := e.forgetsStreams
+		losesStreams := e.losesStreams
 		e.mu.Unlock()
 		after := 0
 		_, _ = fmt.Sscan(r.URL.Query().Get("after"), &after)
-		if forgets {
+		if losesStreams {
 			http.Error(w, "unknown", http.StatusNotFound)
 			return
 		}
@@ -278,15 +278,15 @@
 // started again and its tokens are counted as lost.
 func TestItemYieldsToOnlineAndResumes(t *testing.T) {
 	scenarios := []struct {
-		name    string
-		forgets bool
-		posts   int
-		lost    uint64
+		name         string
+		losesStreams bool
+		posts        int
+		lost         uint64
 	}{{"stream retained", false, 1, 0}, {"stream lost", true, 2, 2}}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			f := newFixture(t, chatBody)
-			f.engine.gate, f.engine.forgetsStreams = make(chan struct{}), s.forgets
+			f.engine.gate, f.engine.losesStreams = make(chan struct{}), s.losesStreams
 			f.start("")
 			f.eventually(func() bool { posts, _, _ := f.engine.counts(); return posts == 1 && f.dispatcher.Snapshot().Batch == 1 })
 			f.eventually(func() bool { return f.chunkCount() == 2 })
@@ -362,7 +362,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			f := newFixture(t, s.body)
-			f.engine.answer, f.engine.forgetsStreams = s.answer, true
+			f.engine.answer, f.engine.losesStreams = s.answer, true
 			completion := f.start("").firstCompletion()
 			require.Equal(t, s.outcome, completion.GetOutcome(), completion.GetReason())
 			require.Equal(t, s.reason, completion.GetReason())
--- a/toucanctl/pkg/app/dispatch.go
+++ b/toucanctl/pkg/app/dispatch.go
@@ -61,7 +61,7 @@
 	}
 	response, err := c.Apply(ctx, operator.Change{Entry: entry, RequestID: options.RequestID, Base: options.Base})
 	if response != nil {
-		if printErr := p.Applied(response); printErr != nil {
+		if printErr := p.ApplyResult(response); printErr != nil {
 			return printErr
 		}
 	}
@@ -95,7 +95,7 @@
 func replica(ctx context.Context, r *ReplicaCommand, c *operator.Client, p output.Printer) error {
 	changeKind, found := replicaChanges[r.Change]
 	if !found {
-		return &usageError{fmt.Sprintf("replica takes add, promote or remove, not %q", r.Change)}
+		return &usageError{fmt.Sprintf("replica accepts add, promote or remove, not %q", r.Change)}
 	}
 	if r.Change == "add" && r.Address == "" {
 		return &usageError{"replica add needs --address"}
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	return p.Explained(e.ID, responses, unreachable)
+	return p.Explanation(e.ID, responses, unreachable)
 }
 
 // explainLogs prints the log lines that concern an id.
@@ -141,5 +141,5 @@
 	if err != nil {
 		return err
 	}
-	return p.Traced(e.ID, trace)
+	return p.Trace(e.ID, trace)
 }
--- a/toucanctl/pkg/output/printer.go
+++ b/toucanctl/pkg/output/printer.go
@@ -25,7 +25,7 @@
 
 func (p Printer) print(message proto.Message, header row, rows []row) error {
 	if p.JSON {
-		return p.json(message)
+		return p.printJSON(message)
 	}
 	w := tabwriter.NewWriter(p.Out, 0, 4, 2, ' ', 0)
 	if _, err := fmt.Fprintln(w, strings.Join(header, "\t")); err != nil {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func (p Printer) json(message proto.Message) error {
+func (p Printer) printJSON(message proto.Message) error {
 	text, err := protojson.Marshal(message)
 	if err != nil {
 		return fmt.Errorf("encode the response: %w", err)
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// Applied prints the outcome of a change.
-func (p Printer) Applied(response *toucanhingev1.ApplyResponse) error {
+// ApplyResult prints the outcome of a change.
+func (p Printer) ApplyResult(response *toucanhingev1.ApplyResponse) error {
 	verdict := "accepted"
 	if !response.GetAccepted() {
 		verdict = "refused; in force is"
@@ -204,12 +204,12 @@
 	return p.print(response, row{"GROUPS MOVED"}, []row{{fmt.Sprint(response.GetGroupsMoved())}})
 }
 
-// Explained prints the records of all processes about an id, ordered by time, and the
+// Explanation prints the records of all processes about an id, ordered by time, and the
 // addresses of processes that did not respond.
-func (p Printer) Explained(id string, responses []*toucanhingev1.ExplainResponse, unreachable []string) error {
+func (p Printer) Explanation(id string, responses []*toucanhingev1.ExplainResponse, unreachable []string) error {
 	if p.JSON {
 		for _, a := range responses {
-			if err := p.json(a); err != nil {
+			if err := p.printJSON(a); err != nil {
 				return err
 			}
 		}
