--- a/sidecar/pkg/engine/stream.go
+++ b/sidecar/pkg/engine/stream.go
@@ -176,7 +176,7 @@
 		return fmt.Errorf("read the answer: %w", err)
 	}
 	if len(body) > s.MaxBufferedBody || !json.Valid(body) {
-		return fmt.Errorf("unstreamed answer of %d bytes is too large or no valid JSON: %w", len(body), ErrMalformed)
+		return fmt.Errorf("unstreamed answer of %d bytes is too large or not valid JSON: %w", len(body), ErrMalformed)
 	}
 	s.headReceived = true
 	if err := s.OnHead(answer.Status, answer.Headers); err != nil {
