--- a/control/pkg/batchrun/crash_report.go
+++ b/control/pkg/batchrun/crash_report.go
@@ -16,8 +16,8 @@
 const maxQuarantineBackoff clock.Millis = 5_000
 
 // quarantinedUntil returns the time until which the item must not run because it is suspected of crashing
-// runners, or 0 if it may run. A quarantined item isn't failed before it expires, since the platform owes
-// the caller every accepted item until then.
+// runners, or 0 if it may run. A quarantined item doesn't fail before it expires, because an accepted
+// item must be retried until then.
 func (r *run) quarantinedUntil(call runner.Call) clock.Millis {
 	x := r.driver.config.Exchange
 	if !x.HasSuspects() {
@@ -42,13 +42,13 @@
 		// slots, so the item has run since the call was sent.
 		running = elapsed
 	}
-	sign := crashes.PhaseOf(running, elapsed, true)
+	phase := crashes.PhaseOf(running, elapsed, true)
 	level.Info(config.Logger).Log(logs.KeyEvent, logs.EventRunnerCrashed, logs.KeyJob, r.key.Job, "index", r.key.Index,
 		logs.KeyItem, call.Request, logs.KeyFingerprint, fingerprintOf(call), "runner", call.Runner.GetId(), "running-ms", running)
-	if sign == crashes.Late {
+	if phase == crashes.Late {
 		config.Exchange.RecordSuccess(fingerprintOf(call))
 	}
-	config.Exchange.ReportCrash(call.Runner, fingerprintOf(call), sign)
+	config.Exchange.ReportCrash(call.Runner, fingerprintOf(call), phase)
 }
 
 // clearSuspicion clears a suspected item that ran without crashing its runner.
--- a/control/pkg/batchrun/crash_report_test.go
+++ b/control/pkg/batchrun/crash_report_test.go
@@ -10,10 +10,10 @@
 	"toucanhinge.example/control/pkg/systemstate"
 )
 
-// An item crashes every runner that starts it, and each crash also ends the streams of eight callers. The
-// driver used to retry such an item after 100 ms for as long as its job was open. After three crashes the
-// item must wait, and must neither run nor fail: the platform owes the caller an accepted item until it
-// expires.
+// An item crashes every runner that starts it, and each crash also ends the streams of eight callers. Without
+// a quarantine, the driver would retry the item every 100 ms as long as its job is open. After three crashes
+// the item must wait, and must neither run nor fail: an accepted item must be retried until
+// it expires.
 func TestItemThatCrashesRunnersIsQuarantined(t *testing.T) {
 	f := start(t, func(int, runner.Call) (*runner.Answer, error) { return ok(brokenBody("")) })
 	f.refuses = true
--- a/control/pkg/batchrun/decision_pacer.go
+++ b/control/pkg/batchrun/decision_pacer.go
@@ -19,7 +19,7 @@
 	last time.Time
 }
 
-// untilNext returns the time until the next full decision, 0 or less if it is due.
+// untilNext returns the time until the next full decision. It is 0 or less if that decision may run now.
 func (p *decisionPacer) untilNext(now time.Time) time.Duration {
 	if p.last.IsZero() {
 		return 0
--- a/control/pkg/batchrun/driver.go
+++ b/control/pkg/batchrun/driver.go
@@ -34,7 +34,7 @@
 	// unreachableBackoff is how long an unreachable runner is blocked.
 	unreachableBackoff clock.Millis = 1_000
 	// notAcceptedBackoff is how long an item waits after no gateway accepted its call. A new leader
-	// learns of the first gateways within about 100 ms.
+	// discovers the first gateways within about 100 ms.
 	notAcceptedBackoff clock.Millis = 300
 	// expirySlack is added to an item's expiry, since the acceptance time was read from another VM's clock.
 	expirySlack clock.Millis = 5_000
@@ -289,7 +289,7 @@
 }
 
 func (d *Driver) execute(ctx context.Context, actions dispatch.Actions) {
-	for _, key := range actions.GiveUp {
+	for _, key := range actions.Expired {
 		if r := d.runs[key]; r != nil {
 			r.halt()
 		}
--- a/control/pkg/batchrun/outcome.go
+++ b/control/pkg/batchrun/outcome.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// handleStaleOutcome applies the outcome of a call whose item was preempted and has started elsewhere in
-// the meantime. Only the runner's verdict on the item itself still counts.
+// handleStaleOutcome applies the outcome of a call whose item was preempted and has since started
+// elsewhere. Only the runner's verdict on the item itself still counts.
 func (d *Driver) handleStaleOutcome(ctx context.Context, o outcome) {
 	key := o.run.key
 	if !o.kind.isVerdict() || !d.machine.Has(key) {
--- a/control/pkg/batchrun/run.go
+++ b/control/pkg/batchrun/run.go
@@ -120,7 +120,8 @@
 	return p.loggedLast, p.last, slices.Clone(p.text[p.loggedBytes:])
 }
 
-// markLogged records that the text up to an event is logged, which is some bytes more than before.
+// markLogged records that the text up to the event last is logged. bytes is the length of the text that was
+// logged since the previous call.
 func (p *progress) markLogged(last uint64, bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/control/pkg/batchrun/start_limiter.go
+++ b/control/pkg/batchrun/start_limiter.go
@@ -39,8 +39,8 @@
 	l.rate = min(l.rate*increaseFactor, maxStartRate)
 }
 
-// allowed returns how many items may start now. The bucket holds at least one start, so that items start at
-// any rate.
+// allowed returns how many items may start now. The capacity of the bucket is at least one start, so that
+// items start even at a rate below one per burstSeconds.
 func (l *startLimiter) allowed(now clock.Millis) int {
 	if l.refilledAt > 0 {
 		l.tokens += l.rate * float64(now-l.refilledAt) / 1_000
--- a/control/pkg/callproxy/client.go
+++ b/control/pkg/callproxy/client.go
@@ -1,5 +1,5 @@
 // Package callproxy makes calls to runners through gateways. A gateway ends the calls that it proxies if this VM
-// fails, whereas the runner of a direct call would go on for seconds.
+// fails, whereas the runner of a direct call would continue for seconds.
 package callproxy
 
 import (
@@ -25,23 +25,23 @@
 const (
 	// acceptTimeout is how long a gateway may take to accept a call. It usually takes a millisecond, or 50 on
 	// a slow VM; a gateway that takes longer has lost power or is frozen. The timeout also runs while
-	// this process waits for a CPU: with 150 ms, a busy leader blocked dozens of healthy gateways and called
-	// runners itself, which made it busier still.
+	// this process waits for a CPU: with 150 ms, an overloaded leader blocked dozens of healthy gateways and
+	// called runners directly, which added to its load.
 	acceptTimeout = 500 * time.Millisecond
 	// maxGatewayAttempts limits the gateways that are tried for one call.
 	maxGatewayAttempts = 2
-	// cleanupInterval is how often sessions with gateways that are gone are closed.
+	// cleanupInterval is the time between two cleanups, which close the sessions with removed gateways.
 	cleanupInterval clock.Millis = 1_000
-	// numberBits is the number of low bits of a call number. They allow a million calls per millisecond since
+	// callNumberBits is the number of low bits of a call number. They allow a million calls per millisecond since
 	// the start of the process before the numbers of two starts could overlap.
-	numberBits = 20
+	callNumberBits = 20
 )
 
-// directCallCutoff is the number of gateways from which on this VM makes no direct calls.
+// directCallCutoff is the number of gateways at or above which this VM makes no direct calls.
 const directCallCutoff = 4
 
-// directCallDelay is how long there must be no gateway before this VM calls runners directly. A new leader that
-// did so at once started hundreds of items over as many new connections, most of which timed out.
+// directCallDelay is how long there must be no gateway before this VM calls runners directly. Without the delay,
+// a new leader started hundreds of items over as many new connections, most of which timed out.
 const directCallDelay clock.Millis = 3_000
 
 // ErrNoGateway is returned if no gateway accepted a call. Nothing of the call was sent to a runner.
@@ -79,8 +79,8 @@
 	flushInterval atomic.Int64
 	selector      *gatewaySelector
 	sessions      map[string]*session
-	// number is the number of the last call.
-	number uint64
+	// lastCallNumber is the number of the last call.
+	lastCallNumber uint64
 	// cleanedFor is the list of gateways for which sessions were last cleaned up, at cleanedAt.
 	cleanedFor []Gateway
 	cleanedAt  clock.Millis
@@ -93,8 +93,8 @@
 func New(config Config) *Client {
 	c := &Client{
 		// Numbers from an earlier start of this daemon are smaller.
-		number: uint64(config.Clock.Now()) << numberBits,
-		config: config, selector: newGatewaySelector(), sessions: map[string]*session{},
+		lastCallNumber: uint64(config.Clock.Now()) << callNumberBits,
+		config:         config, selector: newGatewaySelector(), sessions: map[string]*session{},
 		calls: promauto.With(config.Registerer).NewCounterVec(prometheus.CounterOpts{
 			Name: "toucanhinge_items_carried_total", Help: "Item calls by the process that made them, and calls that a gateway didn't accept.",
 		}, []string{"by"}),
@@ -145,8 +145,8 @@
 		level.Info(c.config.Logger).Log(logs.KeyEvent, "call-not-taken", "gateway", address, logs.KeyRequest, call.Request, logs.KeyError, err)
 	}
 	if gateways := len(c.config.Gateways()); gateways >= directCallCutoff || !c.mayCallDirectly(gateways) {
-		// With that many gateways, calls that none of them accepts are a sign that this VM is overloaded, and
-		// direct calls would add to its load. The item waits.
+		// If none of that many gateways accepts a call, this VM is probably overloaded, and direct calls would
+		// add to its load. The item waits.
 		c.calls.WithLabelValues("nobody").Inc()
 		return nil, errors.WithMessagef(ErrNoGateway, "%d gateways, last error: %s", gateways, errorText(last))
 	}
@@ -155,7 +155,7 @@
 }
 
 // mayCallDirectly reports whether direct calls are allowed: there are gateways, but too few of them, or there
-// has been no gateway for directCallDelay. A new leader learns of the gateways within a second.
+// has been no gateway for directCallDelay. A new leader discovers the gateways within a second.
 func (c *Client) mayCallDirectly(gateways int) bool {
 	now := c.config.Clock.Now()
 	c.mu.Lock()
@@ -189,15 +189,15 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// closeStaleSessions closes idle sessions with gateways that are gone, since addresses change with each replaced VM.
+// closeStaleSessions closes idle sessions with removed gateways, since each replaced VM has a new address.
 // The caller holds the lock.
 func (c *Client) closeStaleSessions(present []Gateway) {
-	known := make(map[string]bool, len(present))
+	isPresent := make(map[string]bool, len(present))
 	for _, g := range present {
-		known[g.Address] = true
+		isPresent[g.Address] = true
 	}
 	for address, s := range c.sessions {
-		if !known[address] && !s.hasCalls() {
+		if !isPresent[address] && !s.hasCalls() {
 			delete(c.sessions, address)
 			go s.fail(errGatewayGone)
 		}
@@ -272,8 +272,8 @@
 
 func (c *Client) request(call runner.Call) *toucanhingev1.CarryRequest {
 	c.mu.Lock()
-	c.number++
-	number := c.number
+	c.lastCallNumber++
+	number := c.lastCallNumber
 	c.mu.Unlock()
 	m := &toucanhingev1.CarryRequest{
 		Call:   number,
--- a/control/pkg/callproxy/client_test.go
+++ b/control/pkg/callproxy/client_test.go
@@ -248,7 +248,7 @@
 	require.Equal(t, 3, healthy.startCount())
 }
 
-// A new leader knows no gateway yet, and would start hundreds of items by direct calls, so these calls must fail. If
+// A new leader has not discovered any gateway and would start hundreds of items by direct calls, so they must fail. If
 // there is no gateway for seconds, or a few gateways refuse, the runner must be called directly.
 func TestRunnerIsCalledDirectlyWithoutGateways(t *testing.T) {
 	refusing := startGateway(t, func(_ context.Context, send eventSender) error { return send(notAcceptedEvent()) })
@@ -280,7 +280,7 @@
 	require.ErrorIs(t, err, ErrNoGateway)
 }
 
-// An item is preempted by an online request. The gateway must end its call too, since the runner would go on otherwise.
+// An item is preempted by an online request. The gateway must end its call too, or the runner would continue.
 func TestClosingAnswerEndsGatewayCall(t *testing.T) {
 	ended := make(chan struct{})
 	var g *gateway
@@ -307,7 +307,7 @@
 }
 
 // Gateways are replaced by others with new addresses, a hundred a day at the size that the system is designed for.
-// Sessions with gateways that are gone must not pile up.
+// Sessions with removed gateways must not accumulate.
 func TestSessionsOfRemovedGatewaysAreClosed(t *testing.T) {
 	first, second := startGateway(t, play(accepted, headEvent(), endEvent("", false))), startGateway(t, play(accepted, headEvent(), endEvent("", false)))
 	present := Gateway{Address: first.address}
--- a/control/pkg/callproxy/proxied_call.go
+++ b/control/pkg/callproxy/proxied_call.go
@@ -24,7 +24,7 @@
 	number  uint64
 	runner  string
 	ctx     context.Context
-	// releaseGateway ends the call's count in the gateway selector.
+	// releaseGateway removes the call from its gateway's count in the gateway selector.
 	releaseGateway func()
 	// updated signals that the fields below have changed. It has capacity one.
 	updated chan struct{}
--- a/control/pkg/callproxy/session.go
+++ b/control/pkg/callproxy/session.go
@@ -21,9 +21,9 @@
 
 var errGatewayUnresponsive = errors.New("the gateway is unresponsive")
 
-// session is the stream to one gateway that carries the commands and answers of all calls. With a stream for each call
-// and another request to end it, preempting hundreds of items at the start of a burst takes as many
-// requests with headers. On a shared stream, commands and events that arrive together share a message.
+// session is the stream to one gateway that carries the commands and answers of all calls. With a stream per call and
+// a separate request to end it, preempting hundreds of items at the start of a burst would take hundreds of
+// requests, each with headers. On a shared stream, commands and events that arrive together share a message.
 type session struct {
 	source string
 	// flushInterval is how long the gateway may buffer events, in milliseconds.
--- a/control/pkg/consensus/actions.go
+++ b/control/pkg/consensus/actions.go
@@ -43,11 +43,11 @@
 	ReasonMemberUnknown Reason = "member_unknown"
 	// ReasonIsLeader means that the leader can't be removed before a leadership transfer.
 	ReasonIsLeader Reason = "is_leader"
-	// ReasonNoTarget means that no other voter took over the leadership.
+	// ReasonNoTarget means that no other voter became the leader.
 	ReasonNoTarget Reason = "no_target"
 )
 
-// Refused answers the event with this ID. The event had no effect.
+// Refused reports that the event with this ID was refused and had no effect.
 type Refused struct {
 	ID     uint64
 	Reason Reason
--- a/control/pkg/consensus/config.go
+++ b/control/pkg/consensus/config.go
@@ -16,7 +16,7 @@
 	// members refuse and nothing changes. If all members lost power, the replica that
 	// completes a majority doesn't have to wait for an election timeout.
 	MaxFirstElectionDelay clock.Millis
-	// Jitter returns a random number from 0 to below n.
+	// Jitter returns a random number in [0, n).
 	Jitter func(n clock.Millis) clock.Millis
 	// MaxBatchBytes limits the size of the entries in one append message.
 	MaxBatchBytes int
--- a/control/pkg/consensus/election.go
+++ b/control/pkg/consensus/election.go
@@ -98,10 +98,11 @@
 		term++
 	}
 	if msg.Kind == KindVoteResponse && msg.Reject && m.role == RoleCandidate && msg.Term == m.state.Term {
-		// Two replicas that return within some milliseconds of each other, with the third
-		// one down, each vote for themselves. With a whole timeout before the next
-		// attempt there was no leader for another half second. A refusal that doesn't
-		// cost the election does no harm: the winner sends no further requests.
+		// Two replicas that restart within some milliseconds of each other, while the third
+		// one is down, each vote for themselves. A whole timeout before the next attempt
+		// would leave the group without a leader for another half second. If the candidate
+		// wins despite this rejection, the shorter deadline does no harm: a leader sends no
+		// vote requests.
 		m.electionDeadline = min(m.electionDeadline, m.now+m.config.Jitter(m.config.ElectionTimeout/retryDivisor))
 		return
 	}
--- a/control/pkg/consensus/event.go
+++ b/control/pkg/consensus/event.go
@@ -6,7 +6,7 @@
 // Tick advances the time. It is expected several times per heartbeat interval.
 type Tick struct{}
 
-// Received passes on a message from another replica.
+// Received contains a message from another replica.
 type Received struct{ Message Message }
 
 // Proposal is a command with the caller's ID for its outcome.
--- a/control/pkg/consensus/formation.go
+++ b/control/pkg/consensus/formation.go
@@ -32,7 +32,7 @@
 }
 
 // Hello is the message that replicas exchange during formation, and the record that each
-// one stores on its disk meanwhile.
+// replica stores on its disk during that time.
 type Hello struct {
 	Pins   Members `json:"pins"`
 	Formed bool    `json:"formed"`
--- a/control/pkg/consensus/formation_test.go
+++ b/control/pkg/consensus/formation_test.go
@@ -22,7 +22,7 @@
 	nodes     []*formingNode
 	network   []Message
 	lostDisks int
-	// formed are the memberships with which replicas took part.
+	// formed lists the memberships with which replicas joined the group.
 	formed []Members
 	fail   func(format string, arguments ...any)
 }
@@ -156,8 +156,8 @@
 	}
 }
 
-// A replica that lost its disk returns to a formed group under its old name. Its new
-// identity gives it away, and it doesn't take part.
+// A replica that lost its disk returns to a formed group under its old name. Because of
+// its new identity it must not join the group.
 func TestFormationExcludesReplicaWithLostDisk(t *testing.T) {
 	g := newFormingGroup(3)
 	g.fail = t.Fatalf
--- a/control/pkg/consensus/fuzz_test.go
+++ b/control/pkg/consensus/fuzz_test.go
@@ -24,33 +24,33 @@
 // faults returns the single events that may happen at any time.
 func (s *sim) faults() map[string]func() {
 	return map[string]func(){
-		"deliver":    s.deliverAny,
-		"deliver2":   s.deliverAny,
-		"deliver3":   s.deliverAny,
-		"double":     s.duplicateAny,
-		"drop":       s.dropAny,
-		"sync":       func() { n := s.any(); s.sync(n, s.choose(len(n.pending)+1)) },
-		"sync2":      func() { n := s.any(); s.sync(n, len(n.pending)) },
-		"tick":       func() { n := s.any(); n.clock += clock.Millis(s.choose(200)); s.step(n, Tick{}) },
-		"jump":       func() { n := s.any(); n.clock += clock.Millis(s.choose(4000) - 2000) },
-		"crash":      func() { s.crash(s.any()) },
-		"restart":    s.restartAny,
-		"restart2":   s.restartAny,
-		"lose disk":  s.loseAnyDisk,
-		"cut":        func() { s.cuts[[2]string{s.any().name, s.any().name}] = true },
-		"heal":       func() { clear(s.cuts) },
-		"calm":       func() { s.runWithoutFaults(clock.Millis(s.choose(600))) },
-		"calm2":      func() { s.runWithoutFaults(clock.Millis(s.choose(1500))) },
-		"storm":      s.runRandomSteps,
-		"storm2":     s.runRandomSteps,
-		"storm3":     s.runRandomSteps,
-		"propose":    s.proposeAny,
-		"propose2":   s.proposeAny,
-		"read":       s.readAny,
-		"change":     s.changeAny,
-		"repair":     s.repair,
-		"handover":   func() { s.step(s.any(), TransferLeadership{ID: s.id()}) },
-		"checkpoint": func() { s.checkpoint(s.any()) },
+		"deliver":           s.deliverAny,
+		"deliver2":          s.deliverAny,
+		"deliver3":          s.deliverAny,
+		"double":            s.duplicateAny,
+		"drop":              s.dropAny,
+		"sync":              func() { n := s.any(); s.sync(n, s.choose(len(n.pending)+1)) },
+		"sync2":             func() { n := s.any(); s.sync(n, len(n.pending)) },
+		"tick":              func() { n := s.any(); n.clock += clock.Millis(s.choose(200)); s.step(n, Tick{}) },
+		"jump":              func() { n := s.any(); n.clock += clock.Millis(s.choose(4000) - 2000) },
+		"crash":             func() { s.crash(s.any()) },
+		"restart":           s.restartAny,
+		"restart2":          s.restartAny,
+		"lose disk":         s.loseAnyDisk,
+		"cut":               func() { s.cuts[[2]string{s.any().name, s.any().name}] = true },
+		"heal":              func() { clear(s.cuts) },
+		"calm":              func() { s.runWithoutFaults(clock.Millis(s.choose(600))) },
+		"calm2":             func() { s.runWithoutFaults(clock.Millis(s.choose(1500))) },
+		"steps":             s.runRandomSteps,
+		"steps2":            s.runRandomSteps,
+		"steps3":            s.runRandomSteps,
+		"propose":           s.proposeAny,
+		"propose2":          s.proposeAny,
+		"read":              s.readAny,
+		"change":            s.changeAny,
+		"repair":            s.repair,
+		"graceful transfer": func() { s.step(s.any(), TransferLeadership{ID: s.id()}) },
+		"checkpoint":        func() { s.checkpoint(s.any()) },
 	}
 }
 
@@ -191,8 +191,8 @@
 // checkChange checks that only a replica that has synced all committed entries becomes a
 // voter.
 func (s *sim) checkChange(l, n *simNode, change ChangeMembers) {
-	m, held := l.machine.members().Find(n.name)
-	if change.Kind == Remove && !held {
+	m, found := l.machine.members().Find(n.name)
+	if change.Kind == Remove && !found {
 		s.counts.removed++
 	}
 	if change.Kind != Promote || !m.Voter || s.bypass != (bypass{}) {
--- a/control/pkg/consensus/leader.go
+++ b/control/pkg/consensus/leader.go
@@ -344,7 +344,7 @@
 }
 
 // broadcastCommit lets followers apply entries at once instead of after the next
-// heartbeat: followers pass the configuration on.
+// heartbeat, because followers forward the configuration to other processes.
 func (m *Machine) broadcastCommit() {
 	m.forEachPeer(func(p *progress) {
 		if p.state != replicating {
--- a/control/pkg/consensus/machine.go
+++ b/control/pkg/consensus/machine.go
@@ -13,7 +13,7 @@
 const (
 	// RoleFollower follows a leader or waits for one.
 	RoleFollower Role = "follower"
-	// RolePreCandidate queries whether it could win an election.
+	// RolePreCandidate has sent pre-vote requests to find out if it could win an election.
 	RolePreCandidate Role = "precandidate"
 	// RoleCandidate requests votes in a new term.
 	RoleCandidate Role = "candidate"
--- a/control/pkg/consensus/machine_test.go
+++ b/control/pkg/consensus/machine_test.go
@@ -104,7 +104,7 @@
 }
 
 // A replica is cut off for a long time and returns. Without a pre-vote it would have
-// raised its term with every election it held alone, and the working leader would have to
+// raised its term with every election it started alone, and the working leader would have to
 // step down.
 func TestPreVoteKeepsLeaderWhenReplicaReturns(t *testing.T) {
 	scenarios := []struct {
--- a/control/pkg/consensus/safeguard_test.go
+++ b/control/pkg/consensus/safeguard_test.go
@@ -143,7 +143,7 @@
 
 // The disk of the leader stalls without an error. The leader still receives messages from
 // all others and would lead for ever while its callers wait. Another replica with a
-// working disk must take over, and the old leader must not disturb it.
+// working disk must become the leader, and the old leader must not disturb it.
 func TestLeaderWithStalledDiskStepsDown(t *testing.T) {
 	s := newFaultlessSim(t, 3, 0)
 	old := s.leader()
--- a/control/pkg/consensus/sim_test.go
+++ b/control/pkg/consensus/sim_test.go
@@ -252,7 +252,7 @@
 		if index < m.log.base.Index {
 			continue
 		}
-		if term, held := m.log.term(index); !held || term != e.Term {
+		if term, found := m.log.term(index); !found || term != e.Term {
 			s.fail("%s: leads term %d without committed entry %d", n.name, m.state.Term, index)
 		}
 	}
@@ -365,7 +365,7 @@
 	}
 	term, ok := n.machine.log.term(n.applied)
 	l := entryLog{base: n.base, entries: n.entries}
-	if _, held := l.term(n.applied); !ok || !held {
+	if _, found := l.term(n.applied); !ok || !found {
 		return
 	}
 	n.checkpoint = simCheckpoint{index: n.applied, term: term, members: n.members}
--- a/control/pkg/core/announce.go
+++ b/control/pkg/core/announce.go
@@ -16,8 +16,8 @@
 const (
 	announceInterval = 400 * time.Millisecond
 	// announceTimeout bounds one announcement to the leader. A VM that lost its disk knows
-	// only the seeds, some of which may be gone. A longer timeout delayed its return to the
-	// group by a second.
+	// only the seeds, some of which may not exist any more. A longer timeout delayed its
+	// return to the group by a second.
 	announceTimeout = 250 * time.Millisecond
 )
 
@@ -62,7 +62,7 @@
 	response, err := control.Call(ctx, c.config.Core, Group, "announce", c.sendAnnounce)
 	if err != nil {
 		level.Debug(c.config.Logger).Log(logs.KeyEvent, "announce-failed", logs.KeyError, err)
-		// All known VMs may be gone, and the settings may name other seeds by now.
+		// All known VMs may have been replaced, and the settings may name other seeds by now.
 		c.config.Core.SetAddresses(c.knownMembers.withSeeds(c.config.Seeds()))
 		return announceInterval
 	}
--- a/control/pkg/core/announce_test.go
+++ b/control/pkg/core/announce_test.go
@@ -10,10 +10,10 @@
 )
 
 // simulateAnnouncements lets VMs of a core announce themselves for 20 seconds. VMs for which
-// gone returns true stop after 10 seconds. It returns the calls per second, and the number of
+// stops returns true stop after 10 seconds. It returns the calls per second, and the number of
 // VMs at the end that are neither members nor idle.
-func simulateAnnouncements(vms, members int, gone func(vm int) bool) (rate float64, active int) {
-	const duration, goneAt clock.Millis = 20_000, 10_000
+func simulateAnnouncements(vms, members int, stops func(vm int) bool) (rate float64, active int) {
+	const duration, stopAt clock.Millis = 20_000, 10_000
 	f := newFleet()
 	var cores []string
 	next := make([]clock.Millis, vms)
@@ -27,7 +27,7 @@
 	calls := 0
 	for now := clock.Millis(0); now < duration; now++ {
 		for n := range vms {
-			if next[n] != now || now >= goneAt && gone(n) {
+			if next[n] != now || now >= stopAt && stops(n) {
 				continue
 			}
 			calls++
--- a/control/pkg/core/core.go
+++ b/control/pkg/core/core.go
@@ -64,10 +64,10 @@
 	// FoundingMembers are the addresses of the VMs that form the group when the system
 	// starts for the first time; empty at every other start.
 	FoundingMembers []string
-	// Losses is the number of VMs whose simultaneous loss the group tolerates.
-	Losses int
+	// ToleratedLosses is the number of VMs whose simultaneous loss the group tolerates.
+	ToleratedLosses int
 	// DrainNoticeLimit is how long requests may still be sent to a runner after the directory
-	// shows that it is leaving; 0 if unknown.
+	// shows that it is draining; 0 if unknown.
 	DrainNoticeLimit clock.Millis
 
 	Clock      clock.Clock
@@ -257,17 +257,17 @@
 
 // errUnexpectedOutcomes means that a command didn't return one outcome of the expected type for
 // each step, for example because another program version applied it.
-var errUnexpectedOutcomes = errors.New("the command did not return the expected outcomes")
+var errUnexpectedOutcomes = errors.New("the command gave no outcome")
 
 // propose logs steps as one command and returns one outcome per step.
 func (c *Core) propose(ctx context.Context, steps ...*toucanhingev1.SystemStep) ([]any, error) {
 	data, err := proto.Marshal(&toucanhingev1.SystemCommand{AtMs: int64(c.config.Clock.Now()), Steps: steps})
 	if err != nil {
-		return nil, fmt.Errorf("encode a system command: %w", err)
+		return nil, fmt.Errorf("encode a command: %w", err)
 	}
 	result, err := c.group.Propose(ctx, data)
 	if err != nil {
-		return nil, fmt.Errorf("log a system command: %w", err)
+		return nil, fmt.Errorf("log a command: %w", err)
 	}
 	outcomes, ok := result.([]any)
 	if !ok || len(outcomes) != len(steps) {
@@ -296,7 +296,7 @@
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	if err := c.readConfirmer.join(ctx); err != nil {
-		return fmt.Errorf("confirm a read with a majority: %w", err)
+		return fmt.Errorf("confirm a read: %w", err)
 	}
 	return nil
 }
--- a/control/pkg/core/directory.go
+++ b/control/pkg/core/directory.go
@@ -60,13 +60,13 @@
 		level.Info(c.config.Logger).Log(logs.KeyEvent, "runners-restarted", "runners", strings.Join(ids, " "))
 	}
 	if c.fleet.setRunners(runners) {
-		leaving := 0
+		draining := 0
 		for _, r := range runners {
 			if r.GetLeaving() {
-				leaving++
+				draining++
 			}
 		}
-		level.Info(c.config.Logger).Log(logs.KeyEvent, "runners-changed", "runners", len(runners), "leaving", leaving)
+		level.Info(c.config.Logger).Log(logs.KeyEvent, "runners-changed", "runners", len(runners), "leaving", draining)
 		c.driver.Wake()
 	}
 }
--- a/control/pkg/core/fleet.go
+++ b/control/pkg/core/fleet.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// presenceExpiry is the time after which a gateway that was last seen counts as gone. In a
-	// large fleet up to two seconds pass until the leader receives its next sign of life.
+	// presenceExpiry is how long after it was last seen a gateway is removed. In a large fleet
+	// up to two seconds pass until the leader next receives a report of the gateway.
 	presenceExpiry clock.Millis = 4_000
 	// maxReferralAge is how recently a gateway must have been seen to be named to others.
 	maxReferralAge clock.Millis = 2_000
@@ -28,7 +28,7 @@
 	// maxReserveAge is how long a VM counts as part of the reserve after its last announcement.
 	maxReserveAge clock.Millis = 1_500
 	// idleInterval is the time between two announcements of an idle VM. It is shorter than
-	// unresponsiveAfter, after which the VM would count as gone.
+	// unresponsiveAfter, after which the VM would be replaced.
 	idleInterval clock.Millis = 2_000
 )
 
@@ -79,9 +79,9 @@
 }
 
 // startTerm resets the fleet at the start of a leader's term. Its revisions are higher than those
-// of all earlier terms. The state of an earlier term of this VM is dropped: a VM that led again
-// after six seconds sent items to runners that had begun to leave meanwhile, until it had read
-// the list 200 ms later.
+// of all earlier terms. The state of an earlier term of this VM is dropped, because runners may
+// have begun to drain since: a VM that led again after six seconds sent items to such runners
+// until it had read the list 200 ms later.
 func (f *fleet) startTerm(now clock.Millis, term uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -198,15 +198,15 @@
 // gateways of a large fleet treat it as a small one: they sent their digests to few peers, and
 // all of them subscribed to the leader. The caller holds the lock.
 func (f *fleet) lacksGateways(now clock.Millis, m *toucanhingev1.AttendRequest) bool {
-	return m.GetHaveFleet() != 0 && m.GetKnows() > fanout.MaxDirect && now-f.leaderSince < gatheringPeriod &&
+	return m.GetHaveFleet() != 0 && m.GetKnows() > fanout.MaxDirect && now-f.leaderSince < gatewayDiscoveryPeriod &&
 		float64(len(f.gateways)) < minKnownShare*float64(m.GetKnows())
 }
 
-// gathering reports whether this leader's term has just begun, so that it may not know all gateways.
-func (f *fleet) gathering(now clock.Millis) bool {
+// discoveringGateways reports whether this leader's term has just begun, so that it may not know all gateways.
+func (f *fleet) discoveringGateways(now clock.Millis) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return now-f.leaderSince < gatheringPeriod
+	return now-f.leaderSince < gatewayDiscoveryPeriod
 }
 
 // large reports whether the fleet is so large that gateways subscribe to one another.
--- a/control/pkg/core/fleet_view_test.go
+++ b/control/pkg/core/fleet_view_test.go
@@ -13,19 +13,19 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// In a fleet of 380 gateways and 600 runners, one runner begins to leave, and the leader has to
+// In a fleet of 380 gateways and 600 runners, one runner begins to drain, and the leader has to
 // inform all gateways before requests may no longer be sent there. Full views would cost a
 // megabyte per change for every 30 gateways, most of it between data centres.
 func TestLargeFleetChangeIsSentAsDifference(t *testing.T) {
 	const gateways, runners, maxBytes = 380, 600, 1_000
 	f, self := newFleet(), digest.Peer{Address: "10.0.9.9:7000", Core: true}
 	f.startTerm(0, 3)
-	list := func(leaving int) []*toucanhingev1.Runner {
+	list := func(draining int) []*toucanhingev1.Runner {
 		var all []*toucanhingev1.Runner
 		for n := range runners {
 			all = append(all, &toucanhingev1.Runner{
 				Id: fmt.Sprintf("i-%010d", n), Address: fmt.Sprintf("10.0.%d.%d:8000", n/250, n%250), Service: "service", DataCentre: "centre", Slots: 8,
-				Leaving: n == leaving,
+				Leaving: n == draining,
 			})
 		}
 		return all
@@ -47,9 +47,9 @@
 	require.Len(t, f.view(0, &toucanhingev1.AttendRequest{HaveFleet: first.GetRevision()}, self).GetRunners(), runners, "a gateway that doesn't support differences receives the full view")
 }
 
-// A new leader learns the gateways of one data centre after the other. When it published the
-// gateways known so far, gateways treated the fleet as a small one: each sent its digests to
-// these few peers, and all of them subscribed to the leader at once.
+// A new leader discovers the gateways of one data centre after the other. If it published an
+// incomplete list, gateways would treat the fleet as a small one: each would send its digests to
+// the few listed peers, and all of them would subscribe to the leader at once.
 func TestNewLeaderWithholdsIncompleteFleet(t *testing.T) {
 	const gateways, leaderSince = 100, 10_000
 	for _, c := range []struct {
@@ -62,7 +62,7 @@
 	}{
 		{"few gateways known", 50, leaderSince + 100, 1, gateways, false},
 		{"nearly all gateways known", 90, leaderSince + 100, 1, gateways, true},
-		{"many gateways gone permanently", 50, leaderSince + gatheringPeriod, 1, gateways, true},
+		{"many gateways removed permanently", 50, leaderSince + gatewayDiscoveryPeriod, 1, gateways, true},
 		{"starting gateway has no view", 50, leaderSince + 100, 0, 0, true},
 		{"small fleet", 5, leaderSince + 100, 1, fanout.MaxDirect, true},
 	} {
--- a/control/pkg/core/leader.go
+++ b/control/pkg/core/leader.go
@@ -16,11 +16,11 @@
 
 const (
 	leadershipCheckInterval = 50 * time.Millisecond
-	// gatheringPeriod is how long a new leader waits until it assumes that it knows all gateways
+	// gatewayDiscoveryPeriod is how long a new leader waits until it assumes that it knows all gateways
 	// and receives their usage.
-	gatheringPeriod clock.Millis = 1_000
-	repairInterval               = 100 * time.Millisecond
-	repairTimeout                = 2 * time.Second
+	gatewayDiscoveryPeriod clock.Millis = 1_000
+	repairInterval                      = 100 * time.Millisecond
+	repairTimeout                       = 2 * time.Second
 	// unresponsiveAfter is the time without an announcement after which a control VM is replaced
 	// if another one is available. A killed process restarts within two seconds.
 	unresponsiveAfter clock.Millis = 3_000
@@ -49,7 +49,7 @@
 	term := c.group.Term()
 	c.fleet.startTerm(c.config.Clock.Now(), term)
 	if c.config.Quota != nil {
-		c.config.Quota.Reset(c.config.Boot.Now() + gatheringPeriod)
+		c.config.Quota.Reset(c.config.Boot.Now() + gatewayDiscoveryPeriod)
 	}
 	level.Info(c.config.Logger).Log(logs.KeyEvent, "lead-begun", logs.KeyTerm, term)
 	tasks := []func(context.Context){c.driver.Run, c.readDirectory, c.repair, c.syncQuarantines}
@@ -106,7 +106,7 @@
 
 func (c *Core) repairOnce(ctx context.Context, leaderSince clock.Millis) {
 	c.registerVMs(ctx)
-	planner := repair.Config{Self: c.config.Address, ToleratedLosses: c.config.Losses, UnresponsiveAfter: unresponsiveAfter}
+	planner := repair.Config{Self: c.config.Address, ToleratedLosses: c.config.ToleratedLosses, UnresponsiveAfter: unresponsiveAfter}
 	members := c.members()
 	step := planner.Next(c.config.Clock.Now(), members, c.vms(leaderSince, members))
 	if step.Kind == repair.NoStep {
--- a/control/pkg/core/leader_discovery_test.go
+++ b/control/pkg/core/leader_discovery_test.go
@@ -25,7 +25,8 @@
 }
 
 // A VM outside the group has only seeds outside the group. After a power loss of all VMs, it has
-// to find the group through the known members on its disk; otherwise its callers never would.
+// to find the group through the known members on its disk; otherwise its callers would never
+// find the leader.
 func TestVMFindsCoreThroughKnownMembers(t *testing.T) {
 	cl := newCluster(t, 5)
 	cl.startAll()
--- a/control/pkg/core/new_term_test.go
+++ b/control/pkg/core/new_term_test.go
@@ -9,9 +9,9 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// A VM leads, another one leads for some seconds, and the first one leads again. Meanwhile a
-// runner has begun to leave. The list from the first term doesn't show that yet, so that items
-// would be sent to the runner after it stopped accepting new work.
+// A VM leads, another one leads for some seconds, and the first one leads again. A runner has
+// begun to drain between the two terms of the first VM. The list from its earlier term doesn't
+// show that, so items would be sent to the runner after it stopped accepting new work.
 func TestNewTermDropsEarlierRunnerList(t *testing.T) {
 	f := newFleet()
 	f.startTerm(0, 4)
--- a/control/pkg/core/operator.go
+++ b/control/pkg/core/operator.go
@@ -16,11 +16,11 @@
 
 var (
 	// ErrUnknownVM means that no control VM has the given name.
-	ErrUnknownVM = errors.New("no VM of the core has this name")
+	ErrUnknownVM = errors.New("no VM of the core has that name")
 	// ErrTooFewVMs means that too few control VMs would remain.
-	ErrTooFewVMs = errors.New("too few VMs of the core would remain")
+	ErrTooFewVMs = errors.New("too few VMs of the core would be left")
 	// ErrNoTable means that no routing table was acknowledged yet.
-	ErrNoTable = errors.New("no routing table exists yet")
+	ErrNoTable = errors.New("there is no routing table yet")
 )
 
 // ReplaceTable activates a table once it is synced on a majority, unless a table with an equal
@@ -65,7 +65,7 @@
 		return nil
 	}
 	now := c.config.Clock.Now()
-	planner := repair.Config{Self: c.config.Address, ToleratedLosses: c.config.Losses, UnresponsiveAfter: unresponsiveAfter}
+	planner := repair.Config{Self: c.config.Address, ToleratedLosses: c.config.ToleratedLosses, UnresponsiveAfter: unresponsiveAfter}
 	if !planner.MayRetire(now, vm.Address, c.vms(now, c.members())) {
 		return ErrTooFewVMs
 	}
--- a/control/pkg/core/quarantines.go
+++ b/control/pkg/core/quarantines.go
@@ -15,8 +15,9 @@
 
 const (
 	// quarantineInterval is the interval at which the leader checks for new and cleared
-	// quarantines. Daemons learn of them at once through datagrams. The log serves the case that
-	// all processes end at the same time: without it, a request then crashed four more runners.
+	// quarantines. Daemons receive them at once in datagrams. Quarantines are logged too, so that
+	// they survive when all processes end at the same time: without the log, a quarantined
+	// request crashed four more runners after that.
 	quarantineInterval = 200 * time.Millisecond
 	quarantineTimeout  = time.Second
 )
@@ -72,7 +73,7 @@
 	return keys
 }
 
-// quarantineKey identifies one imposition of a quarantine.
+// quarantineKey identifies the nth quarantine of a request, where n is count.
 type quarantineKey struct {
 	fingerprint crashes.Fingerprint
 	terms       int
--- a/control/pkg/core/read_confirmer.go
+++ b/control/pkg/core/read_confirmer.go
@@ -49,7 +49,7 @@
 	case <-joined.done:
 		return joined.err
 	case <-ctx.Done():
-		return fmt.Errorf("wait for the confirmation of a read: %w", ctx.Err())
+		return fmt.Errorf("wait for a confirmation: %w", ctx.Err())
 	}
 }
 
--- a/control/pkg/core/service.go
+++ b/control/pkg/core/service.go
@@ -185,8 +185,8 @@
 
 // Leader returns the address of the leader, empty if it isn't known here. A VM that isn't a
 // member, in a deployment with more VMs than the group needs, knows the leader only from its
-// own announcements. Callers that got no address there tried VM after VM, for seconds in a
-// deployment with 100 of them.
+// own announcements. Without an address, callers try one VM after the other, which takes
+// seconds in a deployment with 100 VMs.
 func (c *Core) Leader() string {
 	if _, address, _ := c.group.Leader(); address != "" {
 		return address
--- a/control/pkg/core/team_keys_test.go
+++ b/control/pkg/core/team_keys_test.go
@@ -14,7 +14,7 @@
 )
 
 // A leader has lost its two followers without noticing. It must not confirm API keys to
-// gateways, because another leader may have acknowledged the removal of a key meanwhile.
+// gateways, because a newer leader may have acknowledged the removal of a key.
 // Calls that don't request a confirmation may still return updates.
 func TestLeaderWithoutQuorumConfirmsNoKeys(t *testing.T) {
 	cl := newCluster(t, 3)
@@ -93,7 +93,7 @@
 	}
 }
 
-// Running gateways learn the teams' usage from load digests. A gateway that starts receives it
+// Running gateways receive the teams' usage in load digests. A gateway that starts receives it
 // once from the leader. A new leader reports how much of the window its usage covers.
 func TestStartingGatewayReceivesTeamUsage(t *testing.T) {
 	cl := newCluster(t, 3)
--- a/control/pkg/core/updates.go
+++ b/control/pkg/core/updates.go
@@ -23,7 +23,7 @@
 	maxWait = 2 * time.Second
 	// maxSubscribers bounds the gateways that receive updates from the leader at the same time.
 	// It is far above the need of any fleet size and is reached only after an outage. Further
-	// gateways are told to retry later, which costs less than sending them full views.
+	// gateways receive a retry delay, which costs less than sending them full views.
 	maxSubscribers = 128
 	retryDelay     = 200 * time.Millisecond
 )
@@ -85,7 +85,7 @@
 		})
 	}
 	if !m.GetInsists() {
-		if m.GetHasParents() && c.fleet.gathering(now) {
+		if m.GetHasParents() && c.fleet.discoveringGateways(now) {
 			// The gateway's parents will receive updates from this leader soon. A new leader that
 			// had to send the full view to all gateways at once would be slow from the start.
 			return c.retryLater(attendEarly)
--- a/control/pkg/core/vm_loss_test.go
+++ b/control/pkg/core/vm_loss_test.go
@@ -109,7 +109,7 @@
 	cl.replaceTable(2)
 }
 
-// A VM without known members has seeds that are gone, and the platform writes other seeds into
+// A VM without known members has seeds that no longer exist, and the platform writes others into
 // its settings. The VM has to announce itself to the new seeds.
 func TestVMFindsCoreThroughNewSeeds(t *testing.T) {
 	cl := newCluster(t, 4)
--- a/control/pkg/dispatch/fill.go
+++ b/control/pkg/dispatch/fill.go
@@ -160,7 +160,7 @@
 		if load.Unresponsive {
 			continue
 		}
-		unused := int(r.GetSlots()) - load.all() - len(m.running[r.GetId()])
+		unused := int(r.GetSlots()) - load.total() - len(m.running[r.GetId()])
 		if unused <= 0 {
 			continue
 		}
--- a/control/pkg/dispatch/machine.go
+++ b/control/pkg/dispatch/machine.go
@@ -27,7 +27,7 @@
 // Item is an item to run.
 type Item struct {
 	Key Key
-	// Deadline is when the result should be available. Expires is when the item is given up.
+	// Deadline is when the result should be available. Expires is when an item without a result fails.
 	Deadline clock.Millis
 	Expires  clock.Millis
 	// Tokens is the size of the prompt and of the longest possible answer; 0 if unknown.
@@ -42,16 +42,16 @@
 type Load struct {
 	Online int
 	Batch  int
-	// Foreign is work that no daemon counts, for example that of another system. It can't be stopped
-	// from here.
+	// Foreign is work that no daemon counts, for example requests of another system. It can't be
+	// preempted.
 	Foreign int
 	// Unresponsive reports whether a daemon with calls to the runner has received nothing from it
 	// for too long.
 	Unresponsive bool
 }
 
-// all returns the sum of all other work.
-func (l Load) all() int { return l.Online + l.Batch + l.Foreign }
+// total returns the sum of all other work.
+func (l Load) total() int { return l.Online + l.Batch + l.Foreign }
 
 // Environment is the input of a decision.
 type Environment struct {
@@ -77,8 +77,8 @@
 	Start []Start
 	// Pause lists the items whose calls have to be stopped, to be resumed later.
 	Pause []Key
-	// GiveUp lists the items that have expired.
-	GiveUp []Key
+	// Expired lists the items whose expiry time has passed. They have been removed from the machine.
+	Expired []Key
 }
 
 // item is an item that waits or runs.
@@ -292,7 +292,7 @@
 			m.nextExpiry = min(m.nextExpiry, i.Expires)
 			continue
 		}
-		actions.GiveUp = append(actions.GiveUp, key)
+		actions.Expired = append(actions.Expired, key)
 		m.remove(i)
 	}
 }
@@ -306,7 +306,7 @@
 		return
 	}
 	load := env.Load(r.GetId())
-	excess := min(load.all()+len(running)-int(r.GetSlots()), len(running))
+	excess := min(load.total()+len(running)-int(r.GetSlots()), len(running))
 	if excess <= 0 {
 		return
 	}
--- a/control/pkg/dispatch/machine_test.go
+++ b/control/pkg/dispatch/machine_test.go
@@ -113,7 +113,7 @@
 		name    string
 		prepare func(*Machine, *Environment, *toucanhingev1.Runner)
 	}{
-		{"runner is leaving", func(_ *Machine, _ *Environment, r *toucanhingev1.Runner) { r.Leaving = true }},
+		{"runner is draining", func(_ *Machine, _ *Environment, r *toucanhingev1.Runner) { r.Leaving = true }},
 		{"runner is blocked", func(m *Machine, _ *Environment, _ *toucanhingev1.Runner) { m.Block("a", 1_000) }},
 		{"other service", func(_ *Machine, _ *Environment, r *toucanhingev1.Runner) { r.Service = "other" }},
 		{"route was removed", func(_ *Machine, s *Environment, _ *toucanhingev1.Runner) {
@@ -147,12 +147,12 @@
 	require.Equal(t, "far", m.Step(0, testEnvironment(nil, far, testRunner("near", 2))).Start[0].Runner.GetId())
 }
 
-func TestExpiredItemsAreGivenUp(t *testing.T) {
+func TestExpiredItemsAreRemoved(t *testing.T) {
 	m := New()
 	m.Add(Item{Key: Key{Job: "j"}, Deadline: 10, Expires: 1_000})
 	m.Step(0, testEnvironment(nil, testRunner("a", 1)))
-	require.Empty(t, m.Step(999, testEnvironment(nil, testRunner("a", 1))).GiveUp)
-	require.Equal(t, []Key{{Job: "j"}}, m.Step(1_000, testEnvironment(nil, testRunner("a", 1))).GiveUp)
+	require.Empty(t, m.Step(999, testEnvironment(nil, testRunner("a", 1))).Expired)
+	require.Equal(t, []Key{{Job: "j"}}, m.Step(1_000, testEnvironment(nil, testRunner("a", 1))).Expired)
 	require.False(t, m.Has(Key{Job: "j"}))
 }
 
@@ -168,7 +168,7 @@
 	require.Empty(t, m.Jobs())
 }
 
-// TestRapidSlotsAreNeverExceeded runs arrivals, ends, load changes and leaving runners in random
+// TestRapidSlotsAreNeverExceeded runs arrivals, ends, load changes and draining runners in random
 // order. Items must never use more slots than online work leaves free, each item runs on at most
 // one runner, no item is lost, and no slot stays free while items that may start are waiting.
 func TestRapidSlotsAreNeverExceeded(t *testing.T) {
@@ -191,7 +191,7 @@
 				require.False(t, s.Runner.GetLeaving())
 				at[s.Key] = s.Runner.GetId()
 			}
-			for _, key := range actions.GiveUp {
+			for _, key := range actions.Expired {
 				delete(at, key)
 				delete(unfinished, key)
 			}
@@ -232,16 +232,16 @@
 				step(t)
 			},
 			"": func(t *rapid.T) {
-				held := map[string]int{}
+				used := map[string]int{}
 				for _, r := range at {
-					held[r]++
+					used[r]++
 				}
 				free := false
 				for _, r := range runners {
 					l := loads[r.GetId()]
 					available := max(int(r.GetSlots())-l.Online-l.Batch, 0)
-					require.LessOrEqual(t, held[r.GetId()], available)
-					free = free || held[r.GetId()] < available && !r.GetLeaving()
+					require.LessOrEqual(t, used[r.GetId()], available)
+					free = free || used[r.GetId()] < available && !r.GetLeaving()
 				}
 				waiting, running := m.Counts()
 				require.Equal(t, len(at), running)
--- a/control/pkg/dispatch/overload.go
+++ b/control/pkg/dispatch/overload.go
@@ -63,7 +63,7 @@
 	free := 0
 	for _, r := range env.Runners {
 		if !r.GetLeaving() {
-			free += max(int(r.GetSlots())-env.Load(r.GetId()).all(), 0)
+			free += max(int(r.GetSlots())-env.Load(r.GetId()).total(), 0)
 		}
 	}
 	if o.checkedAt == 0 {
--- a/control/pkg/dispatch/run_time_model.go
+++ b/control/pkg/dispatch/run_time_model.go
@@ -51,7 +51,7 @@
 	m.meanLogSizeLogRun += weight * (size*run - m.meanLogSizeLogRun)
 }
 
-// slope returns how strongly the run time depends on the size, from 0 to 1. It is 1 until enough is known.
+// slope returns how strongly the run time depends on the size, from 0 to 1. It is 1 until enough runs were recorded.
 func (m *runTimeModel) slope() float64 {
 	variance := m.meanLogSizeSquared - m.meanLogSize*m.meanLogSize
 	if m.runs < minRuns || variance < minSizeVariance {
--- a/control/pkg/replica/config.go
+++ b/control/pkg/replica/config.go
@@ -60,11 +60,11 @@
 	Address string
 	// Folder is the folder of the group, below the data folder.
 	Folder string
-	// Bootstrap lists the members of a new group, including this replica. It is used only
-	// for a group without any entries, and for addresses.
+	// Bootstrap lists the members of a new group, including this replica. It is used to form
+	// a group without any entries, and as the fallback for the addresses of members.
 	Bootstrap []Peer
 
-	// Clock must be set.
+	// Clock is required.
 	Clock      clock.Clock
 	Logger     log.Logger
 	Registerer prometheus.Registerer
@@ -76,7 +76,7 @@
 	CheckpointEntries uint64
 	CheckpointBytes   int
 	// RetainEntries is the number of entries, limited to RetainBytes, that remain in the log
-	// and in memory behind a checkpoint for members that lag.
+	// and in memory after a checkpoint has covered them, for members that lag.
 	RetainEntries uint64
 	RetainBytes   int
 	// RingSize limits the messages that wait to be handled, and the messages that wait to
@@ -88,7 +88,7 @@
 
 	// Client creates the HTTP client for one peer; nil means HTTP/2 without TLS.
 	Client func() *http.Client
-	// Jitter returns a number from 0 to below n; nil means a random one.
+	// Jitter returns a number in [0, n); nil means a random one.
 	Jitter func(n clock.Millis) clock.Millis
 	// Disk contains hooks of the log for tests. Open sets its folder and file size.
 	Disk disk.Config
--- a/control/pkg/replica/partition_test.go
+++ b/control/pkg/replica/partition_test.go
@@ -38,8 +38,8 @@
 	close(n.thawed)
 }
 
-// gate returns a channel that is closed once data may pass between the two addresses.
-func (n *network) gate(from, to string) <-chan struct{} {
+// unblocked returns a channel that is closed once data may pass between the two addresses.
+func (n *network) unblocked(from, to string) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.frozen == from || n.frozen == to {
@@ -79,7 +79,7 @@
 
 func (c *gatedConn) wait() {
 	select {
-	case <-c.network.gate(c.from, c.to):
+	case <-c.network.unblocked(c.from, c.to):
 	case <-c.closed:
 	}
 }
@@ -100,11 +100,11 @@
 	return c.Conn.Close()
 }
 
-// The leader is cut off silently: its connections stay open but carry no data. Its
-// callers get an error soon instead of waiting as long as the cut lasts; the other
-// replicas elect a leader and continue. When the cut ends, the old leader follows, and
-// its unacknowledged commands are dropped.
-func TestLeaderSilentlyCutOff(t *testing.T) {
+// A partition drops all packets of the leader, so its connections stay open without data.
+// Its callers get an error soon instead of waiting as long as the partition lasts; the
+// other replicas elect a leader and continue. When the partition ends, the old leader
+// follows, and its unacknowledged commands are dropped.
+func TestPartitionedLeaderStepsDown(t *testing.T) {
 	n := newNetwork()
 	cl := newCluster(t, 3, func(c *Config) { c.Client = n.client(c.Address) })
 	old := cl.leader()
--- a/control/pkg/replica/repair_test.go
+++ b/control/pkg/replica/repair_test.go
@@ -15,8 +15,8 @@
 	"toucanhinge.example/control/pkg/disk"
 )
 
-// withFrequentCheckpoints takes frequent checkpoints and retains little of the log behind
-// them.
+// withFrequentCheckpoints takes frequent checkpoints and retains few of the log entries
+// that they cover.
 func withFrequentCheckpoints(c *Config) {
 	c.CheckpointEntries = 20
 	c.RetainEntries = 5
@@ -197,8 +197,8 @@
 	require.Equal(t, "after", all[len(all)-1])
 }
 
-// A replica is stopped as planned and transfers its leadership first. Proposals that
-// callers send meanwhile are neither lost nor duplicated.
+// The leader transfers its leadership before it is stopped. Proposals that callers send
+// during the transfer are neither lost nor duplicated.
 func TestLeadershipTransferLosesNoCommand(t *testing.T) {
 	cl := newCluster(t, 3, nil)
 	old := cl.leader()
--- a/control/pkg/replica/sender.go
+++ b/control/pkg/replica/sender.go
@@ -94,10 +94,10 @@
 	return bytes
 }
 
-// call sends messages and drops them if the call fails: consensus resends those that
-// still matter, and by then newer information may be available. The connection is closed
-// too, since calls over a connection that was cut silently would hang until the cut is
-// detected.
+// call sends messages and drops them if the call fails: consensus resends the messages
+// that still matter, and by then newer information may be available. The connection is
+// closed too: if a partition drops its packets, further calls over it would hang until the
+// connection times out.
 func (s *sender) call(ctx context.Context, messages []*toucanhingev1.ReplicaMessage) {
 	config := s.group.config
 	ctx, cancel := context.WithTimeout(ctx, max(2*config.ElectionTimeout.Duration(), time.Second))
--- a/control/pkg/replica/server.go
+++ b/control/pkg/replica/server.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	errUnknownGroup = errors.New("no replica of this group in this process")
-	errNoFirstChunk = errors.New("snapshot stream has no first chunk")
+	errUnknownGroup = errors.New("no such group here")
+	errNoFirstChunk = errors.New("the snapshot has no first chunk")
 )
 
 // Server passes the calls of other replicas to the groups of this process.
@@ -29,7 +29,7 @@
 }
 
 // Step enqueues messages for the group. Messages that don't fit into the queue are
-// dropped and counted; consensus resends those that still matter.
+// dropped and counted; consensus resends the messages that still matter.
 func (s *Server) Step(_ context.Context, r *connect.Request[toucanhingev1.StepRequest]) (*connect.Response[toucanhingev1.StepResponse], error) {
 	for _, m := range r.Msg.GetMessages() {
 		g := s.groups[m.GetGroup()]
--- a/control/pkg/replica/snapshot.go
+++ b/control/pkg/replica/snapshot.go
@@ -33,7 +33,7 @@
 )
 
 var (
-	errTruncated    = errors.New("snapshot stream ended before its last chunk")
+	errTruncated    = errors.New("the snapshot ended early")
 	errNotInstalled = errors.New("peer did not install the snapshot")
 )
 
@@ -59,8 +59,8 @@
 	}()
 }
 
-// exportTo sends the latest checkpoint and returns its index. No other checkpoint is
-// taken meanwhile, so its files remain, and so does the log after it.
+// exportTo sends the latest checkpoint and returns its index. It holds exportMu, which
+// prevents new checkpoints, so the files of this checkpoint and the log after it remain.
 func (g *Group) exportTo(address string, term uint64) (uint64, error) {
 	g.applier.exportMu.RLock()
 	defer g.applier.exportMu.RUnlock()
@@ -151,11 +151,11 @@
 }
 
 // receiveSnapshot first spools a snapshot to a file: the state must not depend on a
-// stream that may end early, and the applier continues meanwhile.
+// stream that may end early, and the applier can apply entries until the file is complete.
 func (g *Group) receiveSnapshot(ctx context.Context, header *toucanhingev1.SnapshotChunk, stream *connect.ClientStream[toucanhingev1.SnapshotChunk]) error {
 	file, err := os.CreateTemp(g.config.Folder, spoolPattern)
 	if err != nil {
-		return fmt.Errorf("create snapshot file: %w", err)
+		return fmt.Errorf("make snapshot file: %w", err)
 	}
 	defer func() { _ = os.Remove(file.Name()) }()
 	err = spool(file, header, stream)
@@ -171,7 +171,7 @@
 	case err := <-item.done:
 		return err
 	case <-ctx.Done():
-		return fmt.Errorf("wait for snapshot installation: %w", ctx.Err())
+		return fmt.Errorf("wait for the state to be taken over: %w", ctx.Err())
 	case <-g.ctx.Done():
 		return ErrStopped
 	}
@@ -241,7 +241,7 @@
 	header := item.header
 	members, err := consensus.DecodeMembers(header.GetMembers())
 	if err != nil {
-		return checkpoint{}, fmt.Errorf("read snapshot header: %w", err)
+		return checkpoint{}, fmt.Errorf("snapshot: %w", err)
 	}
 	file, err := os.Open(filepath.Clean(item.path))
 	if err != nil {
--- a/control/pkg/systemstate/machine.go
+++ b/control/pkg/systemstate/machine.go
@@ -170,7 +170,7 @@
 	}
 	snapshot.Folder = segment.UnusedGeneration(m.config.Folder, m.folder)
 	if err := m.newStore(snapshot.GetFolder()).Import(snapshot.GetSegments(), r); err != nil {
-		return nil, fmt.Errorf("import the records: %w", err)
+		return nil, fmt.Errorf("receive the records: %w", err)
 	}
 	m.mu.Lock()
 	err = m.restore(snapshot)
@@ -220,7 +220,7 @@
 	}
 	item := &toucanhingev1.JobItem{}
 	if err := proto.Unmarshal(data, item); err != nil {
-		return nil, fmt.Errorf("decode a job item: %w", err)
+		return nil, fmt.Errorf("decode an item: %w", err)
 	}
 	return item, nil
 }
--- a/control/pkg/systemstate/state.go
+++ b/control/pkg/systemstate/state.go
@@ -14,8 +14,9 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// closedJobRetention is how long after its acceptance a closed job, with all items listed or ended
-// by the caller, is retained at least. Callers that lost a response retry for some minutes at most.
+// closedJobRetention is the minimum time, from its acceptance on, for which a closed job is retained.
+// A job is closed once all its items are listed or the caller has ended it. Callers that lost a
+// response retry for some minutes at most.
 const closedJobRetention clock.Millis = 15 * 60 * 1000
 
 // Config connects the state to its record store and its observer.
--- a/control/pkg/systemstate/state_test.go
+++ b/control/pkg/systemstate/state_test.go
@@ -137,7 +137,7 @@
 
 // A leader finishes an item and loses its leadership, and its successor has run the item too. The
 // result that is logged first must be kept, at its position and with its text.
-func TestFirstResultIsKept(t *testing.T) {
+func TestFirstResultIsRetained(t *testing.T) {
 	m := newTestMachine(t, t.TempDir())
 	apply(t, m, 1, tableStep(1, 0), jobStep("a", 3, 1))
 	apply(t, m, 2, finishStep("a", 2, "first"), finishStep("a", 0, "zero"))
