--- a/control/pkg/batchrun/crash_report.go
+++ b/control/pkg/batchrun/crash_report.go
@@ -30,7 +30,7 @@
 	return verdict.Until
 }
 
-// reportCrash reports a crash if the call broke off because its runner crashed.
+// reportCrash reports a crash if the call broke because its runner crashed.
 func (r *run) reportCrash(ctx context.Context, call runner.Call, startedAt clock.Millis) {
 	config := r.driver.config
 	if config.Client.Refuses == nil || ctx.Err() != nil || !config.Client.Refuses(ctx, call.Runner) {
--- a/control/pkg/batchrun/driver_test.go
+++ b/control/pkg/batchrun/driver_test.go
@@ -36,7 +36,7 @@
 	mu      sync.Mutex
 	applied int64
 	calls   []runner.Call
-	// refuses is true if runners refuse connections after a call that broke off.
+	// refuses is true if runners refuse connections after a broken call.
 	refuses bool
 	// answer returns a runner's answer to the nth call, from 0.
 	answer func(n int, call runner.Call) (*runner.Answer, error)
--- a/control/pkg/batchrun/run.go
+++ b/control/pkg/batchrun/run.go
@@ -45,7 +45,7 @@
 const (
 	// finished: the text is complete.
 	finished outcomeKind = "finished"
-	// impossible: the runner rejected the item for good.
+	// impossible: the runner rejected the item, and a retry would be rejected too.
 	impossible outcomeKind = "impossible"
 	// failed: the runner ran the item and failed.
 	failed outcomeKind = "failed"
@@ -64,8 +64,8 @@
 )
 
 // isVerdict reports whether the outcome is the runner's verdict on the item itself. A verdict counts even if
-// the item was preempted before it arrived: an impossible item once ran five times because its verdicts
-// coincided with preemptions.
+// the item was preempted before it arrived: otherwise an impossible item runs again each time its verdict
+// coincides with a preemption (one item ran five times).
 func (k outcomeKind) isVerdict() bool { return k == finished || k == impossible || k == failed }
 
 type outcome struct {
@@ -149,7 +149,7 @@
 	done     chan struct{}
 
 	mu sync.Mutex
-	// halted reports whether the call must end. release ends it early and keeps its partial answer.
+	// halted reports whether the call must end. release ends the call early, with its partial answer retained.
 	halted  bool
 	release func()
 }
--- a/control/pkg/callproxy/client_test.go
+++ b/control/pkg/callproxy/client_test.go
@@ -179,12 +179,12 @@
 // the gateway reported its end without a failure.
 func TestOpenReturnsGatewayAnswer(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		answer  func(context.Context, eventSender) error
-		text    string
-		whole   bool
-		notSent bool
-		broken  bool
+		name     string
+		answer   func(context.Context, eventSender) error
+		text     string
+		complete bool
+		notSent  bool
+		broken   bool
 	}{
 		{"complete", play(accepted, headEvent(), dataEvent("ab"), dataEvent("c"), endEvent("", false)), "abc", true, false, false},
 		{"cut by the runner", play(accepted, headEvent(), dataEvent("ab"), endEvent("reset", false)), "ab", false, false, false},
@@ -205,7 +205,7 @@
 			}
 			require.Equal(t, &runner.Load{Running: 4, Waiting: 2}, answer.Load)
 			text, err := io.ReadAll(answer.Body)
-			require.Equal(t, c.whole, err == nil, "%v", err)
+			require.Equal(t, c.complete, err == nil, "%v", err)
 			require.Equal(t, c.text, string(text))
 			require.NoError(t, answer.Body.Close())
 		})
--- a/control/pkg/callproxy/flush_tuner.go
+++ b/control/pkg/callproxy/flush_tuner.go
@@ -23,7 +23,7 @@
 const lagThreshold clock.Millis = 20
 
 // flushTuner decides how long gateways buffer the events of items. Flushed every 50 ms, the events of hundreds of
-// items are more messages than a busy leader can handle, and it loses its leadership. Buffered for half a
+// items are more messages than an overloaded leader can handle, and it loses its leadership. Buffered for half a
 // second, each loss of a VM costs half a second of work of each of its items. So the interval follows the
 // number of gateways and the lag of this process. It doesn't read the clock.
 type flushTuner struct{ loadFactor float64 }
--- a/control/pkg/consensus/election.go
+++ b/control/pkg/consensus/election.go
@@ -6,7 +6,7 @@
 const retryDivisor = 2
 
 // hasLiveLeader reports whether a leader is known to be alive. While it is, vote requests
-// are refused without entering their term: a replica that was removed or cut off could
+// are refused without entering their term: a replica that was removed or partitioned could
 // otherwise depose a leader that serves all other replicas. The limit is one heartbeat
 // interval below the leader timeout: the first replica to miss the leader would otherwise
 // often be refused by a replica that received a heartbeat slightly later, and the
@@ -19,7 +19,7 @@
 }
 
 // startPreVote queries whether an election could be won, without entering a new term. A
-// replica that was cut off would otherwise return with a high term and force the others
+// partitioned replica would otherwise return with a high term and force the others
 // into an election.
 func (m *Machine) startPreVote() {
 	m.resetElection()
--- a/control/pkg/consensus/formation.go
+++ b/control/pkg/consensus/formation.go
@@ -16,12 +16,12 @@
 // yet.
 //
 // Each replica durably pins the first identity it sees under each name and sends all its
-// pins to the others. It takes part in the group only once every member has sent exactly
-// the same complete set of pins, or once a member that already takes part has sent it. So
-// when the first replica votes, all members have the same pins permanently: if a replica
-// loses its disk in between, no set with its new identity can be agreed on, and a vote
-// that it gave before is never given twice. The price is that all members must be up at
-// the same time once before a new group accepts its first entry.
+// pins to the others. It joins the group only once every member has sent exactly the
+// same complete set of pins, or once a member that has already joined has sent it. So when
+// the first replica votes, all members have the same pins permanently: if a replica then
+// loses its disk, no set with its new identity can be agreed on, and the replica can't vote
+// a second time. The price is that all members must be up at the same time once before a
+// new group accepts its first entry.
 type Formation struct {
 	self   Member
 	pins   Members
@@ -88,11 +88,11 @@
 	return pins
 }
 
-// Done reports whether this replica takes part in the group.
+// Done reports whether this replica has joined the group.
 func (f *Formation) Done() bool { return f.formed }
 
 // MarkJoined records that the replica received its log from a leader instead. Its pins
-// then prove nothing, so it doesn't send them any more.
+// may then differ from those of the group, so it doesn't send them any more.
 func (f *Formation) MarkJoined() {
 	f.formed = true
 	f.pins = nil
--- a/control/pkg/consensus/leader_timeout.go
+++ b/control/pkg/consensus/leader_timeout.go
@@ -15,8 +15,8 @@
 
 // leaderTimeout adapts the time without contact after which a leader counts as failed. A
 // leader that is short of CPU time sends late heartbeats. If it is deposed for that, all
-// of its work moves to another VM, which is at once as short of CPU time and is deposed
-// in turn: on a fleet of 278 VMs the leader changed every few seconds during a burst. A
+// of its work moves to another VM, which is then as short of CPU time and is deposed for
+// the same reason: on a fleet of 278 VMs the leader changed every few seconds during a burst. A
 // leader whose heartbeats arrive in time gets just the election timeout.
 type leaderTimeout struct {
 	electionTimeout clock.Millis
--- a/control/pkg/consensus/machine.go
+++ b/control/pkg/consensus/machine.go
@@ -94,7 +94,7 @@
 }
 
 // Step sets the time, handles one event and returns the resulting actions. If the clock
-// goes backwards, the time of the machine stands still.
+// goes backwards, the machine keeps its latest time.
 func (m *Machine) Step(now clock.Millis, event Event) Actions {
 	if m.electionDeadline == 0 {
 		m.now = now
--- a/control/pkg/consensus/machine_test.go
+++ b/control/pkg/consensus/machine_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// A replica is cut off for a long time and returns. Without a pre-vote it would have
+// A replica is partitioned for a long time and returns. Without a pre-vote it would have
 // raised its term with every election it started alone, and the working leader would have to
 // step down.
 func TestPreVoteKeepsLeaderWhenReplicaReturns(t *testing.T) {
@@ -175,7 +175,7 @@
 	}
 }
 
-// A removed replica never learns that it was removed. It campaigns for ever and must not
+// A removed replica isn't informed that it was removed. It campaigns for ever and must not
 // disturb the leader.
 func TestRemovedReplicaDoesNotDisturbLeader(t *testing.T) {
 	s := newFaultlessSim(t, 4, 0)
@@ -256,7 +256,7 @@
 				s.step(s.leader(), ChangeMembers{ID: s.id(), Kind: AddLearner, Member: Member{Name: "n9", Identity: "n9-disk0"}})
 				s.network = withoutPacketsTo(s.network, "n9")
 				s.deliverAll()
-			}, reason: ReasonLearnerBehind,
+			}, reason: ReasonLearnerLagging,
 		},
 	}
 	for _, sc := range scenarios {
@@ -326,8 +326,8 @@
 	require.Equal(t, RoleCandidate, n.machine.role)
 }
 
-// All replicas lose power, and two of three return, one shortly after the other. Until
-// one leads no caller is served, since nothing confirms the routing table. The second
+// All replicas lose power, and two of three restart, one shortly after the other. No
+// caller is served without a leader, which confirms the routing table. The second
 // replica completes the majority and must lead at once, without waiting for a leader that
 // can't exist.
 func TestRestartedMajorityElectsLeaderAtOnce(t *testing.T) {
--- a/control/pkg/consensus/sim_test.go
+++ b/control/pkg/consensus/sim_test.go
@@ -9,7 +9,7 @@
 )
 
 // bypass switches a safeguard off from outside the machine. The oracle must then find a
-// violation, otherwise it proves nothing.
+// violation; otherwise it wouldn't detect a fault of the machine either.
 type bypass struct {
 	// syncEarly reports data to the machine as synced when it is only written.
 	syncEarly bool
--- a/control/pkg/core/fleet.go
+++ b/control/pkg/core/fleet.go
@@ -129,7 +129,7 @@
 	}
 	f.runnersKnown = true
 	f.runners = runners
-	f.bump()
+	f.startRevision()
 	return true
 }
 
@@ -139,7 +139,7 @@
 	defer f.mu.Unlock()
 	if !slices.Equal(f.coreAddresses, addresses) {
 		f.coreAddresses = addresses
-		f.bump()
+		f.startRevision()
 	}
 }
 
@@ -151,7 +151,7 @@
 	g.lastSeen = max(g.lastSeen, before.lastSeen)
 	f.gateways[name] = g
 	if !known || before.address != g.address {
-		f.bump()
+		f.startRevision()
 	}
 }
 
@@ -209,8 +209,8 @@
 	return now-f.leaderSince < gatewayDiscoveryPeriod
 }
 
-// large reports whether the fleet is so large that gateways subscribe to one another.
-func (f *fleet) large() bool {
+// isLarge reports whether the fleet is so large that gateways subscribe to one another.
+func (f *fleet) isLarge() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.gateways) > fanout.MaxDirect
@@ -223,7 +223,7 @@
 	for name, g := range f.gateways {
 		if now-g.lastSeen > presenceExpiry {
 			delete(f.gateways, name)
-			f.bump()
+			f.startRevision()
 		}
 	}
 }
@@ -261,8 +261,8 @@
 	return vms
 }
 
-// bump starts a new revision. The caller holds the lock.
-func (f *fleet) bump() {
+// startRevision starts a new revision. The caller holds the lock.
+func (f *fleet) startRevision() {
 	f.revision++
 	f.proxies, f.tree = nil, nil
 	f.changed.Fire()
--- a/control/pkg/core/quarantines.go
+++ b/control/pkg/core/quarantines.go
@@ -17,7 +17,7 @@
 	// quarantineInterval is the interval at which the leader checks for new and cleared
 	// quarantines. Daemons receive them at once in datagrams. Quarantines are logged too, so that
 	// they survive when all processes end at the same time: without the log, a quarantined
-	// request crashed four more runners after that.
+	// request crashed four more runners after such a restart.
 	quarantineInterval = 200 * time.Millisecond
 	quarantineTimeout  = time.Second
 )
@@ -68,7 +68,7 @@
 		if result := slices.Compare(a.fingerprint[:], b.fingerprint[:]); result != 0 {
 			return result
 		}
-		return a.terms - b.terms
+		return a.count - b.count
 	})
 	return keys
 }
@@ -76,5 +76,5 @@
 // quarantineKey identifies the nth quarantine of a request, where n is count.
 type quarantineKey struct {
 	fingerprint crashes.Fingerprint
-	terms       int
+	count       int
 }
--- a/control/pkg/core/team_keys_test.go
+++ b/control/pkg/core/team_keys_test.go
@@ -13,7 +13,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// A leader has lost its two followers without noticing. It must not confirm API keys to
+// A leader has lost contact with its two followers and has not detected that yet. It must not confirm API keys to
 // gateways, because a newer leader may have acknowledged the removal of a key.
 // Calls that don't request a confirmation may still return updates.
 func TestLeaderWithoutQuorumConfirmsNoKeys(t *testing.T) {
--- a/control/pkg/core/updates.go
+++ b/control/pkg/core/updates.go
@@ -15,7 +15,7 @@
 
 const (
 	// fleetBatchDelay is how long a change of the fleet waits for further changes, so that they
-	// are sent together. In a large fleet gateways come and go all the time, and each change
+	// are sent together. In a large fleet gateways start and stop all the time, and each change
 	// is sent to all of them.
 	fleetBatchDelay      = 10 * time.Millisecond
 	largeFleetBatchDelay = 40 * time.Millisecond
@@ -127,7 +127,7 @@
 
 // delayForFleetBatch waits for further changes of the fleet.
 func (c *Core) delayForFleetBatch() {
-	if c.fleet.large() {
+	if c.fleet.isLarge() {
 		time.Sleep(largeFleetBatchDelay)
 		return
 	}
--- a/control/pkg/core/vm_loss_test.go
+++ b/control/pkg/core/vm_loss_test.go
@@ -82,7 +82,7 @@
 }
 
 // An operator retires a VM. With three VMs the request is refused, because two VMs could not
-// tolerate a loss. With a fourth VM, the retirement ends only after that VM votes instead. A
+// tolerate a loss. With a fourth VM, the retirement ends only after that VM has become a voter. A
 // leader that is retired transfers its leadership first.
 func TestRetireVM(t *testing.T) {
 	cl := newCluster(t, 4)
--- a/control/pkg/replica/applier.go
+++ b/control/pkg/replica/applier.go
@@ -47,7 +47,7 @@
 		case <-g.ctx.Done():
 			return
 		case <-g.committed.wake:
-			for _, item := range g.committed.take() {
+			for _, item := range g.committed.drain() {
 				if item.snapshot != nil {
 					g.installSnapshot(item.snapshot)
 					continue
--- a/control/pkg/replica/config.go
+++ b/control/pkg/replica/config.go
@@ -29,7 +29,7 @@
 	Checkpoint func() ([]byte, error)
 	// Load restores the state as of the manifest when a replica starts. It removes from
 	// the files what later commands added. Without a checkpoint the manifest is empty and
-	// stands for the empty state.
+	// means the empty state.
 	Load func(manifest []byte) error
 	// Export writes the whole state for a peer: the manifest and its files. It runs
 	// concurrently with Apply, but never with Checkpoint.
--- a/control/pkg/replica/loop.go
+++ b/control/pkg/replica/loop.go
@@ -137,7 +137,7 @@
 	return g.loop.lastCallID
 }
 
-func (g *Group) takeCalls(id uint64) []*call {
+func (g *Group) unregister(id uint64) []*call {
 	calls := g.loop.pendingCalls[id]
 	delete(g.loop.pendingCalls, id)
 	return calls
@@ -223,7 +223,7 @@
 // be applied.
 func (g *Group) execute(actions consensus.Actions) {
 	for _, a := range actions.Accepted {
-		for _, c := range g.takeCalls(a.ID) {
+		for _, c := range g.unregister(a.ID) {
 			g.waiters.add(c, a.Index, a.Term)
 		}
 	}
@@ -237,17 +237,17 @@
 		g.committed.put(applyItem{entries: actions.Committed})
 	}
 	for _, r := range actions.Reads {
-		for _, c := range g.takeCalls(r.ID) {
+		for _, c := range g.unregister(r.ID) {
 			g.waiters.addRead(c, r.Index)
 		}
 	}
 	for _, h := range actions.Transferred {
-		for _, c := range g.takeCalls(h.ID) {
+		for _, c := range g.unregister(h.ID) {
 			c.complete(nil, nil)
 		}
 	}
 	for _, r := range actions.Refused {
-		for _, c := range g.takeCalls(r.ID) {
+		for _, c := range g.unregister(r.ID) {
 			c.complete(nil, g.refusalError(r.Reason))
 		}
 	}
--- a/control/pkg/replica/mailbox.go
+++ b/control/pkg/replica/mailbox.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func (b *mailbox[T]) take() []T {
+func (b *mailbox[T]) drain() []T {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	items := b.items
--- a/control/pkg/replica/repair_test.go
+++ b/control/pkg/replica/repair_test.go
@@ -76,7 +76,7 @@
 // A VM loses its disk and returns empty under its old name. It doesn't take part: the
 // other two continue, and no acknowledged command is lost. An operator removes the old
 // member, adds the new one as a learner and promotes it. Right after the promotion
-// another VM is lost for good, and no command is missing.
+// another VM is lost permanently, and no command is missing.
 func TestReplicaWithLostDiskIsReplaced(t *testing.T) {
 	cl := newCluster(t, 3, withFrequentCheckpoints)
 	leader := cl.leader()
--- a/control/pkg/replica/writer.go
+++ b/control/pkg/replica/writer.go
@@ -16,7 +16,7 @@
 		case <-g.dropBefore.wake:
 			g.dropLogFiles()
 		case <-g.persists.wake:
-			persists := g.persists.take()
+			persists := g.persists.drain()
 			if len(persists) == 0 {
 				continue
 			}
@@ -40,7 +40,7 @@
 
 // dropLogFiles removes old log files. A failure only costs disk space.
 func (g *Group) dropLogFiles() {
-	for _, index := range g.dropBefore.take() {
+	for _, index := range g.dropBefore.drain() {
 		if err := g.log.DropBefore(index); err != nil {
 			_ = level.Warn(g.logger).Log("event", "log_not_dropped", "error", err)
 		}
