--- a/control/pkg/consensus/fuzz_test.go
+++ b/control/pkg/consensus/fuzz_test.go
@@ -18,8 +18,8 @@
 	seed.Main(m, 7, seed.Length{Checks: 150, Steps: 400})
 }
 
-// randomNode returns a random node.
-func (s *sim) randomNode() *simNode { return s.nodes[s.choose(len(s.nodes))] }
+// any returns a random node.
+func (s *sim) any() *simNode { return s.nodes[s.choose(len(s.nodes))] }
 
 // faults returns the single events that may happen at any time.
 func (s *sim) faults() map[string]func() {
@@ -29,15 +29,15 @@
 		"deliver3":          s.deliverAny,
 		"double":            s.duplicateAny,
 		"drop":              s.dropAny,
-		"sync":              func() { n := s.randomNode(); s.sync(n, s.choose(len(n.pending)+1)) },
-		"sync2":             func() { n := s.randomNode(); s.sync(n, len(n.pending)) },
-		"tick":              func() { n := s.randomNode(); n.clock += clock.Millis(s.choose(200)); s.step(n, Tick{}) },
-		"jump":              func() { n := s.randomNode(); n.clock += clock.Millis(s.choose(4000) - 2000) },
-		"crash":             func() { s.crash(s.randomNode()) },
+		"sync":              func() { n := s.any(); s.sync(n, s.choose(len(n.pending)+1)) },
+		"sync2":             func() { n := s.any(); s.sync(n, len(n.pending)) },
+		"tick":              func() { n := s.any(); n.clock += clock.Millis(s.choose(200)); s.step(n, Tick{}) },
+		"jump":              func() { n := s.any(); n.clock += clock.Millis(s.choose(4000) - 2000) },
+		"crash":             func() { s.crash(s.any()) },
 		"restart":           s.restartAny,
 		"restart2":          s.restartAny,
 		"lose disk":         s.loseAnyDisk,
-		"cut":               func() { s.cuts[[2]string{s.randomNode().name, s.randomNode().name}] = true },
+		"cut":               func() { s.cuts[[2]string{s.any().name, s.any().name}] = true },
 		"heal":              func() { clear(s.cuts) },
 		"calm":              func() { s.runWithoutFaults(clock.Millis(s.choose(600))) },
 		"calm2":             func() { s.runWithoutFaults(clock.Millis(s.choose(1500))) },
@@ -49,8 +49,8 @@
 		"read":              s.readAny,
 		"change":            s.changeAny,
 		"repair":            s.repair,
-		"graceful transfer": func() { s.step(s.randomNode(), TransferLeadership{ID: s.id()}) },
-		"checkpoint":        func() { s.checkpoint(s.randomNode()) },
+		"graceful transfer": func() { s.step(s.any(), TransferLeadership{ID: s.id()}) },
+		"checkpoint":        func() { s.checkpoint(s.any()) },
 	}
 }
 
@@ -58,10 +58,10 @@
 // them may have a stalled disk and one may be isolated. Small faults in between reveal
 // responses that are sent before the data they confirm is durable.
 func (s *sim) runRandomSteps() {
-	stalled, partitioned := s.randomNode(), s.randomNode()
+	stalled, partitioned := s.any(), s.any()
 	isolated := s.choose(3) == 0
 	for range s.choose(150) {
-		n := s.randomNode()
+		n := s.any()
 		switch s.choose(8) {
 		case 0:
 			n.clock += clock.Millis(s.choose(60))
@@ -120,19 +120,19 @@
 }
 
 func (s *sim) restartAny() {
-	if n := s.randomNode(); n.machine == nil {
+	if n := s.any(); n.machine == nil {
 		s.restart(n)
 	}
 }
 
 func (s *sim) loseAnyDisk() {
 	if s.lostDisks < 3 && s.choose(6) == 0 {
-		s.loseDisk(s.randomNode())
+		s.loseDisk(s.any())
 	}
 }
 
 func (s *sim) proposeAny() {
-	n := s.randomNode()
+	n := s.any()
 	if l := s.leader(); l != nil && s.choose(4) > 0 {
 		n = l
 	}
@@ -145,7 +145,7 @@
 }
 
 func (s *sim) readAny() {
-	n := s.randomNode()
+	n := s.any()
 	if l := s.leader(); l != nil && s.choose(2) == 0 {
 		n = l
 	}
@@ -155,7 +155,7 @@
 }
 
 func (s *sim) changeAny() {
-	n, other := s.randomNode(), s.randomNode()
+	n, other := s.any(), s.any()
 	s.step(n, ChangeMembers{
 		ID: s.id(), Kind: ChangeKind(s.choose(3) + 1),
 		Member: Member{Name: other.name, Identity: other.identity},
@@ -344,7 +344,7 @@
 		s.runWithoutFaults(1500)
 		s.step(s.leader(), Propose{Proposals: []Proposal{{Data: []byte("a")}, {Data: []byte("b")}}})
 		s.runWithoutFaults(500)
-		n := s.randomNode()
+		n := s.any()
 		small := rapid.Uint64Range(0, 12)
 		for range 30 {
 			from := s.nodes[rapid.IntRange(0, 2).Draw(t, "from")]
