--- a/lab/pkg/newsfleet/gateway.go
+++ b/lab/pkg/newsfleet/gateway.go
@@ -101,16 +101,16 @@
 	return nil
 }
 
-// Deafen lets the gateway hear nothing more of the core, while it answers others.
-func (g *Gateway) Deafen() {
+// StopSubscriber lets the gateway hear nothing more of the core, while it answers others.
+func (g *Gateway) StopSubscriber() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.deafen()
 	<-g.followed
 }
 
-// Fail puts faults in force on the way of others to the gateway.
-func (g *Gateway) Fail(faults relay.Faults) { g.link.Set(faults) }
+// SetFaults puts faults in force on the way of others to the gateway.
+func (g *Gateway) SetFaults(faults relay.Faults) { g.link.Set(faults) }
 
 // Kill ends the gateway's process.
 func (g *Gateway) Kill() {
--- a/lab/pkg/replay/world.go
+++ b/lab/pkg/replay/world.go
@@ -109,7 +109,7 @@
 		w.lose()
 		w.finish()
 		for len(arrivals) > 0 && arrivals[0] <= w.now {
-			w.meet(&request{first: w.now, arrived: w.now, ends: w.now + config.Patience})
+			w.meet(&request{first: w.now, arrived: w.now, ends: w.now + config.Timeout})
 			arrivals = arrivals[1:]
 		}
 		for len(items) > 0 && items[0].At <= w.now {
@@ -271,7 +271,7 @@
 	case t.request.lost:
 		w.result.Worth += lateWorth
 	case t.request.again:
-		w.result.CameBack++
+		w.result.InTimeOnRetry++
 		w.result.Worth += (1 + lateWorth) / 2
 	default:
 		w.result.Worth++
--- a/sidecar/pkg/app/watching.go
+++ b/sidecar/pkg/app/watching.go
@@ -36,7 +36,7 @@
 func (w *watching) changed(fleet *fleetconfig.Fleet) {
 	w.fleet.Store(fleet)
 	if service, found := fleet.Service(w.settings.Service); found {
-		w.dispatcher.Tell(admit.SetBatchWeight{Weight: int(service.GetBatchWeight())})
+		w.dispatcher.Submit(admit.SetBatchWeight{Weight: int(service.GetBatchWeight())})
 	}
 	w.tellOrder()
 	switch {
