--- a/control/pkg/consensus/actions.go
+++ b/control/pkg/consensus/actions.go
@@ -35,19 +35,19 @@
 	// ReasonChangePending means that an earlier change isn't committed, or that the
 	// leader hasn't committed an entry of its own term yet.
 	ReasonChangePending Reason = "change_pending"
-	// ReasonLearnerBehind means that the learner lacks committed entries.
-	ReasonLearnerBehind Reason = "learner_behind"
+	// ReasonLearnerLagging means that the learner lacks committed entries.
+	ReasonLearnerLagging Reason = "learner_behind"
 	// ReasonMemberExists means that the name is already in use.
 	ReasonMemberExists Reason = "member_exists"
 	// ReasonMemberUnknown means that no such member, or no such learner, exists.
 	ReasonMemberUnknown Reason = "member_unknown"
 	// ReasonIsLeader means that the leader can't be removed before a leadership transfer.
 	ReasonIsLeader Reason = "is_leader"
-	// ReasonNoTarget means that no other voter took over the leadership.
+	// ReasonNoTarget means that no other voter became the leader.
 	ReasonNoTarget Reason = "no_target"
 )
 
-// Refused answers the event with this ID. The event had no effect.
+// Refused reports that the event with this ID was refused and had no effect.
 type Refused struct {
 	ID     uint64
 	Reason Reason
--- a/control/pkg/consensus/election.go
+++ b/control/pkg/consensus/election.go
@@ -6,7 +6,7 @@
 const retryDivisor = 2
 
 // hasLiveLeader reports whether a leader is known to be alive. While it is, vote requests
-// are refused without entering their term: a replica that was removed or cut off could
+// are refused without entering their term: a replica that was removed or partitioned could
 // otherwise depose a leader that serves all other replicas. The limit is one heartbeat
 // interval below the leader timeout: the first replica to miss the leader would otherwise
 // often be refused by a replica that received a heartbeat slightly later, and the
@@ -19,7 +19,7 @@
 }
 
 // startPreVote queries whether an election could be won, without entering a new term. A
-// replica that was cut off would otherwise return with a high term and force the others
+// partitioned replica would otherwise return with a high term and force the others
 // into an election.
 func (m *Machine) startPreVote() {
 	m.resetElection()
@@ -98,10 +98,11 @@
 		term++
 	}
 	if msg.Kind == KindVoteResponse && msg.Reject && m.role == RoleCandidate && msg.Term == m.state.Term {
-		// Two replicas that return within some milliseconds of each other, with the third
-		// one down, each vote for themselves. With a whole timeout before the next
-		// attempt there was no leader for another half second. A refusal that doesn't
-		// cost the election does no harm: the winner sends no further requests.
+		// Two replicas that restart within some milliseconds of each other, while the third
+		// one is down, each vote for themselves. A whole timeout before the next attempt
+		// would leave the group without a leader for another half second. If the candidate
+		// wins despite this rejection, the shorter deadline does no harm: a leader sends no
+		// vote requests.
 		m.electionDeadline = min(m.electionDeadline, m.now+m.config.Jitter(m.config.ElectionTimeout/retryDivisor))
 		return
 	}
--- a/control/pkg/consensus/fuzz_test.go
+++ b/control/pkg/consensus/fuzz_test.go
@@ -24,33 +24,33 @@
 // faults returns the single events that may happen at any time.
 func (s *sim) faults() map[string]func() {
 	return map[string]func(){
-		"deliver":    s.deliverAny,
-		"deliver2":   s.deliverAny,
-		"deliver3":   s.deliverAny,
-		"double":     s.duplicateAny,
-		"drop":       s.dropAny,
-		"sync":       func() { n := s.any(); s.sync(n, s.choose(len(n.pending)+1)) },
-		"sync2":      func() { n := s.any(); s.sync(n, len(n.pending)) },
-		"tick":       func() { n := s.any(); n.clock += clock.Millis(s.choose(200)); s.step(n, Tick{}) },
-		"jump":       func() { n := s.any(); n.clock += clock.Millis(s.choose(4000) - 2000) },
-		"crash":      func() { s.crash(s.any()) },
-		"restart":    s.restartAny,
-		"restart2":   s.restartAny,
-		"lose disk":  s.loseAnyDisk,
-		"cut":        func() { s.cuts[[2]string{s.any().name, s.any().name}] = true },
-		"heal":       func() { clear(s.cuts) },
-		"calm":       func() { s.runWithoutFaults(clock.Millis(s.choose(600))) },
-		"calm2":      func() { s.runWithoutFaults(clock.Millis(s.choose(1500))) },
-		"storm":      s.runRandomSteps,
-		"storm2":     s.runRandomSteps,
-		"storm3":     s.runRandomSteps,
-		"propose":    s.proposeAny,
-		"propose2":   s.proposeAny,
-		"read":       s.readAny,
-		"change":     s.changeAny,
-		"repair":     s.repair,
-		"handover":   func() { s.step(s.any(), TransferLeadership{ID: s.id()}) },
-		"checkpoint": func() { s.checkpoint(s.any()) },
+		"deliver":           s.deliverAny,
+		"deliver2":          s.deliverAny,
+		"deliver3":          s.deliverAny,
+		"double":            s.duplicateAny,
+		"drop":              s.dropAny,
+		"sync":              func() { n := s.any(); s.sync(n, s.choose(len(n.pending)+1)) },
+		"sync2":             func() { n := s.any(); s.sync(n, len(n.pending)) },
+		"tick":              func() { n := s.any(); n.clock += clock.Millis(s.choose(200)); s.step(n, Tick{}) },
+		"jump":              func() { n := s.any(); n.clock += clock.Millis(s.choose(4000) - 2000) },
+		"crash":             func() { s.crash(s.any()) },
+		"restart":           s.restartAny,
+		"restart2":          s.restartAny,
+		"lose disk":         s.loseAnyDisk,
+		"cut":               func() { s.cuts[[2]string{s.any().name, s.any().name}] = true },
+		"heal":              func() { clear(s.cuts) },
+		"calm":              func() { s.runWithoutFaults(clock.Millis(s.choose(600))) },
+		"calm2":             func() { s.runWithoutFaults(clock.Millis(s.choose(1500))) },
+		"steps":             s.runRandomSteps,
+		"steps2":            s.runRandomSteps,
+		"steps3":            s.runRandomSteps,
+		"propose":           s.proposeAny,
+		"propose2":          s.proposeAny,
+		"read":              s.readAny,
+		"change":            s.changeAny,
+		"repair":            s.repair,
+		"graceful transfer": func() { s.step(s.any(), TransferLeadership{ID: s.id()}) },
+		"checkpoint":        func() { s.checkpoint(s.any()) },
 	}
 }
 
@@ -75,7 +75,7 @@
 				s.proposeAny()
 			}
 		default:
-			p, ok := s.takePacket()
+			p, ok := s.removePacket()
 			if ok && isolated && (p.from == partitioned.name || p.to == partitioned.name) {
 				s.dropPacket(p)
 			} else if ok {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (s *sim) takePacket() (packet, bool) {
+func (s *sim) removePacket() (packet, bool) {
 	if len(s.network) == 0 {
 		return packet{}, false
 	}
@@ -100,7 +100,7 @@
 }
 
 func (s *sim) deliverAny() {
-	if p, ok := s.takePacket(); ok {
+	if p, ok := s.removePacket(); ok {
 		s.deliverPacket(p)
 	}
 }
@@ -114,7 +114,7 @@
 }
 
 func (s *sim) dropAny() {
-	if p, ok := s.takePacket(); ok {
+	if p, ok := s.removePacket(); ok {
 		s.dropPacket(p)
 	}
 }
@@ -191,8 +191,8 @@
 // checkChange checks that only a replica that has synced all committed entries becomes a
 // voter.
 func (s *sim) checkChange(l, n *simNode, change ChangeMembers) {
-	m, held := l.machine.members().Find(n.name)
-	if change.Kind == Remove && !held {
+	m, found := l.machine.members().Find(n.name)
+	if change.Kind == Remove && !found {
 		s.counts.removed++
 	}
 	if change.Kind != Promote || !m.Voter || s.bypass != (bypass{}) {
@@ -256,7 +256,7 @@
 	return known
 }
 
-// Replicas crash at any step, also between write and sync, lose disks, are cut off in one
+// Replicas crash at any step, also between write and sync, lose disks, are partitioned in one
 // direction and see their clocks jump. Messages are lost, duplicated and reordered, and
 // operators change members. An entry that one replica applied must never be missing or
 // different on another.
--- a/control/pkg/consensus/machine.go
+++ b/control/pkg/consensus/machine.go
@@ -13,7 +13,7 @@
 const (
 	// RoleFollower follows a leader or waits for one.
 	RoleFollower Role = "follower"
-	// RolePreCandidate queries whether it could win an election.
+	// RolePreCandidate has sent pre-vote requests to find out if it could win an election.
 	RolePreCandidate Role = "precandidate"
 	// RoleCandidate requests votes in a new term.
 	RoleCandidate Role = "candidate"
@@ -94,7 +94,7 @@
 }
 
 // Step sets the time, handles one event and returns the resulting actions. If the clock
-// goes backwards, the time of the machine stands still.
+// goes backwards, the machine keeps its latest time.
 func (m *Machine) Step(now clock.Millis, event Event) Actions {
 	if m.electionDeadline == 0 {
 		m.now = now
--- a/control/pkg/core/vm_loss_test.go
+++ b/control/pkg/core/vm_loss_test.go
@@ -82,7 +82,7 @@
 }
 
 // An operator retires a VM. With three VMs the request is refused, because two VMs could not
-// tolerate a loss. With a fourth VM, the retirement ends only after that VM votes instead. A
+// tolerate a loss. With a fourth VM, the retirement ends only after that VM has become a voter. A
 // leader that is retired transfers its leadership first.
 func TestRetireVM(t *testing.T) {
 	cl := newCluster(t, 4)
@@ -109,7 +109,7 @@
 	cl.replaceTable(2)
 }
 
-// A VM without known members has seeds that are gone, and the platform writes other seeds into
+// A VM without known members has seeds that no longer exist, and the platform writes others into
 // its settings. The VM has to announce itself to the new seeds.
 func TestVMFindsCoreThroughNewSeeds(t *testing.T) {
 	cl := newCluster(t, 4)
--- a/control/pkg/replica/repair_test.go
+++ b/control/pkg/replica/repair_test.go
@@ -15,8 +15,8 @@
 	"toucanhinge.example/control/pkg/disk"
 )
 
-// withFrequentCheckpoints takes frequent checkpoints and retains little of the log behind
-// them.
+// withFrequentCheckpoints takes frequent checkpoints and retains few of the log entries
+// that they cover.
 func withFrequentCheckpoints(c *Config) {
 	c.CheckpointEntries = 20
 	c.RetainEntries = 5
@@ -76,7 +76,7 @@
 // A VM loses its disk and returns empty under its old name. It doesn't take part: the
 // other two continue, and no acknowledged command is lost. An operator removes the old
 // member, adds the new one as a learner and promotes it. Right after the promotion
-// another VM is lost for good, and no command is missing.
+// another VM is lost permanently, and no command is missing.
 func TestReplicaWithLostDiskIsReplaced(t *testing.T) {
 	cl := newCluster(t, 3, withFrequentCheckpoints)
 	leader := cl.leader()
@@ -197,8 +197,8 @@
 	require.Equal(t, "after", all[len(all)-1])
 }
 
-// A replica is stopped as planned and transfers its leadership first. Proposals that
-// callers send meanwhile are neither lost nor duplicated.
+// The leader transfers its leadership before it is stopped. Proposals that callers send
+// during the transfer are neither lost nor duplicated.
 func TestLeadershipTransferLosesNoCommand(t *testing.T) {
 	cl := newCluster(t, 3, nil)
 	old := cl.leader()
