--- a/control/pkg/config/config.go
+++ b/control/pkg/config/config.go
@@ -9,15 +9,15 @@
 
 // Config is the whole settings file.
 type Config struct {
-	Name       string `toml:"name" doc:"this control VM's name, unique in the fleet"`
+	Name       string `toml:"name" doc:"unique name of this control VM in the fleet"`
 	Listen     string `toml:"listen" doc:"IP:port for all calls, health and metrics"`
-	DataFolder string `toml:"data_folder" doc:"folder for all state; it must be on a disk of its own VM"`
+	DataFolder string `toml:"data_folder" doc:"folder for all state; must be on this VM's own disk"`
 	LogLevel   string `toml:"log_level" doc:"debug, info, warn or error"`
-	Groups     uint32 `toml:"groups" doc:"consensus groups: one for configuration, the others share the jobs; the same on all control VMs and fixed once jobs exist"`
-	DataCentre string `toml:"data_centre" doc:"the data centre that this VM stands in"`
-	VM         string `toml:"vm" doc:"name of this VM in the platform's list; empty means the same as name"`
+	Groups     uint32 `toml:"groups" doc:"number of consensus groups: one for configuration, the others share the jobs; must be the same on all control VMs and cannot change once jobs exist"`
+	DataCentre string `toml:"data_centre" doc:"name of the data centre of this VM"`
+	VM         string `toml:"vm" doc:"name of this VM in the platform's VM list; empty means the same as name"`
 
-	Peers     []Peer    `toml:"peers" doc:"all control VMs that found the fleet, this one among them"`
+	Peers     []Peer    `toml:"peers" doc:"all control VMs that form the fleet initially, including this one"`
 	Consensus Consensus `toml:"consensus"`
 	Members   Members   `toml:"members"`
 	Jobs      Jobs      `toml:"jobs"`
@@ -28,49 +28,49 @@
 
 // Peer is one control VM.
 type Peer struct {
-	Name    string `toml:"name" doc:"its name"`
-	Address string `toml:"address" doc:"IP:port where the others reach it"`
+	Name    string `toml:"name" doc:"name of the control VM"`
+	Address string `toml:"address" doc:"IP:port at which the other control VMs reach it"`
 }
 
 // Consensus holds the settings of the consensus groups.
 type Consensus struct {
-	HeartbeatMS       int64  `toml:"heartbeat_ms" doc:"a leader's heartbeat, milliseconds"`
-	ElectionMS        int64  `toml:"election_ms" doc:"silence after which another leader is elected, milliseconds"`
-	CheckpointEntries uint64 `toml:"checkpoint_entries" doc:"log entries between two checkpoints"`
-	Join              bool   `toml:"join" doc:"this VM joins a fleet that exists: it founds nothing and waits to be added"`
+	HeartbeatMS       int64  `toml:"heartbeat_ms" doc:"interval of a leader's heartbeats"`
+	ElectionMS        int64  `toml:"election_ms" doc:"how long a leader may be unresponsive before another one is elected"`
+	CheckpointEntries uint64 `toml:"checkpoint_entries" doc:"number of log entries between two checkpoints"`
+	Join              bool   `toml:"join" doc:"true for a VM that joins an existing fleet: it does not create a fleet and waits to be added"`
 }
 
 // Members holds the lease and retention times of members.
 type Members struct {
-	LeaseMS  int64 `toml:"lease_ms" doc:"silence after which a process is declared dead, milliseconds"`
-	ForgetMS int64 `toml:"forget_ms" doc:"how long a dead process stays listed, milliseconds"`
+	LeaseMS  int64 `toml:"lease_ms" doc:"how long a process may be unresponsive before it is declared dead"`
+	ForgetMS int64 `toml:"forget_ms" doc:"how long a process that was declared dead remains listed"`
 }
 
 // Jobs holds the limits of batch work.
 type Jobs struct {
-	LeaseMS     int64  `toml:"lease_ms" doc:"silence after which leased items go to another sidecar, milliseconds"`
-	RetentionMS int64  `toml:"retention_ms" doc:"how long an ended job and its results stay, milliseconds; longer than clients resend"`
-	UploadMS    int64  `toml:"upload_ms" doc:"how long the items of a broken upload stay, milliseconds"`
-	MaxItems    uint64 `toml:"most_items" doc:"items in one job"`
-	ItemBytes   int    `toml:"item_bytes" doc:"largest body of one item"`
-	ResultBytes int    `toml:"result_bytes" doc:"largest result of one item"`
+	LeaseMS     int64  `toml:"lease_ms" doc:"how long a sidecar may be unresponsive before the items it leased go to another sidecar"`
+	RetentionMS int64  `toml:"retention_ms" doc:"how long an ended job and its results are retained; must be longer than clients resend requests"`
+	UploadMS    int64  `toml:"upload_ms" doc:"how long the items of an interrupted upload are retained"`
+	MaxItems    uint64 `toml:"most_items" doc:"maximum items in one job"`
+	ItemBytes   int    `toml:"item_bytes" doc:"maximum size of the body of one item"`
+	ResultBytes int    `toml:"result_bytes" doc:"maximum size of the result of one item"`
 }
 
 // Platform holds the settings of the platform's VM list and weight store.
 type Platform struct {
-	VMListURL      string `toml:"vm_list_url" doc:"where the platform lists its VMs; empty means nowhere"`
-	PollMS         int64  `toml:"poll_ms" doc:"time between two looks at the list, milliseconds"`
-	LoadsPerMinute int64  `toml:"loads_per_minute" doc:"loads that the weight store bears in a minute; 0 means no limit"`
+	VMListURL      string `toml:"vm_list_url" doc:"URL of the platform's VM list; empty means that there is none"`
+	PollMS         int64  `toml:"poll_ms" doc:"interval of reads of the VM list"`
+	LoadsPerMinute int64  `toml:"loads_per_minute" doc:"maximum loads per minute that the weight store can serve; 0 means no limit"`
 }
 
 // Claims holds the retention time of claims of non-idempotent requests.
 type Claims struct {
-	KeepMS int64 `toml:"keep_ms" doc:"how long after its deadline a claim is remembered, milliseconds; at least a day"`
+	KeepMS int64 `toml:"keep_ms" doc:"how long a claim is retained after its deadline; at least a day"`
 }
 
 // Operators holds the retention time of the responses to operators' request ids.
 type Operators struct {
-	RequestsMS int64 `toml:"requests_ms" doc:"how long the answer to a request id is remembered, milliseconds"`
+	RequestsMS int64 `toml:"requests_ms" doc:"how long the response to an operator's request id is retained"`
 }
 
 const (
@@ -151,14 +151,14 @@
 	check.Require(c.Consensus.CheckpointEntries >= 100, "consensus.checkpoint_entries", "want at least 100, got %d", c.Consensus.CheckpointEntries)
 	// Processes send heartbeats every 2 s; a lease has to survive the loss of two.
 	check.Require(c.Members.LeaseMS >= 6*second, "members.lease_ms", "want at least 6000, got %d", c.Members.LeaseMS)
-	check.Require(c.Members.ForgetMS >= minute, "members.forget_ms", "want at least a minute, got %d", c.Members.ForgetMS)
-	check.Require(c.Claims.KeepMS >= day, "claims.keep_ms", "want at least a day, got %d", c.Claims.KeepMS)
-	check.Require(c.Operators.RequestsMS >= hour, "operators.requests_ms", "want at least an hour, got %d", c.Operators.RequestsMS)
+	check.Require(c.Members.ForgetMS >= minute, "members.forget_ms", "want at least a minute, got %d ms", c.Members.ForgetMS)
+	check.Require(c.Claims.KeepMS >= day, "claims.keep_ms", "want at least a day, got %d ms", c.Claims.KeepMS)
+	check.Require(c.Operators.RequestsMS >= hour, "operators.requests_ms", "want at least an hour, got %d ms", c.Operators.RequestsMS)
 }
 
 func validateJobs(check *settings.Check, c *Config) {
 	check.Require(c.Jobs.LeaseMS >= second, "jobs.lease_ms", "want at least 1000, got %d", c.Jobs.LeaseMS)
-	check.Require(c.Jobs.RetentionMS >= minute, "jobs.retention_ms", "want at least a minute, got %d", c.Jobs.RetentionMS)
+	check.Require(c.Jobs.RetentionMS >= minute, "jobs.retention_ms", "want at least a minute, got %d ms", c.Jobs.RetentionMS)
 	check.Require(c.Jobs.UploadMS >= 10*second, "jobs.upload_ms", "want at least 10000, got %d", c.Jobs.UploadMS)
 	check.Require(c.Jobs.MaxItems >= 1 && c.Jobs.MaxItems <= 4*mib, "jobs.most_items", "want 1 to %d, got %d", 4*mib, c.Jobs.MaxItems)
 	check.Require(c.Jobs.ItemBytes >= 1 && c.Jobs.ItemBytes <= maxItemBytes, "jobs.item_bytes", "want 1 to %d, got %d", maxItemBytes, c.Jobs.ItemBytes)
--- a/gateway/pkg/config/config.go
+++ b/gateway/pkg/config/config.go
@@ -10,14 +10,14 @@
 
 // Settings is the content of the TOML settings file. All times are in milliseconds, all sizes in bytes.
 type Settings struct {
-	Name            string   `toml:"name" doc:"unique name of this gateway; a restart keeps it"`
+	Name            string   `toml:"name" doc:"unique name of this gateway; stays the same across restarts"`
 	Listen          string   `toml:"listen" doc:"IP:port for callers"`
 	AdminListen     string   `toml:"admin_listen" doc:"IP:port for health, metrics and the explain call"`
-	VM              string   `toml:"vm" doc:"name of the VM this runs on"`
+	VM              string   `toml:"vm" doc:"name of the VM that this gateway runs on"`
 	DataCentre      string   `toml:"data_centre" doc:"name of the data centre of that VM"`
 	Control         []string `toml:"control" doc:"IP:port of every control VM"`
 	LogLevel        string   `toml:"log_level" doc:"debug, info, warn or error"`
-	DecisionLogSize int      `toml:"records" doc:"happenings kept for the explain call"`
+	DecisionLogSize int      `toml:"records" doc:"number of events retained for the explain call"`
 
 	Limits Limits `toml:"limits"`
 	Retry  Retry  `toml:"retry"`
@@ -27,49 +27,49 @@
 
 // Limits bounds the resources that callers can occupy in the gateway.
 type Limits struct {
-	MaxBodyBytes        int   `toml:"body_bytes" doc:"largest body of one request"`
-	MaxBatchLineBytes   int   `toml:"batch_line_bytes" doc:"largest line of a batch upload"`
-	MaxBatchItems       int   `toml:"batch_items" doc:"most items of one batch upload"`
-	ResponseBufferBytes int   `toml:"answer_bytes" doc:"bytes of a whole answer held back until its end, so that a failure can still be retried; a longer one is passed through"`
-	ResumeTextBytes     int   `toml:"text_bytes" doc:"text of one streamed answer kept to resume it on another endpoint"`
-	SenderTimeout       int64 `toml:"sender_ms" doc:"time that a caller gets to send the body, and to make progress in a batch upload"`
-	ReaderTimeout       int64 `toml:"reader_ms" doc:"time that a caller gets to take one piece of an answer"`
-	DefaultDeadline     int64 `toml:"deadline_ms" doc:"deadline of a request when neither caller nor service names one"`
-	MaxDeadline         int64 `toml:"deadline_most_ms" doc:"longest deadline that a caller may ask for"`
-	MaxInFlight         int   `toml:"in_flight" doc:"online requests of all teams under way in this gateway"`
-	MaxTransfers        int   `toml:"uploads" doc:"batch uploads and result reads under way in this gateway"`
+	MaxBodyBytes        int   `toml:"body_bytes" doc:"maximum size of the body of one request"`
+	MaxBatchLineBytes   int   `toml:"batch_line_bytes" doc:"maximum size of one line of a batch upload"`
+	MaxBatchItems       int   `toml:"batch_items" doc:"maximum items in one batch upload"`
+	ResponseBufferBytes int   `toml:"answer_bytes" doc:"maximum size of a non-streamed answer that is buffered until its end, so that a failure can still be retried; a longer answer is passed through"`
+	ResumeTextBytes     int   `toml:"text_bytes" doc:"maximum text of one streamed answer retained to resume it on another endpoint"`
+	SenderTimeout       int64 `toml:"sender_ms" doc:"timeout for a caller to send the request body, and to make progress in a batch upload"`
+	ReaderTimeout       int64 `toml:"reader_ms" doc:"timeout for a caller to read one chunk of an answer"`
+	DefaultDeadline     int64 `toml:"deadline_ms" doc:"deadline of a request when neither the caller nor the service sets one"`
+	MaxDeadline         int64 `toml:"deadline_most_ms" doc:"maximum deadline that a caller may request"`
+	MaxInFlight         int   `toml:"in_flight" doc:"maximum online requests in progress in this gateway, over all teams"`
+	MaxTransfers        int   `toml:"uploads" doc:"maximum batch uploads and result reads in progress in this gateway"`
 }
 
 // Retry bounds the load that the gateway adds to the fleet by retries.
 type Retry struct {
-	MaxAttempts  int     `toml:"attempts" doc:"most attempts of one request, the first included"`
-	Ratio        float64 `toml:"ratio" doc:"retries earned by each request; 0.1 allows one retry after a failure for ten requests, or one after a refusal for twenty"`
-	Burst        int     `toml:"burst" doc:"most retries saved up; what one endpoint's death may cost at once"`
-	RefusedBurst int     `toml:"refused_burst" doc:"part of the burst that retries after refusals may use; the rest is for failures"`
-	StallTimeout int64   `toml:"stall_ms" doc:"silence between two pieces of a streamed answer that counts as a failure of the endpoint"`
-	ClaimTimeout int64   `toml:"claim_ms" doc:"longest wait for the claim of a non-idempotent request"`
+	MaxAttempts  int     `toml:"attempts" doc:"maximum attempts per request, including the first"`
+	Ratio        float64 `toml:"ratio" doc:"retries that each request adds to the retry budget; 0.1 allows one retry after a failure per ten requests, or one after a refusal per twenty"`
+	Burst        int     `toml:"burst" doc:"maximum retries accumulated in the budget; limits the retries that the failure of one endpoint can cause at once"`
+	RefusedBurst int     `toml:"refused_burst" doc:"part of burst that retries after refusals may use; the rest is reserved for retries after failures"`
+	StallTimeout int64   `toml:"stall_ms" doc:"time without data between two chunks of a streamed answer after which the endpoint counts as failed"`
+	ClaimTimeout int64   `toml:"claim_ms" doc:"timeout for the claim of a non-idempotent request"`
 }
 
 // Route configures how endpoints are selected, polled and ejected.
 type Route struct {
-	Policy              string  `toml:"policy" doc:"ours, or a baseline: random, least, two, affinity"`
-	SubsetSize          int     `toml:"subset" doc:"most endpoints of one service that this gateway uses"`
-	MaxReportsPerSecond int     `toml:"reports" doc:"most loads asked for in a second, over all services"`
-	ReportInterval      int64   `toml:"report_ms" doc:"age at which an endpoint's load is asked for"`
-	PrefixBytes         int     `toml:"prefix_bytes" doc:"bytes of the prompt that choose its preferred endpoint; 0 turns affinity off"`
-	LoadBound           float64 `toml:"bound" doc:"load above the mean, as a factor, up to which the preferred endpoint is kept"`
-	ConsecutiveFailures int     `toml:"failures" doc:"failures in a row that eject an endpoint"`
-	BaseEjectionTime    int64   `toml:"eject_ms" doc:"first ejection; doubles with each further one"`
-	MaxEjectionTime     int64   `toml:"eject_most_ms" doc:"longest ejection"`
-	OutlierFactor       float64 `toml:"outlier" doc:"time to the first token above the peers' median, as a factor, that ejects; 0 turns it off"`
-	SlowStartWindow     int64   `toml:"slow_start_ms" doc:"time over which a returning endpoint gets its full share"`
-	PollTimeout         int64   `toml:"poll_timeout_ms" doc:"wait for an endpoint's load before it counts as a failure"`
+	Policy              string  `toml:"policy" doc:"ours (the default policy), or a baseline: random, least (least loaded), two (two choices), affinity"`
+	SubsetSize          int     `toml:"subset" doc:"maximum endpoints of one service that this gateway uses"`
+	MaxReportsPerSecond int     `toml:"reports" doc:"maximum load reports requested per second, over all services"`
+	ReportInterval      int64   `toml:"report_ms" doc:"age of an endpoint's load report after which a new one is requested"`
+	PrefixBytes         int     `toml:"prefix_bytes" doc:"length of the prompt prefix that determines the preferred endpoint; 0 disables affinity"`
+	LoadBound           float64 `toml:"bound" doc:"maximum load of the preferred endpoint, as a multiple of the mean load, up to which it is still selected"`
+	ConsecutiveFailures int     `toml:"failures" doc:"consecutive failures after which an endpoint is ejected"`
+	BaseEjectionTime    int64   `toml:"eject_ms" doc:"duration of the first ejection; doubles with each further one"`
+	MaxEjectionTime     int64   `toml:"eject_most_ms" doc:"maximum duration of an ejection"`
+	OutlierFactor       float64 `toml:"outlier" doc:"time to first token, as a multiple of the peers' median, above which an endpoint is ejected; 0 disables this check"`
+	SlowStartWindow     int64   `toml:"slow_start_ms" doc:"time over which the share of a returning endpoint rises to its full value"`
+	PollTimeout         int64   `toml:"poll_timeout_ms" doc:"timeout of a load report request; a timeout counts as a failure"`
 }
 
 // Drain configures a planned stop.
 type Drain struct {
-	BalancerWait  int64 `toml:"balancer_ms" doc:"time for which requests are still taken after readiness fails, so that the balancer turns away"`
-	FinishTimeout int64 `toml:"finish_ms" doc:"longest wait for the requests under way"`
+	BalancerWait  int64 `toml:"balancer_ms" doc:"how long requests are still accepted after readiness fails, so that the load balancer has time to stop sending them"`
+	FinishTimeout int64 `toml:"finish_ms" doc:"maximum wait for the requests in progress"`
 }
 
 // Values of Route.Policy.
--- a/sidecar/pkg/config/config.go
+++ b/sidecar/pkg/config/config.go
@@ -17,16 +17,16 @@
 // Settings is the content of the TOML file. All times are in milliseconds, all sizes in
 // bytes.
 type Settings struct {
-	Name        string   `toml:"name" doc:"unique name of this endpoint; a restart keeps it"`
+	Name        string   `toml:"name" doc:"unique name of this endpoint; stays the same across restarts"`
 	Listen      string   `toml:"listen" doc:"IP:port for gateways"`
 	AdminListen string   `toml:"admin_listen" doc:"IP:port for health, metrics and the explain call"`
-	VM          string   `toml:"vm" doc:"name of the VM this runs on"`
+	VM          string   `toml:"vm" doc:"name of the VM that this sidecar runs on"`
 	DataCentre  string   `toml:"data_centre" doc:"name of the data centre of that VM"`
 	Service     string   `toml:"service" doc:"service that the engine or plain service belongs to"`
-	Kind        string   `toml:"kind" doc:"model or plain"`
+	Kind        string   `toml:"kind" doc:"kind of endpoint: model or plain"`
 	Control     []string `toml:"control" doc:"IP:port of every control VM"`
 	LogLevel    string   `toml:"log_level" doc:"debug, info, warn or error"`
-	Records     int      `toml:"records" doc:"happenings kept for the explain call"`
+	Records     int      `toml:"records" doc:"number of events retained for the explain call"`
 
 	Engine Engine `toml:"engine"`
 	Online Online `toml:"online"`
@@ -36,45 +36,45 @@
 
 // Engine configures the engine or plain service behind this sidecar.
 type Engine struct {
-	URL         string `toml:"url" doc:"where it listens, http://IP:port"`
-	Slots       int    `toml:"slots" doc:"requests that it runs at once"`
-	MinSlots    int    `toml:"floor" doc:"slots that are ours however much load of others the engine reports"`
-	PollMS      int64  `toml:"poll_ms" doc:"how often its load report is read; for a plain service, how often its port is tried"`
-	FailedPolls int    `toml:"failed_polls" doc:"polls without an answer in a row after which it counts as unhealthy"`
-	RecheckMS   int64  `toml:"recheck_ms" doc:"how often a resting engine is asked which order it holds"`
-	Orders      bool   `toml:"orders" doc:"false for an engine that takes no orders"`
+	URL         string `toml:"url" doc:"URL of the engine or plain service, http://IP:port"`
+	Slots       int    `toml:"slots" doc:"number of requests that the engine or plain service runs concurrently"`
+	MinSlots    int    `toml:"floor" doc:"minimum number of slots available, whatever load from other clients the engine reports"`
+	PollMS      int64  `toml:"poll_ms" doc:"interval of load report polls; for a plain service, of connection checks"`
+	FailedPolls int    `toml:"failed_polls" doc:"consecutive failed polls after which the engine or plain service counts as unhealthy"`
+	RecheckMS   int64  `toml:"recheck_ms" doc:"interval of reads of the order that an idle engine holds"`
+	Orders      bool   `toml:"orders" doc:"false for an engine that does not accept orders"`
 }
 
 // Online configures how requests of callers are admitted.
 type Online struct {
-	QueueLimit       int   `toml:"queue" doc:"most online requests that wait for a slot"`
-	RingSize         int   `toml:"ring" doc:"most events that wait for the admission machine"`
-	RetentionMS      int64 `toml:"keep_ms" doc:"how long an answer waits for a gateway whose connection broke"`
-	MaxAnswerBytes   int   `toml:"keep_bytes" doc:"bytes of one answer kept for that, and the most a slow reader may fall behind"`
-	MaxRetainedBytes int   `toml:"keep_total_bytes" doc:"bytes kept of all ended answers"`
-	MaxDedupRequests int   `toml:"once_requests" doc:"most non-idempotent requests remembered as started; above it new ones are refused"`
-	DedupRetentionMS int64 `toml:"once_keep_ms" doc:"how long each of them is remembered"`
+	QueueLimit       int   `toml:"queue" doc:"maximum online requests that wait for a slot"`
+	RingSize         int   `toml:"ring" doc:"maximum events that wait for the admission machine"`
+	RetentionMS      int64 `toml:"keep_ms" doc:"how long an answer is retained for a gateway whose connection broke"`
+	MaxAnswerBytes   int   `toml:"keep_bytes" doc:"maximum bytes of one answer retained after its connection broke, and maximum bytes that a slow reader may fall behind"`
+	MaxRetainedBytes int   `toml:"keep_total_bytes" doc:"maximum bytes retained of all ended answers together"`
+	MaxDedupRequests int   `toml:"once_requests" doc:"maximum non-idempotent requests recorded as started; new ones are refused above it"`
+	DedupRetentionMS int64 `toml:"once_keep_ms" doc:"how long a non-idempotent request remains recorded as started"`
 }
 
 // Batch configures how batch work shares the engine.
 type Batch struct {
-	Policy          string `toml:"policy" doc:"yield, or a baseline: naive gives the engine everything, fixed splits the slots"`
-	Slots           int    `toml:"slots" doc:"most slots that batch may hold; under fixed, the slots it owns; 0 takes none"`
-	LocalItems      int    `toml:"local" doc:"leased items kept waiting beside those in slots, so that a free slot is filled without a round trip"`
-	MaxPerLease     int    `toml:"ask" doc:"most items leased in one call"`
-	PrefillTokens   int    `toml:"prefill_tokens" doc:"most batch prompt tokens in prefill at once; a single longer item still runs"`
-	Weight          int    `toml:"weight" doc:"trade-off until the service's configuration is known: 0 favours online latency, 100 batch throughput"`
-	BurstWindowMS   int64  `toml:"burst_window_ms" doc:"span in which arrivals count as one burst"`
-	BurstHalfLifeMS int64  `toml:"burst_half_life_ms" doc:"time after which a past burst counts half for the headroom"`
-	FlushMS         int64  `toml:"flush_ms" doc:"longest wait of an outcome for others to be reported with"`
-	FlushItems      int    `toml:"flush_items" doc:"outcomes reported at once"`
-	ResultBytes     int    `toml:"result_bytes" doc:"largest result of one item; a larger one fails the item"`
+	Policy          string `toml:"policy" doc:"yield, or a baseline: naive sends everything to the engine immediately, fixed splits the slots"`
+	Slots           int    `toml:"slots" doc:"maximum slots that batch work may hold; under the fixed policy, the slots reserved for it; 0 means none"`
+	LocalItems      int    `toml:"local" doc:"number of leased items that wait in the sidecar, in addition to those in slots, so that a free slot is filled without a round trip"`
+	MaxPerLease     int    `toml:"ask" doc:"maximum items requested per lease call"`
+	PrefillTokens   int    `toml:"prefill_tokens" doc:"maximum batch prompt tokens in prefill at once; a single longer item still runs"`
+	Weight          int    `toml:"weight" doc:"trade-off used until the service's configuration is known: 0 favours online latency, 100 batch throughput"`
+	BurstWindowMS   int64  `toml:"burst_window_ms" doc:"interval in which arrivals count as one burst"`
+	BurstHalfLifeMS int64  `toml:"burst_half_life_ms" doc:"time after which a past burst counts half in the calculation of the headroom"`
+	FlushMS         int64  `toml:"flush_ms" doc:"maximum time that an outcome waits to be reported together with others"`
+	FlushItems      int    `toml:"flush_items" doc:"number of outcomes reported at once"`
+	ResultBytes     int    `toml:"result_bytes" doc:"maximum size of the result of one item; a larger one fails the item"`
 }
 
 // Drain configures the planned shutdown.
 type Drain struct {
-	LingerMS int64 `toml:"linger_ms" doc:"time for which refusals are still answered after the last request ended, so that gateways learn of the leaving"`
-	FinishMS int64 `toml:"finish_ms" doc:"longest wait for the requests under way"`
+	LingerMS int64 `toml:"linger_ms" doc:"how long refusals are still returned after the last request ended, so that gateways see the drain"`
+	FinishMS int64 `toml:"finish_ms" doc:"maximum wait for the requests in progress"`
 }
 
 // Defaults returns the settings that apply where the file sets none.
