--- a/control/pkg/app/app.go
+++ b/control/pkg/app/app.go
@@ -22,8 +22,8 @@
 	// stopTimeout limits a planned stop. Calls in flight are short, except streams of
 	// results and uploads.
 	stopTimeout clock.Millis = 30_000
-	// bookEvents is the number of recorded events that operators can query.
-	bookEvents = 16_384
+	// decisionLogEvents is the number of events in the decision log, which operators can query.
+	decisionLogEvents = 16_384
 )
 
 // Run serves until a signal stops the process or a replica fails.
@@ -33,10 +33,10 @@
 		fx.NopLogger,
 		fx.StopTimeout(stopTimeout.Duration()),
 		fx.Supply(settings),
-		fx.Provide(clock.System, health.New, newLogger, newMetrics, newBook, newGroups, newComponents, newProcess),
+		fx.Provide(clock.System, health.New, newLogger, newMetrics, newDecisionLog, newGroups, newComponents, newProcess),
 		fx.Invoke(func(lifecycle fx.Lifecycle, p *process) {
-			lifecycle.Append(fx.Hook{OnStart: p.start, OnStop: func(stop context.Context) error {
-				err := p.stop(stop)
+			lifecycle.Append(fx.Hook{OnStart: p.start, OnStop: func(ctx context.Context) error {
+				err := p.stop(ctx)
 				failure = p.err()
 				return err
 			}})
@@ -60,6 +60,6 @@
 	return metrics.New(program)
 }
 
-func newBook(settings config.Config, now clock.Clock) *record.Log {
-	return record.New(record.Config{Clock: now, Process: settings.Name, Size: bookEvents})
+func newDecisionLog(settings config.Config, now clock.Clock) *record.Log {
+	return record.New(record.Config{Clock: now, Process: settings.Name, Size: decisionLogEvents})
 }
--- a/control/pkg/app/bench_test.go
+++ b/control/pkg/app/bench_test.go
@@ -122,19 +122,19 @@
 
 func benchRound(b *testing.B, client *control.Client, group uint32, sidecar string, maxItems uint32, completed *atomic.Int64) bool {
 	ctx := context.Background()
-	answer, err := control.Call(ctx, client, group, "lease",
+	response, err := control.Call(ctx, client, group, "lease",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.LeaseResponse], error) {
 			return r.Work.Lease(ctx, connect.NewRequest(&toucanhingev1.LeaseRequest{
 				Sidecar: sidecar, Incarnation: 1, Service: "servitudes-llm", Group: group, Most: maxItems,
 			}))
 		})
 	require.NoError(b, err)
-	if len(answer.Msg.GetItems()) == 0 {
+	if len(response.Msg.GetItems()) == 0 {
 		return false
 	}
 	request := &toucanhingev1.CompleteRequest{Sidecar: sidecar, Group: group}
 	body := make([]byte, 200)
-	for _, l := range answer.Msg.GetItems() {
+	for _, l := range response.Msg.GetItems() {
 		request.Completions = append(request.Completions, &toucanhingev1.Completion{
 			Job: l.GetJob(), Index: l.GetIndex(), Lease: l.GetLease(), Outcome: toucanhingev1.Outcome_OUTCOME_DONE, Body: body,
 		})
--- a/control/pkg/app/components.go
+++ b/control/pkg/app/components.go
@@ -35,66 +35,66 @@
 
 // components holds the handler that the process serves and its background components.
 type components struct {
-	members *fleet.LeaseTracker
-	leases  *work.LeaseTracker
-	vms     *platform.Poller
-	handler http.Handler
+	memberLeases *fleet.LeaseTracker
+	itemLeases   *work.LeaseTracker
+	vmPoller     *platform.Poller
+	handler      http.Handler
 }
 
 func newComponents(
-	settings config.Config, now clock.Clock, logger log.Logger, set *metrics.Set, book *record.Log,
+	settings config.Config, now clock.Clock, logger log.Logger, set *metrics.Set, decisionLog *record.Log,
 	status *health.Status, gs *groups,
 ) *components {
 	c := &components{
-		members: fleet.NewLeaseTracker(fleet.LeaseTrackerConfig{
+		memberLeases: fleet.NewLeaseTracker(fleet.LeaseTrackerConfig{
 			Fleet: gs.fleet, Clock: now, Logger: logger,
 			Lease: clock.Millis(settings.Members.LeaseMS), ForgetAfter: clock.Millis(settings.Members.ForgetMS),
 			ClaimRetention: clock.Millis(settings.Claims.KeepMS), RequestRetention: clock.Millis(settings.Operators.RequestsMS),
 		}),
-		leases: work.NewLeaseTracker(work.LeaseTrackerConfig{
+		itemLeases: work.NewLeaseTracker(work.LeaseTrackerConfig{
 			Groups: gs.jobs, Clock: now, Logger: logger, Lease: clock.Millis(settings.Jobs.LeaseMS),
 			UploadRetention: clock.Millis(settings.Jobs.UploadMS), JobRetention: clock.Millis(settings.Jobs.RetentionMS),
 		}),
 	}
 	if settings.Platform.VMListURL != "" {
-		c.vms = platform.New(platform.Config{
+		c.vmPoller = platform.New(platform.Config{
 			URL: settings.Platform.VMListURL, Interval: clock.Millis(settings.Platform.PollMS).Duration(),
 			HTTP: &http.Client{}, Fleet: gs.fleet, Logger: logger, Refused: set.Refused,
 		})
 	}
 	set.Registry.MustRegister(&stateCollector{groups: gs})
-	c.handler = c.routes(settings, now, set, book, status, gs)
+	c.handler = c.routes(settings, now, set, decisionLog, status, gs)
 	return c
 }
 
 func (c *components) routes(
-	settings config.Config, now clock.Clock, set *metrics.Set, book *record.Log, status *health.Status, gs *groups,
+	settings config.Config, now clock.Clock, set *metrics.Set, decisionLog *record.Log, status *health.Status, gs *groups,
 ) http.Handler {
 	refuser := group.Refuser{Refused: set.Refused}
-	jobs := entry.New(entry.Config{
-		Groups: gs.jobs, GroupCount: settings.Groups, Fleet: gs.fleet, Book: book, Refuser: refuser,
+	jobHandler := entry.New(entry.Config{
+		Groups: gs.jobs, GroupCount: settings.Groups, Fleet: gs.fleet, Log: decisionLog, Refuser: refuser,
 		MaxItems: settings.Jobs.MaxItems, ItemBytes: settings.Jobs.ItemBytes,
 	})
-	items := work.New(work.Config{
-		Groups: gs.jobs, Fleet: gs.fleet, Leases: c.leases, Clock: now, Book: book, Refuser: refuser,
+	workHandler := work.New(work.Config{
+		Groups: gs.jobs, Fleet: gs.fleet, Leases: c.itemLeases, Clock: now, Log: decisionLog, Refuser: refuser,
 		Lease: clock.Millis(settings.Jobs.LeaseMS), ResultBytes: settings.Jobs.ResultBytes,
 	})
-	members := fleet.New(fleet.Config{
-		Fleet: gs.fleet, Leases: c.members, Clock: now, Refuser: refuser,
+	fleetHandler := fleet.New(fleet.Config{
+		Fleet: gs.fleet, Leases: c.memberLeases, Clock: now, Refuser: refuser,
 		Groups: settings.Groups, Lease: clock.Millis(settings.Members.LeaseMS),
 	})
-	operators := operator.New(operator.Config{
-		Fleet: gs.fleet, Jobs: gs.jobs, Entry: jobs, Leases: c.members, Clock: now, Log: book, Refuser: refuser,
+	operatorHandler := operator.New(operator.Config{
+		Fleet: gs.fleet, Jobs: gs.jobs, Entry: jobHandler, Leases: c.memberLeases, Clock: now, Log: decisionLog, Refuser: refuser,
 		LoadInterval: loadInterval(settings),
 		Replicas:     operator.Replicas{Name: settings.Name, Identity: gs.identity, Status: gs.status, Change: gs.changeMember, TransferLeadership: gs.transferLeaderships},
 	})
 	limit := connect.WithHandlerOptions(connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(compressMinBytes))
 	mux := http.NewServeMux()
-	mux.Handle(toucanhingev1connect.NewJobServiceHandler(jobs, limit))
-	mux.Handle(toucanhingev1connect.NewWorkServiceHandler(items, limit))
-	mux.Handle(toucanhingev1connect.NewFleetServiceHandler(members, limit))
-	mux.Handle(toucanhingev1connect.NewOperatorServiceHandler(operators, limit))
-	mux.Handle(toucanhingev1connect.NewExplainServiceHandler(book, limit))
+	mux.Handle(toucanhingev1connect.NewJobServiceHandler(jobHandler, limit))
+	mux.Handle(toucanhingev1connect.NewWorkServiceHandler(workHandler, limit))
+	mux.Handle(toucanhingev1connect.NewFleetServiceHandler(fleetHandler, limit))
+	mux.Handle(toucanhingev1connect.NewOperatorServiceHandler(operatorHandler, limit))
+	mux.Handle(toucanhingev1connect.NewExplainServiceHandler(decisionLog, limit))
 	mux.Handle(toucanhingev1connect.NewReplicaServiceHandler(replica.NewServer(gs.replicas)))
 	gin.SetMode(gin.ReleaseMode)
 	router := gin.New()
--- a/control/pkg/app/groups.go
+++ b/control/pkg/app/groups.go
@@ -178,7 +178,7 @@
 		if alreadyApplied(g.Status(), request) {
 			continue
 		}
-		err := changeMemberOf(ctx, g, request)
+		err := changeGroupMember(ctx, g, request)
 		var notLeader *replica.NotLeaderError
 		switch {
 		case err == nil:
@@ -207,7 +207,7 @@
 
 var errUnknownChange = errors.New("want a change: add learner, promote or remove")
 
-func changeMemberOf(ctx context.Context, g *replica.Group, request *toucanhingev1.ChangeReplicaRequest) error {
+func changeGroupMember(ctx context.Context, g *replica.Group, request *toucanhingev1.ChangeReplicaRequest) error {
 	switch request.GetChange() {
 	case toucanhingev1.ReplicaChange_REPLICA_CHANGE_ADD_LEARNER:
 		return g.AddLearner(ctx, replica.Peer{Name: request.GetName(), Address: request.GetAddress(), Identity: request.GetIdentity()})
--- a/control/pkg/app/history_test.go
+++ b/control/pkg/app/history_test.go
@@ -176,14 +176,14 @@
 }
 
 func (c *cluster) readEntry(client *control.Client, name string, seen map[string]uint64) changeOutput {
-	answer, err := control.Call(c.context(), client, 0, "list",
+	response, err := control.Call(c.context(), client, 0, "list",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.ListEntriesResponse], error) {
 			return r.Operators.ListEntries(ctx, connect.NewRequest(&toucanhingev1.ListEntriesRequest{
 				Kind: toucanhingev1.Kind_KIND_DATA_CENTRE, Name: name,
 			}))
 		})
 	require.NoError(c.t, err)
-	for _, e := range answer.Msg.GetEntries() {
+	for _, e := range response.Msg.GetEntries() {
 		seen[name] = e.GetVersion()
 	}
 	return changeOutput{version: seen[name]}
@@ -197,13 +197,13 @@
 			Body: &toucanhingev1.Entry_DataCentre{DataCentre: &toucanhingev1.DataCentre{Region: id}},
 		},
 	}
-	answer, err := control.Call(c.context(), client, 0, "apply",
+	response, err := control.Call(c.context(), client, 0, "apply",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.ApplyResponse], error) {
 			return r.Operators.Apply(ctx, connect.NewRequest(request))
 		})
 	require.NoError(c.t, err)
-	seen[name] = answer.Msg.GetEntry().GetVersion()
-	return changeOutput{accepted: answer.Msg.GetAccepted(), version: seen[name]}
+	seen[name] = response.Msg.GetEntry().GetVersion()
+	return changeOutput{accepted: response.Msg.GetAccepted(), version: seen[name]}
 }
 
 // jobInput is a completion, a cancellation or a status request of a job of one item.
@@ -278,9 +278,9 @@
 	leased := map[string]*toucanhingev1.LeasedItem{}
 	var jobs []string
 	for n := range historyJobs {
-		answer, err := c.upload(fmt.Sprintf("lot-%d", n), 1)
+		response, err := c.upload(fmt.Sprintf("lot-%d", n), 1)
 		require.NoError(t, err)
-		jobs = append(jobs, answer.GetJob().GetId())
+		jobs = append(jobs, response.GetJob().GetId())
 	}
 	for len(leased) < historyJobs {
 		for _, l := range c.lease(8) {
@@ -313,19 +313,19 @@
 	output, err := control.Call(c.context(), client, 1, kind, func(ctx context.Context, r *control.Replica) (any, error) {
 		switch kind {
 		case kindGet:
-			answer, err := r.Jobs.GetJob(ctx, connect.NewRequest(&toucanhingev1.GetJobRequest{Team: "agence", Id: job}))
+			response, err := r.Jobs.GetJob(ctx, connect.NewRequest(&toucanhingev1.GetJobRequest{Team: "agence", Id: job}))
 			if err != nil {
 				return nil, err
 			}
-			return answer.Msg.GetJob().GetState(), nil
+			return response.Msg.GetJob().GetState(), nil
 		case kindCancel:
-			answer, err := r.Jobs.CancelJob(ctx, connect.NewRequest(&toucanhingev1.CancelJobRequest{Team: "agence", Id: job}))
+			response, err := r.Jobs.CancelJob(ctx, connect.NewRequest(&toucanhingev1.CancelJobRequest{Team: "agence", Id: job}))
 			if err != nil {
 				return nil, err
 			}
-			return answer.Msg.GetJob().GetState(), nil
+			return response.Msg.GetJob().GetState(), nil
 		default:
-			answer, err := r.Work.Complete(ctx, connect.NewRequest(&toucanhingev1.CompleteRequest{
+			response, err := r.Work.Complete(ctx, connect.NewRequest(&toucanhingev1.CompleteRequest{
 				Sidecar: "s1", Group: 1, Completions: []*toucanhingev1.Completion{{
 					Job: job, Index: l.GetIndex(), Lease: l.GetLease(), Outcome: toucanhingev1.Outcome_OUTCOME_DONE,
 				}},
@@ -333,7 +333,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return answer.Msg.GetVerdicts()[0], nil
+			return response.Msg.GetVerdicts()[0], nil
 		}
 	})
 	require.NoError(c.t, err)
--- a/control/pkg/app/node_test.go
+++ b/control/pkg/app/node_test.go
@@ -82,8 +82,8 @@
 	now, logger, set, status := clock.System(), log.NewNopLogger(), newMetrics(), health.New()
 	gs, err := newGroups(n.settings, now, logger, set)
 	require.NoError(t, err)
-	book := record.New(record.Config{Clock: now, Process: n.settings.Name, Size: 100})
-	n.process = newProcess(n.settings, status, logger, newComponents(n.settings, now, logger, set, book, status, gs), gs, nil)
+	decisionLog := record.New(record.Config{Clock: now, Process: n.settings.Name, Size: 100})
+	n.process = newProcess(n.settings, status, logger, newComponents(n.settings, now, logger, set, decisionLog, status, gs), gs, nil)
 	require.NoError(t, n.process.start(context.Background()))
 }
 
@@ -106,13 +106,13 @@
 // apply applies one configuration change, which must be accepted.
 func (c *cluster) apply(id string, entry *toucanhingev1.Entry) *toucanhingev1.Entry {
 	request := &toucanhingev1.ApplyRequest{RequestId: id, Entry: entry, Author: "test"}
-	answer, err := control.Call(c.context(), c.client, 0, "apply",
+	response, err := control.Call(c.context(), c.client, 0, "apply",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.ApplyResponse], error) {
 			return r.Operators.Apply(ctx, connect.NewRequest(request))
 		})
 	require.NoError(c.t, err)
-	require.True(c.t, answer.Msg.GetAccepted(), answer.Msg.GetReason())
-	return answer.Msg.GetEntry()
+	require.True(c.t, response.Msg.GetAccepted(), response.Msg.GetReason())
+	return response.Msg.GetEntry()
 }
 
 // createContract creates a contract of team agence for batch and online requests to
@@ -136,14 +136,14 @@
 }
 
 func (c *cluster) upload(key string, items int) (*toucanhingev1.UploadResponse, error) {
-	answer, err := control.Call(c.context(), c.client, 1, "upload",
+	response, err := control.Call(c.context(), c.client, 1, "upload",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.UploadResponse], error) {
 			return uploadItems(ctx, r, key, items)
 		})
 	if err != nil {
 		return nil, err
 	}
-	return answer.Msg, nil
+	return response.Msg, nil
 }
 
 func uploadItems(ctx context.Context, r *control.Replica, key string, items int) (*connect.Response[toucanhingev1.UploadResponse], error) {
@@ -165,14 +165,14 @@
 }
 
 func (c *cluster) lease(maxItems uint32) []*toucanhingev1.LeasedItem {
-	answer, err := control.Call(c.context(), c.client, 1, "lease",
+	response, err := control.Call(c.context(), c.client, 1, "lease",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.LeaseResponse], error) {
 			return r.Work.Lease(ctx, connect.NewRequest(&toucanhingev1.LeaseRequest{
 				Sidecar: "s1", Incarnation: 1, Service: "servitudes-llm", Group: 1, Most: maxItems,
 			}))
 		})
 	require.NoError(c.t, err)
-	return answer.Msg.GetItems()
+	return response.Msg.GetItems()
 }
 
 func (c *cluster) complete(leased []*toucanhingev1.LeasedItem) []toucanhingev1.Verdict {
@@ -183,12 +183,12 @@
 			Body: fmt.Appendf(nil, `{"of":%d}`, l.GetIndex()),
 		})
 	}
-	answer, err := control.Call(c.context(), c.client, 1, "complete",
+	response, err := control.Call(c.context(), c.client, 1, "complete",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.CompleteResponse], error) {
 			return r.Work.Complete(ctx, connect.NewRequest(request))
 		})
 	require.NoError(c.t, err)
-	return answer.Msg.GetVerdicts()
+	return response.Msg.GetVerdicts()
 }
 
 func (c *cluster) results(id string) []*toucanhingev1.Result {
--- a/control/pkg/app/process.go
+++ b/control/pkg/app/process.go
@@ -66,11 +66,11 @@
 	p.cancel = cancel
 	p.groups.reportFailures(ctx)
 	p.goBackground(p.serve)
-	p.goBackground(func() { p.components.members.Run(ctx) })
-	p.goBackground(func() { p.components.leases.Run(ctx) })
+	p.goBackground(func() { p.components.memberLeases.Run(ctx) })
+	p.goBackground(func() { p.components.itemLeases.Run(ctx) })
 	p.goBackground(func() { p.watchGroups(ctx) })
-	if p.components.vms != nil {
-		p.goBackground(func() { p.components.vms.Run(ctx) })
+	if p.components.vmPoller != nil {
+		p.goBackground(func() { p.components.vmPoller.Run(ctx) })
 	}
 	level.Info(p.logger).Log(logs.KeyEvent, "started", "listen", server.Address())
 	return nil
@@ -171,9 +171,9 @@
 	if _, err := p.groups.transferLeaderships(ctx); err != nil {
 		level.Warn(p.logger).Log(logs.KeyEvent, "handover-failed", logs.KeyError, err)
 	}
-	calls, cancel := context.WithTimeout(ctx, callTimeout)
+	callsCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := p.server.Shutdown(calls)
+	err := p.server.Shutdown(callsCtx)
 	p.background.Wait()
 	p.stopBatchers()
 	p.batchers.Wait()
--- a/control/pkg/disk/record.go
+++ b/control/pkg/disk/record.go
@@ -27,22 +27,22 @@
 	state consensus.HardState
 }
 
-func (s fileHeader) encode() []byte {
+func (h fileHeader) encode() []byte {
 	payload := []byte{byte(recordFileHeader), 0}
-	if s.reset {
+	if h.reset {
 		payload[1] = 1
 	}
-	payload = binary.LittleEndian.AppendUint64(payload, s.base.Index)
-	payload = binary.LittleEndian.AppendUint64(payload, s.base.Term)
-	return append(payload, encodeState(s.state)...)
+	payload = binary.LittleEndian.AppendUint64(payload, h.base.Index)
+	payload = binary.LittleEndian.AppendUint64(payload, h.base.Term)
+	return append(payload, encodeState(h.state)...)
 }
 
 func decodeFileHeader(payload []byte) (fileHeader, error) {
-	const fixed = 18
-	if len(payload) < fixed || recordKind(payload[0]) != recordFileHeader {
+	const fixedBytes = 18
+	if len(payload) < fixedBytes || recordKind(payload[0]) != recordFileHeader {
 		return fileHeader{}, errMalformedRecord
 	}
-	state, err := decodeState(payload[fixed:])
+	state, err := decodeState(payload[fixedBytes:])
 	return fileHeader{
 		reset: payload[1] == 1,
 		base: consensus.Base{
@@ -60,13 +60,13 @@
 }
 
 func decodeState(payload []byte) (consensus.HardState, error) {
-	const fixed = 9
-	if len(payload) < fixed || recordKind(payload[0]) != recordState {
+	const fixedBytes = 9
+	if len(payload) < fixedBytes || recordKind(payload[0]) != recordState {
 		return consensus.HardState{}, errMalformedRecord
 	}
 	return consensus.HardState{
 		Term: binary.LittleEndian.Uint64(payload[1:]),
-		Vote: string(payload[fixed:]),
+		Vote: string(payload[fixedBytes:]),
 	}, nil
 }
 
@@ -80,14 +80,14 @@
 }
 
 func decodeEntry(payload []byte) (consensus.Entry, error) {
-	const fixed = 21
-	if len(payload) < fixed || recordKind(payload[0]) != recordEntry {
+	const fixedBytes = 21
+	if len(payload) < fixedBytes || recordKind(payload[0]) != recordEntry {
 		return consensus.Entry{}, errMalformedRecord
 	}
 	return consensus.Entry{
 		Index: binary.LittleEndian.Uint64(payload[1:]),
 		Term:  binary.LittleEndian.Uint64(payload[9:]),
 		Kind:  consensus.EntryKind(binary.LittleEndian.Uint32(payload[17:])),
-		Data:  payload[fixed:],
+		Data:  payload[fixedBytes:],
 	}, nil
 }
--- a/control/pkg/entry/handler.go
+++ b/control/pkg/entry/handler.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	callUpload  = "upload"
-	callGet     = "get-job"
-	callCancel  = "cancel-job"
-	callResults = "read-results"
+	opUpload  = "upload"
+	opGet     = "get-job"
+	opCancel  = "cancel-job"
+	opResults = "read-results"
 
 	reasonInvalid  = "invalid"
 	reasonBroken   = "broken-off"
@@ -32,9 +32,9 @@
 	reasonNoJob    = "no-such-job"
 	reasonStorage  = "storage"
 
-	// stepOverheadBytes is the assumed size of a step, and of a result, without its
+	// approxStepBytes is the assumed size of a step, and of a result, without its
 	// payload.
-	stepOverheadBytes = 256
+	approxStepBytes = 256
 	// contractTimeout is how long an upload waits for its contract to reach this replica.
 	contractTimeout = time.Second
 )
@@ -46,7 +46,7 @@
 	// GroupCount is the number of consensus groups, including the configuration group.
 	GroupCount uint32
 	Fleet      *group.Fleet
-	Book       *record.Log
+	Log        *record.Log
 	Refuser    group.Refuser
 	// MaxItems is the maximum number of items of a job, ItemBytes the maximum size of
 	// each item's body.
@@ -67,15 +67,15 @@
 }
 
 // leaderGroup returns the job's group if this replica leads it.
-func (h *Handler) leaderGroup(call, id string) (*group.Jobs, error) {
+func (h *Handler) leaderGroup(op, id string) (*group.Jobs, error) {
 	number, err := jobname.GroupOf(id)
 	g := h.config.Groups[number]
 	if err != nil || g == nil {
-		return nil, h.config.Refuser.RefuseWith(call, reasonNoJob, connect.CodeNotFound, "%q is no job here", id)
+		return nil, h.config.Refuser.RefuseWith(op, reasonNoJob, connect.CodeNotFound, "%q is no job here", id)
 	}
 	name, address, self := g.Leader()
 	if !self {
-		return nil, h.config.Refuser.Refuse(call, &replica.NotLeaderError{Leader: name, Address: address})
+		return nil, h.config.Refuser.Refuse(op, &replica.NotLeaderError{Leader: name, Address: address})
 	}
 	return g, nil
 }
@@ -105,7 +105,7 @@
 		case <-timer.C:
 		case <-ctx.Done():
 		}
-		return permission{}, h.config.Refuser.RefuseWith(callUpload, reasonContract, connect.CodePermissionDenied,
+		return permission{}, h.config.Refuser.RefuseWith(opUpload, reasonContract, connect.CodePermissionDenied,
 			"team %q has no contract for batch work on service %q", header.GetTeam(), header.GetService())
 	}
 }
@@ -127,23 +127,23 @@
 func (h *Handler) GetJob(
 	ctx context.Context, request *connect.Request[toucanhingev1.GetJobRequest],
 ) (*connect.Response[toucanhingev1.GetJobResponse], error) {
-	g, err := h.leaderGroup(callGet, request.Msg.GetId())
+	g, err := h.leaderGroup(opGet, request.Msg.GetId())
 	if err != nil {
 		return nil, err
 	}
 	if err := g.Read(ctx); err != nil {
-		return nil, h.config.Refuser.Refuse(callGet, err)
+		return nil, h.config.Refuser.Refuse(opGet, err)
 	}
 	var status *toucanhingev1.JobStatus
 	g.Machine.View(func(s *jobstate.State) { status, err = s.Job(request.Msg.GetTeam(), request.Msg.GetId()) })
 	if err != nil {
-		return nil, h.noJobError(callGet, request.Msg.GetId(), err)
+		return nil, h.noJobError(opGet, request.Msg.GetId(), err)
 	}
 	return connect.NewResponse(&toucanhingev1.GetJobResponse{Job: status}), nil
 }
 
-func (h *Handler) noJobError(call, id string, err error) error {
-	return h.config.Refuser.RefuseWith(call, reasonNoJob, connect.CodeNotFound, "%q: %w", id, err)
+func (h *Handler) noJobError(op, id string, err error) error {
+	return h.config.Refuser.RefuseWith(op, reasonNoJob, connect.CodeNotFound, "%q: %w", id, err)
 }
 
 // CancelJob ends a job for good.
@@ -151,7 +151,7 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.CancelJobRequest],
 ) (*connect.Response[toucanhingev1.CancelJobResponse], error) {
 	if request.Msg.GetTeam() == "" {
-		return nil, h.config.Refuser.RefuseWith(callCancel, reasonInvalid, connect.CodeInvalidArgument, "the team is missing")
+		return nil, h.config.Refuser.RefuseWith(opCancel, reasonInvalid, connect.CodeInvalidArgument, "the team is missing")
 	}
 	return h.Cancel(ctx, request)
 }
@@ -160,18 +160,18 @@
 func (h *Handler) Cancel(
 	ctx context.Context, request *connect.Request[toucanhingev1.CancelJobRequest],
 ) (*connect.Response[toucanhingev1.CancelJobResponse], error) {
-	g, err := h.leaderGroup(callCancel, request.Msg.GetId())
+	g, err := h.leaderGroup(opCancel, request.Msg.GetId())
 	if err != nil {
 		return nil, err
 	}
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: request.Msg}}
-	answer, err := group.Do[jobstate.CancelAnswer](ctx, g.Steps, step, stepOverheadBytes)
+	result, err := group.Do[jobstate.CancelResult](ctx, g.Steps, step, approxStepBytes)
 	if err != nil {
-		return nil, h.config.Refuser.Refuse(callCancel, err)
+		return nil, h.config.Refuser.Refuse(opCancel, err)
 	}
-	if errors.Is(answer.Err, jobstate.ErrNoJob) {
-		return nil, h.noJobError(callCancel, request.Msg.GetId(), answer.Err)
+	if errors.Is(result.Err, jobstate.ErrNoJob) {
+		return nil, h.noJobError(opCancel, request.Msg.GetId(), result.Err)
 	}
-	h.config.Book.Add(request.Msg.GetId(), "cancelled", answer.Status.GetState().String())
-	return connect.NewResponse(&toucanhingev1.CancelJobResponse{Job: answer.Status}), nil
+	h.config.Log.Add(request.Msg.GetId(), "cancelled", result.Status.GetState().String())
+	return connect.NewResponse(&toucanhingev1.CancelJobResponse{Job: result.Status}), nil
 }
--- a/control/pkg/entry/results.go
+++ b/control/pkg/entry/results.go
@@ -25,12 +25,12 @@
 	stream *connect.ServerStream[toucanhingev1.ReadResultsResponse],
 ) error {
 	msg := request.Msg
-	g, err := h.leaderGroup(callResults, msg.GetId())
+	g, err := h.leaderGroup(opResults, msg.GetId())
 	if err != nil {
 		return err
 	}
 	if err := g.Read(ctx); err != nil {
-		return h.config.Refuser.Refuse(callResults, err)
+		return h.config.Refuser.Refuse(opResults, err)
 	}
 	for from := msg.GetFrom(); ; {
 		page, err := g.Machine.Results(msg.GetTeam(), msg.GetId(), from)
@@ -55,9 +55,9 @@
 // damaged files.
 func (h *Handler) readError(id string, err error) error {
 	if errors.Is(err, jobstate.ErrNoJob) || errors.Is(err, segment.ErrGone) {
-		return h.noJobError(callResults, id, jobstate.ErrNoJob)
+		return h.noJobError(opResults, id, jobstate.ErrNoJob)
 	}
-	return h.config.Refuser.RefuseWith(callResults, reasonStorage, connect.CodeDataLoss, "read results: %w", err)
+	return h.config.Refuser.RefuseWith(opResults, reasonStorage, connect.CodeDataLoss, "read results: %w", err)
 }
 
 func sendResults(results []*toucanhingev1.Result, stream *connect.ServerStream[toucanhingev1.ReadResultsResponse]) error {
@@ -65,7 +65,7 @@
 	size := 0
 	for _, result := range results {
 		response.Results = append(response.Results, result)
-		size += len(result.GetBody()) + stepOverheadBytes
+		size += len(result.GetBody()) + approxStepBytes
 		if size < responseBytes {
 			continue
 		}
--- a/control/pkg/entry/upload.go
+++ b/control/pkg/entry/upload.go
@@ -64,11 +64,11 @@
 	if err == nil {
 		err = errors.New("the upload ended without its end mark")
 	}
-	return h.config.Refuser.RefuseWith(callUpload, reasonBroken, connect.CodeInvalidArgument, "upload broken off: %w", err)
+	return h.config.Refuser.RefuseWith(opUpload, reasonBroken, connect.CodeInvalidArgument, "upload broken off: %w", err)
 }
 
 func (h *Handler) invalidError(format string, args ...any) error {
-	return h.config.Refuser.RefuseWith(callUpload, reasonInvalid, connect.CodeInvalidArgument, format, args...)
+	return h.config.Refuser.RefuseWith(opUpload, reasonInvalid, connect.CodeInvalidArgument, format, args...)
 }
 
 // uploadSession is the state of one upload stream.
@@ -104,7 +104,7 @@
 		return nil, h.invalidError("want a team and a key of at most %d bytes", maxNameBytes)
 	}
 	id := jobname.ID(header.GetTeam(), header.GetKey(), h.config.GroupCount)
-	g, err := h.leaderGroup(callUpload, id)
+	g, err := h.leaderGroup(opUpload, id)
 	if err != nil {
 		return nil, err
 	}
@@ -217,7 +217,7 @@
 func (u *uploadSession) propose(step *toucanhingev1.JobStep, size int) error {
 	var err error
 	for range stageAttempts {
-		_, err = group.Do[jobstate.StageAnswer](u.ctx, u.group.Steps, step, size)
+		_, err = group.Do[jobstate.StageResult](u.ctx, u.group.Steps, step, size)
 		if err == nil || !errors.Is(err, replica.ErrUnknown) {
 			return err
 		}
@@ -241,7 +241,7 @@
 	if u.firstError != nil {
 		other = u.firstError
 	}
-	return u.handler.config.Refuser.Refuse(callUpload, other)
+	return u.handler.config.Refuser.Refuse(opUpload, other)
 }
 
 // finish accepts the job once all its chunks are stored.
@@ -263,27 +263,27 @@
 		Upload: u.upload, Id: u.id, Header: u.header, Count: count, Digest: u.digest.Sum(nil),
 		Attempts: u.permission.service.GetItemAttempts(), Weight: u.permission.weight,
 	}}}
-	answer, err := group.Do[jobstate.AcceptAnswer](u.ctx, u.group.Steps, step, stepOverheadBytes)
+	result, err := group.Do[jobstate.AcceptResult](u.ctx, u.group.Steps, step, approxStepBytes)
 	if err != nil {
-		return nil, u.handler.config.Refuser.Refuse(callUpload, err)
+		return nil, u.handler.config.Refuser.Refuse(opUpload, err)
 	}
-	return u.response(answer)
+	return u.response(result)
 }
 
-func (u *uploadSession) response(answer jobstate.AcceptAnswer) (*connect.Response[toucanhingev1.UploadResponse], error) {
+func (u *uploadSession) response(result jobstate.AcceptResult) (*connect.Response[toucanhingev1.UploadResponse], error) {
 	refuser := u.handler.config.Refuser
 	switch {
-	case errors.Is(answer.Err, jobstate.ErrConflict):
-		return nil, refuser.RefuseWith(callUpload, reasonConflict, connect.CodeAlreadyExists, "key %q: %w", u.header.GetKey(), answer.Err)
-	case answer.Err != nil:
-		return nil, refuser.RefuseWith(callUpload, reasonBroken, connect.CodeAborted, "accept: %w", answer.Err)
+	case errors.Is(result.Err, jobstate.ErrConflict):
+		return nil, refuser.RefuseWith(opUpload, reasonConflict, connect.CodeAlreadyExists, "key %q: %w", u.header.GetKey(), result.Err)
+	case result.Err != nil:
+		return nil, refuser.RefuseWith(opUpload, reasonBroken, connect.CodeAborted, "accept: %w", result.Err)
 	}
 	event := "accepted"
-	if answer.Resend {
+	if result.Resend {
 		event = "resent"
 	}
-	u.handler.config.Book.Add(u.id, event, fmt.Sprintf("%d items, gateway %s", u.count, u.header.GetGateway()))
-	return connect.NewResponse(&toucanhingev1.UploadResponse{Job: answer.Status, Resend: answer.Resend}), nil
+	u.handler.config.Log.Add(u.id, event, fmt.Sprintf("%d items, gateway %s", u.count, u.header.GetGateway()))
+	return connect.NewResponse(&toucanhingev1.UploadResponse{Job: result.Status, Resend: result.Resend}), nil
 }
 
 func (u *uploadSession) cleanUp() {
--- a/control/pkg/fleetstate/apply.go
+++ b/control/pkg/fleetstate/apply.go
@@ -35,7 +35,7 @@
 // cachedResponse is the first response to a request id. The fingerprint identifies
 // the request that it belongs to.
 type cachedResponse struct {
-	at          clock.Millis
+	cachedAt    clock.Millis
 	fingerprint []byte
 	response    *toucanhingev1.ApplyResponse
 }
@@ -50,7 +50,7 @@
 func (c *responseCache) add(id string, r cachedResponse) {
 	c.byID[id] = r
 	c.order = append(c.order, id)
-	if len(c.order) > requestLimit {
+	if len(c.order) > maxCachedResponses {
 		c.evictOldest()
 	}
 }
@@ -61,7 +61,7 @@
 }
 
 func (c *responseCache) evictBefore(at clock.Millis) {
-	for len(c.order) > 0 && c.byID[c.order[0]].at < at {
+	for len(c.order) > 0 && c.byID[c.order[0]].cachedAt < at {
 		c.evictOldest()
 	}
 }
@@ -81,7 +81,7 @@
 		return first.response
 	}
 	response := s.decide(step)
-	s.responses.add(request.GetRequestId(), cachedResponse{at: s.now, fingerprint: fingerprint, response: response})
+	s.responses.add(request.GetRequestId(), cachedResponse{cachedAt: s.now, fingerprint: fingerprint, response: response})
 	return response
 }
 
--- a/control/pkg/fleetstate/claims.go
+++ b/control/pkg/fleetstate/claims.go
@@ -25,8 +25,8 @@
 
 // claimIndex finds claims by request and by deadline.
 type claimIndex struct {
-	byID  map[claimKey]*claim
-	byAge claimHeap
+	byID       map[claimKey]*claim
+	byDeadline claimHeap
 }
 
 // ClaimResult is the result of a claim step.
@@ -75,7 +75,7 @@
 		deadline: max(clock.Millis(request.GetDeadlineMs()), s.now),
 	}
 	s.claims.byID[key] = c
-	heap.Push(&s.claims.byAge, c)
+	heap.Push(&s.claims.byDeadline, c)
 	s.counts.ClaimsGranted++
 	return ClaimResult{State: toucanhingev1.ClaimState_CLAIM_STATE_GRANTED}
 }
@@ -96,7 +96,7 @@
 			return SettleResult{}
 		}
 		delete(s.claims.byID, c.key)
-		heap.Remove(&s.claims.byAge, c.heapIndex)
+		heap.Remove(&s.claims.byDeadline, c.heapIndex)
 	case toucanhingev1.ClaimState_CLAIM_STATE_RUN:
 		c.state = toucanhingev1.ClaimState_CLAIM_STATE_RUN
 	case toucanhingev1.ClaimState_CLAIM_STATE_UNKNOWN:
@@ -118,8 +118,8 @@
 func (s *State) sweep(step *toucanhingev1.FleetSweepStep) any {
 	s.responses.evictBefore(clock.Millis(step.GetRequestsBeforeMs()))
 	var result SweepResult
-	for len(s.claims.byAge) > 0 && s.claims.byAge[0].deadline < clock.Millis(step.GetClaimsBeforeMs()) {
-		c := heap.Pop(&s.claims.byAge).(*claim)
+	for len(s.claims.byDeadline) > 0 && s.claims.byDeadline[0].deadline < clock.Millis(step.GetClaimsBeforeMs()) {
+		c := heap.Pop(&s.claims.byDeadline).(*claim)
 		delete(s.claims.byID, c.key)
 		result.Claims++
 		s.counts.ClaimsExpired++
--- a/control/pkg/fleetstate/fuzz_test.go
+++ b/control/pkg/fleetstate/fuzz_test.go
@@ -342,7 +342,7 @@
 		}
 		require.Len(t, s.entries, len(h.entries))
 		require.Len(t, s.claims.byID, len(h.claims))
-		require.Len(t, s.claims.byAge, len(h.claims))
+		require.Len(t, s.claims.byDeadline, len(h.claims))
 	})
 }
 
--- a/control/pkg/fleetstate/machine.go
+++ b/control/pkg/fleetstate/machine.go
@@ -90,7 +90,7 @@
 func (m *Machine) Load(manifest []byte) error {
 	snapshot := &toucanhingev1.FleetSnapshot{}
 	if err := proto.Unmarshal(manifest, snapshot); err != nil {
-		return fmt.Errorf("decode checkpoint: %w", err)
+		return fmt.Errorf("decode the checkpoint: %w", err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,7 +111,7 @@
 func (m *Machine) Import(r io.Reader) ([]byte, error) {
 	manifest, err := io.ReadAll(r)
 	if err != nil {
-		return nil, fmt.Errorf("receive checkpoint: %w", err)
+		return nil, fmt.Errorf("receive the checkpoint: %w", err)
 	}
 	return manifest, m.Load(manifest)
 }
@@ -125,10 +125,10 @@
 	for _, id := range s.responses.order {
 		r := s.responses.byID[id]
 		snapshot.Requests = append(snapshot.Requests, &toucanhingev1.RememberedRequest{
-			Id: id, AtMs: int64(r.at), Digest: r.fingerprint, Answer: r.response,
+			Id: id, AtMs: int64(r.cachedAt), Digest: r.fingerprint, Answer: r.response,
 		})
 	}
-	for _, c := range s.claims.byAge {
+	for _, c := range s.claims.byDeadline {
 		snapshot.Claims = append(snapshot.Claims, &toucanhingev1.RememberedClaim{
 			Team: c.key.team, RequestId: c.key.request, Token: c.token, DeadlineMs: int64(c.deadline), State: c.state,
 		})
@@ -150,13 +150,13 @@
 		}
 	}
 	for _, r := range snapshot.GetRequests() {
-		s.responses.add(r.GetId(), cachedResponse{at: clock.Millis(r.GetAtMs()), fingerprint: r.GetDigest(), response: r.GetAnswer()})
+		s.responses.add(r.GetId(), cachedResponse{cachedAt: clock.Millis(r.GetAtMs()), fingerprint: r.GetDigest(), response: r.GetAnswer()})
 	}
 	for _, c := range snapshot.GetClaims() {
 		key := claimKey{team: c.GetTeam(), request: c.GetRequestId()}
 		restored := &claim{key: key, token: c.GetToken(), deadline: clock.Millis(c.GetDeadlineMs()), state: c.GetState()}
 		s.claims.byID[key] = restored
-		heap.Push(&s.claims.byAge, restored)
+		heap.Push(&s.claims.byDeadline, restored)
 	}
 	return s
 }
--- a/control/pkg/fleetstate/state.go
+++ b/control/pkg/fleetstate/state.go
@@ -17,8 +17,8 @@
 	// historyLimit is the number of changes that a delta can cover. A watcher that lacks
 	// more gets the whole configuration.
 	historyLimit = 4096
-	// requestLimit is the number of responses to operators that are cached for resends.
-	requestLimit = 10_000
+	// maxCachedResponses is the number of responses to operators that are cached for resends.
+	maxCachedResponses = 10_000
 	// claimLimit is the number of claims that are stored. Further claims are refused,
 	// because evicting an unexpired claim could let a request run twice.
 	claimLimit = 1_000_000
--- a/control/pkg/group/batcher.go
+++ b/control/pkg/group/batcher.go
@@ -24,7 +24,7 @@
 	proposeTimeout = 10 * time.Second
 )
 
-var errUnexpectedAnswer = errors.New("the machine gave no answer of the step's type")
+var errUnexpectedResult = errors.New("the machine gave no answer of the step's type")
 
 // BatcherConfig configures a batcher.
 type BatcherConfig[S any] struct {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Do proposes a step of about size bytes and returns the machine's answer. The
+// Do proposes a step of about size bytes and returns the machine's result. The
 // errors are those of replica.Group.Propose.
 func (b *Batcher[S]) Do(ctx context.Context, step S, size int) (any, error) {
 	s := pendingStep[S]{step: step, size: size, result: make(chan stepResult, 1)}
@@ -138,13 +138,13 @@
 	// The steps belong to several callers, so no caller's context may end the proposal.
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
-	answers, err := b.proposeSteps(ctx, batch)
+	results, err := b.proposeSteps(ctx, batch)
 	for i, s := range batch {
 		if err != nil {
 			s.result <- stepResult{err: err}
 			continue
 		}
-		s.result <- stepResult{value: answers[i]}
+		s.result <- stepResult{value: results[i]}
 	}
 }
 
@@ -161,9 +161,9 @@
 	if err != nil {
 		return nil, err
 	}
-	answers, fits := result.([]any)
-	if !fits || len(answers) != len(batch) {
-		return nil, errUnexpectedAnswer
+	results, fits := result.([]any)
+	if !fits || len(results) != len(batch) {
+		return nil, errUnexpectedResult
 	}
-	return answers, nil
+	return results, nil
 }
--- a/control/pkg/group/batcher_test.go
+++ b/control/pkg/group/batcher_test.go
@@ -19,7 +19,7 @@
 
 const testTimeout = 10 * time.Second
 
-// echoGroup returns each step as its own answer and counts the proposals.
+// echoGroup returns each step as its own result and counts the proposals.
 type echoGroup struct {
 	proposals atomic.Int64
 	release   chan struct{}
@@ -38,11 +38,11 @@
 	if err := json.Unmarshal(command, &steps); err != nil {
 		return nil, err
 	}
-	answers := make([]any, 0, len(steps))
+	results := make([]any, 0, len(steps))
 	for _, s := range steps {
-		answers = append(answers, s)
+		results = append(results, s)
 	}
-	return answers, nil
+	return results, nil
 }
 
 func newBatcher(t *testing.T, propose func(context.Context, []byte) (any, error)) *Batcher[int] {
@@ -61,9 +61,9 @@
 	return b
 }
 
-// TestBatcherReturnsEachCallerItsAnswer has many callers propose at once. Their steps
-// share log entries, and no caller may get the answer of another caller's step.
-func TestBatcherReturnsEachCallerItsAnswer(t *testing.T) {
+// TestBatcherReturnsEachCallerItsResult has many callers propose at once. Their steps
+// share log entries, and no caller may get the result of another caller's step.
+func TestBatcherReturnsEachCallerItsResult(t *testing.T) {
 	// The steps fill more than three batches, so that maxInFlight batches are needed,
 	// however many steps wait when the first batch is collected.
 	const callers = 2_000
@@ -74,9 +74,9 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			answer, err := Do[int](context.Background(), b, i, 1)
+			result, err := Do[int](context.Background(), b, i, 1)
 			require.NoError(t, err)
-			require.Equal(t, i, answer)
+			require.Equal(t, i, result)
 		}()
 	}
 	require.Eventually(t, func() bool { return e.proposals.Load() == maxInFlight }, testTimeout, time.Millisecond)
--- a/control/pkg/group/group.go
+++ b/control/pkg/group/group.go
@@ -18,7 +18,7 @@
 // Group holds the functions of one consensus group, so that tests can replace them.
 type Group struct {
 	Number uint32
-	// Propose returns the machine's answer once the command is synced on a majority.
+	// Propose returns the machine's result once the command is synced on a majority.
 	Propose func(ctx context.Context, command []byte) (any, error)
 	// Read returns once this replica is confirmed as the leader and has applied every
 	// entry that was acknowledged before the call.
@@ -66,16 +66,16 @@
 	return &Jobs{Group: g, Machine: machine, Steps: steps}
 }
 
-// Do proposes one step and returns its answer as a value of type A.
-func Do[A, S any](ctx context.Context, b *Batcher[S], step S, size int) (A, error) {
-	answer, err := b.Do(ctx, step, size)
+// Do proposes one step and returns its result as a value of type R.
+func Do[R, S any](ctx context.Context, b *Batcher[S], step S, size int) (R, error) {
+	result, err := b.Do(ctx, step, size)
 	if err != nil {
-		var none A
+		var none R
 		return none, err
 	}
-	typed, fits := answer.(A)
+	typed, fits := result.(R)
 	if !fits {
-		return typed, errUnexpectedAnswer
+		return typed, errUnexpectedResult
 	}
 	return typed, nil
 }
--- a/control/pkg/group/refusal.go
+++ b/control/pkg/group/refusal.go
@@ -24,25 +24,25 @@
 
 // Refuser creates the connect errors of refused calls and counts them.
 type Refuser struct {
-	// Refused counts refusals by call and reason; may be nil.
+	// Refused counts refusals by operation and reason; may be nil.
 	Refused *prometheus.CounterVec
 }
 
 // Refuse converts an error of a group to a connect error. Callers retry unavailable
 // calls, also after an unknown outcome, since all calls are idempotent.
-func (r Refuser) Refuse(call string, err error) *connect.Error {
+func (r Refuser) Refuse(op string, err error) *connect.Error {
 	reason, refusal := toConnectError(err)
-	return r.count(call, reason, refusal)
+	return r.count(op, reason, refusal)
 }
 
 // RefuseWith returns a connect error for a reason that the handler gives.
-func (r Refuser) RefuseWith(call, reason string, code connect.Code, format string, args ...any) *connect.Error {
-	return r.count(call, reason, connect.NewError(code, fmt.Errorf(format, args...)))
+func (r Refuser) RefuseWith(op, reason string, code connect.Code, format string, args ...any) *connect.Error {
+	return r.count(op, reason, connect.NewError(code, fmt.Errorf(format, args...)))
 }
 
-func (r Refuser) count(call, reason string, refusal *connect.Error) *connect.Error {
+func (r Refuser) count(op, reason string, refusal *connect.Error) *connect.Error {
 	if r.Refused != nil {
-		r.Refused.WithLabelValues(call, reason).Inc()
+		r.Refused.WithLabelValues(op, reason).Inc()
 	}
 	return refusal
 }
--- a/control/pkg/jobstate/bench_test.go
+++ b/control/pkg/jobstate/bench_test.go
@@ -42,10 +42,10 @@
 		var leased []Leased
 		start = time.Now()
 		for len(leased) < benchJob {
-			answer := apply(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
+			result := apply(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
 				Request: &toucanhingev1.LeaseRequest{Sidecar: fmt.Sprint(len(leased) % 600), Service: testService, Most: benchBatch},
-			}}}).(LeaseAnswer)
-			leased = append(leased, answer.Items...)
+			}}}).(LeaseResult)
+			leased = append(leased, result.Items...)
 		}
 		perItem("lease", start)
 		start = time.Now()
@@ -81,10 +81,10 @@
 		}
 		apply(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Stage{Stage: step}})
 	}
-	answer := apply(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Accept{Accept: &toucanhingev1.AcceptStep{
+	result := apply(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Accept{Accept: &toucanhingev1.AcceptStep{
 		Upload: "u", Id: "j1-a", Count: benchJob, Header: &toucanhingev1.UploadHeader{Team: "agence", Service: testService},
-	}}}).(AcceptAnswer)
-	require.NoError(b, answer.Err)
+	}}}).(AcceptResult)
+	require.NoError(b, result.Err)
 }
 
 func benchComplete(b *testing.B, apply func(*toucanhingev1.JobStep) any, leased []Leased) {
@@ -95,7 +95,7 @@
 				Job: l.Job, Index: uint64(l.Index), Lease: l.Lease, Outcome: toucanhingev1.Outcome_OUTCOME_DONE, Body: make([]byte, benchBody),
 			})
 		}
-		answer := apply(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: request}}).(CompleteAnswer)
-		require.Equal(b, toucanhingev1.Verdict_VERDICT_ACCEPTED, answer.Verdicts[0])
+		result := apply(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: request}}).(CompleteResult)
+		require.Equal(b, toucanhingev1.Verdict_VERDICT_ACCEPTED, result.Verdicts[0])
 	}
 }
--- a/control/pkg/jobstate/fuzz_test.go
+++ b/control/pkg/jobstate/fuzz_test.go
@@ -57,16 +57,16 @@
 	history      []leasedItem
 	highestLease uint64
 	knownLeases  map[uint64]bool
-	// manifest is the last checkpoint. log and answers are the commands applied
-	// since then and their answers.
+	// manifest is the last checkpoint. log and results are the commands applied
+	// since then and their results.
 	manifest []byte
 	log      [][]byte
-	answers  [][]any
+	results  [][]any
 	uploads  int
 }
 
 func openMachine(t require.TestingT, folder string, manifest []byte) *Machine {
-	m := NewMachine(MachineConfig{Folder: folder, Roll: 2_000, Fatal: func(err error) { require.NoError(t, err) }})
+	m := NewMachine(MachineConfig{Folder: folder, MaxFileBytes: 2_000, Fatal: func(err error) { require.NoError(t, err) }})
 	require.NoError(t, m.Load(manifest))
 	return m
 }
@@ -81,9 +81,9 @@
 func (m *modelTest) step(step *toucanhingev1.JobStep) any {
 	command, err := proto.Marshal(&toucanhingev1.JobCommand{AtMs: m.now, Steps: []*toucanhingev1.JobStep{step}})
 	require.NoError(m.t, err)
-	answers := m.machine.Apply(0, command).([]any)
-	m.log, m.answers = append(m.log, command), append(m.answers, answers)
-	return answers[0]
+	results := m.machine.Apply(0, command).([]any)
+	m.log, m.results = append(m.log, command), append(m.results, results)
+	return results[0]
 }
 
 // Upload uploads a job. Some uploads are resends, some reuse the key of another
@@ -105,23 +105,23 @@
 			m.stage(upload, content, first, min(first+chunk, count))
 		}
 	}
-	answer := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Accept{Accept: &toucanhingev1.AcceptStep{
+	result := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Accept{Accept: &toucanhingev1.AcceptStep{
 		Upload: upload, Id: id, Count: count, Digest: []byte(content), Attempts: 2,
 		Header: &toucanhingev1.UploadHeader{Team: team, Key: id, Service: testService, DeadlineMs: m.now + int64(len(id))},
-	}}}).(AcceptAnswer)
+	}}}).(AcceptResult)
 	known := m.jobs[id]
 	switch {
 	case known != nil && known.content != content:
-		require.ErrorIs(t, answer.Err, ErrConflict)
+		require.ErrorIs(t, result.Err, ErrConflict)
 	case known != nil:
-		require.NoError(t, answer.Err)
-		require.True(t, answer.Resend)
-		require.Equal(t, known.state, answer.Status.GetState())
+		require.NoError(t, result.Err)
+		require.True(t, result.Resend)
+		require.Equal(t, known.state, result.Status.GetState())
 	case lost:
-		require.ErrorIs(t, answer.Err, ErrIncomplete)
+		require.ErrorIs(t, result.Err, ErrIncomplete)
 	default:
-		require.NoError(t, answer.Err)
-		require.False(t, answer.Resend)
+		require.NoError(t, result.Err)
+		require.False(t, result.Resend)
 		m.jobs[id] = &modelJob{content: content, state: toucanhingev1.JobState_JOB_STATE_ACCEPTED, items: make([]modelItem, count)}
 	}
 }
@@ -145,14 +145,14 @@
 	if rapid.IntRange(0, 5).Draw(t, "restricted") == 0 {
 		excluded = []string{"agence"}
 	}
-	answer := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
+	result := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
 		Request: &toucanhingev1.LeaseRequest{
 			Sidecar: sidecar, Incarnation: 1, Service: testService, Most: uint32(rapid.IntRange(1, 5).Draw(t, "most")),
 		},
 		Excluded: excluded,
-	}}}).(LeaseAnswer)
+	}}}).(LeaseResult)
 	known := m.highestLease
-	for _, l := range answer.Items {
+	for _, l := range result.Items {
 		j := m.jobs[l.Job]
 		require.Equal(t, toucanhingev1.JobState_JOB_STATE_ACCEPTED, j.state, "leased an item of a job that has ended")
 		i := &j.items[l.Index]
@@ -160,7 +160,7 @@
 		require.Zero(t, i.lease, "leased an item that is already leased")
 		require.Greater(t, l.Lease, known, "lease numbers must grow")
 		require.NotContains(t, excluded, l.Team)
-		require.False(t, l.Alone && len(answer.Items) > 1)
+		require.False(t, l.Alone && len(result.Items) > 1)
 		payloads, err := m.machine.ReadItems([]segment.Ref{l.Body})
 		require.NoError(t, err)
 		item := &toucanhingev1.Item{}
@@ -189,12 +189,12 @@
 	}).Draw(t, "outcome")
 	body := fmt.Sprintf("result-%d", len(m.log))
 	want := m.expect(li)
-	answer := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: &toucanhingev1.CompleteRequest{
+	result := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: &toucanhingev1.CompleteRequest{
 		Completions: []*toucanhingev1.Completion{{
 			Job: li.job, Index: li.index, Lease: li.lease, Outcome: outcome, Body: []byte(body), Reason: "a reason",
 		}},
-	}}}).(CompleteAnswer)
-	require.Equal(t, []toucanhingev1.Verdict{want}, answer.Verdicts)
+	}}}).(CompleteResult)
+	require.Equal(t, []toucanhingev1.Verdict{want}, result.Verdicts)
 	if want != toucanhingev1.Verdict_VERDICT_ACCEPTED {
 		return
 	}
@@ -289,10 +289,10 @@
 	if rapid.IntRange(0, 3).Draw(t, "really") != 0 {
 		t.Skip("jobs are cancelled rarely, so that some make progress")
 	}
-	answer := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: &toucanhingev1.CancelJobRequest{Id: id}}}).(CancelAnswer)
+	result := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: &toucanhingev1.CancelJobRequest{Id: id}}}).(CancelResult)
 	j := m.jobs[id]
 	if j == nil {
-		require.ErrorIs(t, answer.Err, ErrNoJob)
+		require.ErrorIs(t, result.Err, ErrNoJob)
 		return
 	}
 	if j.state == toucanhingev1.JobState_JOB_STATE_ACCEPTED {
@@ -301,7 +301,7 @@
 			j.items[n].lease = 0
 		}
 	}
-	require.Equal(t, j.state, answer.Status.GetState())
+	require.Equal(t, j.state, result.Status.GetState())
 }
 
 // Sweep advances the time and drops jobs that ended long ago.
@@ -325,11 +325,11 @@
 func (m *modelTest) Checkpoint(t *rapid.T) {
 	manifest, err := m.machine.Checkpoint()
 	require.NoError(t, err)
-	m.manifest, m.log, m.answers = manifest, nil, nil
+	m.manifest, m.log, m.results = manifest, nil, nil
 }
 
 // Crash discards the state in memory. Segment records written after the checkpoint
-// may remain in part. Replaying the log must give the same answers.
+// may remain in part. Replaying the log must give the same results.
 func (m *modelTest) Crash(t *rapid.T) {
 	m.machine.Close()
 	m.machine = openMachine(t, m.machine.config.Folder, m.manifest)
@@ -338,8 +338,8 @@
 
 func (m *modelTest) replay(t *rapid.T) {
 	for n, command := range m.log {
-		answers := m.machine.Apply(0, command).([]any)
-		require.Equal(t, fmt.Sprint(m.answers[n]...), fmt.Sprint(answers...), "the replay returned another answer")
+		results := m.machine.Apply(0, command).([]any)
+		require.Equal(t, fmt.Sprint(m.results[n]...), fmt.Sprint(results...), "the replay returned another result")
 	}
 }
 
@@ -353,7 +353,7 @@
 	m.manifest, err = other.Import(&wire)
 	require.NoError(t, err)
 	m.machine.Close()
-	m.machine, m.log, m.answers = other, nil, nil
+	m.machine, m.log, m.results = other, nil, nil
 }
 
 // LostCheckpoint crashes after a checkpoint was created and before its manifest was
--- a/control/pkg/jobstate/machine.go
+++ b/control/pkg/jobstate/machine.go
@@ -25,8 +25,9 @@
 	// Fatal is called when a write to a segment fails. The state in memory then
 	// stays ahead of the disk, so the process has to stop.
 	Fatal func(error)
-	// Roll is the length at which a new segment file is started; 0 means the default.
-	Roll int64
+	// MaxFileBytes is the maximum length of a segment file, as in segment.Config;
+	// 0 means the default.
+	MaxFileBytes int64
 }
 
 // Machine combines the state of a consensus group with its segments and a lock.
@@ -45,7 +46,7 @@
 	return &Machine{config: config}
 }
 
-// Apply applies one logged command. It returns a []any with one answer per step.
+// Apply applies one logged command. It returns a []any with one result per step.
 func (m *Machine) Apply(_ uint64, data []byte) any {
 	command := &toucanhingev1.JobCommand{}
 	if err := proto.Unmarshal(data, command); err != nil {
@@ -54,12 +55,12 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	answers := make([]any, 0, len(command.GetSteps()))
+	results := make([]any, 0, len(command.GetSteps()))
 	for _, step := range command.GetSteps() {
-		answers = append(answers, m.state.Step(clock.Millis(command.GetAtMs()), step))
+		results = append(results, m.state.Step(clock.Millis(command.GetAtMs()), step))
 	}
 	m.flush()
-	return answers
+	return results
 }
 
 func (m *Machine) flush() {
@@ -155,8 +156,8 @@
 
 func (m *Machine) newStores(folder string) (items, results *segment.Store) {
 	path := filepath.Join(m.config.Folder, folder)
-	return segment.New(segment.Config{Folder: path, Name: itemsName, MaxFileBytes: m.config.Roll}),
-		segment.New(segment.Config{Folder: path, Name: resultsName, MaxFileBytes: m.config.Roll})
+	return segment.New(segment.Config{Folder: path, Name: itemsName, MaxFileBytes: m.config.MaxFileBytes}),
+		segment.New(segment.Config{Folder: path, Name: resultsName, MaxFileBytes: m.config.MaxFileBytes})
 }
 
 func (m *Machine) closeStores() {
--- a/control/pkg/jobstate/state.go
+++ b/control/pkg/jobstate/state.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// Step applies one step of a command and returns its typed answer.
+// Step applies one step of a command and returns its typed result.
 func (s *State) Step(at clock.Millis, step *toucanhingev1.JobStep) any {
 	s.now = max(s.now, at)
 	switch t := step.GetStep().(type) {
--- a/control/pkg/jobstate/sweep.go
+++ b/control/pkg/jobstate/sweep.go
@@ -8,30 +8,30 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// SweepAnswer holds the numbers of dropped uploads and jobs.
-type SweepAnswer struct {
+// SweepResult holds the numbers of dropped uploads and jobs.
+type SweepResult struct {
 	Uploads, Jobs int
 }
 
 // sweep drops abandoned uploads and jobs that ended before the retention time.
 func (s *State) sweep(step *toucanhingev1.JobSweepStep) any {
-	var answer SweepAnswer
+	var result SweepResult
 	for _, id := range sortedKeys(s.uploads) {
 		if s.uploads[id].lastChunk < clock.Millis(step.GetUploadsBeforeMs()) {
 			s.dropUpload(id)
-			answer.Uploads++
+			result.Uploads++
 		}
 	}
 	for _, id := range sortedKeys(s.jobs) {
 		j := s.jobs[id]
 		if !j.running() && j.ended < clock.Millis(step.GetJobsBeforeMs()) {
 			s.dropJob(j)
-			answer.Jobs++
+			result.Jobs++
 		}
 	}
-	s.counts.UploadsDropped += uint64(answer.Uploads)
-	s.counts.JobsDropped += uint64(answer.Jobs)
-	return answer
+	s.counts.UploadsDropped += uint64(result.Uploads)
+	s.counts.JobsDropped += uint64(result.Jobs)
+	return result
 }
 
 func (s *State) dropJob(j *job) {
--- a/control/pkg/operator/handler.go
+++ b/control/pkg/operator/handler.go
@@ -77,7 +77,7 @@
 func (h *Handler) Apply(
 	ctx context.Context, request *connect.Request[toucanhingev1.ApplyRequest],
 ) (*connect.Response[toucanhingev1.ApplyResponse], error) {
-	size := entryBytes(request.Msg)
+	size := requestBytes(request.Msg)
 	if size > maxEntryBytes {
 		return nil, h.config.Refuser.RefuseWith(opApply, reasonInvalid, connect.CodeInvalidArgument,
 			"the entry is larger than %d bytes", maxEntryBytes)
--- a/control/pkg/operator/helpers.go
+++ b/control/pkg/operator/helpers.go
@@ -8,7 +8,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-func entryBytes(request *toucanhingev1.ApplyRequest) int {
+func requestBytes(request *toucanhingev1.ApplyRequest) int {
 	return proto.Size(request)
 }
 
--- a/control/pkg/platform/poller.go
+++ b/control/pkg/platform/poller.go
@@ -86,7 +86,7 @@
 	if _, _, self := p.config.Fleet.Leader(); !self {
 		return nil
 	}
-	list, err := p.read(ctx)
+	list, err := p.fetchList(ctx)
 	if err != nil {
 		if p.config.Refused != nil {
 			p.config.Refused.WithLabelValues(opVMList, reasonUnreadable).Inc()
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func (p *Poller) read(ctx context.Context) ([]vm, error) {
+func (p *Poller) fetchList(ctx context.Context) ([]vm, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.config.URL, nil)
@@ -142,8 +142,8 @@
 	p.config.Fleet.Machine.View(func(s *fleetstate.State) {
 		for _, v := range list {
 			drain, drained := s.Entry(toucanhingev1.Kind_KIND_DRAIN, v.Name)
-			ours := drained && drain.GetAuthor() == fleetstate.PlatformAuthor
-			if (v.State == stateLeaving && !drained) || (v.State == stateLive && ours) {
+			ownDrain := drained && drain.GetAuthor() == fleetstate.PlatformAuthor
+			if (v.State == stateLeaving && !drained) || (v.State == stateLive && ownDrain) {
 				steps = append(steps, &toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_PlatformDrain{
 					PlatformDrain: &toucanhingev1.PlatformDrainStep{Vm: v.Name, Gone: v.State == stateLive},
 				}})
--- a/control/pkg/repair/repair.go
+++ b/control/pkg/repair/repair.go
@@ -76,9 +76,9 @@
 // tolerated losses.
 func (c Config) Voters() int { return 2*c.ToleratedLosses + 1 }
 
-// standbys is the number of learners beside the voters. A lost voter is replaced by a
+// standbyLearners is the number of learners beside the voters. A lost voter is replaced by a
 // learner that has the log already, without copying the log first.
-const standbys = 1
+const standbyLearners = 1
 
 // Next returns the next step.
 func (c Config) Next(now clock.Millis, members []Member, vms []VM) Step {
@@ -136,20 +136,20 @@
 // removeUnresponsive removes an unresponsive voter if a learner without lag can replace
 // it, and an unresponsive learner if another VM can replace it.
 func (c Config) removeUnresponsive(now clock.Millis, members []Member, vms map[string]VM) Step {
-	ready := slices.ContainsFunc(members, func(m Member) bool {
+	readyLearner := slices.ContainsFunc(members, func(m Member) bool {
 		v, known := vms[m.Name]
 		return !m.Voter && m.Lag == 0 && known && !v.Retiring && c.responsive(now, v)
 	})
-	spare := false
+	spareVM := false
 	for name, v := range vms {
-		spare = spare || !slices.ContainsFunc(members, func(m Member) bool { return m.Name == name }) && c.usable(now, v)
+		spareVM = spareVM || !slices.ContainsFunc(members, func(m Member) bool { return m.Name == name }) && c.usable(now, v)
 	}
 	for _, m := range members {
 		v, known := vms[m.Name]
 		if m.Name == c.Self || known && c.responsive(now, v) {
 			continue
 		}
-		if m.Voter && ready || !m.Voter && spare {
+		if m.Voter && readyLearner || !m.Voter && spareVM {
 			return Step{Kind: Remove, Member: m, Reason: "silent"}
 		}
 	}
@@ -182,7 +182,7 @@
 			remaining++
 		}
 	}
-	if remaining >= c.Voters()+standbys {
+	if remaining >= c.Voters()+standbyLearners {
 		return Step{}
 	}
 	names := make([]string, 0, len(vms))
@@ -192,8 +192,8 @@
 	slices.SortFunc(names, strings.Compare)
 	for _, name := range names {
 		v := vms[name]
-		member := slices.ContainsFunc(members, func(m Member) bool { return m.Name == name })
-		if !member && c.usable(now, v) {
+		isMember := slices.ContainsFunc(members, func(m Member) bool { return m.Name == name })
+		if !isMember && c.usable(now, v) {
 			return Step{Kind: AddLearner, Member: Member{Name: name, Address: v.Address, Identity: v.Identity}, Reason: "too-few-members"}
 		}
 	}
@@ -206,11 +206,11 @@
 
 // MayRetire reports whether enough usable VMs remain without the named VM.
 func (c Config) MayRetire(now clock.Millis, name string, vms []VM) bool {
-	left := 0
+	remaining := 0
 	for _, v := range vms {
 		if v.Name != name && c.usable(now, v) {
-			left++
+			remaining++
 		}
 	}
-	return left >= c.Voters()
+	return remaining >= c.Voters()
 }
--- a/control/pkg/repair/repair_test.go
+++ b/control/pkg/repair/repair_test.go
@@ -101,25 +101,25 @@
 
 // apply changes the members as the consensus group does for a step.
 func (g *modelGroup) apply(step Step) {
-	var rest []Member
+	var members []Member
 	for _, m := range g.members {
 		if m.Name != step.Member.Name {
-			rest = append(rest, m)
+			members = append(members, m)
 		}
 	}
 	switch step.Kind {
 	case AddLearner:
 		m := step.Member
 		m.Lag = 0
-		rest = append(rest, m)
-		g.members = rest
+		members = append(members, m)
+		g.members = members
 	case Promote:
 		m := step.Member
 		m.Voter = true
-		rest = append(rest, m)
-		g.members = rest
+		members = append(members, m)
+		g.members = members
 	case Remove:
-		g.members = rest
+		g.members = members
 	}
 }
 
@@ -139,7 +139,7 @@
 				g.members = append(g.members, voter(name))
 			}
 		}
-		settle := func(t *rapid.T) {
+		applySteps := func(t *rapid.T) {
 			for range 40 {
 				step := c.Next(now, g.members, g.listVMs())
 				if step.Kind == NoStep || step.Kind == TransferLeadership {
@@ -149,12 +149,12 @@
 			}
 			t.Fatalf("no end of the steps: members %v, VMs %v", g.members, g.vms)
 		}
-		settle(t)
+		applySteps(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"a VM comes": func(t *rapid.T) {
 				name := fmt.Sprintf("n%d", len(g.vms))
 				g.vms[name] = vm(name)
-				settle(t)
+				applySteps(t)
 			},
 			"a disk is lost": func(t *rapid.T) {
 				name := rapid.SampledFrom([]string{"b", "c", "d"}).Draw(t, "name")
@@ -162,7 +162,7 @@
 				v := g.vms[name]
 				v.Identity = fmt.Sprintf("new%d", g.newDisks)
 				g.vms[name] = v
-				settle(t)
+				applySteps(t)
 			},
 			"a VM vanishes and another comes": func(t *rapid.T) {
 				name := rapid.SampledFrom([]string{"b", "c", "d"}).Draw(t, "name")
@@ -172,11 +172,11 @@
 				g.down[name] = true
 				added := fmt.Sprintf("n%d", len(g.vms))
 				g.vms[added] = vm(added)
-				settle(t)
+				applySteps(t)
 				v.LastSeen = now
 				g.vms[name] = v
 				delete(g.down, name)
-				settle(t)
+				applySteps(t)
 			},
 			"": func(t *rapid.T) {
 				voters := 0
--- a/control/pkg/segment/checkpoint.go
+++ b/control/pkg/segment/checkpoint.go
@@ -67,7 +67,7 @@
 func syncFolder(folder string) error {
 	handle, err := os.Open(folder)
 	if err != nil {
-		return fmt.Errorf("open segment folder: %w", err)
+		return fmt.Errorf("open the folder to sync it: %w", err)
 	}
 	defer func() { _ = handle.Close() }()
 	if err := handle.Sync(); err != nil {
@@ -83,7 +83,7 @@
 func (s *Store) Load(list []*toucanhingev1.Segment) error {
 	s.Close()
 	if err := os.MkdirAll(s.config.Folder, folderMode); err != nil {
-		return fmt.Errorf("create segment folder: %w", err)
+		return fmt.Errorf("make the segments' folder: %w", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,19 +100,19 @@
 func (s *Store) openFile(m *toucanhingev1.Segment) error {
 	handle, err := os.OpenFile(s.path(m.GetNumber()), os.O_RDWR, fileMode)
 	if err != nil {
-		return fmt.Errorf("open segment listed in checkpoint: %w", err)
+		return fmt.Errorf("open a segment that the checkpoint names: %w", err)
 	}
-	s.files[m.GetNumber()] = &file{handle: handle, length: int64(m.GetLength()), live: m.GetLive()}
+	s.files[m.GetNumber()] = &file{handle: handle, length: int64(m.GetLength()), liveRecords: m.GetLive()}
 	info, err := handle.Stat()
 	if err != nil {
-		return fmt.Errorf("stat %s: %w", s.path(m.GetNumber()), err)
+		return fmt.Errorf("look at %s: %w", s.path(m.GetNumber()), err)
 	}
 	if info.Size() < int64(m.GetLength()) {
-		return fmt.Errorf("%s has %d bytes, the checkpoint lists %d: %w",
+		return fmt.Errorf("%s holds %d bytes, the checkpoint names %d: %w",
 			s.path(m.GetNumber()), info.Size(), m.GetLength(), ErrDamaged)
 	}
 	if err := handle.Truncate(int64(m.GetLength())); err != nil {
-		return fmt.Errorf("truncate %s to its length in the checkpoint: %w", s.path(m.GetNumber()), err)
+		return fmt.Errorf("cut %s to the checkpoint: %w", s.path(m.GetNumber()), err)
 	}
 	return nil
 }
@@ -120,7 +120,7 @@
 func (s *Store) deleteUnlisted() error {
 	paths, err := filepath.Glob(filepath.Join(s.config.Folder, s.config.Name+"-*.seg"))
 	if err != nil {
-		return fmt.Errorf("list segments: %w", err)
+		return fmt.Errorf("list the segments: %w", err)
 	}
 	for _, path := range paths {
 		number := strings.TrimSuffix(strings.TrimPrefix(filepath.Base(path), s.config.Name+"-"), ".seg")
@@ -129,7 +129,7 @@
 			continue
 		}
 		if err := os.Remove(path); err != nil {
-			return fmt.Errorf("delete segment not listed in the checkpoint: %w", err)
+			return fmt.Errorf("delete a segment that no checkpoint names: %w", err)
 		}
 	}
 	return nil
@@ -169,7 +169,7 @@
 // The store's folder must not be in use yet.
 func (s *Store) Import(list []*toucanhingev1.Segment, r io.Reader) error {
 	if err := os.MkdirAll(s.config.Folder, folderMode); err != nil {
-		return fmt.Errorf("create segment folder: %w", err)
+		return fmt.Errorf("make the segments' folder: %w", err)
 	}
 	for _, m := range list {
 		if err := s.receiveFile(m, r); err != nil {
@@ -182,11 +182,11 @@
 func (s *Store) receiveFile(m *toucanhingev1.Segment, r io.Reader) error {
 	handle, err := os.Create(s.path(m.GetNumber()))
 	if err != nil {
-		return fmt.Errorf("create imported segment: %w", err)
+		return fmt.Errorf("make a shipped segment: %w", err)
 	}
 	defer func() { _ = handle.Close() }()
 	if _, err := io.CopyN(handle, r, int64(m.GetLength())); err != nil {
-		return fmt.Errorf("import %s: %w", s.path(m.GetNumber()), err)
+		return fmt.Errorf("receive %s: %w", s.path(m.GetNumber()), err)
 	}
 	if err := handle.Sync(); err != nil {
 		return fmt.Errorf("sync %s: %w", s.path(m.GetNumber()), err)
--- a/control/pkg/segment/generation.go
+++ b/control/pkg/segment/generation.go
@@ -65,14 +65,14 @@
 func ReceiveManifest(r io.Reader) ([]byte, error) {
 	var length [8]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
-		return nil, fmt.Errorf("receive checkpoint length: %w", err)
+		return nil, fmt.Errorf("receive the checkpoint's length: %w", err)
 	}
 	if binary.LittleEndian.Uint64(length[:]) > maxManifestBytes {
-		return nil, fmt.Errorf("receive checkpoint: %w", ErrDamaged)
+		return nil, fmt.Errorf("receive the checkpoint: %w", ErrDamaged)
 	}
 	manifest := make([]byte, binary.LittleEndian.Uint64(length[:]))
 	if _, err := io.ReadFull(r, manifest); err != nil {
-		return nil, fmt.Errorf("receive checkpoint: %w", err)
+		return nil, fmt.Errorf("receive the checkpoint: %w", err)
 	}
 	return manifest, nil
 }
--- a/control/pkg/segment/store.go
+++ b/control/pkg/segment/store.go
@@ -59,12 +59,12 @@
 	MaxFileBytes int64
 }
 
-// file is one segment. live counts the records that are still in use.
+// file is one segment. liveRecords counts the records that are still in use.
 type file struct {
-	handle *os.File
-	length int64
-	live   uint64
-	dirty  bool
+	handle      *os.File
+	length      int64
+	liveRecords uint64
+	dirty       bool
 }
 
 // Store is a set of segment files. Append, Flush, Release, Checkpoint and Load must be
@@ -104,7 +104,7 @@
 	s.buffer = binary.LittleEndian.AppendUint32(s.buffer, uint32(len(payload)))
 	s.buffer = binary.LittleEndian.AppendUint32(s.buffer, crc32.Checksum(payload, castagnoli))
 	s.buffer = append(s.buffer, payload...)
-	f.live++
+	f.liveRecords++
 	return ref, nil
 }
 
@@ -128,7 +128,7 @@
 	s.current++
 	f = &file{handle: handle}
 	s.files[s.current] = f
-	if old := s.files[previous]; old != nil && old.live == 0 {
+	if old := s.files[previous]; old != nil && old.liveRecords == 0 {
 		s.dropped = append(s.dropped, previous)
 	}
 	return f, nil
@@ -188,11 +188,11 @@
 // durable checkpoint, which may still list the file, and replays the log from there.
 func (s *Store) Release(number uint32, count uint64) {
 	f := s.files[number]
-	if f == nil || f.live == 0 {
+	if f == nil || f.liveRecords == 0 {
 		return
 	}
-	f.live -= min(count, f.live)
-	if f.live == 0 && number != s.current {
+	f.liveRecords -= min(count, f.liveRecords)
+	if f.liveRecords == 0 && number != s.current {
 		s.dropped = append(s.dropped, number)
 	}
 }
@@ -220,7 +220,7 @@
 	var list []*toucanhingev1.Segment
 	for _, n := range s.fileNumbers() {
 		if f := s.files[n]; !dead[n] {
-			list = append(list, &toucanhingev1.Segment{Number: n, Length: uint64(f.length), Live: f.live})
+			list = append(list, &toucanhingev1.Segment{Number: n, Length: uint64(f.length), Live: f.liveRecords})
 		}
 	}
 	return list
--- a/control/pkg/segment/superseded_results_test.go
+++ b/control/pkg/segment/superseded_results_test.go
@@ -18,8 +18,8 @@
 
 // attempt is one result that arrives. wins reports that the result counts for its item.
 type attempt struct {
-	item uint32
-	wins bool
+	item     uint32
+	accepted bool
 }
 
 // arrivals returns a job's results in the order of their arrival. The given share of the
@@ -31,7 +31,7 @@
 		if random.Float64() < share {
 			list = append(list, attempt{item: uint32(i)})
 		}
-		list = append(list, attempt{item: uint32(i), wins: true})
+		list = append(list, attempt{item: uint32(i), accepted: true})
 	}
 	// Results arrive roughly, not strictly, in the order of the leases.
 	for i := range list {
@@ -72,7 +72,7 @@
 		s := newStore(b)
 		refs := make([]Ref, benchItems)
 		for n, a := range list {
-			if a.wins {
+			if a.accepted {
 				ref, err := s.Append(encodeItem(buffer, a))
 				require.NoError(b, err)
 				refs[a.item] = ref
@@ -125,7 +125,7 @@
 		for n, a := range list {
 			ref, err := s.Append(encodeItem(buffer, a))
 			require.NoError(b, err)
-			if !a.wins {
+			if !a.accepted {
 				superseded = append(superseded, ref)
 			}
 			if n%512 == 0 {
--- a/control/pkg/work/handler.go
+++ b/control/pkg/work/handler.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	callLease    = "lease"
-	callComplete = "complete"
-	callRenew    = "renew"
+	opLease    = "lease"
+	opComplete = "complete"
+	opRenew    = "renew"
 
 	reasonInvalid  = "invalid"
 	reasonGroup    = "no-such-group"
@@ -39,9 +39,9 @@
 
 	maxLeased      = 256
 	maxCompletions = 1024
-	// stepOverheadBytes is the assumed size of a step, and of a completion, without
+	// approxStepBytes is the assumed size of a step, and of a completion, without
 	// its payload.
-	stepOverheadBytes = 128
+	approxStepBytes = 128
 )
 
 // Config configures a handler.
@@ -51,7 +51,7 @@
 	Fleet  *group.Fleet
 	Leases *LeaseTracker
 	Clock  clock.Clock
-	Book   *record.Log
+	Log    *record.Log
 	// Lease is the time after which a lease expires without a renewal.
 	Lease   clock.Millis
 	Refuser group.Refuser
@@ -72,14 +72,14 @@
 }
 
 // leaderGroup returns a job group if this replica leads it.
-func (h *Handler) leaderGroup(call string, number uint32) (*group.Jobs, error) {
+func (h *Handler) leaderGroup(op string, number uint32) (*group.Jobs, error) {
 	g := h.config.Groups[number]
 	if g == nil {
-		return nil, h.config.Refuser.RefuseWith(call, reasonGroup, connect.CodeInvalidArgument, "there is no job group %d", number)
+		return nil, h.config.Refuser.RefuseWith(op, reasonGroup, connect.CodeInvalidArgument, "there is no job group %d", number)
 	}
 	name, address, self := g.Leader()
 	if !self {
-		return nil, h.config.Refuser.Refuse(call, &replica.NotLeaderError{Leader: name, Address: address})
+		return nil, h.config.Refuser.Refuse(op, &replica.NotLeaderError{Leader: name, Address: address})
 	}
 	return g, nil
 }
@@ -91,10 +91,10 @@
 ) (*connect.Response[toucanhingev1.LeaseResponse], error) {
 	msg := request.Msg
 	if msg.GetSidecar() == "" || msg.GetService() == "" || msg.GetMost() == 0 || msg.GetMost() > maxLeased {
-		return nil, h.config.Refuser.RefuseWith(callLease, reasonInvalid, connect.CodeInvalidArgument,
+		return nil, h.config.Refuser.RefuseWith(opLease, reasonInvalid, connect.CodeInvalidArgument,
 			"want a sidecar, a service and 1 to %d items", maxLeased)
 	}
-	g, err := h.leaderGroup(callLease, msg.GetGroup())
+	g, err := h.leaderGroup(opLease, msg.GetGroup())
 	if err != nil {
 		return nil, err
 	}
@@ -106,33 +106,33 @@
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
 		Request: msg, Excluded: h.excludedTeams(msg.GetService(), msg.GetSidecar()),
 	}}}
-	answer, err := group.Do[jobstate.LeaseAnswer](ctx, g.Steps, step, stepOverheadBytes)
+	result, err := group.Do[jobstate.LeaseResult](ctx, g.Steps, step, approxStepBytes)
 	if err != nil {
-		return nil, h.config.Refuser.Refuse(callLease, err)
+		return nil, h.config.Refuser.Refuse(opLease, err)
 	}
-	return h.leaseResponse(g, msg, answer)
+	return h.leaseResponse(g, msg, result)
 }
 
 func (h *Handler) leaseResponse(
-	g *group.Jobs, msg *toucanhingev1.LeaseRequest, answer jobstate.LeaseAnswer,
+	g *group.Jobs, msg *toucanhingev1.LeaseRequest, result jobstate.LeaseResult,
 ) (*connect.Response[toucanhingev1.LeaseResponse], error) {
 	response := &toucanhingev1.LeaseResponse{LeaseMs: int64(h.config.Lease)}
-	if len(answer.Items) == 0 {
+	if len(result.Items) == 0 {
 		response.RetryMs = retryIdleMillis
-		if answer.Waiting {
+		if result.Waiting {
 			response.RetryMs = retryBusyMillis
 		}
 		return connect.NewResponse(response), nil
 	}
-	items, err := readItems(g, answer.Items)
+	items, err := readItems(g, result.Items)
 	if err != nil {
-		return nil, h.config.Refuser.RefuseWith(callLease, reasonStorage, connect.CodeDataLoss, "read leased items: %w", err)
+		return nil, h.config.Refuser.RefuseWith(opLease, reasonStorage, connect.CodeDataLoss, "read leased items: %w", err)
 	}
 	for _, l := range items {
 		h.config.Leases.Granted(g.Number, l.GetLease())
 	}
 	response.Items = items
-	h.config.Book.Add(items[0].GetJob(), "leased", msg.GetSidecar())
+	h.config.Log.Add(items[0].GetJob(), "leased", msg.GetSidecar())
 	return connect.NewResponse(response), nil
 }
 
@@ -181,39 +181,39 @@
 	ctx context.Context, request *connect.Request[toucanhingev1.CompleteRequest],
 ) (*connect.Response[toucanhingev1.CompleteResponse], error) {
 	if len(request.Msg.GetCompletions()) > maxCompletions {
-		return nil, h.config.Refuser.RefuseWith(callComplete, reasonInvalid, connect.CodeInvalidArgument,
+		return nil, h.config.Refuser.RefuseWith(opComplete, reasonInvalid, connect.CodeInvalidArgument,
 			"want at most %d completions", maxCompletions)
 	}
-	size := stepOverheadBytes
+	size := approxStepBytes
 	for _, c := range request.Msg.GetCompletions() {
 		if len(c.GetBody())+len(c.GetReason()) > h.config.ResultBytes {
-			return nil, h.config.Refuser.RefuseWith(callComplete, reasonTooLarge, connect.CodeInvalidArgument,
+			return nil, h.config.Refuser.RefuseWith(opComplete, reasonTooLarge, connect.CodeInvalidArgument,
 				"the result of item %s/%d is larger than %d bytes", c.GetJob(), c.GetIndex(), h.config.ResultBytes)
 		}
-		size += len(c.GetBody()) + len(c.GetReason()) + stepOverheadBytes
+		size += len(c.GetBody()) + len(c.GetReason()) + approxStepBytes
 	}
-	g, err := h.leaderGroup(callComplete, request.Msg.GetGroup())
+	g, err := h.leaderGroup(opComplete, request.Msg.GetGroup())
 	if err != nil {
 		return nil, err
 	}
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: request.Msg}}
-	answer, err := group.Do[jobstate.CompleteAnswer](ctx, g.Steps, step, size)
+	result, err := group.Do[jobstate.CompleteResult](ctx, g.Steps, step, size)
 	if err != nil {
-		return nil, h.config.Refuser.Refuse(callComplete, err)
+		return nil, h.config.Refuser.Refuse(opComplete, err)
 	}
-	return connect.NewResponse(&toucanhingev1.CompleteResponse{Verdicts: answer.Verdicts}), nil
+	return connect.NewResponse(&toucanhingev1.CompleteResponse{Verdicts: result.Verdicts}), nil
 }
 
 // Renew renews leases and returns the leases that are no longer live.
 func (h *Handler) Renew(
 	ctx context.Context, request *connect.Request[toucanhingev1.RenewRequest],
 ) (*connect.Response[toucanhingev1.RenewResponse], error) {
-	g, err := h.leaderGroup(callRenew, request.Msg.GetGroup())
+	g, err := h.leaderGroup(opRenew, request.Msg.GetGroup())
 	if err != nil {
 		return nil, err
 	}
 	if err := h.config.Leases.Confirm(ctx, g); err != nil {
-		return nil, h.config.Refuser.Refuse(callRenew, err)
+		return nil, h.config.Refuser.Refuse(opRenew, err)
 	}
 	response := &toucanhingev1.RenewResponse{LeaseMs: int64(h.config.Lease)}
 	g.Machine.View(func(s *jobstate.State) {
--- a/control/pkg/work/lease_tracker.go
+++ b/control/pkg/work/lease_tracker.go
@@ -163,7 +163,7 @@
 	var leases []jobstate.LeaseView
 	g.Machine.View(func(s *jobstate.State) { leases = s.Leases() })
 	for _, step := range t.checkSteps(g.Number, leases) {
-		if _, err := g.Steps.Do(ctx, step, stepOverheadBytes); err != nil {
+		if _, err := g.Steps.Do(ctx, step, approxStepBytes); err != nil {
 			level.Warn(t.config.Logger).Log(logs.KeyEvent, "expiry-not-logged", logs.KeyGroup, g.Number, logs.KeyError, err)
 		}
 	}
--- a/control/pkg/work/lease_tracker_test.go
+++ b/control/pkg/work/lease_tracker_test.go
@@ -54,9 +54,9 @@
 }
 
 func (tt *trackerTest) do(step *toucanhingev1.JobStep) any {
-	answer, err := tt.jobs.Steps.Do(context.Background(), step, 1)
+	result, err := tt.jobs.Steps.Do(context.Background(), step, 1)
 	require.NoError(tt.t, err)
-	return answer
+	return result
 }
 
 // leaseItems uploads a job and leases all its items to one sidecar.
@@ -73,11 +73,11 @@
 	}}})
 	var leases []uint64
 	for range items {
-		answer := tt.do(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
+		result := tt.do(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
 			Request: &toucanhingev1.LeaseRequest{Sidecar: "s1", Incarnation: 5, Service: "svc", Most: 1},
-		}}}).(jobstate.LeaseAnswer)
-		leases = append(leases, answer.Items[0].Lease)
-		tt.tracker.Granted(1, answer.Items[0].Lease)
+		}}}).(jobstate.LeaseResult)
+		leases = append(leases, result.Items[0].Lease)
+		tt.tracker.Granted(1, result.Items[0].Lease)
 	}
 	return leases
 }
