--- a/control/pkg/disk/log.go
+++ b/control/pkg/disk/log.go
@@ -15,7 +15,7 @@
 // calls.
 type Config struct {
 	Folder string
-	// FileBytes is the size from which on a file is full and a new one is started.
+	// FileBytes is the size at which a file is full and a new one is started.
 	FileBytes int64
 	Write     func(file *os.File, data []byte) (int, error)
 	Sync      func(file *os.File) error
--- a/control/pkg/fleet/handler.go
+++ b/control/pkg/fleet/handler.go
@@ -37,7 +37,7 @@
 	Leases  *LeaseTracker
 	Clock   clock.Clock
 	Refuser group.Refuser
-	// Groups is the number of consensus groups, the one for configuration included.
+	// Groups is the number of consensus groups, including the configuration group.
 	Groups uint32
 	// Lease is the time without heartbeats after which a member is declared dead.
 	Lease clock.Millis
--- a/control/pkg/fleetstate/apply.go
+++ b/control/pkg/fleetstate/apply.go
@@ -40,8 +40,7 @@
 	response    *toucanhingev1.ApplyResponse
 }
 
-// responseCache stores the first response to each request id, in order of age, oldest
-// first.
+// responseCache stores the first response to each request id, oldest first.
 type responseCache struct {
 	byID  map[string]cachedResponse
 	order []string
@@ -98,8 +97,8 @@
 
 func (s *State) refuse(request *toucanhingev1.ApplyRequest, r *refusal) *toucanhingev1.ApplyResponse {
 	s.counts.Refused++
-	present := s.entries[fleetconfig.Key{Kind: request.GetEntry().GetKind(), Name: request.GetEntry().GetName()}]
-	return &toucanhingev1.ApplyResponse{Entry: present, Reason: r.code + ": " + r.text}
+	current := s.entries[fleetconfig.Key{Kind: request.GetEntry().GetKind(), Name: request.GetEntry().GetName()}]
+	return &toucanhingev1.ApplyResponse{Entry: current, Reason: r.code + ": " + r.text}
 }
 
 func (s *State) decide(step *toucanhingev1.ApplyStep) *toucanhingev1.ApplyResponse {
@@ -139,7 +138,7 @@
 // second is refused, and its response contains the current entry.
 func (s *State) checkVersion(request *toucanhingev1.ApplyRequest) *refusal {
 	entry := request.GetEntry()
-	present, found := s.entries[fleetconfig.Key{Kind: entry.GetKind(), Name: entry.GetName()}]
+	current, found := s.entries[fleetconfig.Key{Kind: entry.GetKind(), Name: entry.GetName()}]
 	if !found {
 		if entry.GetRemoved() {
 			return refusalf(CodeNotExists, "there is no such entry to remove")
@@ -149,13 +148,13 @@
 		}
 		return nil
 	}
-	if present.GetRemoved() && entry.GetRemoved() {
-		return refusalf(CodeNotExists, "the entry was removed at version %d", present.GetVersion())
+	if current.GetRemoved() && entry.GetRemoved() {
+		return refusalf(CodeNotExists, "the entry was removed at version %d", current.GetVersion())
 	}
-	if request.GetBaseVersion() == present.GetVersion() || (present.GetRemoved() && request.GetBaseVersion() == 0) {
+	if request.GetBaseVersion() == current.GetVersion() || (current.GetRemoved() && request.GetBaseVersion() == 0) {
 		return nil
 	}
-	return refusalf(CodeConflict, "the entry is at version %d, the change is based on %d", present.GetVersion(), request.GetBaseVersion())
+	return refusalf(CodeConflict, "the entry is at version %d, the change is based on %d", current.GetVersion(), request.GetBaseVersion())
 }
 
 // schedule sets the earliest time at which an order may be carried out. Orders that load
--- a/control/pkg/fleetstate/fuzz_test.go
+++ b/control/pkg/fleetstate/fuzz_test.go
@@ -97,8 +97,8 @@
 // none. At most one change is accepted for each base version.
 func (h *harness) Change(t *rapid.T) {
 	key := fleetconfig.Key{Kind: toucanhingev1.Kind_KIND_DATA_CENTRE, Name: rapid.SampledFrom([]string{"agdal", "temara", "hay-riad"}).Draw(t, "name")}
-	present := h.entries[key]
-	base := rapid.SampledFrom([]uint64{0, present.GetVersion(), present.GetVersion(), h.version}).Draw(t, "base")
+	current := h.entries[key]
+	base := rapid.SampledFrom([]uint64{0, current.GetVersion(), current.GetVersion(), h.version}).Draw(t, "base")
 	request := &toucanhingev1.ApplyRequest{
 		RequestId: fmt.Sprintf("r%d", len(h.sent)), BaseVersion: base, Author: "op",
 		Entry: &toucanhingev1.Entry{
@@ -108,15 +108,15 @@
 	}
 	response := h.apply(request)
 	h.sent = append(h.sent, sentRequest{request: request, response: proto.CloneOf(response)})
-	gone := present == nil || present.GetRemoved()
-	want := base == present.GetVersion() || (gone && base == 0)
+	gone := current == nil || current.GetRemoved()
+	want := base == current.GetVersion() || (gone && base == 0)
 	if request.GetEntry().GetRemoved() && gone {
 		want = false
 	}
 	require.Equal(t, want, response.GetAccepted(), response.GetReason())
 	if !want {
 		require.NotEmpty(t, response.GetReason())
-		require.True(t, proto.Equal(present, response.GetEntry()), "a refused change gets the current entry")
+		require.True(t, proto.Equal(current, response.GetEntry()), "a refused change gets the current entry")
 		return
 	}
 	h.recordEntry(response.GetEntry())
--- a/control/pkg/fleetstate/members.go
+++ b/control/pkg/fleetstate/members.go
@@ -25,8 +25,9 @@
 	Changed bool
 }
 
-// CheckHeartbeat compares a heartbeat with the member's entry. current reports that no
-// newer process of the name is known, changed that the heartbeat has to be logged.
+// CheckHeartbeat compares a heartbeat with the member's entry. current reports whether the
+// sender is the newest process of its name, and changed whether the heartbeat has to be
+// logged.
 func (s *State) CheckHeartbeat(name string, m *toucanhingev1.Member) (current, changed bool) {
 	e, found := s.Entry(toucanhingev1.Kind_KIND_MEMBER, name)
 	if !found {
@@ -51,7 +52,7 @@
 	return MemberResult{Current: current, Version: s.version}
 }
 
-// memberEnd marks a member whose lease expired as dead, or removes a dead member. The
+// memberEnd marks a member as dead after its lease expired, or removes a dead member. The
 // step names the incarnation that the leader checked, so that it doesn't apply to a
 // process that has registered since.
 func (s *State) memberEnd(step *toucanhingev1.MemberEndStep) any {
--- a/control/pkg/fleetstate/order_test.go
+++ b/control/pkg/fleetstate/order_test.go
@@ -9,10 +9,10 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// TestOrderOutlivesForgottenEndpoint removes a dead endpoint, which then registers again
-// under its name. The operator's order must still apply: removing it together with the
+// TestOrderRemainsAfterEndpointIsForgotten removes a dead endpoint, which then registers
+// again under its name. The operator's order must still apply: removing it together with the
 // member would revert an accepted change.
-func TestOrderOutlivesForgottenEndpoint(t *testing.T) {
+func TestOrderRemainsAfterEndpointIsForgotten(t *testing.T) {
 	m := NewMachine(MachineConfig{Fatal: func(err error) { require.NoError(t, err) }})
 	step := func(s *toucanhingev1.FleetStep) any {
 		command, err := proto.Marshal(&toucanhingev1.FleetCommand{AtMs: 1_000, Steps: []*toucanhingev1.FleetStep{s}})
--- a/control/pkg/fleetstate/validate.go
+++ b/control/pkg/fleetstate/validate.go
@@ -175,15 +175,15 @@
 	if d.GetWeight() > maxWeight {
 		return refusalf(CodeInvalid, "team: weight %d is above %d", d.GetWeight(), maxWeight)
 	}
-	taken := s.keyOwners(name)
+	owners := s.keyOwners(name)
 	for _, hash := range d.GetKeyHashes() {
 		if !hashPattern.MatchString(hash) {
 			return refusalf(CodeInvalid, "team: a key hash is not 64 digits of lower-case hex")
 		}
-		if owner, found := taken[hash]; found {
+		if owner, found := owners[hash]; found {
 			return refusalf(CodeInvalid, "team: a key belongs to team %q too", owner)
 		}
-		taken[hash] = name
+		owners[hash] = name
 	}
 	return nil
 }
--- a/control/pkg/fleetstate/validate_test.go
+++ b/control/pkg/fleetstate/validate_test.go
@@ -137,8 +137,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestState(t)
 			request := &toucanhingev1.ApplyRequest{RequestId: "x", Entry: c.entry}
-			if present, found := s.Entry(c.entry.GetKind(), c.entry.GetName()); found {
-				request.BaseVersion = present.GetVersion()
+			if current, found := s.Entry(c.entry.GetKind(), c.entry.GetName()); found {
+				request.BaseVersion = current.GetVersion()
 			}
 			response := s.apply(&toucanhingev1.ApplyStep{Request: request}).(*toucanhingev1.ApplyResponse)
 			require.Equal(t, c.reason == "", response.GetAccepted(), response.GetReason())
--- a/control/pkg/jobstate/fuzz_test.go
+++ b/control/pkg/jobstate/fuzz_test.go
@@ -381,9 +381,9 @@
 // check compares all readable state with the model.
 func (m *modelTest) check(t *rapid.T) {
 	for id, j := range m.jobs {
-		whole, err := m.machine.Results("", id, 0)
+		allItems, err := m.machine.Results("", id, 0)
 		require.NoError(t, err)
-		page := whole.Decided
+		page := allItems.Decided
 		m.machine.View(func(s *State) {
 			status := s.jobs[id].status()
 			require.Equal(t, j.state, status.GetState())
--- a/control/pkg/jobstate/upload.go
+++ b/control/pkg/jobstate/upload.go
@@ -126,12 +126,12 @@
 }
 
 func (u *upload) chunkStarts() []uint64 {
-	firsts := make([]uint64, 0, len(u.chunks))
+	starts := make([]uint64, 0, len(u.chunks))
 	for first := range u.chunks {
-		firsts = append(firsts, first)
+		starts = append(starts, first)
 	}
-	slices.Sort(firsts)
-	return firsts
+	slices.Sort(starts)
+	return starts
 }
 
 // cancel ends a job: its items are not leased again, and results that arrive later
--- a/control/pkg/segment/read_many.go
+++ b/control/pkg/segment/read_many.go
@@ -12,7 +12,7 @@
 	// that are read together, and maxRunBytes that between the first and the last one.
 	maxGapBytes = 2 << 10
 	maxRunBytes = 1 << 20
-	// readAheadBytes is how much is read from the start of a run's last record on.
+	// readAheadBytes is the number of bytes read from the start of a run's last record.
 	readAheadBytes = 1 << 10
 )
 
--- a/control/pkg/segment/store.go
+++ b/control/pkg/segment/store.go
@@ -1,7 +1,7 @@
 // Package segment stores records in append-only files, so that the bodies and results of
 // items don't occupy memory and snapshots don't rewrite them. Appends are not synced one
-// by one: the replicated log is, and its replay restores the records after the last
-// checkpoint that a crash lost.
+// by one: after a crash, the replay of the replicated log, which is synced, appends the
+// records after the last checkpoint again.
 package segment
 
 import (
--- a/control/pkg/segment/superseded_results_test.go
+++ b/control/pkg/segment/superseded_results_test.go
@@ -16,7 +16,8 @@
 	benchBodyBytes = 400
 )
 
-// attempt is one result that arrives. wins reports that the result counts for its item.
+// attempt is one result that arrives. accepted reports whether the result counts for
+// its item.
 type attempt struct {
 	item     uint32
 	accepted bool
@@ -146,13 +147,13 @@
 	results := make([][]byte, benchItems)
 	for _, number := range s.fileNumbers() {
 		f := s.files[number]
-		whole := make([]byte, f.length)
-		_, err := f.handle.ReadAt(whole, 0)
+		data := make([]byte, f.length)
+		_, err := f.handle.ReadAt(data, 0)
 		require.NoError(b, err)
-		for offset := 0; offset < len(whole); {
-			length := int(binary.LittleEndian.Uint32(whole[offset:]))
-			payload := whole[offset+headerBytes : offset+headerBytes+length]
-			if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(whole[offset+4:]) {
+		for offset := 0; offset < len(data); {
+			length := int(binary.LittleEndian.Uint32(data[offset:]))
+			payload := data[offset+headerBytes : offset+headerBytes+length]
+			if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(data[offset+4:]) {
 				b.Fatal("damaged")
 			}
 			if _, skip := slices.BinarySearch(superseded, newRef(number, int64(offset))); !skip {
--- a/control/pkg/work/lease_tracker.go
+++ b/control/pkg/work/lease_tracker.go
@@ -94,8 +94,8 @@
 }
 
 // Confirm ensures, once per term, that this replica has applied every entry that
-// earlier leaders acknowledged. Before that, it would report leases as revoked whose
-// grants it has not applied yet.
+// earlier leaders acknowledged. Otherwise a new leader that has not applied the grant of
+// a live lease yet would report the lease as revoked.
 func (t *LeaseTracker) Confirm(ctx context.Context, g *group.Jobs) error {
 	t.mu.Lock()
 	current := t.currentLeadership(g.Number)
