--- a/control/pkg/app/contract_test.go
+++ b/control/pkg/app/refusals_test.go
@@ -95,9 +95,9 @@
 	require.NoError(t, err)
 	job := accepted.GetJob().GetId()
 	r := c.client.Leader(0)
-	lease := func(sidecar, service string, group, most uint32) func(context.Context) error {
+	lease := func(sidecar, service string, group, maxItems uint32) func(context.Context) error {
 		return func(ctx context.Context) error {
-			_, err := r.Work.Lease(ctx, connect.NewRequest(&toucanhingev1.LeaseRequest{Sidecar: sidecar, Service: service, Group: group, Most: most}))
+			_, err := r.Work.Lease(ctx, connect.NewRequest(&toucanhingev1.LeaseRequest{Sidecar: sidecar, Service: service, Group: group, Most: maxItems}))
 			return err
 		}
 	}
--- a/control/pkg/jobstate/lease.go
+++ b/control/pkg/jobstate/lease.go
@@ -52,12 +52,12 @@
 
 func (s *State) leaseShared(v *service, request *toucanhingev1.LeaseRequest, excluded []string) []Leased {
 	var leased []Leased
-	for left := int(request.GetMost()); left > 0; left = int(request.GetMost()) - len(leased) {
+	for remaining := int(request.GetMost()); remaining > 0; remaining = int(request.GetMost()) - len(leased) {
 		q, j := v.pickJob(excluded)
 		if j == nil {
 			break
 		}
-		l := s.grant(j, request, j.dequeueItems(left))
+		l := s.grant(j, request, j.dequeueItems(remaining))
 		v.charge(q, j, len(l.items), s.now)
 		if j.waiting() == 0 {
 			s.dequeueJob(j)
--- a/control/pkg/jobstate/schedule.go
+++ b/control/pkg/jobstate/schedule.go
@@ -184,8 +184,8 @@
 // suspect that runs alone, or nothing.
 //
 // A suspect was lost together with other items, one of which crashes engines. If a
-// suspect ran beside other items again, these would be lost and suspected as well,
-// until items fail that cause no crash. So a suspect is leased only to a sidecar
+// suspect ran beside other items again, these would be lost and suspected as well, and
+// in the end items that cause no crash would fail. So a suspect is leased only to a sidecar
 // that holds no lease, and this sidecar gets nothing else until the suspect's lease
 // ends: an engine lost during that time was crashed by the suspect.
 func (s *State) chooseGrant(v *service, sidecar string, excluded []string) grantKind {
