--- a/control/pkg/entry/upload.go
+++ b/control/pkg/entry/upload.go
@@ -40,7 +40,7 @@
 	if !stream.Receive() {
 		return nil, h.brokenError(stream.Err())
 	}
-	u, err := h.begin(ctx, stream.Msg().GetHeader())
+	u, err := h.beginUpload(ctx, stream.Msg().GetHeader())
 	if err != nil {
 		return nil, err
 	}
@@ -73,18 +73,18 @@
 
 // uploadSession is the state of one upload stream.
 type uploadSession struct {
-	handler *Handler
-	group   *group.Jobs
-	header  *toucanhingev1.UploadHeader
-	id      string
-	upload  string
+	handler  *Handler
+	group    *group.Jobs
+	header   *toucanhingev1.UploadHeader
+	jobID    string
+	uploadID string
 	// permission is the configuration at the start of the upload.
 	permission permission
 
 	digest       hash.Hash
-	seed         maphash.Seed
-	seen         map[uint64]struct{}
-	count        uint64
+	nameSeed     maphash.Seed
+	nameHashes   map[uint64]struct{}
+	itemCount    uint64
 	pendingItems [][]byte
 	pendingBytes int
 
@@ -96,7 +96,7 @@
 	firstError error
 }
 
-func (h *Handler) begin(ctx context.Context, header *toucanhingev1.UploadHeader) (*uploadSession, error) {
+func (h *Handler) beginUpload(ctx context.Context, header *toucanhingev1.UploadHeader) (*uploadSession, error) {
 	if header == nil {
 		return nil, h.invalidError("the first message must be the header")
 	}
@@ -113,8 +113,8 @@
 		return nil, err
 	}
 	u := &uploadSession{
-		handler: h, group: g, header: header, id: id, upload: newUploadID(), permission: permission,
-		digest: sha256.New(), seed: maphash.MakeSeed(), seen: map[uint64]struct{}{}, inFlight: make(chan struct{}, maxChunksInFlight),
+		handler: h, group: g, header: header, jobID: id, uploadID: newUploadID(), permission: permission,
+		digest: sha256.New(), nameSeed: maphash.MakeSeed(), nameHashes: map[uint64]struct{}{}, inFlight: make(chan struct{}, maxChunksInFlight),
 	}
 	u.ctx, u.cancel = context.WithCancel(ctx)
 	u.addToDigest([]byte(header.GetService()))
@@ -146,7 +146,7 @@
 		u.addToDigest(item.GetBody())
 		payload, err := proto.Marshal(item)
 		if err != nil {
-			return u.handler.invalidError("line %d: %w", u.count+1, err)
+			return u.handler.invalidError("line %d: %w", u.itemCount+1, err)
 		}
 		if len(u.pendingItems) == maxChunkItems || (len(u.pendingItems) > 0 && u.pendingBytes+len(payload) > maxChunkBytes) {
 			if err := u.stage(); err != nil {
@@ -155,14 +155,14 @@
 		}
 		u.pendingItems = append(u.pendingItems, payload)
 		u.pendingBytes += len(payload)
-		u.count++
+		u.itemCount++
 	}
 	return nil
 }
 
 // checkItem validates one item. The error names its line.
 func (u *uploadSession) checkItem(item *toucanhingev1.Item) error {
-	line := u.count + 1
+	line := u.itemCount + 1
 	limits := u.handler.config
 	switch {
 	case line > limits.MaxItems:
@@ -177,11 +177,11 @@
 	// The names are hashed to 64 bits with a random seed. Among 210,000 different
 	// names, two collide once in 1,000,000,000 uploads, and a client can't construct a
 	// collision.
-	name := maphash.String(u.seed, item.GetCustomId())
-	if _, twice := u.seen[name]; twice {
+	nameHash := maphash.String(u.nameSeed, item.GetCustomId())
+	if _, duplicate := u.nameHashes[nameHash]; duplicate {
 		return u.handler.invalidError("line %d: custom_id %q came before", line, item.GetCustomId())
 	}
-	u.seen[name] = struct{}{}
+	u.nameHashes[nameHash] = struct{}{}
 	return nil
 }
 
@@ -197,7 +197,7 @@
 		return u.refusal(u.ctx.Err())
 	}
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Stage{Stage: &toucanhingev1.StageStep{
-		Upload: u.upload, First: u.count - uint64(len(u.pendingItems)), Items: u.pendingItems,
+		Upload: u.uploadID, First: u.itemCount - uint64(len(u.pendingItems)), Items: u.pendingItems,
 	}}}
 	size := u.pendingBytes
 	u.pendingItems, u.pendingBytes = nil, 0
@@ -246,8 +246,8 @@
 
 // finish accepts the job once all its chunks are stored.
 func (u *uploadSession) finish(count uint64) (*connect.Response[toucanhingev1.UploadResponse], error) {
-	if count != u.count {
-		return nil, u.handler.invalidError("the end names %d items, %d came", count, u.count)
+	if count != u.itemCount {
+		return nil, u.handler.invalidError("the end names %d items, %d came", count, u.itemCount)
 	}
 	if count == 0 {
 		return nil, u.handler.invalidError("the job holds no items")
@@ -260,7 +260,7 @@
 		return nil, u.refusal(u.ctx.Err())
 	}
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Accept{Accept: &toucanhingev1.AcceptStep{
-		Upload: u.upload, Id: u.id, Header: u.header, Count: count, Digest: u.digest.Sum(nil),
+		Upload: u.uploadID, Id: u.jobID, Header: u.header, Count: count, Digest: u.digest.Sum(nil),
 		Attempts: u.permission.service.GetItemAttempts(), Weight: u.permission.weight,
 	}}}
 	result, err := group.Do[jobstate.AcceptResult](u.ctx, u.group.Steps, step, approxStepBytes)
@@ -282,7 +282,7 @@
 	if result.Resend {
 		event = "resent"
 	}
-	u.handler.config.Log.Add(u.id, event, fmt.Sprintf("%d items, gateway %s", u.count, u.header.GetGateway()))
+	u.handler.config.Log.Add(u.jobID, event, fmt.Sprintf("%d items, gateway %s", u.itemCount, u.header.GetGateway()))
 	return connect.NewResponse(&toucanhingev1.UploadResponse{Job: result.Status, Resend: result.Resend}), nil
 }
 
