--- a/control/pkg/fleetstate/apply.go
+++ b/control/pkg/fleetstate/apply.go
@@ -35,13 +35,12 @@
 // cachedResponse is the first response to a request id. The fingerprint identifies
 // the request that it belongs to.
 type cachedResponse struct {
-	at          clock.Millis
+	cachedAt    clock.Millis
 	fingerprint []byte
 	response    *toucanhingev1.ApplyResponse
 }
 
-// responseCache stores the first response to each request id, in order of age, oldest
-// first.
+// responseCache stores the first response to each request id, oldest first.
 type responseCache struct {
 	byID  map[string]cachedResponse
 	order []string
@@ -50,7 +49,7 @@
 func (c *responseCache) add(id string, r cachedResponse) {
 	c.byID[id] = r
 	c.order = append(c.order, id)
-	if len(c.order) > requestLimit {
+	if len(c.order) > maxCachedResponses {
 		c.evictOldest()
 	}
 }
@@ -61,7 +60,7 @@
 }
 
 func (c *responseCache) evictBefore(at clock.Millis) {
-	for len(c.order) > 0 && c.byID[c.order[0]].at < at {
+	for len(c.order) > 0 && c.byID[c.order[0]].cachedAt < at {
 		c.evictOldest()
 	}
 }
@@ -81,7 +80,7 @@
 		return first.response
 	}
 	response := s.decide(step)
-	s.responses.add(request.GetRequestId(), cachedResponse{at: s.now, fingerprint: fingerprint, response: response})
+	s.responses.add(request.GetRequestId(), cachedResponse{cachedAt: s.now, fingerprint: fingerprint, response: response})
 	return response
 }
 
@@ -98,8 +97,8 @@
 
 func (s *State) refuse(request *toucanhingev1.ApplyRequest, r *refusal) *toucanhingev1.ApplyResponse {
 	s.counts.Refused++
-	present := s.entries[fleetconfig.Key{Kind: request.GetEntry().GetKind(), Name: request.GetEntry().GetName()}]
-	return &toucanhingev1.ApplyResponse{Entry: present, Reason: r.code + ": " + r.text}
+	current := s.entries[fleetconfig.Key{Kind: request.GetEntry().GetKind(), Name: request.GetEntry().GetName()}]
+	return &toucanhingev1.ApplyResponse{Entry: current, Reason: r.code + ": " + r.text}
 }
 
 func (s *State) decide(step *toucanhingev1.ApplyStep) *toucanhingev1.ApplyResponse {
@@ -139,7 +138,7 @@
 // second is refused, and its response contains the current entry.
 func (s *State) checkVersion(request *toucanhingev1.ApplyRequest) *refusal {
 	entry := request.GetEntry()
-	present, found := s.entries[fleetconfig.Key{Kind: entry.GetKind(), Name: entry.GetName()}]
+	current, found := s.entries[fleetconfig.Key{Kind: entry.GetKind(), Name: entry.GetName()}]
 	if !found {
 		if entry.GetRemoved() {
 			return refusalf(CodeNotExists, "there is no such entry to remove")
@@ -149,13 +148,13 @@
 		}
 		return nil
 	}
-	if present.GetRemoved() && entry.GetRemoved() {
-		return refusalf(CodeNotExists, "the entry was removed at version %d", present.GetVersion())
+	if current.GetRemoved() && entry.GetRemoved() {
+		return refusalf(CodeNotExists, "the entry was removed at version %d", current.GetVersion())
 	}
-	if request.GetBaseVersion() == present.GetVersion() || (present.GetRemoved() && request.GetBaseVersion() == 0) {
+	if request.GetBaseVersion() == current.GetVersion() || (current.GetRemoved() && request.GetBaseVersion() == 0) {
 		return nil
 	}
-	return refusalf(CodeConflict, "the entry is at version %d, the change is based on %d", present.GetVersion(), request.GetBaseVersion())
+	return refusalf(CodeConflict, "the entry is at version %d, the change is based on %d", current.GetVersion(), request.GetBaseVersion())
 }
 
 // schedule sets the earliest time at which an order may be carried out. Orders that load
--- a/control/pkg/segment/superseded_results_test.go
+++ b/control/pkg/segment/superseded_results_test.go
@@ -16,10 +16,11 @@
 	benchBodyBytes = 400
 )
 
-// attempt is one result that arrives. wins reports that the result counts for its item.
+// attempt is one result that arrives. accepted reports whether the result counts for
+// its item.
 type attempt struct {
-	item uint32
-	wins bool
+	item     uint32
+	accepted bool
 }
 
 // arrivals returns a job's results in the order of their arrival. The given share of the
@@ -31,7 +32,7 @@
 		if random.Float64() < share {
 			list = append(list, attempt{item: uint32(i)})
 		}
-		list = append(list, attempt{item: uint32(i), wins: true})
+		list = append(list, attempt{item: uint32(i), accepted: true})
 	}
 	// Results arrive roughly, not strictly, in the order of the leases.
 	for i := range list {
@@ -72,7 +73,7 @@
 		s := newStore(b)
 		refs := make([]Ref, benchItems)
 		for n, a := range list {
-			if a.wins {
+			if a.accepted {
 				ref, err := s.Append(encodeItem(buffer, a))
 				require.NoError(b, err)
 				refs[a.item] = ref
@@ -125,7 +126,7 @@
 		for n, a := range list {
 			ref, err := s.Append(encodeItem(buffer, a))
 			require.NoError(b, err)
-			if !a.wins {
+			if !a.accepted {
 				superseded = append(superseded, ref)
 			}
 			if n%512 == 0 {
@@ -146,13 +147,13 @@
 	results := make([][]byte, benchItems)
 	for _, number := range s.fileNumbers() {
 		f := s.files[number]
-		whole := make([]byte, f.length)
-		_, err := f.handle.ReadAt(whole, 0)
+		data := make([]byte, f.length)
+		_, err := f.handle.ReadAt(data, 0)
 		require.NoError(b, err)
-		for offset := 0; offset < len(whole); {
-			length := int(binary.LittleEndian.Uint32(whole[offset:]))
-			payload := whole[offset+headerBytes : offset+headerBytes+length]
-			if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(whole[offset+4:]) {
+		for offset := 0; offset < len(data); {
+			length := int(binary.LittleEndian.Uint32(data[offset:]))
+			payload := data[offset+headerBytes : offset+headerBytes+length]
+			if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(data[offset+4:]) {
 				b.Fatal("damaged")
 			}
 			if _, skip := slices.BinarySearch(superseded, newRef(number, int64(offset))); !skip {
--- a/control/pkg/work/lease_tracker.go
+++ b/control/pkg/work/lease_tracker.go
@@ -94,8 +94,8 @@
 }
 
 // Confirm ensures, once per term, that this replica has applied every entry that
-// earlier leaders acknowledged. Before that, it would report leases as revoked whose
-// grants it has not applied yet.
+// earlier leaders acknowledged. Otherwise a new leader that has not applied the grant of
+// a live lease yet would report the lease as revoked.
 func (t *LeaseTracker) Confirm(ctx context.Context, g *group.Jobs) error {
 	t.mu.Lock()
 	current := t.currentLeadership(g.Number)
@@ -163,7 +163,7 @@
 	var leases []jobstate.LeaseView
 	g.Machine.View(func(s *jobstate.State) { leases = s.Leases() })
 	for _, step := range t.checkSteps(g.Number, leases) {
-		if _, err := g.Steps.Do(ctx, step, stepOverheadBytes); err != nil {
+		if _, err := g.Steps.Do(ctx, step, approxStepBytes); err != nil {
 			level.Warn(t.config.Logger).Log(logs.KeyEvent, "expiry-not-logged", logs.KeyGroup, g.Number, logs.KeyError, err)
 		}
 	}
