--- a/common/pkg/control/watcher.go
+++ b/common/pkg/control/watcher.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 
 	"toucanhinge.example/common/pkg/logs"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -30,13 +30,13 @@
 	Process string
 	Logger  log.Logger
 	// Changed is called after each new version, from one goroutine; may be nil.
-	Changed func(*world.Fleet)
+	Changed func(*fleetconfig.Fleet)
 }
 
 // Watcher keeps the configuration of this process up to date and never returns to an older version.
 type Watcher struct {
 	config WatcherConfig
-	fleet  atomic.Pointer[world.Fleet]
+	fleet  atomic.Pointer[fleetconfig.Fleet]
 	// minVersion is the newest version known to be accepted; older versions are ignored.
 	minVersion atomic.Uint64
 	groups     atomic.Uint32
@@ -47,12 +47,12 @@
 // NewWatcher returns a watcher with an empty configuration.
 func NewWatcher(config WatcherConfig) *Watcher {
 	w := &Watcher{config: config, started: make(chan struct{})}
-	w.fleet.Store(world.Empty())
+	w.fleet.Store(fleetconfig.Empty())
 	return w
 }
 
 // Fleet returns the configuration in force in this process.
-func (w *Watcher) Fleet() *world.Fleet {
+func (w *Watcher) Fleet() *fleetconfig.Fleet {
 	return w.fleet.Load()
 }
 
--- a/common/pkg/world/fleet.go
+++ b/common/pkg/fleetconfig/fleet.go
@@ -1,6 +1,6 @@
-// Package world holds the configuration that daemons work with: data centres, links, services, teams,
+// Package fleetconfig holds the configuration that daemons work with: data centres, links, services, teams,
 // contracts and the endpoints behind the sidecars. A Fleet is one version of it and immutable.
-package world
+package fleetconfig
 
 import (
 	"crypto/sha256"
--- a/common/pkg/world/fleet_test.go
+++ b/common/pkg/fleetconfig/fleet_test.go
@@ -1,4 +1,4 @@
-package world
+package fleetconfig
 
 import (
 	"testing"
--- a/control/pkg/app/app_test.go
+++ b/control/pkg/app/app_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"toucanhinge.example/common/pkg/control"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -71,6 +71,6 @@
 		require.Eventually(t, func() bool { return w.Fleet().Version >= last.GetVersion() }, testTimeout, pollInterval)
 		_, found := w.Fleet().Entry(toucanhingev1.Kind_KIND_DATA_CENTRE, "agdal")
 		require.True(t, found)
-		require.NotEqual(t, world.Empty(), w.Fleet())
+		require.NotEqual(t, fleetconfig.Empty(), w.Fleet())
 	}
 }
--- a/control/pkg/app/bench_test.go
+++ b/control/pkg/app/bench_test.go
@@ -16,7 +16,7 @@
 	"toucanhinge.example/common/pkg/control"
 	jobname "toucanhinge.example/common/pkg/job"
 	"toucanhinge.example/common/pkg/web"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/control/pkg/config"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
@@ -221,7 +221,7 @@
 			w := control.NewWatcher(control.WatcherConfig{
 				Client: control.New(control.Config{Addresses: addresses(c), HTTP: web.NewClient()}), Process: fmt.Sprint(n),
 				Logger: log.NewNopLogger(),
-				Changed: func(f *world.Fleet) {
+				Changed: func(f *fleetconfig.Fleet) {
 					mu.Lock()
 					defer mu.Unlock()
 					if at, known := acceptedAt[f.Version]; known {
--- a/control/pkg/batchrun/run.go
+++ b/control/pkg/batchrun/run.go
@@ -14,7 +14,7 @@
 	"toucanhinge.example/common/pkg/clock"
 	"toucanhinge.example/common/pkg/runner"
 	"toucanhinge.example/common/pkg/sse"
-	"toucanhinge.example/control/pkg/carrier"
+	"toucanhinge.example/control/pkg/callproxy"
 	"toucanhinge.example/control/pkg/dispatch"
 	"toucanhinge.example/control/pkg/systemstate"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
@@ -223,7 +223,7 @@
 		switch {
 		case errors.As(err, &unsent):
 			return unreachable, err
-		case errors.Is(err, carrier.ErrNoGateway):
+		case errors.Is(err, callproxy.ErrNoGateway):
 			return notAccepted, err
 		default:
 			return broken, err
--- a/control/pkg/carrier/client.go
+++ b/control/pkg/callproxy/client.go
@@ -1,6 +1,6 @@
-// Package carrier makes calls to runners through gateways. A gateway ends the calls that it proxies if this VM
+// Package callproxy makes calls to runners through gateways. A gateway ends the calls that it proxies if this VM
 // fails, whereas the runner of a direct call would go on for seconds.
-package carrier
+package callproxy
 
 import (
 	"context"
--- a/control/pkg/carrier/flush_tuner.go
+++ b/control/pkg/callproxy/flush_tuner.go
@@ -1,4 +1,4 @@
-package carrier
+package callproxy
 
 import "toucanhinge.example/common/pkg/clock"
 
--- a/control/pkg/carrier/gateway_selector_test.go
+++ b/control/pkg/callproxy/gateway_selector_test.go
@@ -1,4 +1,4 @@
-package carrier
+package callproxy
 
 import (
 	"testing"
--- a/control/pkg/core/core.go
+++ b/control/pkg/core/core.go
@@ -27,7 +27,7 @@
 	"toucanhinge.example/common/pkg/signal"
 	"toucanhinge.example/common/pkg/web"
 	"toucanhinge.example/control/pkg/batchrun"
-	"toucanhinge.example/control/pkg/carrier"
+	"toucanhinge.example/control/pkg/callproxy"
 	"toucanhinge.example/control/pkg/replica"
 	"toucanhinge.example/control/pkg/systemstate"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
@@ -64,8 +64,8 @@
 	// FoundingMembers are the addresses of the VMs that form the group when the system
 	// starts for the first time; empty at every other start.
 	FoundingMembers []string
-	// Losses is the number of VMs whose simultaneous loss the group tolerates.
-	Losses int
+	// ToleratedLosses is the number of VMs whose simultaneous loss the group tolerates.
+	ToleratedLosses int
 	// DrainNoticeLimit is how long requests may still be sent to a runner after the directory
 	// shows that it is leaving; 0 if unknown.
 	DrainNoticeLimit clock.Millis
@@ -130,7 +130,7 @@
 	c.machine = systemstate.NewMachine(systemstate.MachineConfig{
 		Folder: filepath.Join(folder, "state"), Fatal: config.Fatal, Notify: c.notify,
 	})
-	proxy := carrier.New(carrier.Config{
+	proxy := callproxy.New(callproxy.Config{
 		Source: config.Name, Gateways: c.fleet.proxyGateways, Direct: config.Runners, HTTP: web.NewClient, Clock: config.Clock, Logger: config.Logger,
 		Registerer: config.Registerer,
 	})
--- a/control/pkg/core/fleet.go
+++ b/control/pkg/core/fleet.go
@@ -12,7 +12,7 @@
 	"toucanhinge.example/common/pkg/fanout"
 	"toucanhinge.example/common/pkg/fleetview"
 	"toucanhinge.example/common/pkg/signal"
-	"toucanhinge.example/control/pkg/carrier"
+	"toucanhinge.example/control/pkg/callproxy"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -46,7 +46,7 @@
 	runners      []*toucanhingev1.Runner
 	gateways     map[string]gateway
 	// proxies caches the gateways for proxied calls of batch items, nil after a change.
-	proxies []carrier.Gateway
+	proxies []callproxy.Gateway
 	// tree caches the fan-out tree of the gateways, nil after a change.
 	tree *fanout.Tree
 	// vms are the control VMs that announced themselves, by address.
@@ -307,12 +307,12 @@
 }
 
 // proxyGateways returns the gateways for proxied calls of batch items. The result must not be modified.
-func (f *fleet) proxyGateways() []carrier.Gateway {
+func (f *fleet) proxyGateways() []callproxy.Gateway {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.proxies == nil {
 		for _, g := range f.gateways {
-			f.proxies = append(f.proxies, carrier.Gateway{Address: g.address, DataCentre: g.dataCentre})
+			f.proxies = append(f.proxies, callproxy.Gateway{Address: g.address, DataCentre: g.dataCentre})
 		}
 	}
 	return f.proxies
--- a/control/pkg/fleetstate/apply.go
+++ b/control/pkg/fleetstate/apply.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"toucanhinge.example/common/pkg/clock"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -98,7 +98,7 @@
 
 func (s *State) refuse(request *toucanhingev1.ApplyRequest, r *refusal) *toucanhingev1.ApplyResponse {
 	s.counts.Refused++
-	present := s.entries[world.Key{Kind: request.GetEntry().GetKind(), Name: request.GetEntry().GetName()}]
+	present := s.entries[fleetconfig.Key{Kind: request.GetEntry().GetKind(), Name: request.GetEntry().GetName()}]
 	return &toucanhingev1.ApplyResponse{Entry: present, Reason: r.code + ": " + r.text}
 }
 
@@ -139,7 +139,7 @@
 // second is refused, and its response contains the current entry.
 func (s *State) checkVersion(request *toucanhingev1.ApplyRequest) *refusal {
 	entry := request.GetEntry()
-	present, found := s.entries[world.Key{Kind: entry.GetKind(), Name: entry.GetName()}]
+	present, found := s.entries[fleetconfig.Key{Kind: entry.GetKind(), Name: entry.GetName()}]
 	if !found {
 		if entry.GetRemoved() {
 			return refusalf(CodeNotExists, "there is no such entry to remove")
--- a/control/pkg/fleetstate/fuzz_test.go
+++ b/control/pkg/fleetstate/fuzz_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"toucanhinge.example/common/pkg/seed"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -28,7 +28,7 @@
 
 // watcher is a process that watches the configuration.
 type watcher struct {
-	fleet *world.Fleet
+	fleet *fleetconfig.Fleet
 }
 
 // modelClaim is a claimed request in the oracle.
@@ -45,7 +45,7 @@
 	machine *Machine
 	now     int64
 
-	entries  map[world.Key]*toucanhingev1.Entry
+	entries  map[fleetconfig.Key]*toucanhingev1.Entry
 	version  uint64
 	sent     []sentRequest
 	members  map[string]uint64
@@ -59,8 +59,8 @@
 
 func newHarness(t *rapid.T) *harness {
 	h := &harness{
-		t: t, now: 1, entries: map[world.Key]*toucanhingev1.Entry{}, members: map[string]uint64{},
-		claims: map[claimKey]*modelClaim{}, watchers: []watcher{{world.Empty()}, {world.Empty()}, {world.Empty()}},
+		t: t, now: 1, entries: map[fleetconfig.Key]*toucanhingev1.Entry{}, members: map[string]uint64{},
+		claims: map[claimKey]*modelClaim{}, watchers: []watcher{{fleetconfig.Empty()}, {fleetconfig.Empty()}, {fleetconfig.Empty()}},
 	}
 	h.machine = h.open(nil)
 	return h
@@ -90,13 +90,13 @@
 func (h *harness) recordEntry(e *toucanhingev1.Entry) {
 	require.Equal(h.t, h.version+1, e.GetVersion(), "each change increments the version")
 	h.version++
-	h.entries[world.Key{Kind: e.GetKind(), Name: e.GetName()}] = e
+	h.entries[fleetconfig.Key{Kind: e.GetKind(), Name: e.GetName()}] = e
 }
 
 // Change requests a change that is based on the current version, on an older one, or on
 // none. At most one change is accepted for each base version.
 func (h *harness) Change(t *rapid.T) {
-	key := world.Key{Kind: toucanhingev1.Kind_KIND_DATA_CENTRE, Name: rapid.SampledFrom([]string{"agdal", "temara", "hay-riad"}).Draw(t, "name")}
+	key := fleetconfig.Key{Kind: toucanhingev1.Kind_KIND_DATA_CENTRE, Name: rapid.SampledFrom([]string{"agdal", "temara", "hay-riad"}).Draw(t, "name")}
 	present := h.entries[key]
 	base := rapid.SampledFrom([]uint64{0, present.GetVersion(), present.GetVersion(), h.version}).Draw(t, "base")
 	request := &toucanhingev1.ApplyRequest{
@@ -155,14 +155,14 @@
 		return
 	}
 	h.members[name] = incarnation
-	key := world.Key{Kind: toucanhingev1.Kind_KIND_MEMBER, Name: name}
+	key := fleetconfig.Key{Kind: toucanhingev1.Kind_KIND_MEMBER, Name: name}
 	if !proto.Equal(h.entries[key].GetMember(), member) {
 		h.recordCurrent(key)
 	}
 }
 
 // recordCurrent records a change that the machine itself made.
-func (h *harness) recordCurrent(key world.Key) {
+func (h *harness) recordCurrent(key fleetconfig.Key) {
 	h.machine.View(func(s *State) { h.recordEntry(s.entries[key]) })
 }
 
@@ -175,7 +175,7 @@
 	result := h.step(&toucanhingev1.FleetStep{Step: &toucanhingev1.FleetStep_MemberEnd{
 		MemberEnd: &toucanhingev1.MemberEndStep{Name: name, Incarnation: incarnation, Forget: forget},
 	}}).(MemberEndResult)
-	key := world.Key{Kind: toucanhingev1.Kind_KIND_MEMBER, Name: name}
+	key := fleetconfig.Key{Kind: toucanhingev1.Kind_KIND_MEMBER, Name: name}
 	e := h.entries[key]
 	dead := e.GetMember().GetState() == toucanhingev1.MemberState_MEMBER_STATE_DEAD
 	want := e != nil && !e.GetRemoved() && h.members[name] == incarnation && dead == forget
@@ -191,7 +191,7 @@
 // Order sends an order to an endpoint. Its version, which serves as the fencing number,
 // must grow, and loads must be spaced.
 func (h *harness) Order(t *rapid.T) {
-	key := world.Key{Kind: toucanhingev1.Kind_KIND_ORDER, Name: "s1"}
+	key := fleetconfig.Key{Kind: toucanhingev1.Kind_KIND_ORDER, Name: "s1"}
 	request := &toucanhingev1.ApplyRequest{
 		RequestId: fmt.Sprintf("r%d", len(h.sent)), BaseVersion: h.entries[key].GetVersion(),
 		Entry: &toucanhingev1.Entry{Kind: key.Kind, Name: key.Name, Body: &toucanhingev1.Entry_Order{Order: &toucanhingev1.Order{
--- a/control/pkg/fleetstate/machine.go
+++ b/control/pkg/fleetstate/machine.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"toucanhinge.example/common/pkg/clock"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -141,9 +141,9 @@
 	s := New()
 	s.now, s.lastLoad = clock.Millis(snapshot.GetNowMs()), clock.Millis(snapshot.GetLastLoadMs())
 	s.version, s.base = snapshot.GetVersion(), snapshot.GetBase()
-	s.recent = make([]world.Key, s.version-s.base)
+	s.recent = make([]fleetconfig.Key, s.version-s.base)
 	for _, e := range snapshot.GetEntries() {
-		key := world.Key{Kind: e.GetKind(), Name: e.GetName()}
+		key := fleetconfig.Key{Kind: e.GetKind(), Name: e.GetName()}
 		s.entries[key] = e
 		if e.GetVersion() > s.base {
 			s.recent[e.GetVersion()-s.base-1] = key
--- a/control/pkg/fleetstate/members.go
+++ b/control/pkg/fleetstate/members.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -87,7 +87,7 @@
 // platformDrain drains a VM that the platform's list reports as leaving, or ends the
 // drain. Drains that operators created are not changed.
 func (s *State) platformDrain(step *toucanhingev1.PlatformDrainStep) any {
-	key := world.Key{Kind: toucanhingev1.Kind_KIND_DRAIN, Name: step.GetVm()}
+	key := fleetconfig.Key{Kind: toucanhingev1.Kind_KIND_DRAIN, Name: step.GetVm()}
 	e := s.entries[key]
 	present := e != nil && !e.GetRemoved()
 	switch {
--- a/control/pkg/fleetstate/state.go
+++ b/control/pkg/fleetstate/state.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"toucanhinge.example/common/pkg/clock"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -28,9 +28,9 @@
 type State struct {
 	now     clock.Millis
 	version uint64
-	entries map[world.Key]*toucanhingev1.Entry
+	entries map[fleetconfig.Key]*toucanhingev1.Entry
 	// recent holds the keys changed at base+1, base+2, …, version.
-	recent    []world.Key
+	recent    []fleetconfig.Key
 	base      uint64
 	responses responseCache
 	claims    claimIndex
@@ -50,7 +50,7 @@
 // New returns an empty state.
 func New() *State {
 	return &State{
-		entries:   map[world.Key]*toucanhingev1.Entry{},
+		entries:   map[fleetconfig.Key]*toucanhingev1.Entry{},
 		responses: responseCache{byID: map[string]cachedResponse{}},
 		claims:    claimIndex{byID: map[claimKey]*claim{}},
 	}
@@ -84,7 +84,7 @@
 	s.version++
 	e.Version = s.version
 	e.AcceptedMs = int64(s.now)
-	key := world.Key{Kind: e.GetKind(), Name: e.GetName()}
+	key := fleetconfig.Key{Kind: e.GetKind(), Name: e.GetName()}
 	s.entries[key] = e
 	s.recent = append(s.recent, key)
 	if len(s.recent) > historyLimit {
@@ -113,7 +113,7 @@
 
 // Entry returns an entry that exists and is not removed.
 func (s *State) Entry(kind toucanhingev1.Kind, name string) (*toucanhingev1.Entry, bool) {
-	e, found := s.entries[world.Key{Kind: kind, Name: name}]
+	e, found := s.entries[fleetconfig.Key{Kind: kind, Name: name}]
 	if !found || e.GetRemoved() {
 		return nil, false
 	}
@@ -157,8 +157,8 @@
 }
 
 // Fleet returns the current configuration with its look-up methods.
-func (s *State) Fleet() *world.Fleet {
-	return world.Empty().With(s.version, true, s.Entries(toucanhingev1.Kind_KIND_UNSPECIFIED, "", false))
+func (s *State) Fleet() *fleetconfig.Fleet {
+	return fleetconfig.Empty().With(s.version, true, s.Entries(toucanhingev1.Kind_KIND_UNSPECIFIED, "", false))
 }
 
 // Counts returns the event counts since the process started.
--- a/gateway/pkg/app/claims_test.go
+++ b/gateway/pkg/app/claims_test.go
@@ -12,7 +12,7 @@
 	"connectrpc.com/connect"
 	"github.com/stretchr/testify/require"
 
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/gateway/pkg/config"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
@@ -202,5 +202,5 @@
 }
 
 func hash(key string) string {
-	return world.HashKey(key)
+	return fleetconfig.HashKey(key)
 }
--- a/gateway/pkg/app/components.go
+++ b/gateway/pkg/app/components.go
@@ -19,7 +19,7 @@
 	"toucanhinge.example/gateway/pkg/control"
 	"toucanhinge.example/gateway/pkg/endpoint"
 	"toucanhinge.example/gateway/pkg/limit"
-	"toucanhinge.example/gateway/pkg/older"
+	"toucanhinge.example/gateway/pkg/legacy"
 	"toucanhinge.example/gateway/pkg/online"
 	"toucanhinge.example/gateway/pkg/route"
 )
@@ -51,8 +51,8 @@
 			Gateway: settings.Name, Limits: settings.Limits, PrefixBytes: settings.Route.PrefixBytes,
 			Clock: now, Fleet: watcher.Fleet, Ready: func() bool { return watcherStarted(watcher) },
 			Directory:   directory,
-			Runner:      newRunner(settings, now, logger, directory, decisionLog, onlineMetrics),
-			Legacy:      older.New(older.Config{Clock: now}),
+			Executor:      newRunner(settings, now, logger, directory, decisionLog, onlineMetrics),
+			Legacy:      legacy.New(legacy.Config{Clock: now}),
 			Claims:      claims,
 			Jobs:        control.NewJobs(control.JobsConfig{Gateway: settings.Name, Client: client, Groups: watcher.Groups}),
 			Limiter:     limit.New(limit.Config{MaxInFlight: settings.Limits.MaxInFlight}),
@@ -95,7 +95,7 @@
 ) *online.Executor {
 	r := settings.Retry
 	return online.New(online.Config{
-		Gateway: settings.Name, Clock: now, Directory: directory, Log: decisionLog, Metrics: m, Logger: logger,
+		Gateway: settings.Name, Clock: now, Directory: directory, DecisionLog: decisionLog, Metrics: m, Logger: logger,
 		Budget: attempt.NewBudget(attempt.BudgetConfig{
 			Ratio: r.Ratio, Burst: float64(r.Burst), RefusedBurst: float64(r.RefusedBurst),
 		}),
--- a/gateway/pkg/app/fakes_test.go
+++ b/gateway/pkg/app/fakes_test.go
@@ -15,7 +15,7 @@
 	commoncontrol "toucanhinge.example/common/pkg/control"
 	"toucanhinge.example/common/pkg/job"
 	"toucanhinge.example/common/pkg/web"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
@@ -327,8 +327,8 @@
 	f.entries = []*toucanhingev1.Entry{
 		serviceEntry(service, &toucanhingev1.Service{Kind: toucanhingev1.ServiceKind_SERVICE_KIND_MODEL, Model: model}),
 		serviceEntry(plainName, &toucanhingev1.Service{Kind: toucanhingev1.ServiceKind_SERVICE_KIND_PLAIN}),
-		teamEntry(team, &toucanhingev1.TeamRecord{KeyHashes: []string{world.HashKey(teamKey)}}),
-		teamEntry(otherTeam, &toucanhingev1.TeamRecord{KeyHashes: []string{world.HashKey(otherKey)}}),
+		teamEntry(team, &toucanhingev1.TeamRecord{KeyHashes: []string{fleetconfig.HashKey(teamKey)}}),
+		teamEntry(otherTeam, &toucanhingev1.TeamRecord{KeyHashes: []string{fleetconfig.HashKey(otherKey)}}),
 		contractEntry(team, service), contractEntry(team, plainName),
 	}
 	for _, s := range sidecars {
--- a/gateway/pkg/caller/request_info.go
+++ b/gateway/pkg/caller/request_info.go
@@ -10,7 +10,7 @@
 	"github.com/gin-gonic/gin"
 
 	"toucanhinge.example/common/pkg/clock"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/gateway/pkg/limit"
 )
 
@@ -32,8 +32,8 @@
 
 // requestInfo holds the attributes that all caller requests have in common.
 type requestInfo struct {
-	fleet    *world.Fleet
-	team     world.Team
+	fleet    *fleetconfig.Fleet
+	team     fleetconfig.Team
 	id       string
 	callerID string
 	arrived  clock.Millis
@@ -138,7 +138,7 @@
 }
 
 // findContract returns the contract that permits the team to use the service.
-func (ri *requestInfo) findContract(service string, batch bool) (world.Contract, *refusal) {
+func (ri *requestInfo) findContract(service string, batch bool) (fleetconfig.Contract, *refusal) {
 	contract, found := ri.fleet.Contract(ri.team.Name, service)
 	if !found || (batch && !contract.GetBatch()) || (!batch && !contract.GetOnline()) {
 		return contract, newRefusal(http.StatusForbidden, reasonNoContract,
@@ -149,7 +149,7 @@
 
 // deadline returns the time until which the caller waits for the response. The timeout is the one requested
 // by the caller, else that of the service, else the default of the gateway.
-func (ri *requestInfo) deadline(service world.Service, defaultTimeout int64) clock.Millis {
+func (ri *requestInfo) deadline(service fleetconfig.Service, defaultTimeout int64) clock.Millis {
 	timeout := ri.timeout
 	if timeout == 0 {
 		timeout = clock.Millis(service.GetDeadlineMs())
--- a/gateway/pkg/caller/server.go
+++ b/gateway/pkg/caller/server.go
@@ -13,12 +13,12 @@
 
 	"toucanhinge.example/common/pkg/clock"
 	"toucanhinge.example/common/pkg/record"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/gateway/pkg/config"
 	"toucanhinge.example/gateway/pkg/control"
 	"toucanhinge.example/gateway/pkg/endpoint"
 	"toucanhinge.example/gateway/pkg/limit"
-	"toucanhinge.example/gateway/pkg/older"
+	"toucanhinge.example/gateway/pkg/legacy"
 	"toucanhinge.example/gateway/pkg/online"
 )
 
@@ -29,11 +29,11 @@
 	// PrefixBytes is the length of the prompt prefix that determines the preferred endpoint; 0 turns this off.
 	PrefixBytes int
 	Clock       clock.Clock
-	Fleet       func() *world.Fleet
+	Fleet       func() *fleetconfig.Fleet
 	Ready       func() bool
 	Directory   *endpoint.Directory
-	Runner      *online.Executor
-	Legacy      *older.Forwarder
+	Executor      *online.Executor
+	Legacy      *legacy.Forwarder
 	Claims      *control.Claims
 	Jobs        *control.Jobs
 	Limiter     *limit.Limiter
--- a/gateway/pkg/carry/call.go
+++ b/gateway/pkg/callproxy/call.go
@@ -1,4 +1,4 @@
-package carry
+package callproxy
 
 import (
 	"context"
--- a/gateway/pkg/carry/server.go
+++ b/gateway/pkg/callproxy/server.go
@@ -1,8 +1,8 @@
-// Package carry proxies calls to runners for the leader of the core. It handles the case that the leader's VM fails
+// Package callproxy proxies calls to runners for the leader of the core. It handles the case that the leader's VM fails
 // while batch items hold half of the fleet's slots. Runners can't detect the failure, since no connection is reset: they
 // would go on for seconds with items whose results are lost, while online requests wait. A gateway that proxies an
 // item's call detects the failure and closes the call's connection, and the runner stops.
-package carry
+package callproxy
 
 import (
 	"context"
--- a/gateway/pkg/core/subscriber.go
+++ b/gateway/pkg/core/subscriber.go
@@ -21,7 +21,7 @@
 	"toucanhinge.example/common/pkg/fleetview"
 	"toucanhinge.example/common/pkg/logs"
 	"toucanhinge.example/common/pkg/routing"
-	"toucanhinge.example/gateway/pkg/news"
+	"toucanhinge.example/gateway/pkg/updates"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -53,7 +53,7 @@
 	Core   *control.Client
 	Logger log.Logger
 	// Publisher serves the received updates to other gateways.
-	Publisher *news.Publisher
+	Publisher *updates.Publisher
 	// OnTable and OnFleet apply a new routing table and a new fleet view.
 	OnTable func(*routing.Table)
 	OnFleet func(*toucanhingev1.FleetView)
--- a/gateway/pkg/endpoint/directory.go
+++ b/gateway/pkg/endpoint/directory.go
@@ -16,7 +16,7 @@
 	"toucanhinge.example/common/pkg/clock"
 	"toucanhinge.example/common/pkg/logs"
 	"toucanhinge.example/common/pkg/ring"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/gateway/pkg/route"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
@@ -56,7 +56,7 @@
 }
 
 // SetFleet applies a new configuration.
-func (d *Directory) SetFleet(fleet *world.Fleet) {
+func (d *Directory) SetFleet(fleet *fleetconfig.Fleet) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	present := map[string]bool{}
@@ -83,7 +83,7 @@
 	}
 }
 
-func (d *Directory) routeEndpoints(fleet *world.Fleet, service string) []route.Endpoint {
+func (d *Directory) routeEndpoints(fleet *fleetconfig.Fleet, service string) []route.Endpoint {
 	var list []route.Endpoint
 	for _, e := range fleet.Endpoints(service) {
 		list = append(list, route.Endpoint{
--- a/gateway/pkg/forward/admit.go
+++ b/gateway/pkg/forward/admit.go
@@ -8,14 +8,14 @@
 
 	"toucanhinge.example/common/pkg/clock"
 	"toucanhinge.example/gateway/pkg/admission"
-	"toucanhinge.example/gateway/pkg/place"
+	"toucanhinge.example/gateway/pkg/placement"
 )
 
 // queuePollInterval is the maximum interval at which a queued request checks for a free slot.
 const queuePollInterval = 30 * time.Millisecond
 
 // admit selects a runner, waits for a free slot if necessary, or returns the refusal.
-func (e *exchange) admit(ctx context.Context) (place.Choice, *Refusal) {
+func (e *exchange) admit(ctx context.Context) (placement.Choice, *Refusal) {
 	choice, req, found := e.selectRunner()
 	if !found {
 		return choice, e.unavailableRefusal(ReasonNoRunner, req)
@@ -35,8 +35,8 @@
 }
 
 // selectRunner selects a runner by the current loads and returns the input for its admission.
-func (e *exchange) selectRunner() (place.Choice, admission.Request, bool) {
-	choice, found := e.server.selectRunner(place.Request{Service: e.service, Tried: e.tried})
+func (e *exchange) selectRunner() (placement.Choice, admission.Request, bool) {
+	choice, found := e.server.selectRunner(placement.Request{Service: e.service, Tried: e.tried})
 	e.expectedWait = choice.Wait
 	hold, queueFull := e.server.queueState(e.service, e.auth.Team.GetName())
 	return choice, admission.Request{
@@ -47,7 +47,7 @@
 }
 
 // awaitSlot queues the request until a slot is free and it is first in the wait queue.
-func (e *exchange) awaitSlot(ctx context.Context) (place.Choice, *Refusal) {
+func (e *exchange) awaitSlot(ctx context.Context) (placement.Choice, *Refusal) {
 	s := e.server
 	startedAt := e.now()
 	s.mu.Lock()
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -16,7 +16,7 @@
 	"toucanhinge.example/common/pkg/occupancy"
 	"toucanhinge.example/common/pkg/routing"
 	"toucanhinge.example/common/pkg/runner"
-	"toucanhinge.example/gateway/pkg/place"
+	"toucanhinge.example/gateway/pkg/placement"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -87,7 +87,7 @@
 	for len(e.tried) < maxTries {
 		// A request may be quarantined before it waits for a slot or meanwhile.
 		refusal := e.checkQuarantine(ctx)
-		var choice place.Choice
+		var choice placement.Choice
 		if refusal == nil {
 			choice, refusal = e.admit(ctx)
 		}
@@ -187,7 +187,7 @@
 		e.recordSuccess()
 		e.setOutcome(answer)
 		duration := e.now() - startedAt
-		e.server.updatePlacement(func(m *place.Machine) { m.RecordHold(e.service, duration) })
+		e.server.updatePlacement(func(m *placement.Machine) { m.RecordHold(e.service, duration) })
 		return false
 	}
 	return e.handleBrokenCall(parent, r, startedAt, err)
@@ -206,7 +206,7 @@
 	var unsent *runner.NotSentError
 	if errors.As(err, &unsent) {
 		if ctx.Err() == nil {
-			e.server.updatePlacement(func(m *place.Machine) { m.Block(r.GetId(), e.now()+unreachableBlockDuration) })
+			e.server.updatePlacement(func(m *placement.Machine) { m.Block(r.GetId(), e.now()+unreachableBlockDuration) })
 		}
 		if unsent.Unresponsive {
 			// Otherwise each gateway would lose time with a request of its own at this runner.
@@ -224,7 +224,7 @@
 	if answer.OtherInstance {
 		block, reason = otherInstanceBlockDuration, "other-instance"
 	}
-	e.server.updatePlacement(func(m *place.Machine) { m.Block(r.GetId(), e.now()+block) })
+	e.server.updatePlacement(func(m *placement.Machine) { m.Block(r.GetId(), e.now()+block) })
 	return e.recordRetry(r, reason, nil)
 }
 
@@ -239,7 +239,7 @@
 		e.giveUp(ctx, Refusal{Reason: ReasonTimeLimit})
 		return false
 	}
-	e.server.updatePlacement(func(m *place.Machine) { m.Deprioritize(r.GetId(), e.now()+deprioritizeDuration) })
+	e.server.updatePlacement(func(m *placement.Machine) { m.Deprioritize(r.GetId(), e.now()+deprioritizeDuration) })
 	e.detectCrash(ctx, r, startedAt, err)
 	if !e.mayRetry() {
 		e.giveUp(ctx, Refusal{Reason: ReasonBroken})
@@ -252,7 +252,7 @@
 func (e *exchange) recordRetry(r *toucanhingev1.Runner, reason string, err error) bool {
 	e.err = err
 	e.server.metrics.retried.WithLabelValues(reason).Inc()
-	level.Info(e.server.config.Logger).Log(logs.KeyEvent, logs.EventRequestElsewhere, logs.KeyRequest, e.request.ID,
+	level.Info(e.server.config.Logger).Log(logs.KeyEvent, logs.EventRequestRetried, logs.KeyRequest, e.request.ID,
 		"runner", r.GetId(), "reason", reason, "ran", e.runs, logs.KeyError, err)
 	return true
 }
--- a/gateway/pkg/forward/server.go
+++ b/gateway/pkg/forward/server.go
@@ -22,7 +22,7 @@
 	"toucanhinge.example/common/pkg/runner"
 	"toucanhinge.example/gateway/pkg/admission"
 	"toucanhinge.example/gateway/pkg/lease"
-	"toucanhinge.example/gateway/pkg/place"
+	"toucanhinge.example/gateway/pkg/placement"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -53,8 +53,8 @@
 	readyOnce sync.Once
 
 	mu        sync.Mutex
-	placement *place.Machine
-	loads     *occupancy.Cache[place.Load]
+	placement *placement.Machine
+	loads     *occupancy.Cache[placement.Load]
 	runners   []*toucanhingev1.Runner
 	gateways  int
 	retries   *admission.RetryDetector
@@ -83,8 +83,8 @@
 		Name: "toucanhinge_requests_quarantined", Help: "Quarantined requests, which no runner may run.",
 	}, func() float64 { return float64(config.Exchange.QuarantineCount()) })
 	return &Server{
-		config: config, placement: place.New(place.Config{DataCentre: config.DataCentre}),
-		loads: &occupancy.Cache[place.Load]{Read: runnerLoad}, retries: admission.NewRetryDetector(),
+		config: config, placement: placement.New(placement.Config{DataCentre: config.DataCentre}),
+		loads: &occupancy.Cache[placement.Load]{Read: runnerLoad}, retries: admission.NewRetryDetector(),
 		loadChanged: make(chan struct{}), ready: make(chan struct{}),
 		metrics: &metrics{
 			requests: factory.NewCounterVec(prometheus.CounterOpts{
@@ -208,11 +208,11 @@
 }
 
 // selectRunner selects a runner for a call by the current loads.
-func (s *Server) selectRunner(req place.Request) (place.Choice, bool) {
+func (s *Server) selectRunner(req placement.Request) (placement.Choice, bool) {
 	req.TieBreak, req.Draw, req.Age = rand.Float64(), rand.Float64(), s.config.Exchange.Age()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var choice place.Choice
+	var choice placement.Choice
 	ok := false
 	s.config.Exchange.View(func(t *occupancy.Table) {
 		now := s.config.Clock.Now()
@@ -223,9 +223,9 @@
 }
 
 // runnerLoad returns the load of a runner by all daemons.
-func runnerLoad(now clock.Millis, id string, t *occupancy.Table) place.Load {
+func runnerLoad(now clock.Millis, id string, t *occupancy.Table) placement.Load {
 	l := t.Load(id)
-	return place.Load{
+	return placement.Load{
 		Online: l.Online, Own: t.Own(id).Online, Batch: l.Batch, Foreign: t.Foreign(now, id), Unresponsive: t.Unresponsive(now, id),
 	}
 }
@@ -250,7 +250,7 @@
 }
 
 // updatePlacement applies a change to the placement state under the lock.
-func (s *Server) updatePlacement(change func(*place.Machine)) {
+func (s *Server) updatePlacement(change func(*placement.Machine)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.placement)
--- a/gateway/pkg/forward/server_test.go
+++ b/gateway/pkg/forward/server_test.go
@@ -23,7 +23,7 @@
 	"toucanhinge.example/common/pkg/occupancy"
 	"toucanhinge.example/common/pkg/routing"
 	"toucanhinge.example/common/pkg/runner"
-	"toucanhinge.example/gateway/pkg/place"
+	"toucanhinge.example/gateway/pkg/placement"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -316,7 +316,7 @@
 		f.server.config.Exchange.Add("b", occupancy.Load{Online: -1})
 		f.server.LoadChanged()
 	})
-	f.server.updatePlacement(func(m *place.Machine) {
+	f.server.updatePlacement(func(m *placement.Machine) {
 		for range 200 {
 			m.RecordHold("llm", 60)
 		}
--- a/gateway/pkg/forward/stream.go
+++ b/gateway/pkg/forward/stream.go
@@ -15,7 +15,7 @@
 	"toucanhinge.example/common/pkg/digest"
 	"toucanhinge.example/common/pkg/runner"
 	"toucanhinge.example/common/pkg/sse"
-	"toucanhinge.example/gateway/pkg/place"
+	"toucanhinge.example/gateway/pkg/placement"
 )
 
 const (
@@ -91,7 +91,7 @@
 	if !e.route.Streams() || !e.route.Resumable || e.runs+1 >= int(e.route.MaxAttempts) {
 		return t
 	}
-	req := place.Request{Service: e.service, Tried: slices.Clone(e.tried)}
+	req := placement.Request{Service: e.service, Tried: slices.Clone(e.tried)}
 	t.start(e.firstEventTimeout(), func() bool {
 		choice, found := e.server.selectRunner(req)
 		if !found || choice.Wait > 0 || slices.Contains(req.Tried, choice.Runner.GetId()) {
--- a/gateway/pkg/forward/unresponsive_test.go
+++ b/gateway/pkg/forward/unresponsive_test.go
@@ -9,7 +9,7 @@
 
 	"toucanhinge.example/common/pkg/occupancy"
 	"toucanhinge.example/common/pkg/runner"
-	"toucanhinge.example/gateway/pkg/place"
+	"toucanhinge.example/gateway/pkg/placement"
 )
 
 // A runner stops sending in the middle of a stream, and its connection stays open. A resumable stream
@@ -63,7 +63,7 @@
 				f.server.config.Exchange.Add(id, occupancy.Load{Online: c.load})
 			}
 			for range 100 {
-				f.server.updatePlacement(func(m *place.Machine) { m.RecordHold("llm", 100) })
+				f.server.updatePlacement(func(m *placement.Machine) { m.RecordHold("llm", 100) })
 			}
 			_, _, _, err := f.get("/stream/", 400)
 			require.NoError(t, err)
@@ -81,7 +81,7 @@
 func TestBrokenCallIsRetriedAtFullRunner(t *testing.T) {
 	f := start(t, reply{err: &runner.BrokenError{Runner: "x", Err: errConnReset}}, reply{text: events(1, 3)})
 	for range 100 {
-		f.server.updatePlacement(func(m *place.Machine) { m.RecordHold("llm", 100) })
+		f.server.updatePlacement(func(m *placement.Machine) { m.RecordHold("llm", 100) })
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		f.server.config.Exchange.Add(id, occupancy.Load{Online: 2})
--- a/gateway/pkg/older/forwarder.go
+++ b/gateway/pkg/legacy/forwarder.go
@@ -1,6 +1,6 @@
-// Package older forwards requests to the legacy serving system, which handles a share of a service's
+// Package legacy forwards requests to the legacy serving system, which handles a share of a service's
 // requests until it is switched off.
-package older
+package legacy
 
 import (
 	"bytes"
--- a/gateway/pkg/place/candidates.go
+++ b/gateway/pkg/placement/candidates.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"container/heap"
--- a/gateway/pkg/place/machine.go
+++ b/gateway/pkg/placement/machine.go
@@ -1,9 +1,9 @@
-// Package place selects the runner for an online request. It is designed for bursts that need nearly every slot of
+// Package placement selects the runner for an online request. It is designed for bursts that need nearly every slot of
 // the fleet for some seconds and arrive through many gateways at once, while batch items hold the slots that were
 // free. It therefore counts the calls of all daemons instead of relying on reports of runners, prefers a free slot to
 // one that an item must yield, and estimates the wait for a slot if none is free. It uses no goroutine, socket or
 // clock.
-package place
+package placement
 
 import (
 	"slices"
--- a/gateway/pkg/news/publisher.go
+++ b/gateway/pkg/updates/publisher.go
@@ -1,10 +1,10 @@
-// Package news publishes the updates that a gateway received from the core to other gateways of its data
+// Package updates publishes the updates that a gateway received from the core to other gateways of its data
 // centre: the routing table, the fleet view, and the freshness point up to which both are complete. See
 // package fanout for the tree of gateways.
 //
 // Published state is never older than its freshness point. A gateway that has received no update for a
 // while continues to answer and reports its lag; the subscriber decides whether to query another gateway.
-package news
+package updates
 
 import (
 	"sync"
--- a/gateway/pkg/news/subscribers.go
+++ b/gateway/pkg/updates/subscribers.go
@@ -1,4 +1,4 @@
-package news
+package updates
 
 import (
 	"toucanhinge.example/common/pkg/clock"
--- a/lab/cmd/bench/main.go
+++ b/lab/cmd/bench/main.go
@@ -27,7 +27,7 @@
 	arg.MustParse(&a)
 	if a.List {
 		for _, e := range bench.Experiments() {
-			fmt.Printf("%-10s %s\n", e.Name, e.About)
+			fmt.Printf("%-10s %s\n", e.Name, e.Description)
 		}
 		return
 	}
--- a/lab/cmd/demo/main.go
+++ b/lab/cmd/demo/main.go
@@ -28,7 +28,7 @@
 		run = demo.Up
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	err := run(ctx, demo.Config{Bin: a.Bin, Folder: a.Folder, Print: os.Stdout})
+	err := run(ctx, demo.Config{Bin: a.Bin, Folder: a.Folder, Output: os.Stdout})
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "demo failed:", err)
--- a/lab/cmd/engine/main.go
+++ b/lab/cmd/engine/main.go
@@ -14,5 +14,5 @@
 	var arguments engine.Arguments
 	arg.MustParse(&arguments)
 	e := engine.New(arguments.Config(os.Exit))
-	os.Exit(serve.Run(serve.Config{Listen: arguments.Listen, Handler: e.Handler(), Duty: e.Run}))
+	os.Exit(serve.Run(serve.Config{Listen: arguments.Listen, Handler: e.Handler(), Background: e.Run}))
 }
--- a/lab/cmd/losses/main.go
+++ b/lab/cmd/losses/main.go
@@ -18,7 +18,7 @@
 	Picture  string        `arg:"--picture" help:"PNG file to draw the losses over time into"`
 	Span     time.Duration `arg:"--span" default:"2s" help:"span of a point of the picture"`
 	Late     float64       `arg:"--late" default:"0.15" help:"what a late answer is worth, in whole answers"`
-	CameBack float64       `arg:"--back" default:"0.575" help:"what one in time at the second attempt is worth"`
+	SecondAttempt float64       `arg:"--back" default:"0.575" help:"what one in time at the second attempt is worth"`
 }
 
 func main() {
@@ -31,7 +31,7 @@
 }
 
 func run(a arguments) error {
-	ledger := losses.New(losses.Weights{Late: a.Late, CameBack: a.CameBack})
+	ledger := losses.New(losses.Weights{Late: a.Late, InTimeOnRetry: a.SecondAttempt})
 	if len(a.Logs) == 0 {
 		if err := read("standard input", os.Stdin, ledger); err != nil {
 			return err
--- a/lab/cmd/older/main.go
+++ b/lab/cmd/older/main.go
@@ -26,5 +26,5 @@
 	e := engine.New(engine.Config{
 		Name: "older", Model: a.Model, Slots: fleetSlots, Timing: engine.Timing{Speed: a.Speed}, Exit: os.Exit,
 	})
-	os.Exit(serve.Run(serve.Config{Listen: a.Listen, Handler: e.Handler(), Duty: e.Run}))
+	os.Exit(serve.Run(serve.Config{Listen: a.Listen, Handler: e.Handler(), Background: e.Run}))
 }
--- a/lab/cmd/regress/main.go
+++ b/lab/cmd/regress/main.go
@@ -62,7 +62,7 @@
 }
 
 func (a arguments) plan() regress.Plan {
-	plan := regress.Plan{FirstSeed: a.FirstSeed, Most: a.Most}
+	plan := regress.Plan{FirstSeed: a.FirstSeed, MaxDrop: a.Most}
 	for _, size := range []struct {
 		files, days []string
 		seeds       int
@@ -90,12 +90,12 @@
 			return false, fmt.Errorf("deployment %s: %w", d.File, err)
 		}
 	}
-	players := regress.Players{Why: a.Why, Jobs: a.Jobs, Played: func(r regress.Result) {
+	players := regress.Runner{Why: a.Why, Jobs: a.Jobs, OnResult: func(r regress.Result) {
 		if r.Err != nil {
 			fmt.Printf("%-60s %v\n", r.Pair, r.Err)
 			return
 		}
-		fmt.Printf("%-60s %.3f > %.3f  %+.3f %s%s\n", r.Pair, r.Before.Worth, r.After.Worth, r.After.Worth-r.Before.Worth, r.Before.Broken, r.After.Broken)
+		fmt.Printf("%-60s %.3f > %.3f  %+.3f %s%s\n", r.Pair, r.Before.Worth, r.After.Worth, r.After.Worth-r.Before.Worth, r.Before.BrokenRules, r.After.BrokenRules)
 	}}
 	if players.Bench, err = filepath.Abs(a.Bench); err != nil {
 		return false, fmt.Errorf("bench: %w", err)
@@ -106,11 +106,11 @@
 	if players.After, err = checkout(ctx, a.After, filepath.Join(a.Out, "after")); err != nil {
 		return false, err
 	}
-	results, err := players.Play(ctx, plan.Pairs())
+	results, err := players.Run(ctx, plan.Pairs())
 	if err != nil {
 		return false, err
 	}
-	summary := plan.Sum(results)
+	summary := plan.Summarize(results)
 	if err := keep(summary, a.Out); err != nil {
 		return false, err
 	}
--- a/lab/failure/answers_test.go
+++ b/lab/failure/answers_test.go
@@ -55,7 +55,7 @@
 	calls.Wait()
 	whole := 0
 	for n, o := range outcomes {
-		if o.Whole {
+		if o.Complete {
 			require.Equal(t, engine.ChatText(ownPrompt(name, n), 20), o.Text)
 			whole++
 			continue
--- a/lab/failure/frozen_leader_test.go
+++ b/lab/failure/frozen_leader_test.go
@@ -18,23 +18,23 @@
 	t.Parallel()
 	ctx := bounded(t)
 	f := start(t, fleet.Config{Controls: 3, Gateways: 1, Sidecars: 1})
-	_, err := f.Change(ctx, 1)
+	_, err := f.ApplyLinkChange(ctx, 1)
 	require.NoError(t, err)
 	old, err := f.Leader(ctx, 0)
 	require.NoError(t, err)
 	require.NoError(t, old.Process().Freeze())
 
-	changed, err := f.Change(ctx, 2)
+	changed, err := f.ApplyLinkChange(ctx, 2)
 	require.NoError(t, err)
 	require.NoError(t, old.Process().Thaw())
 
 	asOld := operator.New(operator.Config{Controls: []string{old.Address}})
 	for range 20 {
-		entries, err := asOld.Entries(ctx, toucanhingev1.Kind_KIND_LINK, f.ChangeEntry(2).GetName())
+		entries, err := asOld.Entries(ctx, toucanhingev1.Kind_KIND_LINK, f.LinkChange(2).GetName())
 		require.NoError(t, err)
 		require.Len(t, entries, 1)
-		require.Equal(t, f.ChangeEntry(2).GetLink().GetLatencyUs(), entries[0].GetLink().GetLatencyUs())
+		require.Equal(t, f.LinkChange(2).GetLink().GetLatencyUs(), entries[0].GetLink().GetLatencyUs())
 		require.Equal(t, changed.GetVersion(), entries[0].GetVersion())
 	}
-	require.NoError(t, f.WaitInForce(ctx, changed.GetVersion()))
+	require.NoError(t, f.WaitForVersion(ctx, changed.GetVersion()))
 }
--- a/lab/failure/gateway_frozen_test.go
+++ b/lab/failure/gateway_frozen_test.go
@@ -20,11 +20,11 @@
 func TestGatewayFrozenInTheMiddleOfANonIdempotentCall(t *testing.T) {
 	t.Parallel()
 	ctx := bounded(t)
-	f := start(t, fleet.Config{Controls: 3, Gateways: 2, Sidecars: 1, Plains: 2})
-	for _, n := range f.Plains {
+	f := start(t, fleet.Config{Controls: 3, Gateways: 2, Sidecars: 1, PlainServices: 2})
+	for _, n := range f.PlainServices {
 		require.NoError(t, f.SetFaults(ctx, n, plain.Faults{LateMs: 300}))
 	}
-	call := caller.Plain{Service: fleet.PlainService, Path: "/pay", Body: "ITEM[pay-7] pay", ID: "pay-7", Once: true}
+	call := caller.PlainCall{Service: fleet.PlainService, Path: "/pay", Body: "ITEM[pay-7] pay", ID: "pay-7", NonIdempotent: true}
 	given := make(chan error, 1)
 	first, giveUp := context.WithCancel(ctx)
 	go func() {
@@ -54,7 +54,7 @@
 func plainRuns(ctx context.Context, t *testing.T, f *fleet.Fleet, id string) int {
 	t.Helper()
 	runs := 0
-	for _, n := range f.Plains {
+	for _, n := range f.PlainServices {
 		l, err := f.PlainLedger(ctx, n)
 		require.NoError(t, err)
 		for _, r := range l.Records {
--- a/lab/failure/lost_disk_test.go
+++ b/lab/failure/lost_disk_test.go
@@ -29,22 +29,22 @@
 	empty, other := followers(f, leader)
 
 	require.NoError(t, empty.Kill())
-	require.NoError(t, os.RemoveAll(empty.Data))
+	require.NoError(t, os.RemoveAll(empty.DataFolder))
 	require.NoError(t, empty.Start())
 	require.NoError(t, other.Process().Freeze())
 	short, stop := context.WithTimeout(ctx, 3*time.Second)
-	_, err = f.Change(short, 1)
+	_, err = f.ApplyLinkChange(short, 1)
 	stop()
 	require.Error(t, err)
 	require.NoError(t, other.Process().Thaw())
-	_, err = f.Change(ctx, 2)
+	_, err = f.ApplyLinkChange(ctx, 2)
 	require.NoError(t, err)
 
 	require.NoError(t, empty.Kill())
 	repair(ctx, t, f, empty)
 	require.NoError(t, leader.Kill())
-	require.NoError(t, os.RemoveAll(leader.Data))
-	_, err = f.Change(ctx, 3)
+	require.NoError(t, os.RemoveAll(leader.DataFolder))
+	_, err = f.ApplyLinkChange(ctx, 3)
 	require.NoError(t, err)
 	requireExactlyOnce(ctx, t, callerAt(f, 0), job.ID, "kept", items)
 	after := upload(ctx, t, callerAt(f, 0), "after", items)
@@ -66,11 +66,11 @@
 // lost replica, adds the newcomer and promotes it as soon as control allows.
 func repair(ctx context.Context, t *testing.T, f *fleet.Fleet, lost *fleet.Node) {
 	t.Helper()
-	newcomer, err := f.Join()
+	newcomer, err := f.StartJoiningControl()
 	require.NoError(t, err)
 	identity := ""
 	require.Eventually(t, func() bool {
-		status, err := f.Operator.Groups(ctx, newcomer.Address)
+		status, err := f.Operator.GroupStatus(ctx, newcomer.Address)
 		identity = status.GetIdentity()
 		return err == nil && identity != ""
 	}, patience, poll)
--- a/lab/failure/partition_test.go
+++ b/lab/failure/partition_test.go
@@ -34,21 +34,21 @@
 			t.Parallel()
 			ctx := bounded(t)
 			f := start(t, fleet.Config{Controls: 3, Gateways: 1, Sidecars: 1, Relayed: true})
-			_, err := f.Change(ctx, 1)
+			_, err := f.ApplyLinkChange(ctx, 1)
 			require.NoError(t, err)
 			old, err := f.Leader(ctx, 0)
 			require.NoError(t, err)
 			leader := indexOf(f, old)
 			s.cut(f, leader, s.with)
 
-			changed, err := othersThan(f, leader).Apply(ctx, f.ChangeEntry(2))
+			changed, err := othersThan(f, leader).Apply(ctx, f.LinkChange(2))
 			require.NoError(t, err)
 			requireNoAnswer(ctx, t, f, old)
 			s.cut(f, leader, relay.Faults{})
-			require.NoError(t, f.WaitInForce(ctx, changed.GetVersion()))
+			require.NoError(t, f.WaitForVersion(ctx, changed.GetVersion()))
 			rejoined := operator.New(operator.Config{Controls: []string{old.Address}})
 			require.Eventually(t, func() bool {
-				entries, err := rejoined.Entries(ctx, toucanhingev1.Kind_KIND_LINK, f.ChangeEntry(2).GetName())
+				entries, err := rejoined.Entries(ctx, toucanhingev1.Kind_KIND_LINK, f.LinkChange(2).GetName())
 				return err == nil && len(entries) == 1 && entries[0].GetVersion() == changed.GetVersion()
 			}, patience, poll)
 		})
@@ -70,9 +70,9 @@
 	direct := operator.New(operator.Config{Controls: []string{n.Address}}).Client().Replica(n.Address).Operators
 	for range 3 {
 		short, stop := context.WithTimeout(ctx, time.Second)
-		_, err := direct.ListEntries(short, connectList(f.ChangeEntry(2).GetName()))
+		_, err := direct.ListEntries(short, connectList(f.LinkChange(2).GetName()))
 		require.Error(t, err)
-		_, err = direct.Apply(short, connectApply(f.ChangeEntry(3)))
+		_, err = direct.Apply(short, connectApply(f.LinkChange(3)))
 		require.Error(t, err)
 		stop()
 	}
--- a/lab/failure/rolling_test.go
+++ b/lab/failure/rolling_test.go
@@ -32,7 +32,7 @@
 	for n := range 8 {
 		callers.Go(func() { outcomes.stream(calls, ctx, f, n) })
 	}
-	for _, n := range f.System() {
+	for _, n := range f.SystemNodes() {
 		require.NoError(t, n.Restart(ctx), n.Name)
 	}
 	stop()
@@ -66,7 +66,7 @@
 func (o *outcomes) note(outcome load.Outcome, want string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if outcome.Whole && outcome.Text == want {
+	if outcome.Complete && outcome.Text == want {
 		o.whole++
 		return
 	}
@@ -77,7 +77,7 @@
 func balanced(ctx context.Context, f *fleet.Fleet, turn int) (load.Target, bool) {
 	for k := range f.Gateways {
 		n := f.Gateways[(turn+k)%len(f.Gateways)]
-		request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.Ready, nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.ReadyURL, nil)
 		if err != nil {
 			return load.Target{}, false
 		}
--- a/lab/pkg/bench/arm.go
+++ b/lab/pkg/bench/arm.go
@@ -28,7 +28,7 @@
 }
 
 func (a *arm) sound() error {
-	if float64(a.report.Whole) < soundShare*float64(a.report.Calls) {
+	if float64(a.report.Complete) < soundShare*float64(a.report.Calls) {
 		return fmt.Errorf("%s: %w", a.report, errUnsound)
 	}
 	return nil
--- a/lab/pkg/bench/bench.go
+++ b/lab/pkg/bench/bench.go
@@ -43,7 +43,7 @@
 // Experiment brings some of the summary's figures.
 type Experiment struct {
 	Name  string
-	About string
+	Description string
 	// Figures are the names it is to bring.
 	Figures []string
 	Run     func(ctx context.Context, b *Bench) error
@@ -101,7 +101,7 @@
 
 func (b *Bench) one(ctx context.Context, e Experiment) {
 	start := time.Now()
-	b.say("== %s: %s", e.Name, e.About)
+	b.say("== %s: %s", e.Name, e.Description)
 	err := e.Run(ctx, b)
 	if err != nil {
 		b.say("   failed: %v", err)
@@ -112,7 +112,7 @@
 			if err != nil {
 				reason = strings.SplitN(err.Error(), "\n", 2)[0]
 			}
-			b.Summary.Miss(name, reason)
+			b.Summary.MarkMissing(name, reason)
 		}
 	}
 	b.say("   took %.1f s", time.Since(start).Seconds())
@@ -144,7 +144,7 @@
 func (b *Bench) end(f *fleet.Fleet) {
 	f.Close()
 	for _, n := range f.Controls {
-		_ = os.RemoveAll(n.Data)
+		_ = os.RemoveAll(n.DataFolder)
 	}
 }
 
--- a/lab/pkg/bench/config.go
+++ b/lab/pkg/bench/config.go
@@ -11,7 +11,7 @@
 
 	"toucanhinge.example/common/pkg/control"
 	"toucanhinge.example/common/pkg/web"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	"toucanhinge.example/lab/pkg/fleet"
 	"toucanhinge.example/lab/pkg/load"
 )
@@ -28,7 +28,7 @@
 
 var configExperiment = Experiment{
 	Name:    "config",
-	About:   "an accepted change to in force at 100 watchers, and the controls' CPU for one watcher and change",
+	Description:   "an accepted change to in force at 100 watchers, and the controls' CPU for one watcher and change",
 	Figures: []string{"config.p99.ms"},
 	Run:     runConfig,
 }
@@ -100,7 +100,7 @@
 		return 0, nil, err
 	}
 	for i := range after {
-		perChange += (after[i].Processor - before[i].Processor).Seconds() * processorUS / configChanges
+		perChange += (after[i].CPUTime - before[i].CPUTime).Seconds() * processorUS / configChanges
 	}
 	return perChange, a.times(changes), nil
 }
@@ -111,7 +111,7 @@
 		client := control.New(control.Config{Addresses: f.ControlAddresses(), HTTP: web.NewClient()})
 		w := control.NewWatcher(control.WatcherConfig{
 			Client: client, Process: fmt.Sprintf("watcher-%d", n), Logger: log.NewNopLogger(),
-			Changed: func(w *world.Fleet) { a.note(n, w.Version) },
+			Changed: func(w *fleetconfig.Fleet) { a.note(n, w.Version) },
 		})
 		duties.Go(func() { w.Run(ctx) })
 		select {
@@ -133,7 +133,7 @@
 	changes := make([]made, 0, configChanges)
 	for n := range configChanges {
 		start := time.Now()
-		entry, err := f.Change(ctx, n)
+		entry, err := f.ApplyLinkChange(ctx, n)
 		if err != nil {
 			return nil, fmt.Errorf("change %d: %w", n, err)
 		}
--- a/lab/pkg/bench/daemons.go
+++ b/lab/pkg/bench/daemons.go
@@ -23,7 +23,7 @@
 
 var daemonsExperiment = Experiment{
 	Name:    "daemons",
-	About:   "the controls' CPU and memory for one more idle daemon that watches and sends heartbeats",
+	Description:   "the controls' CPU and memory for one more idle daemon that watches and sends heartbeats",
 	Figures: []string{"control.daemon.us", "control.daemon.kb"},
 	Run:     runDaemons,
 }
@@ -75,8 +75,8 @@
 	}
 	var totals daemonTotals
 	for i := range after {
-		totals.processor += (after[i].Processor - before[i].Processor).Seconds() / daemonsLength.Seconds()
-		totals.resident += float64(after[i].Resident)
+		totals.processor += (after[i].CPUTime - before[i].CPUTime).Seconds() / daemonsLength.Seconds()
+		totals.resident += float64(after[i].ResidentBytes)
 	}
 	return totals, nil
 }
--- a/lab/pkg/bench/death.go
+++ b/lab/pkg/bench/death.go
@@ -23,7 +23,7 @@
 
 var deathExperiment = Experiment{
 	Name:    "death",
-	About:   "an endpoint VM dies with work in flight: calls lost, time until the first tokens are as before",
+	Description:   "an endpoint VM dies with work in flight: calls lost, time until the first tokens are as before",
 	Figures: []string{"death.lost", "death.recover.s"},
 	Run:     runDeath,
 }
@@ -62,13 +62,13 @@
 	time.AfterFunc(deathAt, func() { killed <- killVM(f) })
 	report := load.Run(ctx, load.Config{
 		Target: f.Target, Make: overloadMix(fmt.Sprintf("death%d", run)).Make, Schedule: schedule, Deadline: time.Minute,
-		Each: func(n int, o load.Outcome) { seen.note(schedule[n], o) },
+		OnOutcome: func(n int, o load.Outcome) { seen.note(schedule[n], o) },
 	})
 	if err := <-killed; err != nil {
 		return err
 	}
 	b.say("   %s", report)
-	b.add("death.lost", float64(report.Calls-report.Whole))
+	b.add("death.lost", float64(report.Calls-report.Complete))
 	b.add("death.recover.s", seen.recovery().Seconds())
 	if run == 0 {
 		b.draw("death", seen.picture())
@@ -86,8 +86,8 @@
 func (s *firsts) note(at time.Duration, o load.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o.Whole {
-		s.windows[min(int(at/deathWindow), len(s.windows)-1)].Record(o.First)
+	if o.Complete {
+		s.windows[min(int(at/deathWindow), len(s.windows)-1)].Record(o.FirstToken)
 	}
 }
 
--- a/lab/pkg/bench/failover.go
+++ b/lab/pkg/bench/failover.go
@@ -13,7 +13,7 @@
 
 var failoverExperiment = Experiment{
 	Name:    "failover",
-	About:   "kill -9 of the leader of the configuration group, to the next accepted change",
+	Description:   "kill -9 of the leader of the configuration group, to the next accepted change",
 	Figures: []string{"failover.p99.ms"},
 	Run:     runFailover,
 }
@@ -34,7 +34,7 @@
 		if err := leader.Kill(); err != nil {
 			return err
 		}
-		if _, err := f.Change(ctx, n); err != nil {
+		if _, err := f.ApplyLinkChange(ctx, n); err != nil {
 			return fmt.Errorf("change after the kill: %w", err)
 		}
 		took := time.Since(start)
--- a/lab/pkg/bench/harm.go
+++ b/lab/pkg/bench/harm.go
@@ -29,7 +29,7 @@
 
 var harmExperiment = Experiment{
 	Name:  "harm",
-	About: "online alone, with batch under our policy, with batch given to the engines at once; and how much batch fills",
+	Description: "online alone, with batch under our policy, with batch given to the engines at once; and how much batch fills",
 	Figures: []string{
 		"harm.ttft", "harm.itl", "naive.harm.ttft", "naive.harm.itl", "batch.fill", "naive.batch.fill",
 	},
@@ -57,16 +57,16 @@
 		if err != nil {
 			return err
 		}
-		b.add("harm.ttft", ratio(ours.mixed.First.Ms(99), ours.alone.First.Ms(99)))
-		b.add("harm.itl", ratio(ours.mixed.Gaps.Ms(95), ours.alone.Gaps.Ms(95)))
-		b.add("naive.harm.ttft", ratio(naive.mixed.First.Ms(99), naive.alone.First.Ms(99)))
-		b.add("naive.harm.itl", ratio(naive.mixed.Gaps.Ms(95), naive.alone.Gaps.Ms(95)))
+		b.add("harm.ttft", ratio(ours.mixed.FirstToken.Ms(99), ours.alone.FirstToken.Ms(99)))
+		b.add("harm.itl", ratio(ours.mixed.TokenGaps.Ms(95), ours.alone.TokenGaps.Ms(95)))
+		b.add("naive.harm.ttft", ratio(naive.mixed.FirstToken.Ms(99), naive.alone.FirstToken.Ms(99)))
+		b.add("naive.harm.itl", ratio(naive.mixed.TokenGaps.Ms(95), naive.alone.TokenGaps.Ms(95)))
 		b.add("batch.fill", ratio(ours.filled, ours.left))
 		b.add("naive.batch.fill", ratio(naive.filled, naive.left))
 		if run == 0 {
 			b.draw("harm", quantilePicture("First token: online alone, with batch, with naive batch",
-				named{"alone", ours.alone.First}, named{"with batch, ours", ours.mixed.First},
-				named{"with batch, naive", naive.mixed.First}))
+				named{"alone", ours.alone.FirstToken}, named{"with batch, ours", ours.mixed.FirstToken},
+				named{"with batch, naive", naive.mixed.FirstToken}))
 		}
 	}
 	return nil
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	defer b.end(f)
-	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherKey})
+	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherTeamKey})
 	filler, err := uploadFiller(ctx, batch, name)
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 	if a.alone, _, err = b.onlineWithFill(ctx, f, name+"a", rate); err != nil {
 		return nil, err
 	}
-	a.left = a.capacity - float64(a.mixed.Tokens)/a.mixed.Length.Seconds()
+	a.left = a.capacity - float64(a.mixed.Tokens)/a.mixed.Duration.Seconds()
 	b.say("   %s capacity %.0f tokens/s, batch beside online %.0f of %.0f left", name, a.capacity, a.filled, a.left)
 	b.say("   %s alone: %s", name, a.alone)
 	b.say("   %s mixed: %s", name, a.mixed)
@@ -123,7 +123,7 @@
 // engines generated besides.
 func (b *Bench) onlineWithFill(ctx context.Context, f *fleet.Fleet, name string, rate float64) (*load.Report, float64, error) {
 	mix := load.Mix{
-		Model: fleet.Model, Prefixes: 8, PrefixBytes: 512, OwnBytes: 200,
+		Model: fleet.Model, Prefixes: 8, PrefixBytes: 512, UniqueBytes: 200,
 		MinTokens: harmTokensMin, MaxTokens: harmTokensMax, Name: name, Seed: b.Config.Seed,
 	}
 	before, err := engineTokens(ctx, f)
@@ -133,7 +133,7 @@
 	start := time.Now()
 	report := load.Run(ctx, load.Config{
 		Target: f.Target, Make: mix.Make, Deadline: time.Minute,
-		Schedule: load.Agence.WithMean(rate).Schedule(harmLength, b.Config.Seed),
+		Schedule: load.FrequentBursts.WithMean(rate).Schedule(harmLength, b.Config.Seed),
 	})
 	after, err := engineTokens(ctx, f)
 	if err != nil {
--- a/lab/pkg/bench/idle.go
+++ b/lab/pkg/bench/idle.go
@@ -15,13 +15,13 @@
 
 var idleExperiment = Experiment{
 	Name:    "idle",
-	About:   "memory of each role, CPU and bytes a second to and from control, all idle",
+	Description:   "memory of each role, CPU and bytes a second to and from control, all idle",
 	Figures: []string{"gateway.rss.mb", "sidecar.rss.mb", "control.rss.mb", "sidecar.control.bytes", "gateway.control.bytes"},
 	Run:     runIdle,
 }
 
 func runIdle(ctx context.Context, b *Bench) error {
-	f, err := b.fleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, CountControl: true})
+	f, err := b.fleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, CountControlBytes: true})
 	if err != nil {
 		return err
 	}
@@ -40,8 +40,8 @@
 			return err
 		}
 		for i, role := range []string{"gateway", "sidecar", "control"} {
-			b.add(role+".rss.mb", float64(after[i].Resident)/(1<<20))
-			b.add(role+".cpu.idle.percent", 100*(after[i].Processor-before[i].Processor).Seconds()/idleLength.Seconds())
+			b.add(role+".rss.mb", float64(after[i].ResidentBytes)/(1<<20))
+			b.add(role+".cpu.idle.percent", 100*(after[i].CPUTime-before[i].CPUTime).Seconds()/idleLength.Seconds())
 		}
 		b.add("gateway.control.bytes", float64(f.ControlBytes(nodes[0])-gateway)/idleLength.Seconds())
 		b.add("sidecar.control.bytes", float64(f.ControlBytes(nodes[1])-sidecar)/idleLength.Seconds())
--- a/lab/pkg/bench/items.go
+++ b/lab/pkg/bench/items.go
@@ -30,7 +30,7 @@
 
 var itemsExperiment = Experiment{
 	Name:    "items",
-	About:   "batch items accepted and completed a second by 3 controls, in one job group and in four, without engines",
+	Description:   "batch items accepted and completed a second by 3 controls, in one job group and in four, without engines",
 	Figures: []string{"items.onegroup", "items.fourgroups", "item.cpu.us", "item.disk.bytes"},
 	Run: func(ctx context.Context, b *Bench) error {
 		for _, groups := range []int{1, 4} {
@@ -68,8 +68,8 @@
 		b.add("items.onegroup", rate)
 		processor, disk := 0.0, 0.0
 		for i := range after {
-			processor += (after[i].Processor - before[i].Processor).Seconds() * processorUS
-			disk += float64(after[i].Written - before[i].Written)
+			processor += (after[i].CPUTime - before[i].CPUTime).Seconds() * processorUS
+			disk += float64(after[i].WrittenBytes - before[i].WrittenBytes)
 		}
 		b.add("item.cpu.us", processor/float64(items))
 		b.add("item.disk.bytes", disk/float64(items))
@@ -98,8 +98,8 @@
 		for n := range workersPerJob {
 			config := worker.Config{
 				Client: f.Operator.Client(), Name: fmt.Sprintf("worker-%d-%d", group, n), Incarnation: 1,
-				Service: serviceOfBench, Group: uint32(group), Most: itemsPerLease, Body: []byte(strings.Repeat("r", itemBodyBytes)),
-				Limit: items,
+				Service: serviceOfBench, Group: uint32(group), MaxItems: itemsPerLease, Body: []byte(strings.Repeat("r", itemBodyBytes)),
+				ItemLimit: items,
 			}
 			duties.Go(func() { errs <- worker.Run(ctx, config, counts) })
 		}
--- a/lab/pkg/bench/large_job.go
+++ b/lab/pkg/bench/large_job.go
@@ -21,7 +21,7 @@
 
 var largeJobExperiment = Experiment{
 	Name:    "largejob",
-	About:   "a job of 210,000 items through a gateway: accepted, worked off without engines, read back",
+	Description:   "a job of 210,000 items through a gateway: accepted, worked off without engines, read back",
 	Figures: []string{"accept210k.s", "results.persec"},
 	Run:     runLargeJob,
 }
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	b.add("accept210k.gateway.rss.mb", float64(usage.Resident)/(1<<20))
+	b.add("accept210k.gateway.rss.mb", float64(usage.ResidentBytes)/(1<<20))
 	if err := workOff(ctx, f, status.ID); err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 	for n := range workersPerJob {
 		config := worker.Config{
 			Client: f.Operator.Client(), Name: fmt.Sprintf("worker-%d", n), Incarnation: 1, Service: fleet.ModelService,
-			Group: group, Most: itemsPerLease, Body: []byte(`{"choices":[]}`), Limit: largeItems,
+			Group: group, MaxItems: itemsPerLease, Body: []byte(`{"choices":[]}`), ItemLimit: largeItems,
 		}
 		duties.Go(func() { errs <- worker.Run(ctx, config, counts) })
 	}
--- a/lab/pkg/bench/overhead.go
+++ b/lab/pkg/bench/overhead.go
@@ -27,7 +27,7 @@
 
 var overheadExperiment = Experiment{
 	Name:    "overhead",
-	About:   "64 streams of 64 tokens through gateway and sidecar, against the engine directly",
+	Description:   "64 streams of 64 tokens through gateway and sidecar, against the engine directly",
 	Figures: []string{"overhead.ttft.p50.ms", "overhead.ttft.p99.ms", "overhead.itl.p95.ms"},
 	Run:     runOverhead,
 }
@@ -42,7 +42,7 @@
 		direct, through := &arm{}, &arm{}
 		for round := range overheadRounds {
 			name := fmt.Sprintf("o%d-%d", run, round)
-			direct.add(burstOfStreams(ctx, f.Direct, name+"d"))
+			direct.add(burstOfStreams(ctx, f.EngineTarget, name+"d"))
 			time.Sleep(foreignPause)
 			through.add(burstOfStreams(ctx, f.Target, name+"t"))
 		}
@@ -51,19 +51,19 @@
 		}
 		b.say("   direct:  %s", direct.report)
 		b.say("   through: %s", through.report)
-		b.add("overhead.ttft.p50.ms", through.report.First.Ms(50)-direct.report.First.Ms(50))
-		b.add("overhead.ttft.p99.ms", through.report.First.Ms(99)-direct.report.First.Ms(99))
-		b.add("overhead.itl.p95.ms", through.report.Gaps.Ms(95)-direct.report.Gaps.Ms(95))
+		b.add("overhead.ttft.p50.ms", through.report.FirstToken.Ms(50)-direct.report.FirstToken.Ms(50))
+		b.add("overhead.ttft.p99.ms", through.report.FirstToken.Ms(99)-direct.report.FirstToken.Ms(99))
+		b.add("overhead.itl.p95.ms", through.report.TokenGaps.Ms(95)-direct.report.TokenGaps.Ms(95))
 		if run == 0 {
 			b.draw("overhead", quantilePicture("First token: engine directly, and through the system",
-				named{"directly", direct.report.First}, named{"through", through.report.First}))
+				named{"directly", direct.report.FirstToken}, named{"through", through.report.FirstToken}))
 		}
 	}
 	return nil
 }
 
 func burstOfStreams(ctx context.Context, target func(int) load.Target, name string) *load.Report {
-	mix := load.Mix{Model: fleet.Model, OwnBytes: 200, MinTokens: overheadTokens, Name: name}
+	mix := load.Mix{Model: fleet.Model, UniqueBytes: 200, MinTokens: overheadTokens, Name: name}
 	schedule := make([]time.Duration, overheadStreams)
 	for i := range schedule {
 		schedule[i] = time.Duration(i) * overheadSpacing
--- a/lab/pkg/bench/overload.go
+++ b/lab/pkg/bench/overload.go
@@ -22,7 +22,7 @@
 
 var overloadExperiment = Experiment{
 	Name:    "overload",
-	About:   "twice the load that the fleet can carry: answered in time, refusals, attempts",
+	Description:   "twice the load that the fleet can carry: answered in time, refusals, attempts",
 	Figures: []string{"overload2.goodput", "overload2.attempts", "overload2.refusal.p99.ms"},
 	Run:     runOverload,
 }
@@ -63,7 +63,7 @@
 		return err
 	}
 	b.add("overload2.attempts", 1+ratio(retries, float64(report.Calls)))
-	b.add("overload2.engine.runs", ratio(float64(after-before), float64(report.Whole)))
+	b.add("overload2.engine.runs", ratio(float64(after-before), float64(report.Complete)))
 	if run == 0 {
 		resending, good := overloadLoad(ctx, f, fmt.Sprintf("again%d", run), 2*capacity, b.Config.Seed+1, 3)
 		b.say("   twice, callers resending: %s", resending)
@@ -76,7 +76,7 @@
 }
 
 func overloadMix(name string) load.Mix {
-	return load.Mix{Model: fleet.Model, OwnBytes: 200, MinTokens: harmTokensMin, MaxTokens: harmTokensMax, Name: name}
+	return load.Mix{Model: fleet.Model, UniqueBytes: 200, MinTokens: harmTokensMin, MaxTokens: harmTokensMax, Name: name}
 }
 
 // overloadLoad also says how many calls a second were answered in time once the
@@ -88,8 +88,8 @@
 	var inTime atomic.Int64
 	report = load.Run(ctx, load.Config{
 		Target: f.Target, Make: overloadMix(name).Make, Schedule: schedule, Deadline: overloadDeadline, Resends: resends,
-		Each: func(n int, o load.Outcome) {
-			if o.Whole && o.Total <= overloadDeadline && schedule[n] >= overloadSteady {
+		OnOutcome: func(n int, o load.Outcome) {
+			if o.Complete && o.Total <= overloadDeadline && schedule[n] >= overloadSteady {
 				inTime.Add(1)
 			}
 		},
@@ -102,7 +102,7 @@
 func directCapacity(ctx context.Context, f *fleet.Fleet, name string) (float64, error) {
 	const calls = 1200
 	report := load.Run(ctx, load.Config{
-		Target: f.Direct, Make: overloadMix(name).Make, Schedule: make([]time.Duration, calls), Deadline: time.Minute,
+		Target: f.EngineTarget, Make: overloadMix(name).Make, Schedule: make([]time.Duration, calls), Deadline: time.Minute,
 	})
 	if err := (&arm{report: report}).sound(); err != nil {
 		return 0, err
--- a/lab/pkg/bench/processor.go
+++ b/lab/pkg/bench/processor.go
@@ -22,7 +22,7 @@
 
 var processorExperiment = Experiment{
 	Name:  "processor",
-	About: "CPU of gateway and sidecar for a request and for a token, memory under load",
+	Description: "CPU of gateway and sidecar for a request and for a token, memory under load",
 	Figures: []string{
 		"gateway.cpu.request.us", "gateway.cpu.token.us", "sidecar.cpu.request.us", "sidecar.cpu.token.us",
 	},
@@ -56,7 +56,7 @@
 			request, token := solve(short.cost[i], long.cost[i], longTokens)
 			b.add(r.name+".cpu.request.us", request)
 			b.add(r.name+".cpu.token.us", token)
-			b.add(r.name+".rss.load.mb", float64(long.usage[i].Resident)/(1<<20))
+			b.add(r.name+".rss.load.mb", float64(long.usage[i].ResidentBytes)/(1<<20))
 		}
 	}
 	return nil
@@ -73,7 +73,7 @@
 	if err != nil {
 		return costs{}, err
 	}
-	mix := load.Mix{Model: fleet.Model, OwnBytes: 200, MinTokens: tokens, Name: name}
+	mix := load.Mix{Model: fleet.Model, UniqueBytes: 200, MinTokens: tokens, Name: name}
 	report := load.Run(ctx, load.Config{
 		Target: f.Target, Make: mix.Make, Deadline: time.Minute,
 		Schedule: load.Poisson(rate).Schedule(processorLength, b.Config.Seed),
@@ -88,7 +88,7 @@
 	}
 	answer := costs{usage: after}
 	for i := range nodes {
-		spent := (after[i].Processor - before[i].Processor).Seconds() * processorUS
+		spent := (after[i].CPUTime - before[i].CPUTime).Seconds() * processorUS
 		answer.cost = append(answer.cost, spent/float64(report.Calls))
 	}
 	return answer, nil
--- a/lab/pkg/bench/reports.go
+++ b/lab/pkg/bench/reports.go
@@ -24,7 +24,7 @@
 
 var reportsExperiment = Experiment{
 	Name:    "reports",
-	About:   "CPU and bytes of one load report, asked for over a connection that is kept",
+	Description:   "CPU and bytes of one load report, asked for over a connection that is kept",
 	Figures: []string{"report.sidecar.us", "report.caller.us", "report.bytes"},
 	Run:     runReports,
 }
@@ -83,11 +83,11 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	own, err := process.UsageOf(os.Getpid())
+	own, err := process.ReadUsage(os.Getpid())
 	if err != nil {
 		return 0, 0, fmt.Errorf("own usage: %w", err)
 	}
-	return usage[0].Processor, own.Processor, nil
+	return usage[0].CPUTime, own.CPUTime, nil
 }
 
 // countingDialer counts what goes over its connections, both ways.
--- a/lab/pkg/bench/restart.go
+++ b/lab/pkg/bench/restart.go
@@ -16,7 +16,7 @@
 
 var restartExperiment = Experiment{
 	Name:    "restart",
-	About:   "start to ready of a control after 1,000 changes and 100,000 items, killed before",
+	Description:   "start to ready of a control after 1,000 changes and 100,000 items, killed before",
 	Figures: []string{"restart.ms"},
 	Run:     runRestart,
 }
@@ -28,7 +28,7 @@
 	}
 	defer b.end(f)
 	for n := range restartChanges {
-		if _, err := f.Change(ctx, n); err != nil {
+		if _, err := f.ApplyLinkChange(ctx, n); err != nil {
 			return fmt.Errorf("change %d: %w", n, err)
 		}
 	}
--- a/lab/pkg/bench/yield.go
+++ b/lab/pkg/bench/yield.go
@@ -22,7 +22,7 @@
 
 var yieldExperiment = Experiment{
 	Name:    "yield",
-	About:   "a lone online call at an engine full of batch against one at an empty engine, in steps",
+	Description:   "a lone online call at an engine full of batch against one at an empty engine, in steps",
 	Figures: []string{"yield.p99.steps"},
 	Run:     runYield,
 }
@@ -33,7 +33,7 @@
 		return err
 	}
 	defer b.end(f)
-	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherKey})
+	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherTeamKey})
 	for run := range b.Config.Runs {
 		name := fmt.Sprintf("yield%d", run)
 		alone := loneCalls(ctx, f, name+"a")
@@ -55,7 +55,7 @@
 		step := time.Since(start).Seconds() * 1000 / float64(after.Steps-before.Steps)
 		b.say("   alone: %s", alone)
 		b.say("   full:  %s; a step takes %.1f ms", full, step)
-		b.add("yield.p99.steps", max(0, full.First.Ms(99)-alone.First.Ms(99))/step)
+		b.add("yield.p99.steps", max(0, full.FirstToken.Ms(99)-alone.FirstToken.Ms(99))/step)
 		if err := batch.Cancel(ctx, filler); err != nil {
 			return err
 		}
@@ -68,7 +68,7 @@
 
 // loneCalls come one at a time at a spacing that shares no period with the steps.
 func loneCalls(ctx context.Context, f *fleet.Fleet, name string) *load.Report {
-	mix := load.Mix{Model: fleet.Model, OwnBytes: 60, MinTokens: yieldTokens, Name: name}
+	mix := load.Mix{Model: fleet.Model, UniqueBytes: 60, MinTokens: yieldTokens, Name: name}
 	schedule := make([]time.Duration, yieldCalls)
 	for i := range schedule {
 		schedule[i] = time.Duration(i) * yieldSpacing
--- a/lab/pkg/caller/caller.go
+++ b/lab/pkg/caller/caller.go
@@ -30,7 +30,7 @@
 // ErrRefused is an answer that isn't a success; ErrCut is an answer without its end.
 var (
 	ErrRefused = errors.New("refused")
-	ErrCut     = errors.New("answer cut short")
+	ErrTruncated     = errors.New("answer cut short")
 )
 
 // RefusalError is the gateway's answer when it refuses. It wraps ErrRefused.
@@ -182,7 +182,7 @@
 			return checkEnd(line, count)
 		}
 		if line.CustomID == "" {
-			return fmt.Errorf("%s: %w", lines.Text(), ErrCut)
+			return fmt.Errorf("%s: %w", lines.Text(), ErrTruncated)
 		}
 		if err := each(line.Result); err != nil {
 			return err
@@ -191,12 +191,12 @@
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("read results: %w", err)
 	}
-	return ErrCut
+	return ErrTruncated
 }
 
 func checkEnd(line resultLine, count uint64) error {
 	if line.Count != count {
-		return fmt.Errorf("%d of %d results: %w", count, line.Count, ErrCut)
+		return fmt.Errorf("%d of %d results: %w", count, line.Count, ErrTruncated)
 	}
 	return nil
 }
@@ -209,25 +209,25 @@
 	Run    int    `json:"run"`
 }
 
-// Plain is one call of a plain service.
-type Plain struct {
+// PlainCall is one call of a plain service.
+type PlainCall struct {
 	Service string
 	Path    string
 	Body    string
 	// ID is the caller's own id of the request.
 	ID string
-	// Once marks it non-idempotent.
-	Once bool
+	// NonIdempotent marks it non-idempotent.
+	NonIdempotent bool
 }
 
 // CallPlain calls a plain service.
-func (c *Caller) CallPlain(ctx context.Context, call Plain) (Echo, error) {
+func (c *Caller) CallPlain(ctx context.Context, call PlainCall) (Echo, error) {
 	request, err := c.request(ctx, http.MethodPost, plainPath+call.Service+call.Path, bytes.NewReader([]byte(call.Body)))
 	if err != nil {
 		return Echo{}, err
 	}
 	request.Header.Set(headerRequestID, call.ID)
-	if call.Once {
+	if call.NonIdempotent {
 		request.Header.Set(headerIdempotent, "false")
 	}
 	answer, err := c.do(request)
--- a/lab/pkg/caller/results_test.go
+++ b/lab/pkg/caller/results_test.go
@@ -18,10 +18,10 @@
 		err  error
 	}{
 		{"whole", first + `{"end":true,"count":1}` + "\n", 1, nil},
-		{"no end", first, 1, ErrCut},
-		{"fewer than counted", first + `{"end":true,"count":2}` + "\n", 1, ErrCut},
-		{"error in the middle", first + `{"error":{"reason":"control-unavailable"}}` + "\n", 1, ErrCut},
-		{"empty", "", 0, ErrCut},
+		{"no end", first, 1, ErrTruncated},
+		{"fewer than counted", first + `{"end":true,"count":2}` + "\n", 1, ErrTruncated},
+		{"error in the middle", first + `{"error":{"reason":"control-unavailable"}}` + "\n", 1, ErrTruncated},
+		{"empty", "", 0, ErrTruncated},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/lab/pkg/demo/demo.go
+++ b/lab/pkg/demo/demo.go
@@ -30,14 +30,14 @@
 	jobKey    = "demo-job"
 )
 
-// ErrCheck is a promise that the demo found broken.
-var ErrCheck = errors.New("check failed")
+// ErrCheckFailed is a promise that the demo found broken.
+var ErrCheckFailed = errors.New("check failed")
 
 // Config is what the demo needs.
 type Config struct {
 	Bin    string
 	Folder string
-	Print  io.Writer
+	Output  io.Writer
 }
 
 // Demo is one run.
@@ -53,7 +53,7 @@
 // FleetConfig is the fleet of the demo and of "up".
 func FleetConfig(bin, folder string) fleet.Config {
 	return fleet.Config{
-		Bin: bin, Folder: folder, Controls: 3, Gateways: 2, Sidecars: 4, Plains: 1,
+		Bin: bin, Folder: folder, Controls: 3, Gateways: 2, Sidecars: 4, PlainServices: 1,
 		DataCentres: []string{"hay-riad", "agdal"},
 	}
 }
@@ -140,21 +140,21 @@
 }
 
 func (d *Demo) online(ctx context.Context) (string, error) {
-	request := load.Mix{Model: fleet.Model, OwnBytes: 60, MinTokens: 24, Name: "demo"}.Make(1)
+	request := load.Mix{Model: fleet.Model, UniqueBytes: 60, MinTokens: 24, Name: "demo"}.Make(1)
 	outcome := d.fleet.Target(1).Call(ctx, request, time.Now())
-	if !outcome.Whole || outcome.Tokens != 24 {
-		return "", fmt.Errorf("%s: %w", outcome, ErrCheck)
+	if !outcome.Complete || outcome.Tokens != 24 {
+		return "", fmt.Errorf("%s: %w", outcome, ErrCheckFailed)
 	}
-	return fmt.Sprintf("%d tokens streamed, the first after %d ms", outcome.Tokens, outcome.First.Milliseconds()), nil
+	return fmt.Sprintf("%d tokens streamed, the first after %d ms", outcome.Tokens, outcome.FirstToken.Milliseconds()), nil
 }
 
 func (d *Demo) plain(ctx context.Context) (string, error) {
-	echo, err := d.caller.CallPlain(ctx, caller.Plain{Service: fleet.PlainService, Path: "/parcel/17", Body: "who owns it", ID: "demo-plain", Once: true})
+	echo, err := d.caller.CallPlain(ctx, caller.PlainCall{Service: fleet.PlainService, Path: "/parcel/17", Body: "who owns it", ID: "demo-plain", NonIdempotent: true})
 	if err != nil {
 		return "", err
 	}
 	if echo.Body != "who owns it" || echo.Run != 1 {
-		return "", fmt.Errorf("answer %+v: %w", echo, ErrCheck)
+		return "", fmt.Errorf("answer %+v: %w", echo, ErrCheckFailed)
 	}
 	return "non-idempotent call answered by " + fleet.PlainService + ", run once", nil
 }
@@ -175,7 +175,7 @@
 		return "", fmt.Errorf("resend: %w", err)
 	}
 	if again.ID != job.ID {
-		return "", fmt.Errorf("a resend made another job %s beside %s: %w", again.ID, job.ID, ErrCheck)
+		return "", fmt.Errorf("a resend made another job %s beside %s: %w", again.ID, job.ID, ErrCheckFailed)
 	}
 	d.job = job
 	return fmt.Sprintf("%d items accepted as %s; a resend of it changed nothing", items, job.ID), nil
@@ -212,7 +212,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return caller.Job{}, fmt.Errorf("%d of %d items decided when time ran out: %w", status.Done+status.Failed, decided, ErrCheck)
+			return caller.Job{}, fmt.Errorf("%d of %d items decided when time ran out: %w", status.Done+status.Failed, decided, ErrCheckFailed)
 		case <-time.After(pollPause):
 		}
 	}
@@ -225,11 +225,11 @@
 	next := 0
 	err := other.Results(ctx, d.job.ID, 0, func(r caller.Result) error {
 		if int(r.Index) != next || r.CustomID != fmt.Sprintf("item-%d", next) {
-			return fmt.Errorf("item %s at index %d where %d was due: %w", r.CustomID, r.Index, next, ErrCheck)
+			return fmt.Errorf("item %s at index %d where %d was due: %w", r.CustomID, r.Index, next, ErrCheckFailed)
 		}
 		want := engine.ChatText(prompt(next), itemTokens)
 		if text := r.Text(); text != want {
-			return fmt.Errorf("item %d has text %q, want %q: %w", next, text, want, ErrCheck)
+			return fmt.Errorf("item %d has text %q, want %q: %w", next, text, want, ErrCheckFailed)
 		}
 		next++
 		return nil
@@ -238,7 +238,7 @@
 		return "", err
 	}
 	if next != items {
-		return "", fmt.Errorf("%d of %d results: %w", next, items, ErrCheck)
+		return "", fmt.Errorf("%d of %d results: %w", next, items, ErrCheckFailed)
 	}
 	return fmt.Sprintf("%d results, each exactly once, in order, whole", items), nil
 }
--- a/lab/pkg/demo/table.go
+++ b/lab/pkg/demo/table.go
@@ -13,7 +13,7 @@
 }
 
 func (d *Demo) table() {
-	table := tabwriter.NewWriter(d.config.Print, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(d.config.Output, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "step\ttook\twhat happened")
 	for _, r := range d.rows {
 		_, _ = fmt.Fprintf(table, "%s\t%.2f s\t%s\n", r.name, r.took.Seconds(), r.text)
--- a/lab/pkg/demo/up.go
+++ b/lab/pkg/demo/up.go
@@ -22,15 +22,15 @@
 		return fmt.Errorf("start the fleet: %w; logs are in %s", err, folder)
 	}
 	defer f.Close()
-	table := tabwriter.NewWriter(config.Print, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(config.Output, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "program\taddress\thealth and metrics")
-	for _, n := range f.All() {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\n", n.Name, n.Address, n.Admin)
+	for _, n := range f.Nodes() {
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\n", n.Name, n.Address, n.AdminAddress)
 	}
 	_ = table.Flush()
-	_, _ = fmt.Fprintf(config.Print, "team %s has key %s; model %s, plain service %s; logs in %s; Ctrl-C stops all\n",
+	_, _ = fmt.Fprintf(config.Output, "team %s has key %s; model %s, plain service %s; logs in %s; Ctrl-C stops all\n",
 		fleet.TeamName, fleet.TeamKey, fleet.Model, fleet.PlainService, folder)
 	<-ctx.Done()
-	_, _ = fmt.Fprintln(config.Print, "stopping gracefully")
+	_, _ = fmt.Fprintln(config.Output, "stopping gracefully")
 	return f.Stop()
 }
--- a/lab/pkg/engine/arguments.go
+++ b/lab/pkg/engine/arguments.go
@@ -32,7 +32,7 @@
 	return Config{
 		Name: a.Name, Model: a.Model, Slots: a.Slots, CacheBlocks: a.CacheBlocks,
 		Timing:   Timing{Base: time.Duration(a.StepMs * float64(time.Millisecond)), Speed: a.Speed},
-		Keep:     milliseconds(a.KeepMs),
+		KVRetention:     milliseconds(a.KeepMs),
 		LoadLag:  milliseconds(a.LoadLagMs),
 		EventLag: milliseconds(a.EventLagMs), EventGap: a.EventGap,
 		CheckFence: a.CheckFence, Weights: a.Weights, LoadTime: milliseconds(a.LoadMs),
--- a/lab/pkg/engine/config.go
+++ b/lab/pkg/engine/config.go
@@ -14,8 +14,8 @@
 	Timing Timing
 	// CacheBlocks bounds the prefix cache.
 	CacheBlocks int
-	// Keep is how long a suspended stream's KV stays.
-	Keep time.Duration
+	// KVRetention is how long a suspended stream's KV stays.
+	KVRetention time.Duration
 	// LoadLag is how old the reported load is.
 	LoadLag time.Duration
 	// EventLag and EventGap make cache events late and lossy (share lost, 0 to 1).
@@ -40,8 +40,8 @@
 	if c.CacheBlocks <= 0 {
 		c.CacheBlocks = 4096
 	}
-	if c.Keep <= 0 {
-		c.Keep = 10 * time.Second
+	if c.KVRetention <= 0 {
+		c.KVRetention = 10 * time.Second
 	}
 	if c.Exit == nil {
 		c.Exit = func(int) {}
--- a/lab/pkg/engine/engine.go
+++ b/lab/pkg/engine/engine.go
@@ -117,7 +117,7 @@
 		return 0
 	}
 	e.steps++
-	return e.config.Timing.Step(len(e.running), e.spendPrefill(), e.faults.SlowFactor)
+	return e.config.Timing.StepDuration(len(e.running), e.spendPrefill(), e.faults.SlowFactor)
 }
 
 func (e *Engine) admit() {
@@ -292,7 +292,7 @@
 	e.swept = now
 	for id, s := range e.streams {
 		idle := s.state == stateSuspended || s.ended()
-		if !idle || now.Sub(s.idleAt) < e.config.Keep {
+		if !idle || now.Sub(s.idleAt) < e.config.KVRetention {
 			continue
 		}
 		if s.state == stateSuspended {
--- a/lab/pkg/engine/kv.go
+++ b/lab/pkg/engine/kv.go
@@ -13,7 +13,7 @@
 	Chat     bool   `json:"chat"`
 	Seed     uint64 `json:"seed"`
 	Start    int    `json:"start"`
-	Most     int    `json:"most"`
+	MaxTokens     int    `json:"most"`
 	Produced int    `json:"produced"`
 	Created  int64  `json:"created"`
 }
@@ -27,7 +27,7 @@
 	}
 	image := kvImage{
 		Model: s.model, Prompt: s.prompt, Chat: s.chat, Seed: s.seed, Start: s.start,
-		Most: s.most, Produced: s.produced, Created: s.created,
+		MaxTokens: s.most, Produced: s.produced, Created: s.created,
 	}
 	data, _ := json.Marshal(image)
 	return data, true
@@ -43,7 +43,7 @@
 	defer e.mu.Unlock()
 	e.streams[id] = &sequence{
 		id: id, model: image.Model, prompt: image.Prompt, chat: image.Chat, seed: image.Seed,
-		start: image.Start, most: image.Most, produced: image.Produced, created: image.Created,
+		start: image.Start, most: image.MaxTokens, produced: image.Produced, created: image.Created,
 		state: stateSuspended, ran: true, idleAt: time.Now(), changed: make(chan struct{}, 1),
 	}
 	return nil
--- a/lab/pkg/engine/order.go
+++ b/lab/pkg/engine/order.go
@@ -33,8 +33,8 @@
 	Version string `json:"version"`
 	Role    string `json:"role"`
 	Loading bool   `json:"loading"`
-	// Taken counts the orders carried out, Refused those with an old number.
-	Taken   int `json:"taken"`
+	// Applied counts the orders carried out, Refused those with an old number.
+	Applied   int `json:"taken"`
 	Refused int `json:"refused"`
 	// Reverts counts orders carried out though a higher number was held: what
 	// an engine without a check does when a late order reaches it.
@@ -61,7 +61,7 @@
 		e.order.Reverts++
 	}
 	e.order.Fence = r.Fence
-	e.order.Taken++
+	e.order.Applied++
 	if r.Kind == orderSetRole {
 		e.order.Role = r.Role
 		return r.Fence, true
--- a/lab/pkg/engine/timing.go
+++ b/lab/pkg/engine/timing.go
@@ -36,8 +36,8 @@
 	Speed float64
 }
 
-// Step is how long one step takes.
-func (t Timing) Step(running, prefill int, slow float64) time.Duration {
+// StepDuration is how long one step takes.
+func (t Timing) StepDuration(running, prefill int, slow float64) time.Duration {
 	base := t.Base
 	if base == 0 {
 		base = stepBase
--- a/lab/pkg/fleet/config.go
+++ b/lab/pkg/fleet/config.go
@@ -12,7 +12,7 @@
 	TeamName     = "agence"
 	TeamKey      = "agence-lab-key"
 	OtherTeam    = "heredia"
-	OtherKey     = "heredia-lab-key"
+	OtherTeamKey     = "heredia-lab-key"
 )
 
 // Engine is how the stand-in engines are started.
@@ -35,8 +35,8 @@
 	Controls int
 	Gateways int
 	Sidecars int
-	// Plains counts sidecars before plain services besides.
-	Plains int
+	// PlainServices counts sidecars before plain services besides.
+	PlainServices int
 	// DataCentres are used in turn.
 	DataCentres []string
 	// JobGroups is how many consensus groups share the jobs, beside the one for
@@ -45,8 +45,8 @@
 	Engine    Engine
 	// Relayed puts a relay before each control, for cuts between them.
 	Relayed bool
-	// CountControl puts a relay between each daemon and each control that counts bytes.
-	CountControl bool
+	// CountControlBytes puts a relay between each daemon and each control that counts bytes.
+	CountControlBytes bool
 	// FixedPorts takes the ports that the README lists instead of free ones.
 	FixedPorts bool
 	// Settings of each role that differ from the lab's.
--- a/lab/pkg/fleet/fleet.go
+++ b/lab/pkg/fleet/fleet.go
@@ -24,7 +24,7 @@
 	Gateways []*Node
 	Sidecars []*Node
 	Engines  []*Node
-	Plains   []*Node
+	PlainServices   []*Node
 	// PlainSidecars stand before the plain services.
 	PlainSidecars []*Node
 	VMList        *Node
@@ -71,12 +71,12 @@
 			return err
 		}
 	}
-	for _, n := range f.All() {
+	for _, n := range f.Nodes() {
 		if err := n.Start(); err != nil {
 			return err
 		}
 	}
-	for _, n := range f.All() {
+	for _, n := range f.Nodes() {
 		if err := n.WaitReady(ctx); err != nil {
 			return err
 		}
@@ -84,20 +84,20 @@
 	return nil
 }
 
-// All is every program, in the order of starting.
-func (f *Fleet) All() []*Node {
+// Nodes is every program, in the order of starting.
+func (f *Fleet) Nodes() []*Node {
 	var all []*Node
 	if f.VMList != nil {
 		all = append(all, f.VMList)
 	}
-	for _, some := range [][]*Node{f.Controls, f.Engines, f.Plains, f.Sidecars, f.PlainSidecars, f.Gateways} {
+	for _, some := range [][]*Node{f.Controls, f.Engines, f.PlainServices, f.Sidecars, f.PlainSidecars, f.Gateways} {
 		all = append(all, some...)
 	}
 	return all
 }
 
-// System is the system's own programs without stand-ins.
-func (f *Fleet) System() []*Node {
+// SystemNodes is the system's own programs without stand-ins.
+func (f *Fleet) SystemNodes() []*Node {
 	var all []*Node
 	for _, some := range [][]*Node{f.Controls, f.Sidecars, f.PlainSidecars, f.Gateways} {
 		all = append(all, some...)
@@ -107,7 +107,7 @@
 
 // Stop stops all gracefully: first who takes in work, last who keeps the state.
 func (f *Fleet) Stop() error {
-	order := [][]*Node{f.Gateways, append(append([]*Node(nil), f.Sidecars...), f.PlainSidecars...), f.Controls, f.Engines, f.Plains}
+	order := [][]*Node{f.Gateways, append(append([]*Node(nil), f.Sidecars...), f.PlainSidecars...), f.Controls, f.Engines, f.PlainServices}
 	if f.VMList != nil {
 		order = append(order, []*Node{f.VMList})
 	}
@@ -139,7 +139,7 @@
 
 // Close ends whatever still runs, at once.
 func (f *Fleet) Close() {
-	for _, n := range f.All() {
+	for _, n := range f.Nodes() {
 		n.end()
 	}
 	for _, r := range f.Relays {
@@ -152,8 +152,8 @@
 	return load.Target{URL: f.Gateways[n%len(f.Gateways)].URL(), Key: TeamKey, Client: f.http}
 }
 
-// Direct is an engine itself.
-func (f *Fleet) Direct(n int) load.Target {
+// EngineTarget is an engine itself.
+func (f *Fleet) EngineTarget(n int) load.Target {
 	return load.Target{URL: f.Engines[n%len(f.Engines)].URL(), Client: f.http}
 }
 
@@ -169,20 +169,20 @@
 // Setup applies the lab's configuration and waits until a call gets through.
 func (f *Fleet) Setup(ctx context.Context) error {
 	entries := []*toucanhingev1.Entry{
-		operator.Model(ModelService, &toucanhingev1.Service{Model: Model}),
-		operator.Plain(PlainService),
-		operator.Team(TeamName, TeamKey),
-		operator.Team(OtherTeam, OtherKey),
+		operator.ModelServiceEntry(ModelService, &toucanhingev1.Service{Model: Model}),
+		operator.PlainServiceEntry(PlainService),
+		operator.TeamEntry(TeamName, TeamKey),
+		operator.TeamEntry(OtherTeam, OtherTeamKey),
 	}
 	for i, name := range f.Config.DataCentres {
-		entries = append(entries, operator.DataCentre(name, "region-1"))
+		entries = append(entries, operator.DataCentreEntry(name, "region-1"))
 		for _, other := range f.Config.DataCentres[:i] {
-			entries = append(entries, operator.Link(other, name, 300))
+			entries = append(entries, operator.LinkEntry(other, name, 300))
 		}
 	}
 	for _, team := range []string{TeamName, OtherTeam} {
 		for _, service := range []string{ModelService, PlainService} {
-			entries = append(entries, operator.Contract(team, service))
+			entries = append(entries, operator.ContractEntry(team, service))
 		}
 	}
 	version := uint64(0)
@@ -193,14 +193,14 @@
 		}
 		version = accepted.GetVersion()
 	}
-	if err := f.WaitInForce(ctx, version); err != nil {
+	if err := f.WaitForVersion(ctx, version); err != nil {
 		return err
 	}
 	return f.WaitServing(ctx)
 }
 
-// WaitInForce waits until every daemon has at least this configuration version in force.
-func (f *Fleet) WaitInForce(ctx context.Context, version uint64) error {
+// WaitForVersion waits until every daemon has at least this configuration version in force.
+func (f *Fleet) WaitForVersion(ctx context.Context, version uint64) error {
 	ctx, stop := context.WithTimeout(ctx, readyWait)
 	defer stop()
 	for !f.inForce(ctx, version) {
@@ -213,7 +213,7 @@
 }
 
 func (f *Fleet) inForce(ctx context.Context, version uint64) bool {
-	status, err := f.Operator.Status(ctx)
+	status, err := f.Operator.ConfigStatus(ctx)
 	if err != nil {
 		return false
 	}
@@ -233,14 +233,14 @@
 	return append(append(append([]*Node(nil), f.Gateways...), f.Sidecars...), f.PlainSidecars...)
 }
 
-// Change makes the n-th of a row of changes that have no effect on work.
-func (f *Fleet) Change(ctx context.Context, n int) (*toucanhingev1.Entry, error) {
-	return f.Operator.Apply(ctx, f.ChangeEntry(n))
+// ApplyLinkChange makes the n-th of a row of changes that have no effect on work.
+func (f *Fleet) ApplyLinkChange(ctx context.Context, n int) (*toucanhingev1.Entry, error) {
+	return f.Operator.Apply(ctx, f.LinkChange(n))
 }
 
-// ChangeEntry is the n-th of these changes.
-func (f *Fleet) ChangeEntry(n int) *toucanhingev1.Entry {
-	return operator.Link(f.Config.DataCentres[0], f.Config.DataCentres[1], uint32(1000+n))
+// LinkChange is the n-th of these changes.
+func (f *Fleet) LinkChange(n int) *toucanhingev1.Entry {
+	return operator.LinkEntry(f.Config.DataCentres[0], f.Config.DataCentres[1], uint32(1000+n))
 }
 
 // WaitServing waits until every gateway runs a small call.
@@ -250,11 +250,11 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, readyWait)
 	defer stop()
-	mix := load.Mix{Model: Model, OwnBytes: 20, MinTokens: 1, Name: "probe-" + strconv.FormatInt(time.Now().UnixNano(), 36)}
+	mix := load.Mix{Model: Model, UniqueBytes: 20, MinTokens: 1, Name: "probe-" + strconv.FormatInt(time.Now().UnixNano(), 36)}
 	for g := range f.Gateways {
 		for try := g; ; try += len(f.Gateways) {
 			outcome := f.Target(g).Call(ctx, mix.Make(try), time.Now())
-			if outcome.Whole {
+			if outcome.Complete {
 				break
 			}
 			if ctx.Err() != nil {
--- a/lab/pkg/fleet/node.go
+++ b/lab/pkg/fleet/node.go
@@ -35,12 +35,12 @@
 	DataCentre string
 	// Address is where it serves, host:port.
 	Address string
-	// Admin is where health and metrics are, host:port; empty for a stand-in.
-	Admin string
-	// Data is the data folder, for a control.
-	Data string
-	// Ready is the URL that answers 200 when the program is ready.
-	Ready string
+	// AdminAddress is where health and metrics are, host:port; empty for a stand-in.
+	AdminAddress string
+	// DataFolder is the data folder, for a control.
+	DataFolder string
+	// ReadyURL is the URL that answers 200 when the program is ready.
+	ReadyURL string
 
 	config process.Config
 	// mu guards program: a test may start a node again beside its other duties.
@@ -92,7 +92,7 @@
 func (n *Node) probe(ctx context.Context) bool {
 	ctx, stop := context.WithTimeout(ctx, probeLimit)
 	defer stop()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.Ready, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.ReadyURL, nil)
 	if err != nil {
 		return false
 	}
--- a/lab/pkg/fleet/observe.go
+++ b/lab/pkg/fleet/observe.go
@@ -91,7 +91,7 @@
 
 // Metric sums all series of one metric of a process.
 func (f *Fleet) Metric(ctx context.Context, n *Node, name string) (float64, error) {
-	body, err := f.get(ctx, "http://"+n.Admin+"/metrics")
+	body, err := f.get(ctx, "http://"+n.AdminAddress+"/metrics")
 	if err != nil {
 		return 0, err
 	}
@@ -172,7 +172,7 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, probeLimit)
 	defer stop()
-	status, err := f.Operator.Groups(ctx, n.Address)
+	status, err := f.Operator.GroupStatus(ctx, n.Address)
 	if err != nil {
 		return 0, false
 	}
--- a/lab/pkg/fleet/roles.go
+++ b/lab/pkg/fleet/roles.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	f.VMList = newNode(f.Config, "vmlist", "vmlist", address, "--listen", address, "--lag-ms", vmListLag)
-	f.VMList.Ready = f.VMList.URL() + "/health"
+	f.VMList.ReadyURL = f.VMList.URL() + "/health"
 	return nil
 }
 
@@ -36,7 +36,7 @@
 			return err
 		}
 		n := f.systemNode("control", i, address, address)
-		n.Data = filepath.Join(f.Config.Folder, n.Name+"-data")
+		n.DataFolder = filepath.Join(f.Config.Folder, n.Name+"-data")
 		f.Controls = append(f.Controls, n)
 	}
 	f.Operator = operator.New(operator.Config{Controls: f.ControlAddresses()})
@@ -93,16 +93,16 @@
 	}
 }
 
-// Join starts one more control, as one that joins the controls which exist. It
+// StartJoiningControl starts one more control, as one that joins the controls which exist. It
 // takes part only when it is added as an operator does.
-func (f *Fleet) Join() (*Node, error) {
+func (f *Fleet) StartJoiningControl() (*Node, error) {
 	i := len(f.Controls)
 	address, err := f.address(portControl, i)
 	if err != nil {
 		return nil, err
 	}
 	n := f.systemNode("control", i, address, address)
-	n.Data = filepath.Join(f.Config.Folder, n.Name+"-data")
+	n.DataFolder = filepath.Join(f.Config.Folder, n.Name+"-data")
 	f.Controls = append(f.Controls, n)
 	if err := f.writeControl(n, Set("consensus.join", true)); err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 	}
 	settings := []Setting{
 		Set("name", n.Name), Set("listen", n.Address), Set("vm", n.VM), Set("data_centre", n.DataCentre),
-		Set("data_folder", n.Data), Set("peers", peers), Set("groups", 1+f.Config.JobGroups),
+		Set("data_folder", n.DataFolder), Set("peers", peers), Set("groups", 1+f.Config.JobGroups),
 		Set("platform.vm_list_url", f.VMList.URL()+"/vms"), Set("platform.poll_ms", vmListPoll),
 	}
 	settings = append(settings, f.Config.ControlSettings...)
@@ -156,7 +156,7 @@
 		}
 		name := fmt.Sprintf("engine-%d", i+1)
 		n := newNode(f.Config, name, "engine", address, f.Config.Engine.arguments(name, address)...)
-		n.Ready = n.URL() + "/health"
+		n.ReadyURL = n.URL() + "/health"
 		f.Engines = append(f.Engines, n)
 		own := []Setting{
 			Set("service", ModelService), Set("engine.url", n.URL()), Set("engine.slots", f.Config.Engine.Slots),
@@ -172,15 +172,15 @@
 }
 
 func (f *Fleet) addPlains() error {
-	for i := range f.Config.Plains {
+	for i := range f.Config.PlainServices {
 		address, err := f.address(portPlain, i)
 		if err != nil {
 			return err
 		}
 		name := fmt.Sprintf("plain-%d", i+1)
 		n := newNode(f.Config, name, "plain", address, "--listen", address, "--name", name)
-		n.Ready = n.URL() + "/health"
-		f.Plains = append(f.Plains, n)
+		n.ReadyURL = n.URL() + "/health"
+		f.PlainServices = append(f.PlainServices, n)
 		sidecar, err := f.addSidecar(f.Config.Sidecars+i, []Setting{
 			Set("service", PlainService), Set("engine.url", n.URL()), Set("kind", "plain"), Set("engine.slots", plainSlots),
 		})
@@ -211,9 +211,9 @@
 func (f *Fleet) systemNode(binary string, i int, address, admin string) *Node {
 	name := fmt.Sprintf("%s-%d", binary, i+1)
 	n := newNode(f.Config, name, binary, address, "--settings", f.settingsFile(name))
-	n.Admin = admin
+	n.AdminAddress = admin
 	n.DataCentre = f.Config.dataCentre(i)
-	n.Ready = "http://" + admin + "/readyz"
+	n.ReadyURL = "http://" + admin + "/readyz"
 	return n
 }
 
@@ -228,7 +228,7 @@
 // common is what every daemon is told.
 func (f *Fleet) common(n *Node) []Setting {
 	return []Setting{
-		Set("name", n.Name), Set("listen", n.Address), Set("admin_listen", n.Admin),
+		Set("name", n.Name), Set("listen", n.Address), Set("admin_listen", n.AdminAddress),
 		Set("vm", n.VM), Set("data_centre", n.DataCentre),
 	}
 }
@@ -236,7 +236,7 @@
 // controlFor is the controls' addresses as a daemon is told them: with
 // CountControl, those of relays of its own.
 func (f *Fleet) controlFor(n *Node) ([]string, error) {
-	if !f.Config.CountControl {
+	if !f.Config.CountControlBytes {
 		return f.ControlAddresses(), nil
 	}
 	var addresses []string
--- a/lab/pkg/leadload/gateways.go
+++ b/lab/pkg/leadload/gateways.go
@@ -22,9 +22,9 @@
 	"toucanhinge.example/common/pkg/routing"
 	"toucanhinge.example/common/pkg/runner"
 	"toucanhinge.example/common/pkg/web"
-	"toucanhinge.example/gateway/pkg/carry"
+	"toucanhinge.example/gateway/pkg/callproxy"
 	"toucanhinge.example/gateway/pkg/core"
-	"toucanhinge.example/gateway/pkg/news"
+	"toucanhinge.example/gateway/pkg/updates"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
 )
@@ -85,12 +85,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("exchange: %w", err)
 	}
-	carried := carry.New(carry.Config{
+	carried := callproxy.New(callproxy.Config{
 		Client: runner.Client{Open: g.answer}, Exchange: x, Unresponsive: x.Overdue, Clock: clock.System(), Logger: log.NewNopLogger(),
 		Registerer: prometheus.NewRegistry(),
 	})
 	mux.Handle(toucanhingev1connect.NewCarryServiceHandler(carried))
-	board := news.New(news.Config{
+	board := updates.New(updates.Config{
 		Boot: clock.Boot(), Registerer: prometheus.NewRegistry(),
 		Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
 	})
--- a/lab/pkg/load/caller.go
+++ b/lab/pkg/load/caller.go
@@ -17,8 +17,8 @@
 
 // Errors of an answer.
 var (
-	// ErrCut means that the stream ended without its end mark.
-	ErrCut = errors.New("answer cut short")
+	// ErrTruncated means that the stream ended without its end mark.
+	ErrTruncated = errors.New("answer cut short")
 	// ErrInStream means that the stream carried an explicit error.
 	ErrInStream = errors.New("error in the answer")
 )
@@ -54,14 +54,14 @@
 	Reason     string
 	Run        string
 	RetryAfter time.Duration
-	First      time.Duration
+	FirstToken      time.Duration
 	Total      time.Duration
-	// Gaps are the times between tokens.
-	Gaps   []time.Duration
+	// TokenGaps are the times between tokens.
+	TokenGaps   []time.Duration
 	Tokens int
 	Text   string
-	// Whole is true only after finish reason and end mark.
-	Whole bool
+	// Complete is true only after finish reason and end mark.
+	Complete bool
 	Err   error
 	// Sends counts this caller's own sends of the request.
 	Sends int
@@ -150,7 +150,7 @@
 			continue
 		}
 		if string(data) == doneMark {
-			o.Whole = finished
+			o.Complete = finished
 			return nil
 		}
 		var e event
@@ -179,16 +179,16 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("after %d tokens: %w", o.Tokens, err)
 	}
-	return fmt.Errorf("after %d tokens: %w", o.Tokens, ErrCut)
+	return fmt.Errorf("after %d tokens: %w", o.Tokens, ErrTruncated)
 }
 
 func (o *Outcome) token(now, last time.Duration) {
 	o.Tokens++
 	if o.Tokens == 1 {
-		o.First = now
+		o.FirstToken = now
 		return
 	}
-	o.Gaps = append(o.Gaps, now-last)
+	o.TokenGaps = append(o.TokenGaps, now-last)
 }
 
 type refusalError struct {
--- a/lab/pkg/load/load_test.go
+++ b/lab/pkg/load/load_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestScheduleIsSeededAndKeepsItsMean(t *testing.T) {
-	for _, shape := range []Shape{Poisson(1), Agence, Heredia} {
+	for _, shape := range []Shape{Poisson(1), FrequentBursts, RareBursts} {
 		shape = shape.WithMean(200)
 		first := shape.Schedule(5*time.Minute, 7)
 		require.Equal(t, first, shape.Schedule(5*time.Minute, 7))
@@ -35,14 +35,14 @@
 
 func TestWholeAnswersAreMeasured(t *testing.T) {
 	there := target(t, engine.Config{Timing: engine.Timing{Speed: 20}})
-	mix := Mix{Model: "m", OwnBytes: 60, MinTokens: 5, MaxTokens: 5, Name: "w"}
+	mix := Mix{Model: "m", UniqueBytes: 60, MinTokens: 5, MaxTokens: 5, Name: "w"}
 	report := Run(context.Background(), Config{
 		Target: func(int) Target { return there }, Make: mix.Make, Schedule: Poisson(100).Schedule(200*time.Millisecond, 1),
 	})
 	require.Positive(t, report.Calls)
-	require.Equal(t, report.Calls, report.Whole, report.String())
+	require.Equal(t, report.Calls, report.Complete, report.String())
 	require.Equal(t, report.Calls*5, report.Tokens)
-	require.Equal(t, int64(report.Calls*4), report.Gaps.Count())
+	require.Equal(t, int64(report.Calls*4), report.TokenGaps.Count())
 }
 
 // The server stalls on the first of ten calls which a closed loop would make
@@ -58,11 +58,11 @@
 	time.AfterFunc(300*time.Millisecond, func() { close(free) })
 	report := Run(context.Background(), Config{
 		Target:   func(int) Target { return Target{URL: server.URL, Client: NewClient(10)} },
-		Make:     Mix{OwnBytes: 1, MinTokens: 1, Name: "s"}.Make,
+		Make:     Mix{UniqueBytes: 1, MinTokens: 1, Name: "s"}.Make,
 		Schedule: make([]time.Duration, 10),
 	})
-	require.Equal(t, 10, report.Whole)
-	require.Greater(t, report.First.Ms(5), 200.0)
+	require.Equal(t, 10, report.Complete)
+	require.Greater(t, report.FirstToken.Ms(5), 200.0)
 }
 
 func TestRefusalsAndCutsAreTold(t *testing.T) {
@@ -83,10 +83,10 @@
 		t.Run(s.name, func(t *testing.T) {
 			there := target(t, engine.Config{Timing: engine.Timing{Speed: 20}, Faults: s.faults})
 			report := Run(context.Background(), Config{
-				Target: func(int) Target { return there }, Make: Mix{OwnBytes: 9, MinTokens: 4, Name: "f"}.Make,
+				Target: func(int) Target { return there }, Make: Mix{UniqueBytes: 9, MinTokens: 4, Name: "f"}.Make,
 				Schedule: []time.Duration{0}, Resends: 2,
 			})
-			require.Zero(t, report.Whole)
+			require.Zero(t, report.Complete)
 			s.check(t, report)
 		})
 	}
--- a/lab/pkg/load/report.go
+++ b/lab/pkg/load/report.go
@@ -48,13 +48,13 @@
 type Report struct {
 	mu     sync.Mutex
 	inTime time.Duration
-	// First and Gaps are of whole answers; Refusals of refused calls.
-	First    *Histogram
-	Gaps     *Histogram
+	// FirstToken and Gaps are of whole answers; Refusals of refused calls.
+	FirstToken    *Histogram
+	TokenGaps     *Histogram
 	Total    *Histogram
 	Refusals *Histogram
 	Calls    int
-	Whole    int
+	Complete    int
 	// InTime counts the whole answers that came before their deadline.
 	InTime int
 	Tokens int
@@ -63,12 +63,12 @@
 	Sends        int
 	Reasons      map[string]int
 	Errors       map[string]int
-	Length       time.Duration
+	Duration       time.Duration
 }
 
 func newReport(inTime time.Duration) *Report {
 	return &Report{
-		inTime: inTime, First: NewHistogram(), Gaps: NewHistogram(), Total: NewHistogram(), Refusals: NewHistogram(),
+		inTime: inTime, FirstToken: NewHistogram(), TokenGaps: NewHistogram(), Total: NewHistogram(), Refusals: NewHistogram(),
 		Reasons: make(map[string]int), Errors: make(map[string]int),
 	}
 }
@@ -79,7 +79,7 @@
 	r.Calls++
 	r.Sends += o.Sends
 	switch {
-	case o.Whole:
+	case o.Complete:
 		r.addWhole(o)
 	case o.Status >= 400:
 		r.Reasons[o.Reason]++
@@ -96,7 +96,7 @@
 		return "caller gave up"
 	case errors.Is(o.Err, ErrInStream):
 		return "broken off: " + o.Reason
-	case errors.Is(o.Err, ErrCut):
+	case errors.Is(o.Err, ErrTruncated):
 		return "cut short"
 	case o.Err == nil:
 		return "ended without finish reason"
@@ -106,12 +106,12 @@
 }
 
 func (r *Report) addWhole(o Outcome) {
-	r.Whole++
+	r.Complete++
 	r.Tokens += o.Tokens
-	r.First.Record(o.First)
+	r.FirstToken.Record(o.FirstToken)
 	r.Total.Record(o.Total)
-	for _, g := range o.Gaps {
-		r.Gaps.Record(g)
+	for _, g := range o.TokenGaps {
+		r.TokenGaps.Record(g)
 	}
 	if r.inTime == 0 || o.Total <= r.inTime {
 		r.InTime++
@@ -130,17 +130,17 @@
 
 // Merge adds another run of the same kind.
 func (r *Report) Merge(o *Report) {
-	r.First.Merge(o.First)
-	r.Gaps.Merge(o.Gaps)
+	r.FirstToken.Merge(o.FirstToken)
+	r.TokenGaps.Merge(o.TokenGaps)
 	r.Total.Merge(o.Total)
 	r.Refusals.Merge(o.Refusals)
 	r.Calls += o.Calls
-	r.Whole += o.Whole
+	r.Complete += o.Complete
 	r.InTime += o.InTime
 	r.Tokens += o.Tokens
 	r.InTimeTokens += o.InTimeTokens
 	r.Sends += o.Sends
-	r.Length += o.Length
+	r.Duration += o.Duration
 	for k, n := range o.Reasons {
 		r.Reasons[k] += n
 	}
@@ -151,7 +151,7 @@
 
 func (r *Report) String() string {
 	text := fmt.Sprintf("%d calls, %d whole, first token p50 %.1f p99 %.1f ms, between tokens p95 %.1f ms, %d tokens",
-		r.Calls, r.Whole, r.First.Ms(50), r.First.Ms(99), r.Gaps.Ms(95), r.Tokens)
+		r.Calls, r.Complete, r.FirstToken.Ms(50), r.FirstToken.Ms(99), r.TokenGaps.Ms(95), r.Tokens)
 	return text + listed("refused", r.Reasons) + listed("failed", r.Errors)
 }
 
--- a/lab/pkg/load/request.go
+++ b/lab/pkg/load/request.go
@@ -37,7 +37,7 @@
 	Prefixes int
 	// PrefixBytes and OwnBytes are the sizes of the shared and the own part.
 	PrefixBytes int
-	OwnBytes    int
+	UniqueBytes    int
 	// MinTokens and MaxTokens bound the answers' lengths.
 	MinTokens int
 	MaxTokens int
@@ -55,7 +55,7 @@
 	if m.Prefixes > 0 {
 		prompt = fit(fmt.Sprintf("instructions %d: ", random.IntN(m.Prefixes)), m.PrefixBytes)
 	}
-	prompt += fit(fmt.Sprintf(" question %s %d ", m.Name, n), m.OwnBytes)
+	prompt += fit(fmt.Sprintf(" question %s %d ", m.Name, n), m.UniqueBytes)
 	tokens := m.MinTokens
 	if m.MaxTokens > m.MinTokens {
 		tokens += random.IntN(m.MaxTokens - m.MinTokens + 1)
--- a/lab/pkg/load/run.go
+++ b/lab/pkg/load/run.go
@@ -19,8 +19,8 @@
 	// Resends is how often a caller sends again after a refusal, waiting as
 	// Retry-After says; 0 means that it gives up.
 	Resends int
-	// Each, when set, sees every outcome; it is called from many goroutines.
-	Each func(n int, o Outcome)
+	// OnOutcome, when set, sees every outcome; it is called from many goroutines.
+	OnOutcome func(n int, o Outcome)
 }
 
 // Run makes all calls of the schedule and waits for the last.
@@ -36,13 +36,13 @@
 		calls.Go(func() {
 			outcome := config.one(ctx, n, scheduled)
 			report.add(outcome)
-			if config.Each != nil {
-				config.Each(n, outcome)
+			if config.OnOutcome != nil {
+				config.OnOutcome(n, outcome)
 			}
 		})
 	}
 	calls.Wait()
-	report.Length = time.Since(start)
+	report.Duration = time.Since(start)
 	return report
 }
 
--- a/lab/pkg/load/schedule.go
+++ b/lab/pkg/load/schedule.go
@@ -10,21 +10,21 @@
 type Shape struct {
 	// Rate is requests a second outside bursts.
 	Rate float64
-	// Burst multiplies the rate during a burst; 0 or 1 means no bursts.
-	Burst float64
-	// Every is the mean time from one burst's end to the next one's start.
-	Every time.Duration
-	// Length is the mean length of a burst.
-	Length time.Duration
+	// BurstFactor multiplies the rate during a burst; 0 or 1 means no bursts.
+	BurstFactor float64
+	// BurstInterval is the mean time from one burst's end to the next one's start.
+	BurstInterval time.Duration
+	// BurstDuration is the mean length of a burst.
+	BurstDuration time.Duration
 }
 
 // Mean is the shape's average rate.
 func (s Shape) Mean() float64 {
-	if s.Burst <= 1 || s.Every <= 0 {
+	if s.BurstFactor <= 1 || s.BurstInterval <= 0 {
 		return s.Rate
 	}
-	share := float64(s.Length) / float64(s.Length+s.Every)
-	return s.Rate * (1 + (s.Burst-1)*share)
+	share := float64(s.BurstDuration) / float64(s.BurstDuration+s.BurstInterval)
+	return s.Rate * (1 + (s.BurstFactor-1)*share)
 }
 
 // WithMean scales the shape to an average rate.
@@ -39,12 +39,12 @@
 // The bursts of the two sites, scaled down in time so that a short run sees
 // several of them.
 var (
-	// Agence: surveyors call when a crew reaches a field, a few at a time, and
+	// FrequentBursts: surveyors call when a crew reaches a field, a few at a time, and
 	// often.
-	Agence = Shape{Rate: 1, Burst: 3, Every: 1500 * time.Millisecond, Length: 500 * time.Millisecond}
-	// Heredia: a new build sends all testers of a studio at once: rarer, higher
+	FrequentBursts = Shape{Rate: 1, BurstFactor: 3, BurstInterval: 1500 * time.Millisecond, BurstDuration: 500 * time.Millisecond}
+	// RareBursts: a new build sends all testers of a studio at once: rarer, higher
 	// and shorter.
-	Heredia = Shape{Rate: 1, Burst: 6, Every: 3 * time.Second, Length: 300 * time.Millisecond}
+	RareBursts = Shape{Rate: 1, BurstFactor: 6, BurstInterval: 3 * time.Second, BurstDuration: 300 * time.Millisecond}
 )
 
 // Schedule draws the arrival times of one run.
@@ -55,7 +55,7 @@
 	for at < length {
 		rate := s.Rate
 		if bursting {
-			rate *= s.Burst
+			rate *= s.BurstFactor
 		}
 		next := at + exponential(random, 1/rate)
 		// The stream has no memory, so at a change of rate we draw again from there.
@@ -73,12 +73,12 @@
 }
 
 func (s Shape) nextChange(random *rand.Rand, bursting bool) time.Duration {
-	if s.Burst <= 1 || s.Every <= 0 {
+	if s.BurstFactor <= 1 || s.BurstInterval <= 0 {
 		return 0
 	}
-	mean := s.Every
+	mean := s.BurstInterval
 	if bursting {
-		mean = s.Length
+		mean = s.BurstDuration
 	}
 	return max(time.Microsecond, exponential(random, mean.Seconds()))
 }
--- a/lab/pkg/losses/cause.go
+++ b/lab/pkg/losses/cause.go
@@ -7,24 +7,24 @@
 const (
 	// InTime is no loss.
 	InTime Cause = "in time"
-	// CameBack was turned away, came back and was in time then.
-	CameBack Cause = "turned away, then in time"
-	// CameBackLate was turned away, came back and was late.
-	CameBackLate Cause = "turned away, then late"
-	// Queued waited longer for a place than was expected.
-	Queued Cause = "wait for a place longer than expected"
-	// Unseen waited for a place that was taken for free.
-	Unseen Cause = "place taken meanwhile"
-	// Moved began anew at another runner.
-	Moved Cause = "began anew at another runner"
-	// TurnedTwice was turned away when it came back.
-	TurnedTwice Cause = "turned away twice"
-	// NotBack was turned away and never seen again.
-	NotBack Cause = "turned away, not seen again"
-	// Broken ended without a whole answer.
-	Broken Cause = "failed or cut off"
-	// Left was given up by its caller.
-	Left Cause = "caller left"
+	// InTimeOnRetry was turned away, came back and was in time then.
+	InTimeOnRetry Cause = "turned away, then in time"
+	// LateOnRetry was turned away, came back and was late.
+	LateOnRetry Cause = "turned away, then late"
+	// QueuedTooLong waited longer for a place than was expected.
+	QueuedTooLong Cause = "wait for a place longer than expected"
+	// SlotTaken waited for a place that was taken for free.
+	SlotTaken Cause = "place taken meanwhile"
+	// RestartedElsewhere began anew at another runner.
+	RestartedElsewhere Cause = "began anew at another runner"
+	// RefusedTwice was turned away when it came back.
+	RefusedTwice Cause = "turned away twice"
+	// RefusedNotRetried was turned away and never seen again.
+	RefusedNotRetried Cause = "turned away, not seen again"
+	// Failed ended without a whole answer.
+	Failed Cause = "failed or cut off"
+	// CallerLeft was given up by its caller.
+	CallerLeft Cause = "caller left"
 	// ItemLate was finished past its due time.
 	ItemLate Cause = "item late"
 )
@@ -44,13 +44,13 @@
 		return servedCause(l)
 	case outcomeRefused:
 		if l.Returned {
-			return TurnedTwice
+			return RefusedTwice
 		}
-		return NotBack
+		return RefusedNotRetried
 	case outcomeLeft:
-		return Left
+		return CallerLeft
 	default:
-		return Broken
+		return Failed
 	}
 }
 
@@ -58,16 +58,16 @@
 	late := l.Objective > 0 && l.First > l.Objective
 	switch {
 	case !late && l.Returned:
-		return CameBack
+		return InTimeOnRetry
 	case !late:
 		return InTime
 	case l.Returned:
-		return CameBackLate
+		return LateOnRetry
 	case len(l.Runners) > 1:
-		return Moved
+		return RestartedElsewhere
 	case l.Expected > 0:
-		return Queued
+		return QueuedTooLong
 	default:
-		return Unseen
+		return SlotTaken
 	}
 }
--- a/lab/pkg/losses/ledger.go
+++ b/lab/pkg/losses/ledger.go
@@ -17,7 +17,7 @@
 type Weights struct {
 	// Late is that of an answer past its objective, CameBack that of one in time at the
 	// second attempt.
-	Late, CameBack float64
+	Late, InTimeOnRetry float64
 }
 
 // Row is what was lost on a route for one cause.
@@ -65,9 +65,9 @@
 	switch cause {
 	case InTime:
 		return 0
-	case CameBack:
-		return 1 - l.weights.CameBack
-	case CameBackLate, Queued, Unseen, Moved, ItemLate:
+	case InTimeOnRetry:
+		return 1 - l.weights.InTimeOnRetry
+	case LateOnRetry, QueuedTooLong, SlotTaken, RestartedElsewhere, ItemLate:
 		return 1 - l.weights.Late
 	default:
 		return 1
@@ -80,7 +80,7 @@
 	var rows []Row
 	back := map[string]int{}
 	for _, e := range l.entries {
-		if e.cause == CameBack || e.cause == CameBackLate || e.cause == TurnedTwice {
+		if e.cause == InTimeOnRetry || e.cause == LateOnRetry || e.cause == RefusedTwice {
 			back[e.route]++
 		}
 		at := slices.IndexFunc(rows, func(r Row) bool { return r.Route == e.route && r.Cause == e.cause })
@@ -91,7 +91,7 @@
 		rows[at].Count++
 	}
 	for i, r := range rows {
-		if r.Cause == NotBack {
+		if r.Cause == RefusedNotRetried {
 			rows[i].Count = max(r.Count-back[r.Route], 0)
 		}
 		rows[i].Lost = float64(rows[i].Count) * l.lost(r.Cause)
@@ -134,7 +134,7 @@
 	sums := map[Cause][]float64{}
 	for _, e := range l.entries {
 		// Who was turned away is judged by what became of the second attempt.
-		if e.cause == InTime || e.cause == NotBack {
+		if e.cause == InTime || e.cause == RefusedNotRetried {
 			continue
 		}
 		if sums[e.cause] == nil {
--- a/lab/pkg/losses/losses_test.go
+++ b/lab/pkg/losses/losses_test.go
@@ -17,15 +17,15 @@
 	}{
 		{"in time", line{Outcome: "served", First: 300, Objective: 300}, InTime},
 		{"no objective", line{Outcome: "served", First: 900}, InTime},
-		{"a place that was thought free", line{Outcome: "served", First: 301, Objective: 300, Runners: []string{"a"}}, Unseen},
-		{"a wait that was too long", line{Outcome: "served", First: 301, Objective: 300, Expected: 90, Runners: []string{"a"}}, Queued},
-		{"moved", line{Outcome: "served", First: 301, Objective: 300, Expected: 90, Runners: []string{"a", "b"}}, Moved},
-		{"back in time", line{Outcome: "served", First: 30, Objective: 300, Returned: true}, CameBack},
-		{"back and late", line{Outcome: "served", First: 400, Objective: 300, Returned: true}, CameBackLate},
-		{"turned away", line{Outcome: "refused"}, NotBack},
-		{"turned away twice", line{Outcome: "refused", Returned: true}, TurnedTwice},
-		{"left", line{Outcome: "caller-left"}, Left},
-		{"cut", line{Outcome: "cut-off"}, Broken},
+		{"a place that was thought free", line{Outcome: "served", First: 301, Objective: 300, Runners: []string{"a"}}, SlotTaken},
+		{"a wait that was too long", line{Outcome: "served", First: 301, Objective: 300, Expected: 90, Runners: []string{"a"}}, QueuedTooLong},
+		{"moved", line{Outcome: "served", First: 301, Objective: 300, Expected: 90, Runners: []string{"a", "b"}}, RestartedElsewhere},
+		{"back in time", line{Outcome: "served", First: 30, Objective: 300, Returned: true}, InTimeOnRetry},
+		{"back and late", line{Outcome: "served", First: 400, Objective: 300, Returned: true}, LateOnRetry},
+		{"turned away", line{Outcome: "refused"}, RefusedNotRetried},
+		{"turned away twice", line{Outcome: "refused", Returned: true}, RefusedTwice},
+		{"left", line{Outcome: "caller-left"}, CallerLeft},
+		{"cut", line{Outcome: "cut-off"}, Failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			require.Equal(t, c.want, causeOf(c.line))
@@ -44,12 +44,12 @@
 no log line
 {broken
 `
-	ledger := New(Weights{Late: 0.1, CameBack: 0.5})
+	ledger := New(Weights{Late: 0.1, InTimeOnRetry: 0.5})
 	unread, err := Read(strings.NewReader(log), ledger)
 	require.NoError(t, err)
 	require.Equal(t, 1, unread)
 	require.Equal(t, []Row{
-		{"a", NotBack, 1, 1}, {"items", ItemLate, 1, 0.9}, {"a", CameBack, 1, 0.5}, {"a", InTime, 1, 0},
+		{"a", RefusedNotRetried, 1, 1}, {"items", ItemLate, 1, 0.9}, {"a", InTimeOnRetry, 1, 0.5}, {"a", InTime, 1, 0},
 	}, ledger.Rows())
 	var table strings.Builder
 	require.NoError(t, ledger.Table(&table))
--- a/lab/pkg/newsfleet/calm_test.go
+++ b/lab/pkg/newsfleet/calm_test.go
@@ -12,10 +12,10 @@
 // data centre, however many there are.
 func TestTheLeaderHearsOneGatewayOfEachDataCentre(t *testing.T) {
 	f := settled(t)
-	before := f.Attends()
+	before := f.SubscribeCalls()
 	const span = 2 * time.Second
 	time.Sleep(span)
-	after := f.Attends()
+	after := f.SubscribeCalls()
 	calls := 0.0
 	for outcome, count := range after {
 		calls += count - before[outcome]
--- a/lab/pkg/newsfleet/fleet.go
+++ b/lab/pkg/newsfleet/fleet.go
@@ -23,16 +23,16 @@
 // pollEvery is how often a condition that is waited for is looked at.
 const pollEvery = 2 * time.Millisecond
 
-// ErrLate tells that something didn't happen in time.
-var ErrLate = errors.New("it didn't happen in time")
+// ErrTimeout tells that something didn't happen in time.
+var ErrTimeout = errors.New("it didn't happen in time")
 
 // Config describes a fleet.
 type Config struct {
 	// Folder is where the VMs of the core keep their disks.
 	Folder   string
 	Gateways int
-	// Centres is the number of data centres over which the gateways are spread.
-	Centres int
+	// DataCentres is the number of data centres over which the gateways are spread.
+	DataCentres int
 	// Runners is the number of runners on the list.
 	Runners int
 }
@@ -52,7 +52,7 @@
 	f := &Fleet{}
 	for n := range c.Runners {
 		f.runners = append(f.runners, &toucanhingev1.Runner{
-			Id: fmt.Sprintf("i-%08x", n), Address: fmt.Sprintf("10.9.%d.%d:8566", n/250, n%250), Service: "llm", DataCentre: centre(n % c.Centres), Slots: 7,
+			Id: fmt.Sprintf("i-%08x", n), Address: fmt.Sprintf("10.9.%d.%d:8566", n/250, n%250), Service: "llm", DataCentre: centre(n % c.DataCentres), Slots: 7,
 		})
 	}
 	var addresses []string
@@ -75,7 +75,7 @@
 		f.VMs = append(f.VMs, v)
 	}
 	for n := range c.Gateways {
-		g := &Gateway{name: fmt.Sprintf("gateway-%d", n), dataCentre: centre(n % c.Centres), cores: addresses}
+		g := &Gateway{name: fmt.Sprintf("gateway-%d", n), dataCentre: centre(n % c.DataCentres), cores: addresses}
 		if err := g.Start(); err != nil {
 			f.Stop()
 			return nil, err
@@ -157,14 +157,14 @@
 			return took, nil
 		}
 		if took > most {
-			return took, fmt.Errorf("%w: at %d of %d gateways, %s one of them, after %s", ErrLate, missing, len(gateways), last, most)
+			return took, fmt.Errorf("%w: at %d of %d gateways, %s one of them, after %s", ErrTimeout, missing, len(gateways), last, most)
 		}
 		time.Sleep(pollEvery)
 	}
 }
 
-// Attends counts the calls for news that VMs of the core answered, by outcome.
-func (f *Fleet) Attends() map[string]float64 {
+// SubscribeCalls counts the calls for news that VMs of the core answered, by outcome.
+func (f *Fleet) SubscribeCalls() map[string]float64 {
 	counts := map[string]float64{}
 	for _, v := range f.VMs {
 		v.addAttends(counts)
--- a/lab/pkg/newsfleet/fleet_test.go
+++ b/lab/pkg/newsfleet/fleet_test.go
@@ -23,7 +23,7 @@
 // settled is a fleet in which all gateways know the first table, and all of one another.
 func settled(t *testing.T) *Fleet {
 	t.Helper()
-	f, err := Start(Config{Folder: t.TempDir(), Gateways: gateways, Centres: centres, Runners: runners})
+	f, err := Start(Config{Folder: t.TempDir(), Gateways: gateways, DataCentres: centres, Runners: runners})
 	require.NoError(t, err)
 	t.Cleanup(f.Stop)
 	version := replace(t, f)
--- a/lab/pkg/newsfleet/gateway.go
+++ b/lab/pkg/newsfleet/gateway.go
@@ -14,7 +14,7 @@
 	"toucanhinge.example/common/pkg/routing"
 	"toucanhinge.example/common/pkg/web"
 	"toucanhinge.example/gateway/pkg/core"
-	"toucanhinge.example/gateway/pkg/news"
+	"toucanhinge.example/gateway/pkg/updates"
 	"toucanhinge.example/lab/pkg/relay"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 	"toucanhinge.example/schema/gen/toucanhinge/v1/toucanhingev1connect"
@@ -80,7 +80,7 @@
 	g.address, g.server, g.registry = g.link.Address(), server, prometheus.NewRegistry()
 	g.table.Store(nil)
 	g.fleet.Store(nil)
-	board := news.New(news.Config{
+	board := updates.New(updates.Config{
 		Boot: clock.Boot(), Registerer: g.registry, Usage: func() ([]*toucanhingev1.TeamUse, clock.Millis) { return nil, 0 },
 	})
 	mux.Handle(toucanhingev1connect.NewNewsServiceHandler(board))
@@ -101,16 +101,16 @@
 	return nil
 }
 
-// Deafen lets the gateway hear nothing more of the core, while it answers others.
-func (g *Gateway) Deafen() {
+// StopSubscriber lets the gateway hear nothing more of the core, while it answers others.
+func (g *Gateway) StopSubscriber() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.deafen()
 	<-g.followed
 }
 
-// Fail puts faults in force on the way of others to the gateway.
-func (g *Gateway) Fail(faults relay.Faults) { g.link.Set(faults) }
+// SetFaults puts faults in force on the way of others to the gateway.
+func (g *Gateway) SetFaults(faults relay.Faults) { g.link.Set(faults) }
 
 // Kill ends the gateway's process.
 func (g *Gateway) Kill() {
--- a/lab/pkg/newsfleet/trouble_test.go
+++ b/lab/pkg/newsfleet/trouble_test.go
@@ -23,23 +23,23 @@
 		}},
 		{"a hub is frozen, its connections stay", func(f *Fleet) []*Gateway {
 			_, hubs := rootAndHubs(f, centre(0))
-			hubs[0].Fail(relay.Cut)
-			hubs[0].Deafen()
+			hubs[0].SetFaults(relay.Cut)
+			hubs[0].StopSubscriber()
 			return hubs[:1]
 		}},
 		{"nothing reaches the root", func(f *Fleet) []*Gateway {
 			root, _ := rootAndHubs(f, centre(0))
-			root.Fail(relay.Faults{HoldForward: true})
+			root.SetFaults(relay.Faults{HoldForward: true})
 			return nil
 		}},
 		{"nothing comes back from the root", func(f *Fleet) []*Gateway {
 			root, _ := rootAndHubs(f, centre(0))
-			root.Fail(relay.Faults{HoldBackward: true})
+			root.SetFaults(relay.Faults{HoldBackward: true})
 			return nil
 		}},
 		{"answers of a hub are cut in their middle", func(f *Fleet) []*Gateway {
 			_, hubs := rootAndHubs(f, centre(0))
-			hubs[0].Fail(relay.Faults{DropBackward: true})
+			hubs[0].SetFaults(relay.Faults{DropBackward: true})
 			return nil
 		}},
 		{"root and hubs are killed together", func(f *Fleet) []*Gateway {
@@ -65,7 +65,7 @@
 func TestAGatewayThatHearsNothingIsNotBelieved(t *testing.T) {
 	f := settled(t)
 	root, _ := rootAndHubs(f, centre(0))
-	root.Deafen()
+	root.StopSubscriber()
 	time.Sleep(2 * time.Second)
 	requireNews(t, f, without(f.Gateways, root), soon)
 }
@@ -75,10 +75,10 @@
 func TestTheNextLeaderIsNotOverrun(t *testing.T) {
 	f := settled(t)
 	f.Leader().Kill()
-	before := f.Attends()
+	before := f.SubscribeCalls()
 	requireNews(t, f, f.Gateways, soon)
 	time.Sleep(soon)
-	after := f.Attends()
+	after := f.SubscribeCalls()
 	t.Logf("calls at the next leader: %v before, %v after", before, after)
 	require.LessOrEqual(t, after["answered"]-before["answered"], float64(gateways)/2)
 }
@@ -102,15 +102,15 @@
 // A fleet starts for the first time, and nobody has sent a routing table yet: the gateways learn
 // of one another over the first of them, and of the table as soon as there is one.
 func TestAFleetStartsWithoutATable(t *testing.T) {
-	f, err := Start(Config{Folder: t.TempDir(), Gateways: gateways, Centres: centres, Runners: runners})
+	f, err := Start(Config{Folder: t.TempDir(), Gateways: gateways, DataCentres: centres, Runners: runners})
 	require.NoError(t, err)
 	t.Cleanup(f.Stop)
 	_, err = Await(f.Gateways, patience, func(g *Gateway) bool { return g.Daemons() == gateways+1 })
 	require.NoError(t, err)
 	time.Sleep(soon)
-	before := f.Attends()
+	before := f.SubscribeCalls()
 	time.Sleep(soon)
-	after := f.Attends()
+	after := f.SubscribeCalls()
 	calls := 0.0
 	for outcome, count := range after {
 		calls += count - before[outcome]
--- a/lab/pkg/operator/operator.go
+++ b/lab/pkg/operator/operator.go
@@ -13,7 +13,7 @@
 
 	"toucanhinge.example/common/pkg/control"
 	"toucanhinge.example/common/pkg/web"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -51,12 +51,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return o.ApplyOn(ctx, rand.Text(), base, entry)
+	return o.ApplyWithBase(ctx, rand.Text(), base, entry)
 }
 
-// ApplyOn makes one change under a request id and on a base version; a refused
+// ApplyWithBase makes one change under a request id and on a base version; a refused
 // change gives the winner and ErrRefused.
-func (o *Operator) ApplyOn(ctx context.Context, id string, base uint64, entry *toucanhingev1.Entry) (*toucanhingev1.Entry, error) {
+func (o *Operator) ApplyWithBase(ctx context.Context, id string, base uint64, entry *toucanhingev1.Entry) (*toucanhingev1.Entry, error) {
 	request := &toucanhingev1.ApplyRequest{RequestId: id, BaseVersion: base, Entry: entry, Author: author}
 	answer, err := control.Call(ctx, o.client, 0, "apply",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.ApplyResponse], error) {
@@ -97,8 +97,8 @@
 	return 0, nil
 }
 
-// Status tells which process has which configuration in force.
-func (o *Operator) Status(ctx context.Context) (*toucanhingev1.ConfigStatusResponse, error) {
+// ConfigStatus tells which process has which configuration in force.
+func (o *Operator) ConfigStatus(ctx context.Context) (*toucanhingev1.ConfigStatusResponse, error) {
 	answer, err := control.Call(ctx, o.client, 0, "status",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.ConfigStatusResponse], error) {
 			return r.Operators.ConfigStatus(ctx, connect.NewRequest(&toucanhingev1.ConfigStatusRequest{}))
@@ -109,8 +109,8 @@
 	return answer.Msg, nil
 }
 
-// Groups asks one replica how it sees its consensus groups.
-func (o *Operator) Groups(ctx context.Context, address string) (*toucanhingev1.GroupStatusResponse, error) {
+// GroupStatus asks one replica how it sees its consensus groups.
+func (o *Operator) GroupStatus(ctx context.Context, address string) (*toucanhingev1.GroupStatusResponse, error) {
 	request := connect.NewRequest(&toucanhingev1.GroupStatusRequest{})
 	answer, err := o.client.Replica(address).Operators.GroupStatus(ctx, request)
 	if err != nil {
@@ -131,32 +131,32 @@
 	return nil
 }
 
-// DataCentre is the entry of one data centre.
-func DataCentre(name, region string) *toucanhingev1.Entry {
+// DataCentreEntry is the entry of one data centre.
+func DataCentreEntry(name, region string) *toucanhingev1.Entry {
 	return &toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_DATA_CENTRE, Name: name,
 		Body: &toucanhingev1.Entry_DataCentre{DataCentre: &toucanhingev1.DataCentre{Region: region}},
 	}
 }
 
-// Link is the entry of one link.
-func Link(from, to string, latencyUS uint32) *toucanhingev1.Entry {
+// LinkEntry is the entry of one link.
+func LinkEntry(from, to string, latencyUS uint32) *toucanhingev1.Entry {
 	return &toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_LINK, Name: from + "-" + to,
 		Body: &toucanhingev1.Entry_Link{Link: &toucanhingev1.Link{From: from, To: to, LatencyUs: latencyUS}},
 	}
 }
 
-// Model is the entry of a model service.
-func Model(name string, service *toucanhingev1.Service) *toucanhingev1.Entry {
+// ModelServiceEntry is the entry of a model service.
+func ModelServiceEntry(name string, service *toucanhingev1.Service) *toucanhingev1.Entry {
 	service.Kind = toucanhingev1.ServiceKind_SERVICE_KIND_MODEL
 	return &toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_SERVICE, Name: name, Body: &toucanhingev1.Entry_Service{Service: service},
 	}
 }
 
-// Plain is the entry of a plain service.
-func Plain(name string) *toucanhingev1.Entry {
+// PlainServiceEntry is the entry of a plain service.
+func PlainServiceEntry(name string) *toucanhingev1.Entry {
 	return &toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_SERVICE, Name: name, Body: &toucanhingev1.Entry_Service{
 			Service: &toucanhingev1.Service{Kind: toucanhingev1.ServiceKind_SERVICE_KIND_PLAIN},
@@ -164,16 +164,16 @@
 	}
 }
 
-// Team is the entry of a team with one key and no limits.
-func Team(name, key string) *toucanhingev1.Entry {
+// TeamEntry is the entry of a team with one key and no limits.
+func TeamEntry(name, key string) *toucanhingev1.Entry {
 	return &toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_TEAM, Name: name,
-		Body: &toucanhingev1.Entry_Team{Team: &toucanhingev1.TeamRecord{KeyHashes: []string{world.HashKey(key)}}},
+		Body: &toucanhingev1.Entry_Team{Team: &toucanhingev1.TeamRecord{KeyHashes: []string{fleetconfig.HashKey(key)}}},
 	}
 }
 
-// Contract is the entry that lets a team use a service in every way.
-func Contract(team, service string) *toucanhingev1.Entry {
+// ContractEntry is the entry that lets a team use a service in every way.
+func ContractEntry(team, service string) *toucanhingev1.Entry {
 	return &toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_CONTRACT, Name: team + "-" + service, Body: &toucanhingev1.Entry_Contract{
 			Contract: &toucanhingev1.Contract{Team: team, Service: service, Online: true, Batch: true},
--- a/lab/pkg/plain/plain.go
+++ b/lab/pkg/plain/plain.go
@@ -57,8 +57,8 @@
 	Exit func(code int)
 }
 
-// Plain is the stand-in.
-type Plain struct {
+// Service is the stand-in.
+type Service struct {
 	config Config
 	mu     sync.Mutex
 	runs   map[string]int
@@ -69,15 +69,15 @@
 }
 
 // New builds a service.
-func New(config Config) *Plain {
+func New(config Config) *Service {
 	if config.Exit == nil {
 		config.Exit = os.Exit
 	}
-	return &Plain{config: config, runs: make(map[string]int), faults: config.Faults}
+	return &Service{config: config, runs: make(map[string]int), faults: config.Faults}
 }
 
 // Handler is the service's whole HTTP surface.
-func (p *Plain) Handler() http.Handler {
+func (p *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, healthBody{Name: p.config.Name, OK: true})
@@ -100,7 +100,7 @@
 	Run    int    `json:"run"`
 }
 
-func (p *Plain) handleCall(w http.ResponseWriter, r *http.Request) {
+func (p *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -136,7 +136,7 @@
 	return r.Header.Get(requestIDHeader)
 }
 
-func (p *Plain) run(id string) (run int, faults Faults, frozen time.Time) {
+func (p *Service) run(id string) (run int, faults Faults, frozen time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.runs[id]++
@@ -151,7 +151,7 @@
 	return p.runs[id], faults, p.frozen
 }
 
-func (p *Plain) handleFaults(w http.ResponseWriter, r *http.Request) {
+func (p *Service) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost)).Decode(&faults); err != nil {
 		http.Error(w, fmt.Sprintf("parse faults: %v", err), http.StatusBadRequest)
@@ -167,7 +167,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (p *Plain) handleLedger(w http.ResponseWriter, _ *http.Request) {
+func (p *Service) handleLedger(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	answer := Ledger{Records: make([]Record, 0, len(p.runs)), Runs: p.total}
 	for id, runs := range p.runs {
--- a/lab/pkg/process/process_test.go
+++ b/lab/pkg/process/process_test.go
@@ -46,7 +46,7 @@
 	p := startShell(t, "while :; do :; done")
 	require.Eventually(t, func() bool {
 		u, err := p.Usage()
-		return err == nil && u.Processor > 0 && u.Resident > 0
+		return err == nil && u.CPUTime > 0 && u.ResidentBytes > 0
 	}, patience, 10*time.Millisecond)
 	require.NoError(t, p.Signal(syscall.SIGKILL))
 }
--- a/lab/pkg/process/usage.go
+++ b/lab/pkg/process/usage.go
@@ -17,21 +17,21 @@
 
 // Usage is what the kernel counted of one process since its start.
 type Usage struct {
-	// Processor is user and system time together.
-	Processor time.Duration
-	// Resident is the resident memory in bytes.
-	Resident int64
-	// Written is the bytes handed to the disk.
-	Written int64
+	// CPUTime is user and system time together.
+	CPUTime time.Duration
+	// ResidentBytes is the resident memory in bytes.
+	ResidentBytes int64
+	// WrittenBytes is the bytes handed to the disk.
+	WrittenBytes int64
 }
 
 // Usage reads the process's counters.
 func (p *Process) Usage() (Usage, error) {
-	return UsageOf(p.ID())
+	return ReadUsage(p.ID())
 }
 
-// UsageOf reads the counters of a process by its id.
-func UsageOf(id int) (Usage, error) {
+// ReadUsage reads the counters of a process by its id.
+func ReadUsage(id int) (Usage, error) {
 	folder := "/proc/" + strconv.Itoa(id)
 	processor, err := processorTime(folder)
 	if err != nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return Usage{}, err
 	}
-	return Usage{Processor: processor, Resident: resident * 1024, Written: written}, nil
+	return Usage{CPUTime: processor, ResidentBytes: resident * 1024, WrittenBytes: written}, nil
 }
 
 // processorTime reads user and system time in ticks of 10 ms, so a run to be
--- a/lab/pkg/regress/plan.go
+++ b/lab/pkg/regress/plan.go
@@ -17,8 +17,8 @@
 	Deployments []Deployment
 	// FirstSeed is the one of each day's first pair.
 	FirstSeed int
-	// Most is how far a deployment may fall on the mean, in worth.
-	Most float64
+	// MaxDrop is how far a deployment may fall on the mean, in worth.
+	MaxDrop float64
 }
 
 // Pair is one day with one seed, to be played on both versions.
--- a/lab/pkg/regress/play.go
+++ b/lab/pkg/regress/play.go
@@ -18,8 +18,8 @@
 	// Service is the part of the credit owed that was earned over the whole day.
 	Service float64
 	Classes []ClassWorth
-	// Broken names the rules that were broken, empty if none was.
-	Broken string
+	// BrokenRules names the rules that were broken, empty if none was.
+	BrokenRules string
 }
 
 // ClassWorth is what one kind of request earned, as a part of what it is owed.
@@ -55,9 +55,9 @@
 		o.Classes = append(o.Classes, ClassWorth{Class: c[1], Worth: number(c[2])})
 	}
 	if rule := ruleLine.FindStringSubmatch(text); rule != nil {
-		o.Broken = strings.TrimSpace(rule[1])
-		if o.Broken == "" {
-			o.Broken = "a rule"
+		o.BrokenRules = strings.TrimSpace(rule[1])
+		if o.BrokenRules == "" {
+			o.BrokenRules = "a rule"
 		}
 	}
 	return o, nil
@@ -74,20 +74,20 @@
 	return text[strings.LastIndexByte(text, '\n')+1:]
 }
 
-// Players runs pairs of plays.
-type Players struct {
+// Runner runs pairs of plays.
+type Runner struct {
 	// Bench is the program that plays, Before and After are checkouts of the two versions.
 	Bench, Before, After string
 	// Why goes into the bench's journal.
 	Why string
 	// Jobs is how many pairs are played at once; each takes two processors.
 	Jobs int
-	// Played is told of each pair as it ends.
-	Played func(Result)
+	// OnResult is told of each pair as it ends.
+	OnResult func(Result)
 }
 
-// Play plays all pairs, and returns the results in the order of the pairs.
-func (p Players) Play(ctx context.Context, pairs []Pair) ([]Result, error) {
+// Run plays all pairs, and returns the results in the order of the pairs.
+func (p Runner) Run(ctx context.Context, pairs []Pair) ([]Result, error) {
 	for _, checkout := range []string{p.Before, p.After} {
 		if out, err := p.command(ctx, checkout, "build").CombinedOutput(); err != nil {
 			return nil, fmt.Errorf("build %s: %w: %s", checkout, err, lastLine(string(out)))
@@ -103,7 +103,7 @@
 				r := p.pair(ctx, pairs[i])
 				mu.Lock()
 				results[i] = r
-				p.Played(r)
+				p.OnResult(r)
 				mu.Unlock()
 			}
 		})
@@ -117,7 +117,7 @@
 }
 
 // pair plays both sides at the same time, so that what else the machine does falls on both.
-func (p Players) pair(ctx context.Context, pair Pair) Result {
+func (p Runner) pair(ctx context.Context, pair Pair) Result {
 	r := Result{Pair: pair}
 	var before, after error
 	var both sync.WaitGroup
@@ -133,7 +133,7 @@
 	return r
 }
 
-func (p Players) play(ctx context.Context, checkout string, pair Pair, side string) (Outcome, error) {
+func (p Runner) play(ctx context.Context, checkout string, pair Pair, side string) (Outcome, error) {
 	command := p.command(ctx, checkout, "run", pair.Deployment.File, pair.Day,
 		"--seed", strconv.Itoa(pair.Seed), "--why", fmt.Sprintf("%s (%s)", p.Why, side))
 	// The bench ends with an error if a rule was broken; its figures stand all the same.
@@ -145,7 +145,7 @@
 	return o, err
 }
 
-func (p Players) command(ctx context.Context, checkout string, words ...string) *exec.Cmd {
+func (p Runner) command(ctx context.Context, checkout string, words ...string) *exec.Cmd {
 	c := exec.CommandContext(ctx, p.Bench, words...)
 	c.Dir = checkout
 	return c
--- a/lab/pkg/regress/regress_test.go
+++ b/lab/pkg/regress/regress_test.go
@@ -30,7 +30,7 @@
 	require.Equal(t, Outcome{Worth: 0.689, Service: 0.904, Classes: []ClassWorth{{"tag-long", 0.901}, {"digest-lot", 0.781}}}, o)
 	o, err = Parse(strings.Replace(printed, "worst windows 0.43\n", "worst windows 0.43  BROKEN: QUOTA 3\n", 1))
 	require.NoError(t, err)
-	require.Equal(t, "QUOTA 3", o.Broken)
+	require.Equal(t, "QUOTA 3", o.BrokenRules)
 	_, err = Parse("built in 3 s\nthe day was given up\n")
 	require.ErrorIs(t, err, errNoFigure)
 	require.ErrorContains(t, err, "the day was given up")
@@ -64,19 +64,19 @@
 		{"a little worse", []Result{result("a", "x", 0.8, 0.76), result("a", "y", 0.8, 0.79)}, true},
 		{"worse on the mean", []Result{result("a", "x", 0.8, 0.76), result("a", "y", 0.8, 0.775)}, false},
 		{"one of two worse", []Result{result("a", "x", 0.8, 0.9), result("b", "x", 0.8, 0.76)}, false},
-		{"broken before only", []Result{{Before: Outcome{Broken: "LOST 1"}}}, true},
-		{"broken after", []Result{{After: Outcome{Broken: "LOST 1"}}}, false},
+		{"broken before only", []Result{{Before: Outcome{BrokenRules: "LOST 1"}}}, true},
+		{"broken after", []Result{{After: Outcome{BrokenRules: "LOST 1"}}}, false},
 		{"no figure", []Result{{Err: errNoFigure}}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			require.Equal(t, c.passed, Plan{Most: 0.03}.Sum(c.results).Passed())
+			require.Equal(t, c.passed, Plan{MaxDrop: 0.03}.Summarize(c.results).Passed())
 		})
 	}
 }
 
 func TestTheTable(t *testing.T) {
 	var b strings.Builder
-	s := Plan{Most: 0.03}.Sum([]Result{
+	s := Plan{MaxDrop: 0.03}.Summarize([]Result{
 		result("a", "x", 0.70, 0.74, 0.9, 0.8), result("a", "x", 0.72, 0.72, 0.8, 0.8), result("a", "y", 0.80, 0.81),
 	})
 	require.NoError(t, s.Write(&b))
@@ -100,20 +100,20 @@
 		require.NoError(t, os.WriteFile(filepath.Join(folder, side, "printed"), []byte(text), 0o600))
 	}
 	played := 0
-	players := Players{
+	players := Runner{
 		Bench: bench, Before: filepath.Join(folder, "before"), After: filepath.Join(folder, "after"), Jobs: 2,
-		Played: func(Result) { played++ },
+		OnResult: func(Result) { played++ },
 	}
 	plan := Plan{FirstSeed: 1, Deployments: []Deployment{{Name: "a", Days: []string{"x"}, Seeds: 3}}}
-	_, err := players.Play(context.Background(), plan.Pairs())
+	_, err := players.Run(context.Background(), plan.Pairs())
 	require.Error(t, err, "it can't even build there")
 	require.NoError(t, os.WriteFile(bench, []byte("#!/bin/sh\n[ \"$1\" = build ] && exit 0\ncat printed\ngrep -q BROKEN printed && exit 3\nexit 0\n"), 0o700))
-	results, err := players.Play(context.Background(), plan.Pairs())
+	results, err := players.Run(context.Background(), plan.Pairs())
 	require.NoError(t, err)
 	require.Equal(t, 3, played)
 	for _, r := range results {
 		require.NoError(t, r.Err)
 		require.Equal(t, []float64{0.689, 0.700}, []float64{r.Before.Worth, r.After.Worth})
-		require.Equal(t, "LOST 2", r.After.Broken)
+		require.Equal(t, "LOST 2", r.After.BrokenRules)
 	}
 }
--- a/lab/pkg/regress/report.go
+++ b/lab/pkg/regress/report.go
@@ -48,16 +48,16 @@
 	most           float64
 }
 
-// Sum sums results up, in the order of their deployments, days and classes.
-func (p Plan) Sum(results []Result) Summary {
-	s := Summary{most: p.Most}
+// Summarize sums results up, in the order of their deployments, days and classes.
+func (p Plan) Summarize(results []Result) Summary {
+	s := Summary{most: p.MaxDrop}
 	var all, days, classes series
 	for _, r := range results {
 		if r.Err != nil {
 			s.Failed = append(s.Failed, r)
 			continue
 		}
-		if r.Before.Broken != "" || r.After.Broken != "" {
+		if r.Before.BrokenRules != "" || r.After.BrokenRules != "" {
 			s.Broken = append(s.Broken, r)
 		}
 		all.add(r.Deployment.Name, "all", r.Before.Worth, r.After.Worth)
@@ -104,8 +104,8 @@
 	return rows
 }
 
-// Fell lists the deployments that fell by more than they may.
-func (s Summary) Fell() []Row {
+// Regressions lists the deployments that fell by more than they may.
+func (s Summary) Regressions() []Row {
 	var fell []Row
 	for _, row := range s.Deployments {
 		if row.Gain.Mean < -s.most {
@@ -119,11 +119,11 @@
 // deployment fell too far.
 func (s Summary) Passed() bool {
 	for _, r := range s.Broken {
-		if r.After.Broken != "" {
+		if r.After.BrokenRules != "" {
 			return false
 		}
 	}
-	return len(s.Failed) == 0 && len(s.Fell()) == 0
+	return len(s.Failed) == 0 && len(s.Regressions()) == 0
 }
 
 // Write prints the tables.
@@ -143,7 +143,7 @@
 		}
 	}
 	for _, r := range s.Broken {
-		if _, err := fmt.Fprintf(w, "\nrule broken: %s: before %q, after %q\n", r.Pair, r.Before.Broken, r.After.Broken); err != nil {
+		if _, err := fmt.Fprintf(w, "\nrule broken: %s: before %q, after %q\n", r.Pair, r.Before.BrokenRules, r.After.BrokenRules); err != nil {
 			return fmt.Errorf("write a broken rule: %w", err)
 		}
 	}
@@ -152,7 +152,7 @@
 			return fmt.Errorf("write a failure: %w", err)
 		}
 	}
-	for _, r := range s.Fell() {
+	for _, r := range s.Regressions() {
 		if _, err := fmt.Fprintf(w, "\nfell by more than %.3f: %s\n", s.most, r.Deployment); err != nil {
 			return fmt.Errorf("write a fall: %w", err)
 		}
--- a/lab/pkg/replay/config.go
+++ b/lab/pkg/replay/config.go
@@ -12,16 +12,16 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// Placing is how gateways choose a runner.
-type Placing int
+// Placement is how gateways choose a runner.
+type Placement int
 
 const (
-	// ByCounts takes what all daemons told that they have under way.
-	ByCounts Placing = iota
-	// ByOwnCounts takes only what the gateway itself has under way.
-	ByOwnCounts
-	// AtRandom takes any.
-	AtRandom
+	// AllCounts takes what all daemons told that they have under way.
+	AllCounts Placement = iota
+	// OwnCounts takes only what the gateway itself has under way.
+	OwnCounts
+	// Random takes any.
+	Random
 )
 
 // Config describes a load and the fleet under it. All times are in milliseconds.
@@ -39,22 +39,22 @@
 	// Objective is the longest wait of a request in time, Patience how long its
 	// caller stays.
 	Objective clock.Millis
-	Patience  clock.Millis
+	Timeout  clock.Millis
 	Arrivals  []clock.Millis
 	Items     []Item
-	Placing   Placing
+	Placement   Placement
 	// Admit lets the gateways turn requests away and let returned ones wait; without
 	// it every request goes to a runner's queue at once.
 	Admit bool
 	// Yield lets items give way to online requests.
 	Yield bool
-	// FirstCome starts items in the order of arrival in place of urgency.
-	FirstCome bool
-	// TeamsUntold keeps from whoever orders the items whose they are.
-	TeamsUntold bool
-	// Returns is how often callers come back who were turned away: once if it is 0, never
+	// FIFO starts items in the order of arrival in place of urgency.
+	FIFO bool
+	// HideTeams keeps from whoever orders the items whose they are.
+	HideTeams bool
+	// MaxRetries is how often callers come back who were turned away: once if it is 0, never
 	// if it is negative.
-	Returns int
+	MaxRetries int
 	// Outage is when no gateway takes requests.
 	Outage Outage
 	// Loss is when the daemon that runs the items vanishes.
@@ -65,26 +65,26 @@
 // Item is a batch item.
 type Item struct {
 	At  clock.Millis
-	Due clock.Millis
+	Deadline clock.Millis
 	// Run is how long it runs, a span; 0 takes the load's Run and says nothing of its size.
 	Run clock.Millis
 	// Team hands it in, with a rank of 0 for the most urgent.
 	Team string
-	Rank uint32
+	Priority uint32
 }
 
 // Outage is a span in which no gateway takes requests. Callers notice after ComeBack
 // and come back once.
 type Outage struct {
 	From, Until clock.Millis
-	ComeBack    clock.Millis
+	RetryDelay    clock.Millis
 }
 
 // Result is what callers and teams got.
 type Result struct {
 	InTime int
-	// CameBack is the part of InTime that was turned away first.
-	CameBack int
+	// InTimeOnRetry is the part of InTime that was turned away first.
+	InTimeOnRetry int
 	Late     int
 	Refused  int
 	// Waits of the requests that were served, sorted, from their first arrival.
@@ -107,13 +107,13 @@
 	return r.Worth / float64(max(r.InTime+r.Late+r.Refused, 1))
 }
 
-// Share is the part of the requests that was served in time.
-func (r Result) Share() float64 {
+// InTimeShare is the part of the requests that was served in time.
+func (r Result) InTimeShare() float64 {
 	return float64(r.InTime) / float64(max(r.InTime+r.Late+r.Refused, 1))
 }
 
-// Served is the part of the requests that was served at all.
-func (r Result) Served() float64 {
+// ServedShare is the part of the requests that was served at all.
+func (r Result) ServedShare() float64 {
 	return float64(r.InTime+r.Late) / float64(max(r.InTime+r.Late+r.Refused, 1))
 }
 
--- a/lab/pkg/replay/customers_test.go
+++ b/lab/pkg/replay/customers_test.go
@@ -43,8 +43,8 @@
 			c.Runners, c.Gateways = 1, 3
 			c.Arrivals = Arrivals(c.Seed, 29_000, Bursts(7, 29_000)...)
 		}, 0.793, 0},
-		{"callers never come back", func(c *Config) { c.Returns = -1 }, 0.772, 0},
-		{"callers come back twice", func(c *Config) { c.Returns = 2 }, 0.772, 0},
+		{"callers never come back", func(c *Config) { c.MaxRetries = -1 }, 0.772, 0},
+		{"callers come back twice", func(c *Config) { c.MaxRetries = 2 }, 0.772, 0},
 		{"bursts without a rhythm", func(c *Config) {
 			c.Arrivals = Arrivals(c.Seed, 10_000, restless(c.Seed, 10_000, capacity(c))...)
 		}, 0.764, 0},
@@ -53,10 +53,10 @@
 		}, 0.472, 0},
 		{"items that run ten times as long", func(c *Config) {
 			c.Run = 50_000
-			c.Items = Steady(c.Seed, 20_000, 3, 180_000)
+			c.Items = SteadyItems(c.Seed, 20_000, 3, 180_000)
 		}, 0.770, 0.999},
 		{"items for all that is left", func(c *Config) {
-			c.Items = Steady(c.Seed, 29_000, 32, 18_000)
+			c.Items = SteadyItems(c.Seed, 29_000, 32, 18_000)
 		}, 0.771, 0.999},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/lab/pkg/replay/items_test.go
+++ b/lab/pkg/replay/items_test.go
@@ -13,11 +13,11 @@
 func crowded(seed uint64, items float64) Config {
 	const until = 60_000
 	c := Config{
-		Runners: 20, Slots: 7, Gateways: 8, Hold: 790, Run: 5_200, Resume: 80, DigestDelay: 12, Objective: 300, Patience: 5_000,
+		Runners: 20, Slots: 7, Gateways: 8, Hold: 790, Run: 5_200, Resume: 80, DigestDelay: 12, Objective: 300, Timeout: 5_000,
 		Arrivals: Arrivals(seed, until, Bursts(107, until)...), Admit: true, Yield: true, Seed: seed,
 	}
 	left := float64(c.Runners*c.Slots) - 107*0.79
-	c.Items = Mixed(seed, until, items*left/5.2, c.Run, 18_000)
+	c.Items = MixedItems(seed, until, items*left/5.2, c.Run, 18_000)
 	return c
 }
 
--- a/lab/pkg/replay/loss.go
+++ b/lab/pkg/replay/loss.go
@@ -15,12 +15,12 @@
 	// At is the moment, 0 for never, and TakeOver the span until the next one runs
 	// what is left.
 	At       clock.Millis
-	TakeOver clock.Millis
-	// Tell lets runners say with each answer what they have under way.
-	Tell bool
-	// Release is the span after which those who carry the items end them, 0 for
+	TakeoverDelay clock.Millis
+	// ReportLoad lets runners say with each answer what they have under way.
+	ReportLoad bool
+	// ReleaseDelay is the span after which those who carry the items end them, 0 for
 	// never: the runners don't notice by themselves.
-	Release clock.Millis
+	ReleaseDelay clock.Millis
 }
 
 // lose makes the daemon that runs the items vanish.
@@ -32,10 +32,10 @@
 	if w.now == loss.At {
 		w.vanish()
 	}
-	if loss.Release > 0 && w.now == loss.At+loss.Release {
+	if loss.ReleaseDelay > 0 && w.now == loss.At+loss.ReleaseDelay {
 		w.release()
 	}
-	if w.now == loss.At+loss.TakeOver {
+	if w.now == loss.At+loss.TakeoverDelay {
 		w.takeOver()
 	}
 }
@@ -91,7 +91,7 @@
 
 // tellHeld lets a runner's answer tell a gateway what the runner has under way.
 func (w *world) tellHeld(runner string, g *gateway) {
-	if !w.config.Loss.Tell {
+	if !w.config.Loss.ReportLoad {
 		return
 	}
 	state := w.states[runner]
--- a/lab/pkg/replay/overload.go
+++ b/lab/pkg/replay/overload.go
@@ -29,7 +29,7 @@
 // 740 ms, items for 5 s.
 func (o Overload) Run() Result {
 	c := Config{
-		Runners: 54, Slots: 7, Gateways: 27, Hold: 740, Run: 5_000, Resume: 30, DigestDelay: 12, Objective: 300, Patience: 5_000,
+		Runners: 54, Slots: 7, Gateways: 27, Hold: 740, Run: 5_000, Resume: 30, DigestDelay: 12, Objective: 300, Timeout: 5_000,
 		Admit: true, Yield: true, Seed: o.Seed,
 	}
 	capacity := float64(c.Runners*c.Slots) / float64(c.Hold) * 1_000
@@ -37,7 +37,7 @@
 		Step{0, capacity / 2}, Step{overloadFrom, o.Load * capacity}, Step{overloadUntil, capacity / 3})
 	if o.Items {
 		const jobsDue = 18_000
-		c.Items = Steady(o.Seed, overloadEnds, float64(c.Runners*c.Slots)/2/float64(c.Run)*1_000, jobsDue)
+		c.Items = SteadyItems(o.Seed, overloadEnds, float64(c.Runners*c.Slots)/2/float64(c.Run)*1_000, jobsDue)
 	}
 	return Run(c)
 }
@@ -53,8 +53,8 @@
 		name  string
 		count func(Result) int
 	}{
-		{"in time at once", func(r Result) int { return r.InTime - r.CameBack }},
-		{"turned away, then in time", func(r Result) int { return r.CameBack }},
+		{"in time at once", func(r Result) int { return r.InTime - r.InTimeOnRetry }},
+		{"turned away, then in time", func(r Result) int { return r.InTimeOnRetry }},
 		{"late", func(r Result) int { return r.Late }},
 		{"not served", func(r Result) int { return r.Refused }},
 	}
--- a/lab/pkg/replay/play.go
+++ b/lab/pkg/replay/play.go
@@ -10,7 +10,7 @@
 	"toucanhinge.example/common/pkg/occupancy"
 	"toucanhinge.example/control/pkg/dispatch"
 	"toucanhinge.example/gateway/pkg/admission"
-	"toucanhinge.example/gateway/pkg/place"
+	"toucanhinge.example/gateway/pkg/placement"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -28,7 +28,7 @@
 		w.arrive(r)
 		return
 	}
-	r.arrived += outage.ComeBack
+	r.arrived += outage.RetryDelay
 	r.again, r.lost, r.attempts = true, true, 1
 	if r.arrived < outage.Until {
 		w.result.Refused++
@@ -59,10 +59,10 @@
 
 // returns is how often a caller comes back.
 func (w *world) returns() int {
-	if w.config.Returns == 0 {
+	if w.config.MaxRetries == 0 {
 		return 1
 	}
-	return max(w.config.Returns, 0)
+	return max(w.config.MaxRetries, 0)
 }
 
 // refuse turns a caller away, who may come back.
@@ -86,9 +86,9 @@
 	}
 }
 
-func (w *world) look(r *request) (place.Choice, admission.Request) {
+func (w *world) look(r *request) (placement.Choice, admission.Request) {
 	g := w.gateways[r.gateway]
-	choice, _ := g.place.Select(w.now, place.Request{
+	choice, _ := g.place.Select(w.now, placement.Request{
 		Service: service, TieBreak: w.random.Float64(), Draw: w.random.Float64(), Age: w.config.DigestDelay + tellEvery,
 	}, w.picture(g))
 	return choice, admission.Request{
@@ -98,23 +98,23 @@
 }
 
 // picture is the load as the policy sees it.
-func (w *world) picture(g *gateway) func(string) place.Load {
-	switch w.config.Placing {
-	case ByOwnCounts:
-		return func(id string) place.Load {
+func (w *world) picture(g *gateway) func(string) placement.Load {
+	switch w.config.Placement {
+	case OwnCounts:
+		return func(id string) placement.Load {
 			l := g.table.Own(id)
-			return place.Load{Online: l.Online, Own: l.Online}
+			return placement.Load{Online: l.Online, Own: l.Online}
 		}
-	case AtRandom:
-		drawn := map[string]place.Load{}
+	case Random:
+		drawn := map[string]placement.Load{}
 		for _, r := range w.runners {
-			drawn[r.GetId()] = place.Load{Online: w.random.IntN(1000)}
+			drawn[r.GetId()] = placement.Load{Online: w.random.IntN(1000)}
 		}
-		return func(id string) place.Load { return drawn[id] }
+		return func(id string) placement.Load { return drawn[id] }
 	default:
-		return func(id string) place.Load {
+		return func(id string) placement.Load {
 			l := g.table.Load(id)
-			return place.Load{Online: l.Online, Own: g.table.Own(id).Online, Batch: l.Batch, Foreign: g.table.Foreign(w.now, id)}
+			return placement.Load{Online: l.Online, Own: g.table.Own(id).Online, Batch: l.Batch, Foreign: g.table.Foreign(w.now, id)}
 		}
 	}
 }
@@ -148,21 +148,21 @@
 
 func (w *world) addItem(index uint32, i Item) {
 	key := dispatch.Key{Job: "j", Index: index}
-	w.left[key], w.due[key] = cmp.Or(i.Run, w.config.Run), i.Due
+	w.left[key], w.due[key] = cmp.Or(i.Run, w.config.Run), i.Deadline
 	if !w.coreGone {
 		w.queueItem(key, i)
 	}
 }
 
 func (w *world) queueItem(key dispatch.Key, i Item) {
-	due := i.Due
-	if w.config.FirstCome {
+	due := i.Deadline
+	if w.config.FIFO {
 		due = i.At + 1_000_000
 	}
-	if w.config.TeamsUntold {
+	if w.config.HideTeams {
 		i.Team = ""
 	}
-	w.dispatch.Add(dispatch.Item{Key: key, Deadline: due, Expires: i.At + 10_000_000, Tokens: int64(i.Run), Team: i.Team, Priority: i.Rank})
+	w.dispatch.Add(dispatch.Item{Key: key, Deadline: due, Expires: i.At + 10_000_000, Tokens: int64(i.Run), Team: i.Team, Priority: i.Priority})
 }
 
 // items starts and pauses batch items.
@@ -209,25 +209,25 @@
 	}
 }
 
-// Mixed draws items like Steady, in jobs of ten, whose running times differ: between a
+// MixedItems draws items like Steady, in jobs of ten, whose running times differ: between a
 // third of the mean and twice as long, like the lengths on the users' sheets.
-func Mixed(seed uint64, until clock.Millis, rate float64, run, span clock.Millis) []Item {
+func MixedItems(seed uint64, until clock.Millis, rate float64, run, span clock.Millis) []Item {
 	random := rand.New(rand.NewPCG(seed, 3))
 	var items []Item
 	for _, at := range Arrivals(seed, until, Step{0, rate / jobItems}) {
 		for range jobItems {
 			whole := clock.Millis(float64(run) * min(max(math.Exp(lengthSpread*random.NormFloat64()), 0.33), 2))
-			items = append(items, Item{At: at, Due: at + span, Run: whole})
+			items = append(items, Item{At: at, Deadline: at + span, Run: whole})
 		}
 	}
 	return items
 }
 
-// Steady draws items of a job rate that doesn't change, due after a span.
-func Steady(seed uint64, until clock.Millis, rate float64, span clock.Millis) []Item {
+// SteadyItems draws items of a job rate that doesn't change, due after a span.
+func SteadyItems(seed uint64, until clock.Millis, rate float64, span clock.Millis) []Item {
 	var items []Item
 	for _, at := range Arrivals(seed, until, Step{0, rate}) {
-		items = append(items, Item{At: at, Due: at + span})
+		items = append(items, Item{At: at, Deadline: at + span})
 	}
 	return items
 }
--- a/lab/pkg/replay/replay_test.go
+++ b/lab/pkg/replay/replay_test.go
@@ -13,7 +13,7 @@
 func sheet(seed uint64) Config {
 	const until = 33_000
 	return Config{
-		Runners: 12, Slots: 8, Gateways: 8, Hold: 830, Run: 5_700, Resume: 30, DigestDelay: 6, Objective: 300, Patience: 5_000,
+		Runners: 12, Slots: 8, Gateways: 8, Hold: 830, Run: 5_700, Resume: 30, DigestDelay: 6, Objective: 300, Timeout: 5_000,
 		Arrivals: Arrivals(seed, until, Bursts(56, until)...), Admit: true, Yield: true, Seed: seed,
 	}
 }
@@ -31,8 +31,8 @@
 	return sum / float64(len(seeds))
 }
 
-func share(r Result) float64  { return r.Share() }
-func served(r Result) float64 { return r.Served() }
+func share(r Result) float64  { return r.InTimeShare() }
+func served(r Result) float64 { return r.ServedShare() }
 func wait99(r Result) float64 { return float64(r.Wait(99)) }
 
 // Bursts need nine places in ten, through eight gateways at once. Counts that all
@@ -41,12 +41,12 @@
 // has room.
 func TestPlacingByWhatAllHaveUnderWay(t *testing.T) {
 	t.Parallel()
-	plain := func(placing Placing) func(*Config) {
-		return func(c *Config) { c.Placing, c.Admit = placing, false }
+	plain := func(placing Placement) func(*Config) {
+		return func(c *Config) { c.Placement, c.Admit = placing, false }
 	}
-	counts := mean(plain(ByCounts), wait99)
-	own := mean(plain(ByOwnCounts), wait99)
-	random := mean(plain(AtRandom), wait99)
+	counts := mean(plain(AllCounts), wait99)
+	own := mean(plain(OwnCounts), wait99)
+	random := mean(plain(Random), wait99)
 	t.Logf("wait at p99: %.0f ms by all counts, %.0f ms by own counts, %.0f ms at random", counts, own, random)
 	require.Less(t, counts, 0.75*own)
 	require.Less(t, counts, 0.4*random)
@@ -91,7 +91,7 @@
 		return func(c *Config) {
 			c.Yield, c.Admit = yield, false
 			if items {
-				c.Items = Steady(c.Seed, 33_000, 6.8, 18_000)
+				c.Items = SteadyItems(c.Seed, 33_000, 6.8, 18_000)
 			}
 		}
 	}
@@ -114,14 +114,14 @@
 	t.Parallel()
 	flood := func(firstCome bool) func(*Config) {
 		return func(c *Config) {
-			c.FirstCome = firstCome
+			c.FIFO = firstCome
 			c.Arrivals = c.Arrivals[:1]
 			for i := range 400 {
 				due := clock.Millis(30_000)
 				if i%2 == 1 {
 					due = 14_000
 				}
-				c.Items = append(c.Items, Item{At: clock.Millis(i), Due: due})
+				c.Items = append(c.Items, Item{At: clock.Millis(i), Deadline: due})
 			}
 		}
 	}
@@ -134,8 +134,8 @@
 // vanishing is a daemon that vanishes with its items as a burst begins.
 func vanishing(loss Loss) func(*Config) {
 	return func(c *Config) {
-		c.Items = Steady(c.Seed, 33_000, 6.8, 18_000)
-		c.Loss = Loss{At: 16_900, TakeOver: 450, Tell: loss.Tell, Release: loss.Release}
+		c.Items = SteadyItems(c.Seed, 33_000, 6.8, 18_000)
+		c.Loss = Loss{At: 16_900, TakeoverDelay: 450, ReportLoad: loss.ReportLoad, ReleaseDelay: loss.ReleaseDelay}
 	}
 }
 
@@ -146,7 +146,7 @@
 // least tell of what they have under way, some requests find better places.
 func TestTheDaemonThatRunsTheItemsVanishes(t *testing.T) {
 	t.Parallel()
-	carried, told := mean(vanishing(Loss{Release: 300}), share), mean(vanishing(Loss{Tell: true}), share)
+	carried, told := mean(vanishing(Loss{ReleaseDelay: 300}), share), mean(vanishing(Loss{ReportLoad: true}), share)
 	blind := mean(vanishing(Loss{}), share)
 	t.Logf("in time: %.3f when others carry the calls, %.3f when runners tell, %.3f else", carried, told, blind)
 	require.Greater(t, carried, 0.98)
@@ -162,8 +162,8 @@
 	outage := func(admit bool) func(*Config) {
 		return func(c *Config) {
 			c.Admit = admit
-			c.Items = Steady(c.Seed, 33_000, 6.8, 18_000)
-			c.Outage = Outage{From: 17_300, Until: 18_700, ComeBack: 1_100}
+			c.Items = SteadyItems(c.Seed, 33_000, 6.8, 18_000)
+			c.Outage = Outage{From: 17_300, Until: 18_700, RetryDelay: 1_100}
 		}
 	}
 	worth := func(r Result) float64 { return r.MeanWorth() }
@@ -182,7 +182,7 @@
 		steps = append(steps, Step{at, 109}, Step{at + 3_400, 533})
 	}
 	return Config{
-		Runners: 48, Slots: 7, Gateways: 27, Hold: 740, Run: 5_000, Resume: 30, DigestDelay: 12, Objective: 300, Patience: 5_000,
+		Runners: 48, Slots: 7, Gateways: 27, Hold: 740, Run: 5_000, Resume: 30, DigestDelay: 12, Objective: 300, Timeout: 5_000,
 		Arrivals: Arrivals(seed, until, steps...), Admit: true, Yield: true, Seed: seed,
 	}
 }
--- a/lab/pkg/replay/teams_test.go
+++ b/lab/pkg/replay/teams_test.go
@@ -18,8 +18,8 @@
 	}
 	others = len(c.Items)
 	rate := times * float64(others) / 60
-	for _, item := range Mixed(seed+100, until-burst, rate, c.Run, 18_000) {
-		item.At, item.Due, item.Team = item.At+burst, item.Due+burst, "many"
+	for _, item := range MixedItems(seed+100, until-burst, rate, c.Run, 18_000) {
+		item.At, item.Deadline, item.Team = item.At+burst, item.Deadline+burst, "many"
 		c.Items = append(c.Items, item)
 	}
 	slices.SortStableFunc(c.Items, func(a, b Item) int { return cmp.Compare(a.At, b.At) })
@@ -39,7 +39,7 @@
 			if many {
 				c, others = withTeams(c, seed)
 			}
-			c.TeamsUntold = untold
+			c.HideTeams = untold
 			r := Run(c)
 			all += others
 			inTime += r.ItemsInTime - r.TeamItems["many"]
@@ -60,7 +60,7 @@
 		for i := range c.Items {
 			c.Items[i].Team = "urgent"
 			if i/jobItems%10 == 0 {
-				c.Items[i].Team, c.Items[i].Rank = "low", 3
+				c.Items[i].Team, c.Items[i].Priority = "low", 3
 			}
 		}
 		low := 0
--- a/lab/pkg/replay/world.go
+++ b/lab/pkg/replay/world.go
@@ -9,7 +9,7 @@
 	"toucanhinge.example/common/pkg/occupancy"
 	"toucanhinge.example/control/pkg/dispatch"
 	"toucanhinge.example/gateway/pkg/admission"
-	"toucanhinge.example/gateway/pkg/place"
+	"toucanhinge.example/gateway/pkg/placement"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -53,7 +53,7 @@
 // gateway is one gateway with its own picture of the load.
 type gateway struct {
 	table *occupancy.Table
-	place *place.Machine
+	place *placement.Machine
 	room  []*request
 	// spells are the overloads that it saw.
 	spells admission.OverloadTracker
@@ -109,7 +109,7 @@
 		w.lose()
 		w.finish()
 		for len(arrivals) > 0 && arrivals[0] <= w.now {
-			w.meet(&request{first: w.now, arrived: w.now, ends: w.now + config.Patience})
+			w.meet(&request{first: w.now, arrived: w.now, ends: w.now + config.Timeout})
 			arrivals = arrivals[1:]
 		}
 		for len(items) > 0 && items[0].At <= w.now {
@@ -162,7 +162,7 @@
 		w.states[id] = &runnerState{}
 	}
 	for range config.Gateways {
-		g := &gateway{table: occupancy.New(), place: place.New(place.Config{})}
+		g := &gateway{table: occupancy.New(), place: placement.New(placement.Config{})}
 		g.place.SetRunners(w.runners)
 		for range 100 {
 			g.place.RecordHold(service, config.Hold)
@@ -271,7 +271,7 @@
 	case t.request.lost:
 		w.result.Worth += lateWorth
 	case t.request.again:
-		w.result.CameBack++
+		w.result.InTimeOnRetry++
 		w.result.Worth += (1 + lateWorth) / 2
 	default:
 		w.result.Worth++
--- a/lab/pkg/serve/serve.go
+++ b/lab/pkg/serve/serve.go
@@ -22,8 +22,8 @@
 type Config struct {
 	Listen  string
 	Handler http.Handler
-	// Duty, when set, runs until its context ends.
-	Duty func(ctx context.Context)
+	// Background, when set, runs until its context ends.
+	Background func(ctx context.Context)
 }
 
 // Run serves until SIGTERM or an interrupt and returns the exit code.
@@ -45,8 +45,8 @@
 	defer stopSignals()
 	duty, stopDuty := context.WithCancel(context.Background())
 	var duties sync.WaitGroup
-	if config.Duty != nil {
-		duties.Go(func() { config.Duty(duty) })
+	if config.Background != nil {
+		duties.Go(func() { config.Background(duty) })
 	}
 	server := &http.Server{Handler: config.Handler, ReadHeaderTimeout: stopWait}
 	served := make(chan error, 1)
--- a/lab/pkg/summary/summary.go
+++ b/lab/pkg/summary/summary.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 )
 
-// Names are the figures that a whole bench run is to bring, in the order of the table.
-var Names = []string{
+// FigureNames are the figures that a whole bench run is to bring, in the order of the table.
+var FigureNames = []string{
 	"overhead.ttft.p50.ms", "overhead.ttft.p99.ms", "overhead.itl.p95.ms",
 	"gateway.cpu.request.us", "gateway.cpu.token.us", "sidecar.cpu.request.us", "sidecar.cpu.token.us",
 	"gateway.rss.mb", "sidecar.rss.mb", "control.rss.mb", "sidecar.control.bytes", "gateway.control.bytes",
@@ -40,8 +40,8 @@
 	s.values[name] = append(s.values[name], value)
 }
 
-// Miss notes why a figure is left out.
-func (s *Summary) Miss(name, reason string) { s.reasons[name] = reason }
+// MarkMissing notes why a figure is left out.
+func (s *Summary) MarkMissing(name, reason string) { s.reasons[name] = reason }
 
 // Median is the figure's median over the runs made.
 func (s *Summary) Median(name string) (float64, bool) {
@@ -99,8 +99,8 @@
 
 // ordered is the fixed names, then whatever else was measured.
 func (s *Summary) ordered() []string {
-	known := make(map[string]bool, len(Names))
-	for _, name := range Names {
+	known := make(map[string]bool, len(FigureNames))
+	for _, name := range FigureNames {
 		known[name] = true
 	}
 	var others []string
@@ -110,5 +110,5 @@
 		}
 	}
 	sort.Strings(others)
-	return append(append([]string(nil), Names...), others...)
+	return append(append([]string(nil), FigureNames...), others...)
 }
--- a/lab/pkg/summary/summary_test.go
+++ b/lab/pkg/summary/summary_test.go
@@ -16,7 +16,7 @@
 	}
 	s.Add("own.figure", 4)
 	s.Add("own.figure", 6)
-	s.Miss("restart.ms", "control did not come back")
+	s.MarkMissing("restart.ms", "control did not come back")
 	file := filepath.Join(t.TempDir(), "summary.json")
 	require.NoError(t, s.WriteFile(file))
 	text, err := os.ReadFile(file)
--- a/lab/pkg/worker/worker.go
+++ b/lab/pkg/worker/worker.go
@@ -22,12 +22,12 @@
 	Incarnation uint64
 	Service     string
 	Group       uint32
-	// Most items are asked for at once.
-	Most uint32
+	// MaxItems items are asked for at once.
+	MaxItems uint32
 	// Body is the result of every item.
 	Body []byte
-	// Limit, when above 0, ends the work after about that many items.
-	Limit int64
+	// ItemLimit, when above 0, ends the work after about that many items.
+	ItemLimit int64
 }
 
 // Counts is what workers did together.
@@ -43,7 +43,7 @@
 
 // Run leases and completes until the context ends or the limit is reached.
 func Run(ctx context.Context, config Config, counts *Counts) error {
-	for ctx.Err() == nil && (config.Limit == 0 || counts.Accepted.Load() < config.Limit) {
+	for ctx.Err() == nil && (config.ItemLimit == 0 || counts.Accepted.Load() < config.ItemLimit) {
 		leased, err := config.lease(ctx)
 		if err != nil {
 			return err
@@ -71,7 +71,7 @@
 
 func (c Config) lease(ctx context.Context) (*toucanhingev1.LeaseResponse, error) {
 	request := &toucanhingev1.LeaseRequest{
-		Sidecar: c.Name, Incarnation: c.Incarnation, Service: c.Service, Group: c.Group, Most: c.Most,
+		Sidecar: c.Name, Incarnation: c.Incarnation, Service: c.Service, Group: c.Group, Most: c.MaxItems,
 	}
 	answer, err := control.Call(ctx, c.Client, c.Group, "lease",
 		func(ctx context.Context, r *control.Replica) (*connect.Response[toucanhingev1.LeaseResponse], error) {
--- a/sidecar/pkg/app/app.go
+++ b/sidecar/pkg/app/app.go
@@ -40,7 +40,7 @@
 // no error.
 func Run(s config.Settings) error {
 	gin.SetMode(gin.ReleaseMode)
-	limit := clock.Millis(s.Drain.Finish).Duration() + stopSlack
+	limit := clock.Millis(s.Drain.FinishMS).Duration() + stopSlack
 	a := fx.New(
 		fx.NopLogger,
 		fx.StopTimeout(limit),
@@ -78,16 +78,16 @@
 	Logger     log.Logger
 	Metrics    *metrics.Set
 	Counters   *counters
-	Book       *record.Log
+	Records       *record.Log
 	Status     *health.Status
 	Dispatcher *dispatch.Dispatcher
 	Probe      *probe.Probe
-	Watching   *watching
+	ConfigWatcher   *watching
 	Handler    *entry.Handler
 	Puller     *work.Puller
 	Orders     *order.Runner
-	Leaver     *leaver
-	Beater     *control.Heartbeater
+	Drainer     *leaver
+	Heartbeater     *control.Heartbeater
 }
 
 // process runs the duties, each on its goroutine.
@@ -105,9 +105,9 @@
 }
 
 func (p *process) start(context.Context) error {
-	p.config.Watching.orders = p.config.Orders
-	p.config.Watching.leave = p.config.Leaver.leave
-	p.config.Leaver.beat = p.config.Beater.Trigger
+	p.config.ConfigWatcher.orders = p.config.Orders
+	p.config.ConfigWatcher.leave = p.config.Drainer.leave
+	p.config.Drainer.beat = p.config.Heartbeater.Trigger
 	p.config.Counters.watch(p.config.Dispatcher)
 	if err := p.listen(); err != nil {
 		return err
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	for _, duty := range []func(context.Context){
-		p.config.Dispatcher.Run, p.config.Probe.Run, p.config.Watching.watcher.Run, p.config.Beater.Run, p.config.Puller.Run, p.sweep, p.begin,
+		p.config.Dispatcher.Run, p.config.Probe.Run, p.config.ConfigWatcher.watcher.Run, p.config.Heartbeater.Run, p.config.Puller.Run, p.sweep, p.begin,
 	} {
 		p.run(ctx, duty)
 	}
@@ -159,7 +159,7 @@
 	router := gin.New()
 	router.Use(gin.Recovery())
 	p.config.Status.Mount(router, p.config.Metrics.Registry)
-	path, handler := toucanhingev1connect.NewExplainServiceHandler(p.config.Book)
+	path, handler := toucanhingev1connect.NewExplainServiceHandler(p.config.Records)
 	router.Any(path+"*call", gin.WrapH(handler))
 	return router
 }
@@ -167,19 +167,19 @@
 // begin opens the endpoint once the configuration is known.
 func (p *process) begin(ctx context.Context) {
 	select {
-	case <-p.config.Watching.watcher.Started():
+	case <-p.config.ConfigWatcher.watcher.Started():
 	case <-ctx.Done():
 		return
 	}
 	p.config.Orders.Submit(order.ConfigConfirmed{})
-	p.config.Watching.tellOrder()
-	p.config.Puller.SetGroupCount(p.config.Watching.watcher.Groups())
-	if p.config.Leaver.leaving() {
+	p.config.ConfigWatcher.tellOrder()
+	p.config.Puller.SetGroupCount(p.config.ConfigWatcher.watcher.Groups())
+	if p.config.Drainer.leaving() {
 		return
 	}
 	p.config.Puller.SetOpen(p.config.Settings.Kind == config.KindModel && p.config.Settings.Batch.Slots > 0)
 	p.config.Status.Ready()
-	level.Info(p.config.Logger).Log(logs.KeyEvent, "ready", "version", p.config.Watching.watcher.Fleet().Version)
+	level.Info(p.config.Logger).Log(logs.KeyEvent, "ready", "version", p.config.ConfigWatcher.watcher.Fleet().Version)
 }
 
 func (p *process) sweep(ctx context.Context) {
@@ -197,9 +197,9 @@
 
 // stop drains, also when a signal came, then ends the duties.
 func (p *process) stop(ctx context.Context) error {
-	p.config.Leaver.leave("signal")
+	p.config.Drainer.leave("signal")
 	select {
-	case <-p.config.Leaver.left:
+	case <-p.config.Drainer.left:
 	case <-ctx.Done():
 	}
 	err := p.entry.Shutdown(ctx)
--- a/sidecar/pkg/app/app_test.go
+++ b/sidecar/pkg/app/app_test.go
@@ -37,7 +37,7 @@
 	s.Control = []string{address}
 	s.Listen, s.AdminListen = loopback.Address(t, 0), loopback.Address(t, 1)
 	s.Engine.Slots, s.Batch.Slots = 2, 2
-	s.Drain.Linger = 10
+	s.Drain.LingerMS = 10
 	s.LogLevel = "error"
 	f.engine, s.Engine.URL = newFakeEngine(t)
 	f.settings = s
--- a/sidecar/pkg/app/fakes_test.go
+++ b/sidecar/pkg/app/fakes_test.go
@@ -154,7 +154,7 @@
 	mu      sync.Mutex
 	posts   []string
 	release chan struct{}
-	held    engine.Held
+	held    engine.State
 	ordered int
 }
 
--- a/sidecar/pkg/app/gate.go
+++ b/sidecar/pkg/app/gate.go
@@ -49,10 +49,10 @@
 func (g *gate) apply() {
 	switch {
 	case g.loading:
-		g.dispatcher.Tell(admit.Gate{Reason: admit.ReasonLoading})
+		g.dispatcher.Submit(admit.Gate{Reason: admit.ReasonLoading})
 	case g.unhealthy:
-		g.dispatcher.Tell(admit.Gate{Reason: admit.ReasonUnhealthy})
+		g.dispatcher.Submit(admit.Gate{Reason: admit.ReasonUnhealthy})
 	default:
-		g.dispatcher.Tell(admit.Gate{Open: true})
+		g.dispatcher.Submit(admit.Gate{Open: true})
 	}
 }
--- a/sidecar/pkg/app/leaver.go
+++ b/sidecar/pkg/app/leaver.go
@@ -68,7 +68,7 @@
 		close(v.leaves)
 		v.status.NotReady("leaving")
 		v.puller.SetOpen(false)
-		v.dispatcher.Tell(admit.Drain{})
+		v.dispatcher.Submit(admit.Drain{})
 		v.beat()
 		go v.drain()
 	})
@@ -76,15 +76,15 @@
 
 func (v *leaver) drain() {
 	defer close(v.left)
-	limit := clock.Millis(v.settings.Drain.Finish).Duration()
+	limit := clock.Millis(v.settings.Drain.FinishMS).Duration()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	if err := v.handler.Wait(ctx); err != nil {
 		level.Warn(v.logger).Log(logs.KeyEvent, "drain-cut", logs.KeyError, err)
-		v.dispatcher.Tell(admit.DrainEnd{})
+		v.dispatcher.Submit(admit.DrainEnd{})
 	}
 	v.awaitReturns()
-	time.Sleep(clock.Millis(v.settings.Drain.Linger).Duration())
+	time.Sleep(clock.Millis(v.settings.Drain.LingerMS).Duration())
 	if err := v.shutdowner.Shutdown(); err != nil {
 		level.Error(v.logger).Log(logs.KeyEvent, "shutdown-failed", logs.KeyError, err)
 	}
--- a/sidecar/pkg/app/parts.go
+++ b/sidecar/pkg/app/parts.go
@@ -71,13 +71,13 @@
 
 func newDispatcher(s config.Settings, c clock.Clock, set *metrics.Set) *dispatch.Dispatcher {
 	machine := admit.New(admit.Config{
-		Policy: admit.Policy(s.Batch.Policy), Slots: s.Engine.Slots, MinSlots: s.Engine.Floor,
-		QueueLimit: s.Online.Queue, BatchSlots: s.Batch.Slots, MaxPrefillTokens: s.Batch.PrefillTokens, BatchWeight: s.Batch.Weight,
-		BurstWindow: clock.Millis(s.Batch.BurstWindow), BurstHalfLife: clock.Millis(s.Batch.BurstHalfLife),
+		Policy: admit.Policy(s.Batch.Policy), Slots: s.Engine.Slots, MinSlots: s.Engine.MinSlots,
+		QueueLimit: s.Online.QueueLimit, BatchSlots: s.Batch.Slots, MaxPrefillTokens: s.Batch.PrefillTokens, BatchWeight: s.Batch.Weight,
+		BurstWindow: clock.Millis(s.Batch.BurstWindowMS), BurstHalfLife: clock.Millis(s.Batch.BurstHalfLifeMS),
 	})
 	return dispatch.New(dispatch.Config{
 		Clock: c, Machine: machine,
-		Ring: ring.Config{Size: s.Online.Ring, Refused: set.Refused.WithLabelValues(placeRing, "full")},
+		Ring: ring.Config{Size: s.Online.RingSize, Refused: set.Refused.WithLabelValues(placeRing, "full")},
 	})
 }
 
@@ -86,18 +86,18 @@
 		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		defer cancel()
 		if s.Kind == config.KindPlain {
-			return probe.Report{AsOf: c.Now()}, e.Reach(ctx)
+			return probe.Report{AsOf: c.Now()}, e.CheckReachable(ctx)
 		}
 		load, err := e.Load(ctx)
 		return probe.Report{InFlight: load.Running + load.Waiting, AsOf: clock.Millis(load.AsOfMs)}, err
 	}
 	p := probe.New(probe.Config{
-		Clock: c, Logger: l, Period: clock.Millis(s.Engine.Poll).Duration(), Failed: s.Engine.Failed,
+		Clock: c, Logger: l, Interval: clock.Millis(s.Engine.PollMS).Duration(), FailureThreshold: s.Engine.FailedPolls,
 		Poll:    poll,
-		Foreign: func(slots int) { d.Tell(admit.ForeignLoad{Slots: slots}) },
-		Health:  g.setHealthy,
+		OnForeignSlots: func(slots int) { d.Submit(admit.ForeignLoad{Slots: slots}) },
+		OnHealth:  g.setHealthy,
 	})
-	d.Watch(p.Own)
+	d.ObserveRunning(p.RecordOwn)
 	return p
 }
 
@@ -106,18 +106,18 @@
 ) *entry.Handler {
 	return entry.New(entry.Config{
 		Clock: c, Dispatcher: d, Engine: e, Endpoint: s.Name, Incarnation: uint64(i), Model: s.Kind == config.KindModel,
-		KeepBytes: s.Online.KeepBytes, KeepTotal: s.Online.KeepTotal, Keep: clock.Millis(s.Online.Keep),
-		Memory:     plain.MemoryConfig{Size: s.Online.Once, Keep: clock.Millis(s.Online.OnceKeep)},
+		MaxAnswerBytes: s.Online.MaxAnswerBytes, MaxRetainedBytes: s.Online.KeepTotalBytes, Retention: clock.Millis(s.Online.KeepMS),
+		Dedup:     plain.Config{MaxRequests: s.Online.OnceRequests, Retention: clock.Millis(s.Online.OnceKeepMS)},
 		Load:       func() *toucanhingev1.Load { return loadOf(d.Snapshot(), s.Engine.Slots) },
 		TeamWeight: w.teamWeight,
-		Refused: func(requestID string, reason admit.Reason, ran toucanhingev1.Ran) {
+		OnRefused: func(requestID string, reason admit.Reason, ran toucanhingev1.Ran) {
 			if reason == entry.ReasonUnreachable {
-				p.Suspect()
+				p.ReportUnreachable()
 			}
 			n.refused(requestID, reason, ran)
 		},
-		Started: n.started,
-		Ended:   n.ended,
+		OnStarted: n.started,
+		OnEnded:   n.ended,
 	})
 }
 
@@ -135,18 +135,18 @@
 	return work.New(work.Config{
 		Clock: c, Logger: l, Control: client, Dispatcher: d, Engine: e,
 		Leases: work.LeaseManagerConfig{
-			MaxItems: s.Batch.Slots + s.Batch.Local, MaxPerRequest: s.Batch.Ask,
-			FlushDelay: clock.Millis(s.Batch.Flush), FlushSize: s.Batch.FlushItems,
+			MaxItems: s.Batch.Slots + s.Batch.LocalItems, MaxPerRequest: s.Batch.MaxPerLease,
+			FlushDelay: clock.Millis(s.Batch.FlushMS), FlushSize: s.Batch.FlushItems,
 		},
 		Name: s.Name, Incarnation: uint64(i), Service: s.Service, MaxResultBytes: s.Batch.ResultBytes,
-		OnUnreachable: p.Suspect, RecordEvent: n.item,
+		OnUnreachable: p.ReportUnreachable, RecordEvent: n.item,
 	})
 }
 
 func newOrders(s config.Settings, c clock.Clock, l log.Logger, e *engine.Client, d *dispatch.Dispatcher, g *gate, n *notes) *order.Runner {
 	return order.NewRunner(order.RunnerConfig{
-		Clock: c, Logger: l, Machine: order.New(order.Config{PollInterval: orderPoll, RecheckInterval: clock.Millis(s.Engine.Recheck)}),
-		Read: e.Held, Send: e.Send, Gate: g.setOpen,
+		Clock: c, Logger: l, Machine: order.New(order.Config{PollInterval: orderPoll, RecheckInterval: clock.Millis(s.Engine.RecheckMS)}),
+		Read: e.State, Send: e.SendOrder, Gate: g.setOpen,
 		Idle: func() bool {
 			snapshot := d.Snapshot()
 			return snapshot.Online == 0 && snapshot.Queued == 0 && snapshot.Batch == 0
--- a/sidecar/pkg/app/watching.go
+++ b/sidecar/pkg/app/watching.go
@@ -6,7 +6,7 @@
 	"github.com/go-kit/log"
 
 	"toucanhinge.example/common/pkg/control"
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 	"toucanhinge.example/sidecar/pkg/admit"
 	"toucanhinge.example/sidecar/pkg/config"
@@ -23,20 +23,20 @@
 	// orders and leave are set before the watcher runs.
 	orders *order.Runner
 	leave  func(reason string)
-	fleet  atomic.Pointer[world.Fleet]
+	fleet  atomic.Pointer[fleetconfig.Fleet]
 }
 
 func newWatching(s config.Settings, l log.Logger, client *control.Client, d *dispatch.Dispatcher, i incarnation) *watching {
 	w := &watching{settings: s, incarnation: i, dispatcher: d}
-	w.fleet.Store(world.Empty())
+	w.fleet.Store(fleetconfig.Empty())
 	w.watcher = control.NewWatcher(control.WatcherConfig{Client: client, Process: s.Name, Logger: l, Changed: w.changed})
 	return w
 }
 
-func (w *watching) changed(fleet *world.Fleet) {
+func (w *watching) changed(fleet *fleetconfig.Fleet) {
 	w.fleet.Store(fleet)
 	if service, found := fleet.Service(w.settings.Service); found {
-		w.dispatcher.Tell(admit.SetBatchWeight{Weight: int(service.GetBatchWeight())})
+		w.dispatcher.Submit(admit.SetBatchWeight{Weight: int(service.GetBatchWeight())})
 	}
 	w.tellOrder()
 	switch {
@@ -60,7 +60,7 @@
 
 // markedLeaving says whether control lists this very process as leaving. An
 // entry of an earlier process of this name says nothing about this one.
-func (w *watching) markedLeaving(fleet *world.Fleet) bool {
+func (w *watching) markedLeaving(fleet *fleetconfig.Fleet) bool {
 	e, found := fleet.Entry(toucanhingev1.Kind_KIND_MEMBER, w.settings.Name)
 	if !found {
 		return false
--- a/sidecar/pkg/config/config.go
+++ b/sidecar/pkg/config/config.go
@@ -37,43 +37,43 @@
 type Engine struct {
 	URL     string `toml:"url" doc:"where it listens, http://IP:port"`
 	Slots   int    `toml:"slots" doc:"requests that it runs at once"`
-	Floor   int    `toml:"floor" doc:"slots that are ours however much load of others the engine reports"`
-	Poll    int64  `toml:"poll_ms" doc:"how often its load report is read; for a plain service, how often its port is tried"`
-	Failed  int    `toml:"failed_polls" doc:"polls without an answer in a row after which it counts as unhealthy"`
-	Recheck int64  `toml:"recheck_ms" doc:"how often a resting engine is asked which order it holds"`
+	MinSlots   int    `toml:"floor" doc:"slots that are ours however much load of others the engine reports"`
+	PollMS    int64  `toml:"poll_ms" doc:"how often its load report is read; for a plain service, how often its port is tried"`
+	FailedPolls  int    `toml:"failed_polls" doc:"polls without an answer in a row after which it counts as unhealthy"`
+	RecheckMS int64  `toml:"recheck_ms" doc:"how often a resting engine is asked which order it holds"`
 	Orders  bool   `toml:"orders" doc:"false for an engine that takes no orders"`
 }
 
 // Online says how requests of callers are admitted.
 type Online struct {
-	Queue     int   `toml:"queue" doc:"most online requests that wait for a slot"`
-	Ring      int   `toml:"ring" doc:"most events that wait for the admission machine"`
-	Keep      int64 `toml:"keep_ms" doc:"how long an answer waits for a gateway whose connection broke"`
-	KeepBytes int   `toml:"keep_bytes" doc:"bytes of one answer kept for that, and the most a slow reader may fall behind"`
-	KeepTotal int   `toml:"keep_total_bytes" doc:"bytes kept of all ended answers"`
-	Once      int   `toml:"once_requests" doc:"most non-idempotent requests remembered as started; above it new ones are refused"`
-	OnceKeep  int64 `toml:"once_keep_ms" doc:"how long each of them is remembered"`
+	QueueLimit     int   `toml:"queue" doc:"most online requests that wait for a slot"`
+	RingSize      int   `toml:"ring" doc:"most events that wait for the admission machine"`
+	KeepMS      int64 `toml:"keep_ms" doc:"how long an answer waits for a gateway whose connection broke"`
+	MaxAnswerBytes int   `toml:"keep_bytes" doc:"bytes of one answer kept for that, and the most a slow reader may fall behind"`
+	KeepTotalBytes int   `toml:"keep_total_bytes" doc:"bytes kept of all ended answers"`
+	OnceRequests      int   `toml:"once_requests" doc:"most non-idempotent requests remembered as started; above it new ones are refused"`
+	OnceKeepMS  int64 `toml:"once_keep_ms" doc:"how long each of them is remembered"`
 }
 
 // Batch says how batch work shares the engine.
 type Batch struct {
 	Policy        string `toml:"policy" doc:"yield, or a baseline: naive gives the engine everything, fixed splits the slots"`
 	Slots         int    `toml:"slots" doc:"most slots that batch may hold; under fixed, the slots it owns; 0 takes none"`
-	Local         int    `toml:"local" doc:"leased items kept waiting beside those in slots, so that a free slot is filled without a round trip"`
-	Ask           int    `toml:"ask" doc:"most items leased in one call"`
+	LocalItems         int    `toml:"local" doc:"leased items kept waiting beside those in slots, so that a free slot is filled without a round trip"`
+	MaxPerLease           int    `toml:"ask" doc:"most items leased in one call"`
 	PrefillTokens int    `toml:"prefill_tokens" doc:"most batch prompt tokens in prefill at once; a single longer item still runs"`
 	Weight        int    `toml:"weight" doc:"trade-off until the service's configuration is known: 0 favours online latency, 100 batch throughput"`
-	BurstWindow   int64  `toml:"burst_window_ms" doc:"span in which arrivals count as one burst"`
-	BurstHalfLife int64  `toml:"burst_half_life_ms" doc:"time after which a past burst counts half for the headroom"`
-	Flush         int64  `toml:"flush_ms" doc:"longest wait of an outcome for others to be reported with"`
+	BurstWindowMS   int64  `toml:"burst_window_ms" doc:"span in which arrivals count as one burst"`
+	BurstHalfLifeMS int64  `toml:"burst_half_life_ms" doc:"time after which a past burst counts half for the headroom"`
+	FlushMS         int64  `toml:"flush_ms" doc:"longest wait of an outcome for others to be reported with"`
 	FlushItems    int    `toml:"flush_items" doc:"outcomes reported at once"`
 	ResultBytes   int    `toml:"result_bytes" doc:"largest result of one item; a larger one fails the item"`
 }
 
 // Drain says how a planned stop goes.
 type Drain struct {
-	Linger int64 `toml:"linger_ms" doc:"time for which refusals are still answered after the last request ended, so that gateways learn of the leaving"`
-	Finish int64 `toml:"finish_ms" doc:"longest wait for the requests under way"`
+	LingerMS int64 `toml:"linger_ms" doc:"time for which refusals are still answered after the last request ended, so that gateways learn of the leaving"`
+	FinishMS int64 `toml:"finish_ms" doc:"longest wait for the requests under way"`
 }
 
 // Defaults returns the settings before the file is read.
@@ -84,16 +84,16 @@
 		Kind:        KindModel,
 		LogLevel:    "info",
 		Records:     10_000,
-		Engine:      Engine{Slots: 16, Floor: 1, Poll: 50, Failed: 4, Recheck: 5_000, Orders: true},
+		Engine:      Engine{Slots: 16, MinSlots: 1, PollMS: 50, FailedPolls: 4, RecheckMS: 5_000, Orders: true},
 		Online: Online{
-			Queue: 256, Ring: 4_096, Keep: 3_000, KeepBytes: 256 << 10, KeepTotal: 8 << 20,
-			Once: 100_000, OnceKeep: ms(10 * time.Minute),
+			QueueLimit: 256, RingSize: 4_096, KeepMS: 3_000, MaxAnswerBytes: 256 << 10, KeepTotalBytes: 8 << 20,
+			OnceRequests: 100_000, OnceKeepMS: ms(10 * time.Minute),
 		},
 		Batch: Batch{
-			Policy: "yield", Slots: 16, Local: 8, Ask: 16, PrefillTokens: 512, Weight: 50,
-			BurstWindow: 50, BurstHalfLife: 2_000, Flush: 20, FlushItems: 64, ResultBytes: 1 << 20,
+			Policy: "yield", Slots: 16, LocalItems: 8, MaxPerLease: 16, PrefillTokens: 512, Weight: 50,
+			BurstWindowMS: 50, BurstHalfLifeMS: 2_000, FlushMS: 20, FlushItems: 64, ResultBytes: 1 << 20,
 		},
-		Drain: Drain{Linger: 500, Finish: ms(10 * time.Minute)},
+		Drain: Drain{LingerMS: 500, FinishMS: ms(10 * time.Minute)},
 	}
 }
 
--- a/sidecar/pkg/config/validate.go
+++ b/sidecar/pkg/config/validate.go
@@ -46,7 +46,7 @@
 		return
 	}
 	c.Address("engine.url", u.Host)
-	c.Require(e.Floor >= 0 && e.Floor <= e.Slots, "engine.floor", "must be 0 to engine.slots, got %d", e.Floor)
+	c.Require(e.MinSlots >= 0 && e.MinSlots <= e.Slots, "engine.floor", "must be 0 to engine.slots, got %d", e.MinSlots)
 }
 
 type number struct {
@@ -59,27 +59,27 @@
 	for _, n := range []number{
 		{"records", int64(s.Records), 1},
 		{"engine.slots", int64(s.Engine.Slots), 1},
-		{"engine.poll_ms", s.Engine.Poll, 5},
-		{"engine.failed_polls", int64(s.Engine.Failed), 1},
-		{"engine.recheck_ms", s.Engine.Recheck, 100},
-		{"online.queue", int64(s.Online.Queue), 1},
-		{"online.ring", int64(s.Online.Ring), 16},
-		{"online.keep_ms", s.Online.Keep, 0},
-		{"online.keep_bytes", int64(s.Online.KeepBytes), 64 << 10},
-		{"online.keep_total_bytes", int64(s.Online.KeepTotal), 0},
-		{"online.once_requests", int64(s.Online.Once), 1},
-		{"online.once_keep_ms", s.Online.OnceKeep, 1_000},
+		{"engine.poll_ms", s.Engine.PollMS, 5},
+		{"engine.failed_polls", int64(s.Engine.FailedPolls), 1},
+		{"engine.recheck_ms", s.Engine.RecheckMS, 100},
+		{"online.queue", int64(s.Online.QueueLimit), 1},
+		{"online.ring", int64(s.Online.RingSize), 16},
+		{"online.keep_ms", s.Online.KeepMS, 0},
+		{"online.keep_bytes", int64(s.Online.MaxAnswerBytes), 64 << 10},
+		{"online.keep_total_bytes", int64(s.Online.KeepTotalBytes), 0},
+		{"online.once_requests", int64(s.Online.OnceRequests), 1},
+		{"online.once_keep_ms", s.Online.OnceKeepMS, 1_000},
 		{"batch.slots", int64(s.Batch.Slots), 0},
-		{"batch.local", int64(s.Batch.Local), 0},
-		{"batch.ask", int64(s.Batch.Ask), 1},
+		{"batch.local", int64(s.Batch.LocalItems), 0},
+		{"batch.ask", int64(s.Batch.MaxPerLease), 1},
 		{"batch.prefill_tokens", int64(s.Batch.PrefillTokens), 1},
-		{"batch.burst_window_ms", s.Batch.BurstWindow, 1},
-		{"batch.burst_half_life_ms", s.Batch.BurstHalfLife, 1},
-		{"batch.flush_ms", s.Batch.Flush, 0},
+		{"batch.burst_window_ms", s.Batch.BurstWindowMS, 1},
+		{"batch.burst_half_life_ms", s.Batch.BurstHalfLifeMS, 1},
+		{"batch.flush_ms", s.Batch.FlushMS, 0},
 		{"batch.flush_items", int64(s.Batch.FlushItems), 1},
 		{"batch.result_bytes", int64(s.Batch.ResultBytes), 1 << 10},
-		{"drain.linger_ms", s.Drain.Linger, 0},
-		{"drain.finish_ms", s.Drain.Finish, 1},
+		{"drain.linger_ms", s.Drain.LingerMS, 0},
+		{"drain.finish_ms", s.Drain.FinishMS, 1},
 	} {
 		c.Require(n.value >= n.least, n.key, "must be at least %d, got %d", n.least, n.value)
 	}
--- a/sidecar/pkg/dispatch/dispatcher.go
+++ b/sidecar/pkg/dispatch/dispatcher.go
@@ -64,9 +64,9 @@
 	return d
 }
 
-// Watch tells how many requests we have at the engine after each step. It must
+// ObserveRunning tells how many requests we have at the engine after each step. It must
 // be set before Run.
-func (d *Dispatcher) Watch(watch func(now clock.Millis, count int)) {
+func (d *Dispatcher) ObserveRunning(watch func(now clock.Millis, count int)) {
 	d.watch = watch
 }
 
@@ -75,9 +75,9 @@
 	return admit.ID(d.next.Add(1))
 }
 
-// Ask hands in a new online request. False means that the ring is full and
+// SubmitRequest hands in a new online request. False means that the ring is full and
 // the request was not taken; otherwise deliver gets exactly one Start or Refuse.
-func (d *Dispatcher) Ask(arrive admit.Arrive, deliver Deliver) bool {
+func (d *Dispatcher) SubmitRequest(arrive admit.Arrive, deliver Deliver) bool {
 	select {
 	case <-d.alive.Done():
 		return false
@@ -86,15 +86,15 @@
 	return d.events.Offer(envelope{event: arrive, id: arrive.ID, deliver: deliver})
 }
 
-// Offer hands in a batch item; deliver gets what is to be done with it until
+// SubmitItem hands in a batch item; deliver gets what is to be done with it until
 // its Finished is told or it gets Return.
-func (d *Dispatcher) Offer(offer admit.Offer, deliver Deliver) {
+func (d *Dispatcher) SubmitItem(offer admit.Offer, deliver Deliver) {
 	d.put(envelope{event: offer, id: offer.ID, deliver: deliver})
 }
 
-// Tell hands in any other event. It waits for room: an end that was lost would
+// Submit hands in any other event. It waits for room: an end that was lost would
 // leave its slot taken for good.
-func (d *Dispatcher) Tell(event admit.Event) {
+func (d *Dispatcher) Submit(event admit.Event) {
 	d.put(envelope{event: event})
 }
 
--- a/sidecar/pkg/dispatch/dispatcher_test.go
+++ b/sidecar/pkg/dispatch/dispatcher_test.go
@@ -21,7 +21,7 @@
 
 func (d *Dispatcher) ask(deadline clock.Millis, actions chan admit.Action) (admit.ID, bool) {
 	id := d.NextID()
-	return id, d.Ask(admit.Arrive{ID: id, Deadline: deadline}, func(a admit.Action) { actions <- a })
+	return id, d.SubmitRequest(admit.Arrive{ID: id, Deadline: deadline}, func(a admit.Action) { actions <- a })
 }
 
 // The machine's goroutine falls behind. A request that finds the ring full is
@@ -54,13 +54,13 @@
 	case <-time.After(patience):
 		t.Fatal("the waiting request heard nothing")
 	}
-	d.Tell(admit.Finished{ID: first})
+	d.Submit(admit.Finished{ID: first})
 	d.Flush()
 	require.Zero(t, d.Snapshot().Online)
 	cancel()
 	<-done
 	_, taken := d.ask(1<<50, actions)
 	require.False(t, taken)
-	d.Tell(admit.Tick{})
+	d.Submit(admit.Tick{})
 	d.Flush()
 }
--- a/sidecar/pkg/engine/cause.go
+++ b/sidecar/pkg/engine/cause.go
@@ -13,7 +13,7 @@
 		return "gap"
 	case errors.Is(err, ErrShort):
 		return "short"
-	case errors.Is(err, ErrGarbage), errors.Is(err, ErrLine):
+	case errors.Is(err, ErrMalformed), errors.Is(err, ErrLineTooLong):
 		return "garbage"
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return "cut"
--- a/sidecar/pkg/engine/client.go
+++ b/sidecar/pkg/engine/client.go
@@ -19,8 +19,8 @@
 	"github.com/pkg/errors"
 )
 
-// RequestID names a stream towards the engine.
-const RequestID = "X-Request-Id"
+// RequestIDHeader names a stream towards the engine.
+const RequestIDHeader = "X-Request-Id"
 
 // Limits of calls that are not answers.
 const (
@@ -99,8 +99,8 @@
 	Path    string
 	Headers []Header
 	Body    []byte
-	// Once forbids a second run.
-	Once bool
+	// AtMostOnce forbids a second run.
+	AtMostOnce bool
 }
 
 // Answer is an open answer; the caller closes its body, or calls Release.
@@ -112,8 +112,8 @@
 	detach func() bool
 }
 
-// Streams says whether the body holds server-sent events.
-func (a *Answer) Streams() bool {
+// IsEventStream says whether the body holds server-sent events.
+func (a *Answer) IsEventStream() bool {
 	return strings.HasPrefix(a.Headers.Get("Content-Type"), "text/event-stream")
 }
 
@@ -136,7 +136,7 @@
 	request.GetBody = nil
 	setHeaders(request.Header, call)
 	client := c.reused
-	if call.Once {
+	if call.AtMostOnce {
 		client = c.fresh
 	}
 	response, err := client.Do(request) //nolint:bodyclose // Answer hands the body on; its reader closes it.
@@ -200,7 +200,7 @@
 		}
 	}
 	if call.ID != "" {
-		to.Set(RequestID, call.ID)
+		to.Set(RequestIDHeader, call.ID)
 	}
 }
 
@@ -232,7 +232,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("resume: %w", err)
 	}
-	if answer.Status == http.StatusOK && answer.Streams() {
+	if answer.Status == http.StatusOK && answer.IsEventStream() {
 		return answer, nil
 	}
 	defer func() { _ = answer.Body.Close() }()
--- a/sidecar/pkg/engine/contract_test.go
+++ b/sidecar/pkg/engine/contract_test.go
@@ -68,12 +68,12 @@
 	s := &Stream{
 		Client: c,
 		Call:   Call{ID: "r", Method: http.MethodPost, Path: "/v1/completions", Body: []byte("{}")},
-		Head:   func(int, http.Header) error { return nil },
-		Emit: func(e Event) error {
+		OnHead:   func(int, http.Header) error { return nil },
+		OnEvent: func(e Event) error {
 			text += string(e.Data)
 			return nil
 		},
-		Body: func(piece []byte) error {
+		OnBody: func(piece []byte) error {
 			text += string(piece)
 			return nil
 		},
@@ -107,7 +107,7 @@
 		{"cut inside an event", script{raw: event(1, "a") + "id: 2\ndata: b", cut: true}, "a", io.ErrUnexpectedEOF},
 		{"an event is missing", script{raw: event(1, "a") + event(3, "c") + event(4, DoneMark)}, "a", ErrGap},
 		{"garbage in the place of an event", script{raw: event(1, "a") + "data: \x00\xff<<\n\n" + event(3, "c") + event(4, DoneMark)}, "a", ErrGap},
-		{"a line without end", script{raw: "data: " + strings.Repeat("x", 2<<20)}, "", ErrLine},
+		{"a line without end", script{raw: "data: " + strings.Repeat("x", 2<<20)}, "", ErrLineTooLong},
 		{"cut, then resumed", script{raw: event(1, "a"), cut: true, resume: whole}, "abc", nil},
 		{"short, then resumed", script{raw: event(1, "a") + event(2, "b"), resume: whole}, "abc", nil},
 		{"garbage, then resumed", script{raw: event(1, "a") + "data: <<\n\n" + event(3, "c"), resume: whole}, "abc", nil},
@@ -188,9 +188,9 @@
 			t.Cleanup(server.Close)
 			text := ""
 			stream := &Stream{
-				Client: New(Config{URL: server.URL}), Call: Call{Method: http.MethodPost, Path: "/"}, Whole: 1_000,
-				Head: func(int, http.Header) error { return nil },
-				Body: func(piece []byte) error {
+				Client: New(Config{URL: server.URL}), Call: Call{Method: http.MethodPost, Path: "/"}, MaxBufferedBody: 1_000,
+				OnHead: func(int, http.Header) error { return nil },
+				OnBody: func(piece []byte) error {
 					text += string(piece)
 					return nil
 				},
@@ -237,11 +237,11 @@
 			}))
 			t.Cleanup(server.Close)
 			c := New(Config{URL: server.URL})
-			warm, _, err := c.Open(context.Background(), Call{Method: http.MethodGet, Path: "/warm", Once: s.once})
+			warm, _, err := c.Open(context.Background(), Call{Method: http.MethodGet, Path: "/warm", AtMostOnce: s.once})
 			require.NoError(t, err)
 			_, _ = io.Copy(io.Discard, warm.Body)
 			_ = warm.Body.Close()
-			call := Call{Method: s.method, Path: "/", Headers: s.headers, Body: []byte(s.body), Once: s.once}
+			call := Call{Method: s.method, Path: "/", Headers: s.headers, Body: []byte(s.body), AtMostOnce: s.once}
 			_, sent, err := c.Open(context.Background(), call)
 			require.Error(t, err)
 			require.True(t, sent, "it may have run")
@@ -282,7 +282,7 @@
 	}{
 		{"taken", 200, `{}`, 7, false, nil},
 		{"refused", 409, `{"fence":9}`, 9, true, nil},
-		{"refused with garbage", 409, `<<`, 0, false, ErrGarbage},
+		{"refused with garbage", 409, `<<`, 0, false, ErrMalformed},
 		{"broken", 500, `no`, 0, false, &StatusError{}},
 	}
 	for _, s := range scenarios {
@@ -292,7 +292,7 @@
 				_, _ = io.WriteString(w, s.body)
 			}))
 			t.Cleanup(server.Close)
-			held, refused, err := New(Config{URL: server.URL}).Send(context.Background(), Order{Fence: 7})
+			held, refused, err := New(Config{URL: server.URL}).SendOrder(context.Background(), Order{Fence: 7})
 			require.Equal(t, s.held, held)
 			require.Equal(t, s.refused, refused)
 			var status *StatusError
@@ -312,7 +312,7 @@
 	for _, body := range []string{`{"running":`, `[]`, `{"running":-3}`, `{"running":"x"}`} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }))
 		_, err := New(Config{URL: server.URL}).Load(context.Background())
-		require.ErrorIs(t, err, ErrGarbage, body)
+		require.ErrorIs(t, err, ErrMalformed, body)
 		server.Close()
 	}
 }
--- a/sidecar/pkg/engine/control.go
+++ b/sidecar/pkg/engine/control.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrGarbage is an answer that can't be understood.
-var ErrGarbage = errors.New("the engine's answer makes no sense")
+// ErrMalformed is an answer that can't be understood.
+var ErrMalformed = errors.New("the engine's answer makes no sense")
 
 // Load is the engine's report of itself; it lags behind the truth.
 type Load struct {
@@ -30,14 +30,14 @@
 		return Load{}, err
 	}
 	if load.Running < 0 || load.Waiting < 0 {
-		return Load{}, fmt.Errorf("load report: %w", ErrGarbage)
+		return Load{}, fmt.Errorf("load report: %w", ErrMalformed)
 	}
 	return load, nil
 }
 
-// Reach tries whether the port takes connections. Plain services have no call
+// CheckReachable tries whether the port takes connections. Plain services have no call
 // that we could make without running something.
-func (c *Client) Reach(ctx context.Context) error {
+func (c *Client) CheckReachable(ctx context.Context) error {
 	dialer := &net.Dialer{}
 	connection, err := dialer.DialContext(ctx, "tcp", strings.TrimPrefix(c.url, "http://"))
 	if err != nil {
@@ -55,7 +55,7 @@
 		return fmt.Errorf("ask %s: %w", path, err)
 	}
 	if err := json.Unmarshal(text, target); err != nil {
-		return fmt.Errorf("read %s: %w: %w", path, ErrGarbage, err)
+		return fmt.Errorf("read %s: %w: %w", path, ErrMalformed, err)
 	}
 	return nil
 }
@@ -70,8 +70,8 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// Held is what the engine says it is.
-type Held struct {
+// State is what the engine says it is.
+type State struct {
 	Fence   uint64 `json:"fence"`
 	Model   string `json:"model"`
 	Adapter string `json:"adapter"`
@@ -84,9 +84,9 @@
 	Fence uint64 `json:"fence"`
 }
 
-// Send gives the engine an order. An engine that refuses it names the higher
+// SendOrder gives the engine an order. An engine that refuses it names the higher
 // number that it holds; refused is then true.
-func (c *Client) Send(ctx context.Context, order Order) (held uint64, refused bool, err error) {
+func (c *Client) SendOrder(ctx context.Context, order Order) (held uint64, refused bool, err error) {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return 0, false, fmt.Errorf("write the order: %w", err)
@@ -96,7 +96,7 @@
 	if errors.As(err, &status) && status.Status == http.StatusConflict {
 		var fence fenceBody
 		if jsonErr := json.Unmarshal(text, &fence); jsonErr != nil {
-			return 0, false, fmt.Errorf("read the refusal: %w", ErrGarbage)
+			return 0, false, fmt.Errorf("read the refusal: %w", ErrMalformed)
 		}
 		return fence.Fence, true, nil
 	}
@@ -106,9 +106,9 @@
 	return order.Fence, false, nil
 }
 
-// Held reads back what the engine is.
-func (c *Client) Held(ctx context.Context) (Held, error) {
-	var held Held
+// State reads back what the engine is.
+func (c *Client) State(ctx context.Context) (State, error) {
+	var held State
 	err := c.get(ctx, "/orders", &held)
 	return held, err
 }
--- a/sidecar/pkg/engine/event.go
+++ b/sidecar/pkg/engine/event.go
@@ -19,8 +19,8 @@
 // scanBytes holds some events; longer lines are put together aside.
 const scanBytes = 4 << 10
 
-// ErrLine is an event that is longer than any sound one.
-var ErrLine = errors.New("a line of the stream is too long")
+// ErrLineTooLong is an event that is longer than any sound one.
+var ErrLineTooLong = errors.New("a line of the stream is too long")
 
 // Event is one server-sent event. Its data is a copy that may be kept.
 type Event struct {
@@ -114,7 +114,7 @@
 		more, err := s.in.ReadSlice('\n')
 		whole = append(whole, more...)
 		if len(whole) > lineMost {
-			return nil, ErrLine
+			return nil, ErrLineTooLong
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return whole, err
