--- a/sidecar/pkg/engine/sorter.go
+++ b/sidecar/pkg/engine/sorter.go
@@ -26,7 +26,7 @@
 // Add takes one event and hands on what is now in order.
 func (s *Sorter) Add(e Event, emit func(Event) error) error {
 	if e.ID == 0 {
-		if s.numbered && e.Done() && !s.Gap() {
+		if s.numbered && e.Done() && !s.HasGap() {
 			return emit(e)
 		}
 		if s.numbered {
@@ -64,12 +64,12 @@
 	return nil
 }
 
-// Last is the number of the last event handed on.
-func (s *Sorter) Last() uint64 {
+// LastID is the number of the last event handed on.
+func (s *Sorter) LastID() uint64 {
 	return s.last
 }
 
-// Gap says whether events wait for one that did not come.
-func (s *Sorter) Gap() bool {
+// HasGap says whether events wait for one that did not come.
+func (s *Sorter) HasGap() bool {
 	return len(s.held) > 0
 }
--- a/sidecar/pkg/engine/stream.go
+++ b/sidecar/pkg/engine/stream.go
@@ -24,30 +24,30 @@
 type Stream struct {
 	Client *Client
 	Call   Call
-	// Head is told the status and headers, once.
-	Head func(status int, headers http.Header) error
-	// Emit gets each event in order, once, without the end mark.
-	Emit func(Event) error
-	// Body gets the pieces of an answer that is no stream of events.
-	Body func(piece []byte) error
-	// Whole, when above 0, holds an answer of up to so many bytes until it is
+	// OnHead is told the status and headers, once.
+	OnHead func(status int, headers http.Header) error
+	// OnEvent gets each event in order, once, without the end mark.
+	OnEvent func(Event) error
+	// OnBody gets the pieces of an answer that is no stream of events.
+	OnBody func(piece []byte) error
+	// MaxBufferedBody, when above 0, holds an answer of up to so many bytes until it is
 	// known to be whole JSON, and passes it on in one piece.
-	Whole int
-	// Mend, when set, says whether a broken stream may be resumed now: one that
+	MaxBufferedBody int
+	// MayResume, when set, says whether a broken stream may be resumed now: one that
 	// was suspended on purpose must not take its slot again.
-	Mend func() bool
+	MayResume func() bool
 
 	sorter *Sorter
 	headed bool
 	sent   bool
 }
 
-// Last is the number of the last event that was emitted.
-func (s *Stream) Last() uint64 {
+// LastID is the number of the last event that was emitted.
+func (s *Stream) LastID() uint64 {
 	if s.sorter == nil {
 		return 0
 	}
-	return s.sorter.Last()
+	return s.sorter.LastID()
 }
 
 // Sent says whether any byte may have reached the engine.
@@ -55,8 +55,8 @@
 	return s.sent
 }
 
-// Headed says whether the head of an answer came.
-func (s *Stream) Headed() bool {
+// HeadReceived says whether the head of an answer came.
+func (s *Stream) HeadReceived() bool {
 	return s.headed
 }
 
@@ -71,10 +71,10 @@
 		}
 		return err
 	}
-	if !answer.Streams() && s.Whole > 0 {
+	if !answer.IsEventStream() && s.MaxBufferedBody > 0 {
 		return s.holdBody(answer)
 	}
-	if !answer.Streams() {
+	if !answer.IsEventStream() {
 		return s.copyBody(answer)
 	}
 	return s.follow(ctx, answer)
@@ -99,11 +99,11 @@
 		}
 		// The engine keeps a stream whose connection broke for a while, so a
 		// cut or garbled answer can go on without loss.
-		again, resumeErr := s.Client.Resume(ctx, s.Call.ID, s.Last())
+		again, resumeErr := s.Client.Resume(ctx, s.Call.ID, s.LastID())
 		if resumeErr != nil {
 			return err
 		}
-		s.sorter = NewSorter(s.Last())
+		s.sorter = NewSorter(s.LastID())
 		answer = again
 	}
 }
@@ -115,7 +115,7 @@
 
 func (s *Stream) mendable(err error) bool {
 	var sink sinkError
-	return s.Call.ID != "" && !errors.As(err, &sink) && (s.Mend == nil || s.Mend())
+	return s.Call.ID != "" && !errors.As(err, &sink) && (s.MayResume == nil || s.MayResume())
 }
 
 // read emits one connection's events; nil means the end mark came.
@@ -130,7 +130,7 @@
 	}()
 	if !s.headed {
 		s.headed = true
-		if err := s.Head(answer.Status, answer.Headers); err != nil {
+		if err := s.OnHead(answer.Status, answer.Headers); err != nil {
 			return sinkError{err}
 		}
 	}
@@ -139,7 +139,7 @@
 			done = true
 			return nil
 		}
-		if err := s.Emit(e); err != nil {
+		if err := s.OnEvent(e); err != nil {
 			return sinkError{err}
 		}
 		return nil
@@ -161,7 +161,7 @@
 }
 
 func (s *Stream) ended() error {
-	if s.sorter.Gap() {
+	if s.sorter.HasGap() {
 		return ErrGap
 	}
 	return ErrShort
@@ -171,18 +171,18 @@
 // short or garbled could otherwise reach the caller with a good status.
 func (s *Stream) holdBody(answer *Answer) error {
 	defer func() { _ = answer.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, int64(s.Whole)+1))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, int64(s.MaxBufferedBody)+1))
 	if err != nil {
 		return fmt.Errorf("read the answer: %w", err)
 	}
-	if len(body) > s.Whole || !json.Valid(body) {
-		return fmt.Errorf("answer of %d bytes: %w", len(body), ErrGarbage)
+	if len(body) > s.MaxBufferedBody || !json.Valid(body) {
+		return fmt.Errorf("answer of %d bytes: %w", len(body), ErrMalformed)
 	}
 	s.headed = true
-	if err := s.Head(answer.Status, answer.Headers); err != nil {
+	if err := s.OnHead(answer.Status, answer.Headers); err != nil {
 		return sinkError{err}
 	}
-	if err := s.Body(body); err != nil {
+	if err := s.OnBody(body); err != nil {
 		return sinkError{err}
 	}
 	return nil
@@ -194,14 +194,14 @@
 func (s *Stream) copyBody(answer *Answer) error {
 	defer func() { _ = answer.Body.Close() }()
 	s.headed = true
-	if err := s.Head(answer.Status, answer.Headers); err != nil {
+	if err := s.OnHead(answer.Status, answer.Headers); err != nil {
 		return sinkError{err}
 	}
 	for {
 		piece := make([]byte, pieceBytes)
 		n, err := answer.Body.Read(piece)
 		if n > 0 {
-			if sinkErr := s.Body(piece[:n]); sinkErr != nil {
+			if sinkErr := s.OnBody(piece[:n]); sinkErr != nil {
 				return sinkError{sinkErr}
 			}
 		}
--- a/sidecar/pkg/entry/bench_test.go
+++ b/sidecar/pkg/entry/bench_test.go
@@ -19,7 +19,7 @@
 // BenchmarkToken is the way of one token from the engine's connection to the
 // gateway's, both ends and the stand-in's writing included.
 func BenchmarkToken(b *testing.B) {
-	f := newFixture(b, func(c *Config) { c.Keep = 0 })
+	f := newFixture(b, func(c *Config) { c.Retention = 0 })
 	event := strings.Repeat("x", 200)
 	f.backend.answer = func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -45,7 +45,7 @@
 // BenchmarkRequest is a request of one token, one after the other: the time that
 // the way through this process adds to a first token, and the stand-in's.
 func BenchmarkRequest(b *testing.B) {
-	f := newFixture(b, func(c *Config) { c.Keep = 0 })
+	f := newFixture(b, func(c *Config) { c.Retention = 0 })
 	f.backend.answer = func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\nid: 2\ndata: [DONE]\n\n")
--- a/sidecar/pkg/entry/fixture_test.go
+++ b/sidecar/pkg/entry/fixture_test.go
@@ -61,7 +61,7 @@
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		b.mu.Lock()
-		b.runs[r.Header.Get(engine.RequestID)]++
+		b.runs[r.Header.Get(engine.RequestIDHeader)]++
 		answer := b.answer
 		b.mu.Unlock()
 		if answer != nil {
@@ -137,12 +137,12 @@
 	f.d = dispatch.New(dispatch.Config{Clock: clock.System(), Machine: machine, Ring: ring.Config{Size: 64}})
 	config := Config{
 		Clock: clock.System(), Dispatcher: f.d, Engine: engine.New(engine.Config{URL: server.URL}), Endpoint: "e1", Model: true,
-		KeepBytes: 64 << 10, KeepTotal: 1 << 20, Keep: 60_000, Memory: plain.MemoryConfig{Size: 100, Keep: 60_000},
+		MaxAnswerBytes: 64 << 10, MaxRetainedBytes: 1 << 20, Retention: 60_000, Dedup: plain.Config{MaxRequests: 100, Retention: 60_000},
 		Load:       func() *toucanhingev1.Load { return &toucanhingev1.Load{Slots: 2} },
 		TeamWeight: func(string) int { return 1 },
-		Refused:    func(string, admit.Reason, toucanhingev1.Ran) {},
-		Started:    func(string, uint32) {},
-		Ended:      func(string, string) {},
+		OnRefused:    func(string, admit.Reason, toucanhingev1.Ran) {},
+		OnStarted:    func(string, uint32) {},
+		OnEnded:      func(string, string) {},
 	}
 	if change != nil {
 		change(&config)
--- a/sidecar/pkg/entry/handler.go
+++ b/sidecar/pkg/entry/handler.go
@@ -32,21 +32,21 @@
 	Incarnation uint64
 	// Model is true for a model engine, false for a plain service.
 	Model bool
-	// KeepBytes is held of one answer for resuming, KeepTotal of all ended ones.
-	KeepBytes int
-	KeepTotal int
-	// Keep is how long an answer waits for its reader to come back, and an
+	// MaxAnswerBytes is held of one answer for resuming, KeepTotal of all ended ones.
+	MaxAnswerBytes int
+	MaxRetainedBytes int
+	// Retention is how long an answer waits for its reader to come back, and an
 	// ended one is held.
-	Keep   clock.Millis
-	Memory plain.MemoryConfig
+	Retention   clock.Millis
+	Dedup plain.Config
 	Load   func() *toucanhingev1.Load
 	// TeamWeight is a team's share against others.
 	TeamWeight func(team string) int
-	// Refused, Started and Ended are told what became of requests, for counters
+	// OnRefused, Started and Ended are told what became of requests, for counters
 	// and records; the reason of a whole answer is empty.
-	Refused func(requestID string, reason admit.Reason, ran toucanhingev1.Ran)
-	Started func(requestID string, attempt uint32)
-	Ended   func(requestID, reason string)
+	OnRefused func(requestID string, reason admit.Reason, ran toucanhingev1.Ran)
+	OnStarted func(requestID string, attempt uint32)
+	OnEnded   func(requestID, reason string)
 }
 
 // Handler implements EndpointService.
@@ -54,13 +54,13 @@
 	config   Config
 	registry *registry
 	memoryMu sync.Mutex
-	memory   *plain.Memory
+	memory   *plain.Deduplicator
 	running  atomic.Int64
 }
 
 // New makes a handler.
 func New(config Config) *Handler {
-	return &Handler{config: config, registry: newRegistry(), memory: plain.NewMemory(config.Memory)}
+	return &Handler{config: config, registry: newRegistry(), memory: plain.New(config.Dedup)}
 }
 
 // compressFrom is above any frame. Connect compresses answers whenever the caller
@@ -108,7 +108,7 @@
 func (h *Handler) refuseCall(
 	stream *connect.ServerStream[toucanhingev1.Frame], r *toucanhingev1.RunRequest, reason admit.Reason, ran toucanhingev1.Ran,
 ) error {
-	h.config.Refused(r.GetRequestId(), reason, ran)
+	h.config.OnRefused(r.GetRequestId(), reason, ran)
 	p := piece{refusal: &toucanhingev1.Refusal{Reason: string(reason), Ran: ran}}
 	f := p.frame(r.GetRequestId(), r.GetAttempt(), 0)
 	f.Load = h.config.Load()
@@ -169,7 +169,7 @@
 		defer h.running.Add(-1)
 		h.run(t)
 		t.stop()
-		h.registry.ended(t, h.config.Clock.Now(), h.config.KeepTotal)
+		h.registry.ended(t, h.config.Clock.Now(), h.config.MaxRetainedBytes)
 	}()
 	return t, ""
 }
@@ -185,7 +185,7 @@
 	if t.adopts() {
 		first = r.GetResumeAfter() + 1
 	}
-	t.answer = newAnswer(h.config.KeepBytes, first)
+	t.answer = newAnswer(h.config.MaxAnswerBytes, first)
 	t.ctx, t.stop = context.WithCancel(context.Background())
 	return t
 }
@@ -203,7 +203,7 @@
 // cancelAttempt ends an attempt wherever it stands; the machine answers with a
 // refusal when it never started.
 func (h *Handler) cancelAttempt(t *attempt) {
-	h.config.Dispatcher.Tell(admit.Cancel{ID: t.id})
+	h.config.Dispatcher.Submit(admit.Cancel{ID: t.id})
 }
 
 // Report tells the sidecar's present load.
@@ -218,7 +218,7 @@
 // Sweep forgets answers that were held long enough, and ends the runs whose
 // reader did not come back: their caller has gone, and they hold a slot.
 func (h *Handler) Sweep(now clock.Millis) {
-	for _, t := range h.registry.sweep(now, h.config.Keep) {
+	for _, t := range h.registry.sweep(now, h.config.Retention) {
 		h.cancelAttempt(t)
 	}
 }
--- a/sidecar/pkg/entry/handler_test.go
+++ b/sidecar/pkg/entry/handler_test.go
@@ -98,7 +98,7 @@
 // is kept, so it is stopped: it would hold its slot to the end.
 func TestUnreadAnswerIsStopped(t *testing.T) {
 	now := clock.System()
-	f := newFixture(t, func(c *Config) { c.Keep = 50 })
+	f := newFixture(t, func(c *Config) { c.Retention = 50 })
 	f.backend.gate = make(chan struct{})
 	f.run(request("r1", 1)).read(1).cancel()
 	f.eventually(func() bool {
@@ -111,7 +111,7 @@
 // a new attempt, while it runs, after it ended, and after its answer was
 // forgotten. It reaches the service once, and no refusal says that it was not run.
 func TestNonIdempotentRunsOnce(t *testing.T) {
-	f := newFixture(t, func(c *Config) { c.Model, c.Keep = false, 1 })
+	f := newFixture(t, func(c *Config) { c.Model, c.Retention = false, 1 })
 	calls := make(chan struct{}, 10)
 	release := make(chan struct{})
 	f.backend.answer = func(w http.ResponseWriter, _ *http.Request) {
@@ -139,7 +139,7 @@
 // The memory of started requests is full. Forgetting one could run it twice, so
 // a new request is refused as not run.
 func TestFullMemoryRefuses(t *testing.T) {
-	f := newFixture(t, func(c *Config) { c.Model, c.Memory.Size = false, 1 })
+	f := newFixture(t, func(c *Config) { c.Model, c.Dedup.MaxRequests = false, 1 })
 	f.backend.answer = func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "paid") }
 	first, second := request("a", 1), request("b", 1)
 	first.Idempotent, second.Idempotent = false, false
@@ -208,9 +208,9 @@
 		{"time ran out on the way", func(_ *testing.T, _ *fixture, r *toucanhingev1.RunRequest) { r.BudgetMs = -5 }, "deadline", toucanhingev1.Ran_RAN_NO, 0},
 		{"no path", func(_ *testing.T, _ *fixture, r *toucanhingev1.RunRequest) { r.Path = "x" }, "malformed", toucanhingev1.Ran_RAN_NO, 0},
 		{"no id", func(_ *testing.T, _ *fixture, r *toucanhingev1.RunRequest) { r.RequestId = "" }, "malformed", toucanhingev1.Ran_RAN_NO, 0},
-		{"leaving", func(_ *testing.T, f *fixture, _ *toucanhingev1.RunRequest) { f.d.Tell(admit.Drain{}) }, "leaving", toucanhingev1.Ran_RAN_NO, 0},
+		{"leaving", func(_ *testing.T, f *fixture, _ *toucanhingev1.RunRequest) { f.d.Submit(admit.Drain{}) }, "leaving", toucanhingev1.Ran_RAN_NO, 0},
 		{"unhealthy", func(_ *testing.T, f *fixture, _ *toucanhingev1.RunRequest) {
-			f.d.Tell(admit.Gate{Reason: admit.ReasonUnhealthy})
+			f.d.Submit(admit.Gate{Reason: admit.ReasonUnhealthy})
 		}, "unhealthy", toucanhingev1.Ran_RAN_NO, 0},
 		{"engine can't be reached", func(t *testing.T, f *fixture, _ *toucanhingev1.RunRequest) {
 			f.handler.config.Engine = engine.New(engine.Config{URL: closedPort(t)})
--- a/sidecar/pkg/entry/runner.go
+++ b/sidecar/pkg/entry/runner.go
@@ -39,7 +39,7 @@
 		return
 	}
 	sound := h.runStarted(t)
-	h.config.Dispatcher.Tell(admit.Finished{ID: t.id, Complete: sound})
+	h.config.Dispatcher.Submit(admit.Finished{ID: t.id, Complete: sound})
 }
 
 // admitted waits for the machine's decision.
@@ -48,7 +48,7 @@
 		ID: t.id, Team: t.request.GetTeam(),
 		Weight: h.config.TeamWeight(t.request.GetTeam()), Deadline: t.deadline,
 	}
-	if !h.config.Dispatcher.Ask(arrive, t.deliver) {
+	if !h.config.Dispatcher.SubmitRequest(arrive, t.deliver) {
 		h.refuse(t, reasonBusy, toucanhingev1.Ran_RAN_NO, 0)
 		return false
 	}
@@ -73,7 +73,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.ctx, (t.deadline - h.config.Clock.Now()).Duration())
 	defer cancel()
-	h.config.Started(t.request.GetRequestId(), t.request.GetAttempt())
+	h.config.OnStarted(t.request.GetRequestId(), t.request.GetAttempt())
 	return h.call(ctx, t)
 }
 
@@ -86,7 +86,7 @@
 	verdict := h.memory.Start(h.config.Clock.Now(), key(t.request))
 	h.memoryMu.Unlock()
 	switch verdict {
-	case plain.Started:
+	case plain.AlreadyStarted:
 		h.refuse(t, admit.ReasonDuplicate, toucanhingev1.Ran_RAN_UNKNOWN, 0)
 		return false
 	case plain.Full:
@@ -109,12 +109,12 @@
 	s := &engine.Stream{
 		Client: h.config.Engine,
 		Call:   h.engineCall(t),
-		Head:   func(status int, headers http.Header) error { return t.head(ctx, status, headers) },
-		Emit:   func(e engine.Event) error { return h.event(ctx, t, e) },
-		Body:   func(data []byte) error { return h.emit(ctx, t, data) },
+		OnHead:   func(status int, headers http.Header) error { return t.head(ctx, status, headers) },
+		OnEvent:   func(e engine.Event) error { return h.event(ctx, t, e) },
+		OnBody:   func(data []byte) error { return h.emit(ctx, t, data) },
 	}
 	if h.config.Model && !t.request.GetStream() {
-		s.Whole = wholeMost
+		s.MaxBufferedBody = wholeMost
 	}
 	err := h.stream(ctx, t, s)
 	h.settle(ctx, t, s, err)
@@ -127,18 +127,18 @@
 	if !h.config.Model || !t.request.GetStream() {
 		// Its first token can't be seen; batch must not wait for it.
 		t.prefilled = true
-		h.config.Dispatcher.Tell(admit.FirstToken{ID: t.id})
+		h.config.Dispatcher.Submit(admit.FirstToken{ID: t.id})
 	}
 	if !t.adopts() {
 		return s.Run(ctx)
 	}
-	s.Head = func(int, http.Header) error { return nil }
+	s.OnHead = func(int, http.Header) error { return nil }
 	return s.Resume(ctx, t.request.GetResumeAfter())
 }
 
 func (h *Handler) engineCall(t *attempt) engine.Call {
 	r := t.request
-	call := engine.Call{Method: r.GetMethod(), Path: r.GetPath(), Body: r.GetBody(), Once: !r.GetIdempotent()}
+	call := engine.Call{Method: r.GetMethod(), Path: r.GetPath(), Body: r.GetBody(), AtMostOnce: !r.GetIdempotent()}
 	for _, line := range r.GetHeaders() {
 		call.Headers = append(call.Headers, engine.Header{Name: line.GetName(), Value: line.GetValue()})
 	}
@@ -169,7 +169,7 @@
 func (h *Handler) event(ctx context.Context, t *attempt, e engine.Event) error {
 	if !t.prefilled {
 		t.prefilled = true
-		h.config.Dispatcher.Tell(admit.FirstToken{ID: t.id})
+		h.config.Dispatcher.Submit(admit.FirstToken{ID: t.id})
 	}
 	return h.emit(ctx, t, e.Data)
 }
@@ -182,7 +182,7 @@
 // reached the engine.
 func (h *Handler) settle(ctx context.Context, t *attempt, s *engine.Stream, err error) {
 	if err == nil {
-		h.config.Ended(t.request.GetRequestId(), "")
+		h.config.OnEnded(t.request.GetRequestId(), "")
 		t.end("", toucanhingev1.Ran_RAN_YES)
 		return
 	}
@@ -199,9 +199,9 @@
 	if ctx.Err() != nil {
 		err = stopReason(ctx)
 	}
-	h.config.Ended(t.request.GetRequestId(), cause(err))
+	h.config.OnEnded(t.request.GetRequestId(), cause(err))
 	ran := toucanhingev1.Ran_RAN_UNKNOWN
-	if s.Headed() {
+	if s.HeadReceived() {
 		ran = toucanhingev1.Ran_RAN_YES
 	}
 	t.end(cause(err), ran)
@@ -237,6 +237,6 @@
 }
 
 func (h *Handler) refuse(t *attempt, reason admit.Reason, ran toucanhingev1.Ran, retry clock.Millis) {
-	h.config.Refused(t.request.GetRequestId(), reason, ran)
+	h.config.OnRefused(t.request.GetRequestId(), reason, ran)
 	t.refuse(reason, ran, retry)
 }
--- a/sidecar/pkg/order/machine.go
+++ b/sidecar/pkg/order/machine.go
@@ -42,7 +42,7 @@
 
 // ReadResult is the state reported by the engine. Failed means that the read failed.
 type ReadResult struct {
-	State  engine.Held
+	State  engine.State
 	Failed bool
 }
 
@@ -125,7 +125,7 @@
 	highestFence uint64
 	// ackedFence is the fence of the last order that the engine accepted.
 	ackedFence  uint64
-	engineState engine.Held
+	engineState engine.State
 	// pollAt is when to read an engine that loads or did not answer; 0 if no such
 	// read is scheduled.
 	pollAt clock.Millis
@@ -239,7 +239,7 @@
 }
 
 // satisfies reports whether the engine's state is the one that the order sets.
-func satisfies(s engine.Held, o engine.Order) bool {
+func satisfies(s engine.State, o engine.Order) bool {
 	switch o.Kind {
 	case KindModel:
 		return s.Model == o.Model && (o.Version == "" || s.Version == o.Version)
--- a/sidecar/pkg/order/machine_test.go
+++ b/sidecar/pkg/order/machine_test.go
@@ -13,7 +13,7 @@
 // fakeEngine is an engine that may or may not check fences and can lose its state.
 type fakeEngine struct {
 	checksFence bool
-	state       engine.Held
+	state       engine.State
 	// highestFence is the highest fence that reached the engine.
 	highestFence uint64
 	// reverts counts older orders applied after newer ones.
@@ -28,7 +28,7 @@
 		e.reverts++
 	}
 	e.highestFence = max(e.highestFence, o.Fence)
-	e.state = engine.Held{Fence: o.Fence, Model: o.Model, Loading: true}
+	e.state = engine.State{Fence: o.Fence, Model: o.Model, Loading: true}
 	return false
 }
 
@@ -180,7 +180,7 @@
 
 // restartEngine makes the engine lose its state.
 func (s *simulation) restartEngine(*rapid.T) {
-	s.engine.state = engine.Held{}
+	s.engine.state = engine.State{}
 	s.engine.highestFence = 0
 }
 
@@ -244,7 +244,7 @@
 	m.Step(1, newOrderUpdate(5, "a"))
 	m.Step(2, Drained{})
 	require.Equal(t, []Action{{Verb: Read}}, m.Step(3, SendResult{Fence: 5, Refused: true, Current: 9}))
-	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, ReadResult{State: engine.Held{Fence: 9, Model: "z"}}))
+	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, ReadResult{State: engine.State{Fence: 9, Model: "z"}}))
 	require.Equal(t, uint64(9), m.Fence())
 	require.Empty(t, m.Step(5, newOrderUpdate(8, "b")))
 }
@@ -272,7 +272,7 @@
 	m.Step(1, newOrderUpdate(5, "a"))
 	m.Step(2, Drained{})
 	m.Step(3, SendResult{Fence: 5})
-	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, ReadResult{State: engine.Held{Model: "a"}}))
+	require.Equal(t, []Action{{Verb: Open}}, m.Step(4, ReadResult{State: engine.State{Model: "a"}}))
 }
 
 // A process died with an order in flight. The engine was frozen, ignores fences and
@@ -283,9 +283,9 @@
 	m.Step(1, newOrderUpdate(6, "new"))
 	m.Step(2, Drained{})
 	m.Step(3, SendResult{Fence: 6})
-	m.Step(4, ReadResult{State: engine.Held{Fence: 6, Model: "new"}})
+	m.Step(4, ReadResult{State: engine.State{Fence: 6, Model: "new"}})
 	require.Equal(t, []Action{{Verb: Read}}, m.Step(1_100, Tick{}))
-	require.Equal(t, []Action{{Verb: Close}}, m.Step(1_101, ReadResult{State: engine.Held{Fence: 5, Model: "old"}}))
+	require.Equal(t, []Action{{Verb: Close}}, m.Step(1_101, ReadResult{State: engine.State{Fence: 5, Model: "old"}}))
 	require.Equal(t, uint64(6), m.Step(1_102, Drained{})[0].Order.Fence)
 }
 
@@ -299,7 +299,7 @@
 	}{
 		{"from a read", func(m *Machine) {
 			m.Step(1_100, Tick{})
-			m.Step(1_101, ReadResult{State: engine.Held{Fence: 9, Model: "z"}})
+			m.Step(1_101, ReadResult{State: engine.State{Fence: 9, Model: "z"}})
 		}},
 		{"from a refusal", func(m *Machine) {
 			m.Step(1, newOrderUpdate(4, "a"))
--- a/sidecar/pkg/order/runner.go
+++ b/sidecar/pkg/order/runner.go
@@ -26,7 +26,7 @@
 	Logger  log.Logger
 	Machine *Machine
 	// Read and Send call the engine.
-	Read func(context.Context) (engine.Held, error)
+	Read func(context.Context) (engine.State, error)
 	Send func(context.Context, engine.Order) (current uint64, refused bool, err error)
 	// Gate opens and closes the endpoint for new work.
 	Gate func(open bool)
--- a/sidecar/pkg/plain/memory.go
+++ b/sidecar/pkg/plain/memory.go
@@ -15,27 +15,27 @@
 const (
 	// Fresh requests were never started here.
 	Fresh Verdict = iota + 1
-	// Started requests must not be started again.
-	Started
+	// AlreadyStarted requests must not be started again.
+	AlreadyStarted
 	// Full memory can't vouch for another request.
 	Full
 )
 
-// MemoryConfig describes a memory.
-type MemoryConfig struct {
-	// Size is the most requests remembered.
-	Size int
-	// Keep is how long each is remembered.
-	Keep clock.Millis
+// Config describes a memory.
+type Config struct {
+	// MaxRequests is the most requests remembered.
+	MaxRequests int
+	// Retention is how long each is remembered.
+	Retention clock.Millis
 }
 
-// Memory remembers which non-idempotent requests were started. A resend that
+// Deduplicator remembers which non-idempotent requests were started. A resend that
 // reaches us late (a gateway was frozen, a network copy was doubled) would
 // otherwise run again. When it is full we refuse new requests rather than
 // forget old ones: a refusal is harmless, a second run is not. Across our own
 // restart the durable claim of the gateways takes over.
-type Memory struct {
-	config  MemoryConfig
+type Deduplicator struct {
+	config  Config
 	started map[string]*list.Element
 	order   *list.List
 }
@@ -45,18 +45,18 @@
 	at  clock.Millis
 }
 
-// NewMemory makes an empty memory.
-func NewMemory(config MemoryConfig) *Memory {
-	return &Memory{config: config, started: map[string]*list.Element{}, order: list.New()}
+// New makes an empty memory.
+func New(config Config) *Deduplicator {
+	return &Deduplicator{config: config, started: map[string]*list.Element{}, order: list.New()}
 }
 
 // Start notes that a request is about to be started, if it may be.
-func (m *Memory) Start(now clock.Millis, key string) Verdict {
+func (m *Deduplicator) Start(now clock.Millis, key string) Verdict {
 	m.forget(now)
 	if _, known := m.started[key]; known {
-		return Started
+		return AlreadyStarted
 	}
-	if len(m.started) >= m.config.Size {
+	if len(m.started) >= m.config.MaxRequests {
 		return Full
 	}
 	m.started[key] = m.order.PushBack(started{key: key, at: now})
@@ -64,17 +64,17 @@
 }
 
 // Undo takes back a start that certainly reached nothing.
-func (m *Memory) Undo(key string) {
+func (m *Deduplicator) Undo(key string) {
 	if e, known := m.started[key]; known {
 		m.order.Remove(e)
 		delete(m.started, key)
 	}
 }
 
-func (m *Memory) forget(now clock.Millis) {
+func (m *Deduplicator) forget(now clock.Millis) {
 	for e := m.order.Front(); e != nil; e = m.order.Front() {
 		s, isStarted := e.Value.(started)
-		if isStarted && now-s.at < m.config.Keep {
+		if isStarted && now-s.at < m.config.Retention {
 			return
 		}
 		m.order.Remove(e)
--- a/sidecar/pkg/plain/memory_test.go
+++ b/sidecar/pkg/plain/memory_test.go
@@ -20,7 +20,7 @@
 func TestRapidMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const size, keep = 3, clock.Millis(100)
-		m := NewMemory(MemoryConfig{Size: size, Keep: keep})
+		m := New(Config{MaxRequests: size, Retention: keep})
 		now := clock.Millis(0)
 		startedAt := map[string]clock.Millis{}
 		remembered := func(key string) bool {
@@ -40,7 +40,7 @@
 				wants := Fresh
 				switch {
 				case remembered(key):
-					wants = Started
+					wants = AlreadyStarted
 				case held == size:
 					wants = Full
 				}
--- a/sidecar/pkg/probe/probe.go
+++ b/sidecar/pkg/probe/probe.go
@@ -26,14 +26,14 @@
 type Config struct {
 	Clock  clock.Clock
 	Logger log.Logger
-	Period time.Duration
-	// Failed is how many polls in a row may go without an answer.
-	Failed int
+	Interval time.Duration
+	// FailureThreshold is how many polls in a row may go without an answer.
+	FailureThreshold int
 	// Poll asks the engine.
 	Poll func(context.Context) (Report, error)
-	// Foreign is told the slots that others use; Health whether the engine answers.
-	Foreign func(slots int)
-	Health  func(healthy bool)
+	// OnForeignSlots is told the slots that others use; Health whether the engine answers.
+	OnForeignSlots func(slots int)
+	OnHealth  func(healthy bool)
 }
 
 // Probe is the goroutine that polls.
@@ -51,17 +51,17 @@
 	return &Probe{config: config, suspect: make(chan struct{}, 1)}
 }
 
-// Own notes how many requests we have at the engine.
-func (p *Probe) Own(now clock.Millis, count int) {
+// RecordOwn notes how many requests we have at the engine.
+func (p *Probe) RecordOwn(now clock.Millis, count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.foreign.RecordOwn(now, count)
+	p.foreign.RecordOwnCount(now, count)
 }
 
-// Suspect tells that the engine could not be reached, so that it counts as
+// ReportUnreachable tells that the engine could not be reached, so that it counts as
 // unhealthy until a poll says otherwise: else items would be leased and handed
 // back in a loop until the next polls have failed.
-func (p *Probe) Suspect() {
+func (p *Probe) ReportUnreachable() {
 	select {
 	case p.suspect <- struct{}{}:
 	default:
@@ -70,7 +70,7 @@
 
 // Run polls until the context ends.
 func (p *Probe) Run(ctx context.Context) {
-	ticker := time.NewTicker(p.config.Period)
+	ticker := time.NewTicker(p.config.Interval)
 	defer ticker.Stop()
 	p.poll(ctx)
 	for {
@@ -96,7 +96,7 @@
 	}
 	if err != nil {
 		p.failed++
-		if p.failed >= p.config.Failed {
+		if p.failed >= p.config.FailureThreshold {
 			p.set(false, err.Error())
 		}
 		return
@@ -107,7 +107,7 @@
 	p.mu.Lock()
 	slots := p.foreign.Estimate(now, report.AsOf, report.InFlight)
 	p.mu.Unlock()
-	p.config.Foreign(slots)
+	p.config.OnForeignSlots(slots)
 }
 
 func (p *Probe) set(healthy bool, why string) {
@@ -120,5 +120,5 @@
 		event = "engine-unhealthy"
 	}
 	level.Info(p.config.Logger).Log(logs.KeyEvent, event, logs.KeyError, why)
-	p.config.Health(healthy)
+	p.config.OnHealth(healthy)
 }
--- a/sidecar/pkg/probe/probe_test.go
+++ b/sidecar/pkg/probe/probe_test.go
@@ -22,10 +22,10 @@
 	var seen []bool
 	answers := make(chan error)
 	p := New(Config{
-		Clock: clock.System(), Logger: log.NewNopLogger(), Period: time.Millisecond, Failed: 3,
+		Clock: clock.System(), Logger: log.NewNopLogger(), Interval: time.Millisecond, FailureThreshold: 3,
 		Poll:    func(context.Context) (Report, error) { return Report{}, <-answers },
-		Foreign: func(int) {},
-		Health: func(healthy bool) {
+		OnForeignSlots: func(int) {},
+		OnHealth: func(healthy bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			seen = append(seen, healthy)
@@ -63,9 +63,9 @@
 func TestNoPollAfterTheEnd(t *testing.T) {
 	polls := 0
 	p := New(Config{
-		Clock: clock.System(), Logger: log.NewNopLogger(), Period: time.Nanosecond, Failed: 3,
+		Clock: clock.System(), Logger: log.NewNopLogger(), Interval: time.Nanosecond, FailureThreshold: 3,
 		Poll:    func(context.Context) (Report, error) { polls++; return Report{}, nil },
-		Foreign: func(int) {}, Health: func(bool) {},
+		OnForeignSlots: func(int) {}, OnHealth: func(bool) {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -79,10 +79,10 @@
 func TestSuspicion(t *testing.T) {
 	states := make(chan bool, 4)
 	p := New(Config{
-		Clock: clock.System(), Logger: log.NewNopLogger(), Period: time.Hour, Failed: 3,
+		Clock: clock.System(), Logger: log.NewNopLogger(), Interval: time.Hour, FailureThreshold: 3,
 		Poll:    func(context.Context) (Report, error) { return Report{}, nil },
-		Foreign: func(int) {},
-		Health:  func(healthy bool) { states <- healthy },
+		OnForeignSlots: func(int) {},
+		OnHealth:  func(healthy bool) { states <- healthy },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -97,7 +97,7 @@
 		}
 	}
 	require.True(t, next())
-	p.Suspect()
+	p.ReportUnreachable()
 	require.False(t, next())
 	cancel()
 	<-done
@@ -109,12 +109,12 @@
 	foreign := make(chan int, 1)
 	now := clock.Millis(10_000)
 	p := New(Config{
-		Clock: clock.FromFunc(func() clock.Millis { return now }), Logger: log.NewNopLogger(), Failed: 1,
+		Clock: clock.FromFunc(func() clock.Millis { return now }), Logger: log.NewNopLogger(), FailureThreshold: 1,
 		Poll:    func(context.Context) (Report, error) { return Report{InFlight: 5, AsOf: 9_900}, nil },
-		Foreign: func(slots int) { foreign <- slots },
-		Health:  func(bool) {},
+		OnForeignSlots: func(slots int) { foreign <- slots },
+		OnHealth:  func(bool) {},
 	})
-	p.Own(9_000, 3)
+	p.RecordOwn(9_000, 3)
 	p.poll(context.Background())
 	require.Equal(t, 2, <-foreign)
 }
--- a/sidecar/pkg/work/assembly.go
+++ b/sidecar/pkg/work/assembly.go
@@ -141,7 +141,7 @@
 func (a *assembly) add(data []byte) error {
 	var c chunk
 	if err := json.Unmarshal(data, &c); err != nil {
-		return fmt.Errorf("parse a chunk: %w: %w", engine.ErrGarbage, err)
+		return fmt.Errorf("parse a chunk: %w: %w", engine.ErrMalformed, err)
 	}
 	a.chunks++
 	if a.first == nil {
--- a/sidecar/pkg/work/puller.go
+++ b/sidecar/pkg/work/puller.go
@@ -241,7 +241,7 @@
 		return
 	}
 	r.request = request
-	p.config.Dispatcher.Offer(admit.Offer{ID: r.id, PrefillTokens: request.prefillTokens}, r.deliver)
+	p.config.Dispatcher.SubmitItem(admit.Offer{ID: r.id, PrefillTokens: request.prefillTokens}, r.deliver)
 }
 
 // withdraw stops an item whose lease was lost: another process may run it now, and
@@ -253,7 +253,7 @@
 	}
 	delete(p.runs, key)
 	p.config.RecordEvent(itemName(r.item.GetJob(), r.item.GetIndex()), "lease-lost", "")
-	p.config.Dispatcher.Tell(admit.Withdraw{ID: r.id})
+	p.config.Dispatcher.Submit(admit.Withdraw{ID: r.id})
 }
 
 // reportResult submits an item's result to the LeaseManager. It is called on the
--- a/sidecar/pkg/work/run.go
+++ b/sidecar/pkg/work/run.go
@@ -69,7 +69,7 @@
 		res, suspended := r.runInSlot(resume)
 		if !suspended {
 			r.puller.reportResult(r, res)
-			r.puller.config.Dispatcher.Tell(admit.Finished{ID: r.id, Complete: res.outcome == toucanhingev1.Outcome_OUTCOME_DONE})
+			r.puller.config.Dispatcher.Submit(admit.Finished{ID: r.id, Complete: res.outcome == toucanhingev1.Outcome_OUTCOME_DONE})
 			return
 		}
 		if a := <-r.actions; a.Verb != admit.Resume {
@@ -103,7 +103,7 @@
 	// confirms, before the local stream has been closed.
 	confirmed := suspend && r.suspendAtEngine()
 	if confirmed {
-		r.puller.config.Dispatcher.Tell(admit.Suspended{ID: r.id})
+		r.puller.config.Dispatcher.Submit(admit.Suspended{ID: r.id})
 	}
 	cancel()
 	if err := <-done; err == nil {
@@ -115,7 +115,7 @@
 		return returned(string(a.Reason)), false
 	}
 	if !confirmed {
-		r.puller.config.Dispatcher.Tell(admit.Suspended{ID: r.id})
+		r.puller.config.Dispatcher.Submit(admit.Suspended{ID: r.id})
 	}
 	return result{}, true
 }
@@ -144,12 +144,12 @@
 // stream, the request is started again from the beginning.
 func (r *run) generate(ctx context.Context, resume bool) error {
 	if resume && r.request.streamed && r.stream.Sent() {
-		err := r.stream.Resume(ctx, r.stream.Last())
+		err := r.stream.Resume(ctx, r.stream.LastID())
 		var status *engine.StatusError
 		if err == nil || ctx.Err() != nil || !errors.As(err, &status) {
 			return err
 		}
-		r.puller.config.Dispatcher.Tell(admit.TokensLost{Count: int(r.chunkCount.Load())})
+		r.puller.config.Dispatcher.Submit(admit.TokensLost{Count: int(r.chunkCount.Load())})
 	}
 	return r.start(ctx)
 }
@@ -165,23 +165,23 @@
 			ID: r.name, Method: http.MethodPost, Path: r.request.path, Body: r.request.body,
 			Headers: []engine.Header{{Name: "Content-Type", Value: "application/json"}},
 		},
-		Head: func(status int, _ http.Header) error {
+		OnHead: func(status int, _ http.Header) error {
 			r.status = status
 			return nil
 		},
-		Emit: r.addEvent,
-		Mend: func() bool { return !r.interrupting.Load() },
-		Body: r.addBody,
+		OnEvent: r.addEvent,
+		MayResume: func() bool { return !r.interrupting.Load() },
+		OnBody: r.addBody,
 	}
 	if !r.request.streamed {
-		r.stream.Whole = r.puller.config.MaxResultBytes
+		r.stream.MaxBufferedBody = r.puller.config.MaxResultBytes
 	}
 	return r.stream.Run(ctx)
 }
 
 func (r *run) addEvent(e engine.Event) error {
 	if r.assembly.chunks == 0 {
-		r.puller.config.Dispatcher.Tell(admit.FirstToken{ID: r.id})
+		r.puller.config.Dispatcher.Submit(admit.FirstToken{ID: r.id})
 	}
 	if err := r.assembly.add(e.Data); err != nil {
 		return err
@@ -246,7 +246,7 @@
 // unstreamedResult returns the result of an answer that was not streamed.
 func (r *run) unstreamedResult() result {
 	if !json.Valid(r.body) {
-		return retry(engine.Cause(engine.ErrGarbage))
+		return retry(engine.Cause(engine.ErrMalformed))
 	}
 	return result{outcome: toucanhingev1.Outcome_OUTCOME_DONE, body: r.body}
 }
--- a/sidecar/pkg/work/run_test.go
+++ b/sidecar/pkg/work/run_test.go
@@ -253,14 +253,14 @@
 	f.t.Helper()
 	id := f.dispatcher.NextID()
 	started := make(chan admit.Action, 2)
-	require.True(f.t, f.dispatcher.Ask(admit.Arrive{ID: id, Deadline: 1 << 50}, func(a admit.Action) { started <- a }))
+	require.True(f.t, f.dispatcher.SubmitRequest(admit.Arrive{ID: id, Deadline: 1 << 50}, func(a admit.Action) { started <- a }))
 	select {
 	case a := <-started:
 		require.Equal(f.t, admit.Start, a.Verb)
 	case <-time.After(waitTimeout):
 		f.t.Fatal("online request got no slot")
 	}
-	return func() { f.dispatcher.Tell(admit.Finished{ID: id}) }
+	return func() { f.dispatcher.Submit(admit.Finished{ID: id}) }
 }
 
 func answerText(t *testing.T, body []byte) string {
--- a/toucanctl/pkg/app/dispatch.go
+++ b/toucanctl/pkg/app/dispatch.go
@@ -61,7 +61,7 @@
 	}
 	answer, err := c.Apply(ctx, operator.Change{Entry: entry, RequestID: options.RequestID, Base: options.Base})
 	if answer != nil {
-		if printErr := p.Applied(answer); printErr != nil {
+		if printErr := p.ApplyResult(answer); printErr != nil {
 			return printErr
 		}
 	}
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	return p.Explained(e.ID, answers, silent)
+	return p.Explanation(e.ID, answers, silent)
 }
 
 // explainLogs follows an id through log files.
@@ -141,5 +141,5 @@
 	if err != nil {
 		return err
 	}
-	return p.Traced(e.ID, trace)
+	return p.Trace(e.ID, trace)
 }
--- a/toucanctl/pkg/app/entry.go
+++ b/toucanctl/pkg/app/entry.go
@@ -5,7 +5,7 @@
 	"sort"
 	"strings"
 
-	"toucanhinge.example/common/pkg/world"
+	"toucanhinge.example/common/pkg/fleetconfig"
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
@@ -103,7 +103,7 @@
 	return &toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_SERVICE, Name: s.Name,
 		Body: &toucanhingev1.Entry_Service{Service: &toucanhingev1.Service{
-			Kind: kind, Model: s.Model, OlderPercent: s.OlderPercent, OlderUrl: s.OlderURL,
+			Kind: kind, Model: s.Model, OlderPercent: s.LegacyPercent, OlderUrl: s.LegacyURL,
 			ItemAttempts: s.Attempts, BatchWeight: s.BatchWeight, DeadlineMs: s.DeadlineMS,
 		}},
 	}
@@ -112,7 +112,7 @@
 func teamEntry(d *PutTeam) *toucanhingev1.Entry {
 	hashes := make([]string, 0, len(d.Keys))
 	for _, key := range d.Keys {
-		hashes = append(hashes, world.HashKey(key))
+		hashes = append(hashes, fleetconfig.HashKey(key))
 	}
 	return &toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_TEAM, Name: d.Name,
--- a/toucanctl/pkg/loglines/trace.go
+++ b/toucanctl/pkg/loglines/trace.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// Cause is the last line that tells of a failure, with its reason; ok is false if
+// LastFailure is the last line that tells of a failure, with its reason; ok is false if
 // none does.
-func (t Trace) Cause() (line Line, ok bool) {
+func (t Trace) LastFailure() (line Line, ok bool) {
 	for _, l := range slices.Backward(t.Lines) {
 		if l.Level == "warn" || l.Level == "error" {
 			return l, true
--- a/toucanctl/pkg/loglines/trace_test.go
+++ b/toucanctl/pkg/loglines/trace_test.go
@@ -43,10 +43,10 @@
 	require.Equal(t, 1, trace.Unread)
 	require.Equal(t, []string{"gateway-1 request-goes-elsewhere", "gateway-1 request-ended"}, eventsOf(trace.Lines))
 	require.Equal(t, []string{"gateway-1 fleet-taken", "core-1 lead-ended"}, eventsOf(trace.Around))
-	cause, ok := trace.Cause()
+	cause, ok := trace.LastFailure()
 	require.True(t, ok)
 	require.Equal(t, "outcome=refused reason=all-places-taken request=q1", cause.Text)
-	_, ok = read(t, "q2").Cause()
+	_, ok = read(t, "q2").LastFailure()
 	require.False(t, ok)
 }
 
--- a/toucanctl/pkg/output/printer.go
+++ b/toucanctl/pkg/output/printer.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// Applied prints the outcome of a change.
-func (p Printer) Applied(answer *toucanhingev1.ApplyResponse) error {
+// ApplyResult prints the outcome of a change.
+func (p Printer) ApplyResult(answer *toucanhingev1.ApplyResponse) error {
 	verdict := "accepted"
 	if !answer.GetAccepted() {
 		verdict = "refused; in force is"
@@ -204,8 +204,8 @@
 	return p.print(answer, row{"GROUPS MOVED"}, []row{{fmt.Sprint(answer.GetGroupsMoved())}})
 }
 
-// Explained prints what all processes know of an id, in the order of time.
-func (p Printer) Explained(id string, answers []*toucanhingev1.ExplainResponse, silent []string) error {
+// Explanation prints what all processes know of an id, in the order of time.
+func (p Printer) Explanation(id string, answers []*toucanhingev1.ExplainResponse, silent []string) error {
 	if p.JSON {
 		for _, a := range answers {
 			if err := p.json(a); err != nil {
--- a/toucanctl/pkg/output/trace.go
+++ b/toucanctl/pkg/output/trace.go
@@ -10,8 +10,8 @@
 
 const stampFormat = "15:04:05.000"
 
-// Traced prints what the logs tell of an id.
-func (p Printer) Traced(id string, trace loglines.Trace) error {
+// Trace prints what the logs tell of an id.
+func (p Printer) Trace(id string, trace loglines.Trace) error {
 	if len(trace.Lines) == 0 {
 		return fmt.Errorf("%s: %w", id, operator.ErrNotFound)
 	}
@@ -35,7 +35,7 @@
 			}
 		}
 	}
-	if cause, ok := trace.Cause(); ok {
+	if cause, ok := trace.LastFailure(); ok {
 		return p.line("last failure: %s at %s: %s", cause.Event, cause.Process, cause.Text)
 	}
 	return p.line("no line tells of a failure")
