--- a/schema/gen/toucanhinge/v1/toucanhingev1connect/batch.connect.go
+++ b/schema/gen/toucanhinge/v1/toucanhingev1connect/batch.connect.go
@@ -53,12 +53,12 @@
 
 // JobServiceClient is a client for the toucanhinge.v1.JobService service.
 type JobServiceClient interface {
-	// Upload sends a header, then chunks of items, then the end mark. The job
-	// exists only once the answer says accepted.
+	// Upload sends a header, then chunks of items, then the end marker. The job exists
+	// only after the response reports it as accepted.
 	Upload(context.Context) *connect.ClientStreamForClient[v1.UploadRequest, v1.UploadResponse]
 	GetJob(context.Context, *connect.Request[v1.GetJobRequest]) (*connect.Response[v1.GetJobResponse], error)
 	CancelJob(context.Context, *connect.Request[v1.CancelJobRequest]) (*connect.Response[v1.CancelJobResponse], error)
-	// ReadResults streams what is decided, in item order.
+	// ReadResults streams the results of decided items, in item order.
 	ReadResults(context.Context, *connect.Request[v1.ReadResultsRequest]) (*connect.ServerStreamForClient[v1.ReadResultsResponse], error)
 }
 
@@ -130,12 +130,12 @@
 
 // JobServiceHandler is an implementation of the toucanhinge.v1.JobService service.
 type JobServiceHandler interface {
-	// Upload sends a header, then chunks of items, then the end mark. The job
-	// exists only once the answer says accepted.
+	// Upload sends a header, then chunks of items, then the end marker. The job exists
+	// only after the response reports it as accepted.
 	Upload(context.Context, *connect.ClientStream[v1.UploadRequest]) (*connect.Response[v1.UploadResponse], error)
 	GetJob(context.Context, *connect.Request[v1.GetJobRequest]) (*connect.Response[v1.GetJobResponse], error)
 	CancelJob(context.Context, *connect.Request[v1.CancelJobRequest]) (*connect.Response[v1.CancelJobResponse], error)
-	// ReadResults streams what is decided, in item order.
+	// ReadResults streams the results of decided items, in item order.
 	ReadResults(context.Context, *connect.Request[v1.ReadResultsRequest], *connect.ServerStream[v1.ReadResultsResponse]) error
 }
 
@@ -207,11 +207,11 @@
 
 // WorkServiceClient is a client for the toucanhinge.v1.WorkService service.
 type WorkServiceClient interface {
-	// Lease hands out items of one service under a new lease number.
+	// Lease assigns items of one service under a new lease number.
 	Lease(context.Context, *connect.Request[v1.LeaseRequest]) (*connect.Response[v1.LeaseResponse], error)
-	// Complete reports outcomes; each counts only under its live lease.
+	// Complete reports outcomes; each is accepted only under its live lease.
 	Complete(context.Context, *connect.Request[v1.CompleteRequest]) (*connect.Response[v1.CompleteResponse], error)
-	// Renew keeps leases alive and says which were revoked.
+	// Renew extends leases and returns the revoked ones.
 	Renew(context.Context, *connect.Request[v1.RenewRequest]) (*connect.Response[v1.RenewResponse], error)
 }
 
@@ -271,11 +271,11 @@
 
 // WorkServiceHandler is an implementation of the toucanhinge.v1.WorkService service.
 type WorkServiceHandler interface {
-	// Lease hands out items of one service under a new lease number.
+	// Lease assigns items of one service under a new lease number.
 	Lease(context.Context, *connect.Request[v1.LeaseRequest]) (*connect.Response[v1.LeaseResponse], error)
-	// Complete reports outcomes; each counts only under its live lease.
+	// Complete reports outcomes; each is accepted only under its live lease.
 	Complete(context.Context, *connect.Request[v1.CompleteRequest]) (*connect.Response[v1.CompleteResponse], error)
-	// Renew keeps leases alive and says which were revoked.
+	// Renew extends leases and returns the revoked ones.
 	Renew(context.Context, *connect.Request[v1.RenewRequest]) (*connect.Response[v1.RenewResponse], error)
 }
 
--- a/schema/gen/toucanhinge/v1/toucanhingev1connect/carry.connect.go
+++ b/schema/gen/toucanhinge/v1/toucanhingev1connect/carry.connect.go
@@ -39,9 +39,9 @@
 
 // CarryServiceClient is a client for the toucanhinge.v1.CarryService service.
 type CarryServiceClient interface {
-	// Carry is a daemon's session with one gateway, for all calls that this makes for it. Events of
-	// all calls are gathered; while calls are under way and none come, an empty message says
-	// that the gateway is there. The end of the session ends its calls.
+	// Carry is a daemon's session with one gateway for all proxied calls. Events of all calls are
+	// sent in batches; while calls are in progress without events, an empty message serves as
+	// heartbeat of the gateway. The end of the session ends its calls.
 	Carry(context.Context) *connect.BidiStreamForClient[v1.CarryCommands, v1.CarryEvents]
 }
 
@@ -77,9 +77,9 @@
 
 // CarryServiceHandler is an implementation of the toucanhinge.v1.CarryService service.
 type CarryServiceHandler interface {
-	// Carry is a daemon's session with one gateway, for all calls that this makes for it. Events of
-	// all calls are gathered; while calls are under way and none come, an empty message says
-	// that the gateway is there. The end of the session ends its calls.
+	// Carry is a daemon's session with one gateway for all proxied calls. Events of all calls are
+	// sent in batches; while calls are in progress without events, an empty message serves as
+	// heartbeat of the gateway. The end of the session ends its calls.
 	Carry(context.Context, *connect.BidiStream[v1.CarryCommands, v1.CarryEvents]) error
 }
 
--- a/schema/gen/toucanhinge/v1/toucanhingev1connect/core.connect.go
+++ b/schema/gen/toucanhinge/v1/toucanhingev1connect/core.connect.go
@@ -57,18 +57,18 @@
 
 // CoreServiceClient is a client for the toucanhinge.v1.CoreService service.
 type CoreServiceClient interface {
-	// Attend tells that a gateway is there, and waits for news.
+	// Attend registers a gateway as a subscriber and waits for state updates.
 	Attend(context.Context, *connect.Request[v1.AttendRequest]) (*connect.Response[v1.AttendResponse], error)
-	// Announce tells that a core VM is there, with its data folder's identity.
+	// Announce registers a core VM with the identity of its data folder.
 	Announce(context.Context, *connect.Request[v1.AnnounceRequest]) (*connect.Response[v1.AnnounceResponse], error)
-	// NameLeader tells at once which VM leads, as far as this one knows.
+	// NameLeader returns, without waiting, the leader known to this VM.
 	NameLeader(context.Context, *connect.Request[v1.NameLeaderRequest]) (*connect.Response[v1.NameLeaderResponse], error)
-	// SubmitJob accepts a job once, whole or not at all.
+	// SubmitJob accepts a job at most once and atomically.
 	SubmitJob(context.Context, *connect.Request[v1.SubmitJobRequest]) (*connect.Response[v1.SubmitJobResponse], error)
 	ReadListed(context.Context, *connect.Request[v1.ReadListedRequest]) (*connect.Response[v1.ReadListedResponse], error)
 	ReadBody(context.Context, *connect.Request[v1.ReadBodyRequest]) (*connect.Response[v1.ReadBodyResponse], error)
 	EndJob(context.Context, *connect.Request[v1.EndJobRequest]) (*connect.Response[v1.EndJobResponse], error)
-	// ListTeams tells operators of the teams in the routing table in force.
+	// ListTeams lists the teams of the active routing table for operators.
 	ListTeams(context.Context, *connect.Request[v1.ListTeamsRequest]) (*connect.Response[v1.ListTeamsResponse], error)
 }
 
@@ -188,18 +188,18 @@
 
 // CoreServiceHandler is an implementation of the toucanhinge.v1.CoreService service.
 type CoreServiceHandler interface {
-	// Attend tells that a gateway is there, and waits for news.
+	// Attend registers a gateway as a subscriber and waits for state updates.
 	Attend(context.Context, *connect.Request[v1.AttendRequest]) (*connect.Response[v1.AttendResponse], error)
-	// Announce tells that a core VM is there, with its data folder's identity.
+	// Announce registers a core VM with the identity of its data folder.
 	Announce(context.Context, *connect.Request[v1.AnnounceRequest]) (*connect.Response[v1.AnnounceResponse], error)
-	// NameLeader tells at once which VM leads, as far as this one knows.
+	// NameLeader returns, without waiting, the leader known to this VM.
 	NameLeader(context.Context, *connect.Request[v1.NameLeaderRequest]) (*connect.Response[v1.NameLeaderResponse], error)
-	// SubmitJob accepts a job once, whole or not at all.
+	// SubmitJob accepts a job at most once and atomically.
 	SubmitJob(context.Context, *connect.Request[v1.SubmitJobRequest]) (*connect.Response[v1.SubmitJobResponse], error)
 	ReadListed(context.Context, *connect.Request[v1.ReadListedRequest]) (*connect.Response[v1.ReadListedResponse], error)
 	ReadBody(context.Context, *connect.Request[v1.ReadBodyRequest]) (*connect.Response[v1.ReadBodyResponse], error)
 	EndJob(context.Context, *connect.Request[v1.EndJobRequest]) (*connect.Response[v1.EndJobResponse], error)
-	// ListTeams tells operators of the teams in the routing table in force.
+	// ListTeams lists the teams of the active routing table for operators.
 	ListTeams(context.Context, *connect.Request[v1.ListTeamsRequest]) (*connect.Response[v1.ListTeamsResponse], error)
 }
 
@@ -319,7 +319,7 @@
 
 // NewsServiceClient is a client for the toucanhinge.v1.NewsService service.
 type NewsServiceClient interface {
-	// Attend is answered as the leader would, as far as the gateway heard of it.
+	// Attend responds as the leader would, from the updates that the gateway has received.
 	Attend(context.Context, *connect.Request[v1.AttendRequest]) (*connect.Response[v1.AttendResponse], error)
 }
 
@@ -355,7 +355,7 @@
 
 // NewsServiceHandler is an implementation of the toucanhinge.v1.NewsService service.
 type NewsServiceHandler interface {
-	// Attend is answered as the leader would, as far as the gateway heard of it.
+	// Attend responds as the leader would, from the updates that the gateway has received.
 	Attend(context.Context, *connect.Request[v1.AttendRequest]) (*connect.Response[v1.AttendResponse], error)
 }
 
--- a/schema/gen/toucanhinge/v1/toucanhingev1connect/endpoint.connect.go
+++ b/schema/gen/toucanhinge/v1/toucanhingev1connect/endpoint.connect.go
@@ -43,11 +43,11 @@
 
 // EndpointServiceClient is a client for the toucanhinge.v1.EndpointService service.
 type EndpointServiceClient interface {
-	// Run queues a request at once or refuses it at once, then streams its frames.
+	// Run queues or refuses a request without delay, then streams its frames.
 	Run(context.Context, *connect.Request[v1.RunRequest]) (*connect.ServerStreamForClient[v1.Frame], error)
-	// Cancel stops a request whose caller has gone.
+	// Cancel stops a request whose caller has disconnected.
 	Cancel(context.Context, *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelResponse], error)
-	// Report tells the sidecar's present load.
+	// Report returns the sidecar's current load.
 	Report(context.Context, *connect.Request[v1.ReportRequest]) (*connect.Response[v1.ReportResponse], error)
 }
 
@@ -107,11 +107,11 @@
 
 // EndpointServiceHandler is an implementation of the toucanhinge.v1.EndpointService service.
 type EndpointServiceHandler interface {
-	// Run queues a request at once or refuses it at once, then streams its frames.
+	// Run queues or refuses a request without delay, then streams its frames.
 	Run(context.Context, *connect.Request[v1.RunRequest], *connect.ServerStream[v1.Frame]) error
-	// Cancel stops a request whose caller has gone.
+	// Cancel stops a request whose caller has disconnected.
 	Cancel(context.Context, *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelResponse], error)
-	// Report tells the sidecar's present load.
+	// Report returns the sidecar's current load.
 	Report(context.Context, *connect.Request[v1.ReportRequest]) (*connect.Response[v1.ReportResponse], error)
 }
 
--- a/schema/gen/toucanhinge/v1/toucanhingev1connect/fleet.connect.go
+++ b/schema/gen/toucanhinge/v1/toucanhingev1connect/fleet.connect.go
@@ -47,15 +47,15 @@
 
 // FleetServiceClient is a client for the toucanhinge.v1.FleetService service.
 type FleetServiceClient interface {
-	// Floor is a quorum-confirmed read of the configuration version: a process
-	// that starts accepts nothing older.
+	// Floor is a quorum-confirmed read of the configuration version, which a starting
+	// process uses as its minimum version.
 	Floor(context.Context, *connect.Request[v1.FloorRequest]) (*connect.Response[v1.FloorResponse], error)
-	// Watch streams changes after a version, or the whole when that is too old.
-	// Any replica serves it.
+	// Watch streams the changes after a version, or the full configuration if that version
+	// is too old. Any replica serves it.
 	Watch(context.Context, *connect.Request[v1.WatchRequest]) (*connect.ServerStreamForClient[v1.WatchResponse], error)
 	// Beat registers a process and renews its lease. The leader of group 0 serves it.
 	Beat(context.Context, *connect.Request[v1.BeatRequest]) (*connect.Response[v1.BeatResponse], error)
-	// Claim records, before the run, that a non-idempotent request is to run once.
+	// Claim records a non-idempotent request before it runs, so that it runs at most once.
 	Claim(context.Context, *connect.Request[v1.ClaimRequest]) (*connect.Response[v1.ClaimResponse], error)
 	// Settle records how a claimed request ended.
 	Settle(context.Context, *connect.Request[v1.SettleRequest]) (*connect.Response[v1.SettleResponse], error)
@@ -141,15 +141,15 @@
 
 // FleetServiceHandler is an implementation of the toucanhinge.v1.FleetService service.
 type FleetServiceHandler interface {
-	// Floor is a quorum-confirmed read of the configuration version: a process
-	// that starts accepts nothing older.
+	// Floor is a quorum-confirmed read of the configuration version, which a starting
+	// process uses as its minimum version.
 	Floor(context.Context, *connect.Request[v1.FloorRequest]) (*connect.Response[v1.FloorResponse], error)
-	// Watch streams changes after a version, or the whole when that is too old.
-	// Any replica serves it.
+	// Watch streams the changes after a version, or the full configuration if that version
+	// is too old. Any replica serves it.
 	Watch(context.Context, *connect.Request[v1.WatchRequest], *connect.ServerStream[v1.WatchResponse]) error
 	// Beat registers a process and renews its lease. The leader of group 0 serves it.
 	Beat(context.Context, *connect.Request[v1.BeatRequest]) (*connect.Response[v1.BeatResponse], error)
-	// Claim records, before the run, that a non-idempotent request is to run once.
+	// Claim records a non-idempotent request before it runs, so that it runs at most once.
 	Claim(context.Context, *connect.Request[v1.ClaimRequest]) (*connect.Response[v1.ClaimResponse], error)
 	// Settle records how a claimed request ended.
 	Settle(context.Context, *connect.Request[v1.SettleRequest]) (*connect.Response[v1.SettleResponse], error)
--- a/schema/gen/toucanhinge/v1/toucanhingev1connect/operator.connect.go
+++ b/schema/gen/toucanhinge/v1/toucanhingev1connect/operator.connect.go
@@ -64,19 +64,19 @@
 
 // OperatorServiceClient is a client for the toucanhinge.v1.OperatorService service.
 type OperatorServiceClient interface {
-	// Apply accepts one change of configuration, or an order, or a drain.
+	// Apply accepts one configuration change, order or drain.
 	Apply(context.Context, *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error)
 	// ListEntries reads the accepted configuration with a quorum-confirmed read.
 	ListEntries(context.Context, *connect.Request[v1.ListEntriesRequest]) (*connect.Response[v1.ListEntriesResponse], error)
-	// ConfigStatus shows which process has which version in force.
+	// ConfigStatus returns the active configuration version of each process.
 	ConfigStatus(context.Context, *connect.Request[v1.ConfigStatusRequest]) (*connect.Response[v1.ConfigStatusResponse], error)
 	ListJobs(context.Context, *connect.Request[v1.ListJobsRequest]) (*connect.Response[v1.ListJobsResponse], error)
 	CancelAnyJob(context.Context, *connect.Request[v1.CancelJobRequest]) (*connect.Response[v1.CancelJobResponse], error)
-	// GroupStatus shows each consensus group as the asked replica sees it.
+	// GroupStatus returns the called replica's view of each consensus group.
 	GroupStatus(context.Context, *connect.Request[v1.GroupStatusRequest]) (*connect.Response[v1.GroupStatusResponse], error)
 	// ChangeReplica adds, promotes or removes one replica of every group.
 	ChangeReplica(context.Context, *connect.Request[v1.ChangeReplicaRequest]) (*connect.Response[v1.ChangeReplicaResponse], error)
-	// Handover moves the leadership of the asked replica's groups elsewhere.
+	// Handover transfers the leadership of the groups that the called replica leads to other replicas.
 	Handover(context.Context, *connect.Request[v1.HandoverRequest]) (*connect.Response[v1.HandoverResponse], error)
 }
 
@@ -196,19 +196,19 @@
 
 // OperatorServiceHandler is an implementation of the toucanhinge.v1.OperatorService service.
 type OperatorServiceHandler interface {
-	// Apply accepts one change of configuration, or an order, or a drain.
+	// Apply accepts one configuration change, order or drain.
 	Apply(context.Context, *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error)
 	// ListEntries reads the accepted configuration with a quorum-confirmed read.
 	ListEntries(context.Context, *connect.Request[v1.ListEntriesRequest]) (*connect.Response[v1.ListEntriesResponse], error)
-	// ConfigStatus shows which process has which version in force.
+	// ConfigStatus returns the active configuration version of each process.
 	ConfigStatus(context.Context, *connect.Request[v1.ConfigStatusRequest]) (*connect.Response[v1.ConfigStatusResponse], error)
 	ListJobs(context.Context, *connect.Request[v1.ListJobsRequest]) (*connect.Response[v1.ListJobsResponse], error)
 	CancelAnyJob(context.Context, *connect.Request[v1.CancelJobRequest]) (*connect.Response[v1.CancelJobResponse], error)
-	// GroupStatus shows each consensus group as the asked replica sees it.
+	// GroupStatus returns the called replica's view of each consensus group.
 	GroupStatus(context.Context, *connect.Request[v1.GroupStatusRequest]) (*connect.Response[v1.GroupStatusResponse], error)
 	// ChangeReplica adds, promotes or removes one replica of every group.
 	ChangeReplica(context.Context, *connect.Request[v1.ChangeReplicaRequest]) (*connect.Response[v1.ChangeReplicaResponse], error)
-	// Handover moves the leadership of the asked replica's groups elsewhere.
+	// Handover transfers the leadership of the groups that the called replica leads to other replicas.
 	Handover(context.Context, *connect.Request[v1.HandoverRequest]) (*connect.Response[v1.HandoverResponse], error)
 }
 
--- a/schema/gen/toucanhinge/v1/toucanhingev1connect/replica.connect.go
+++ b/schema/gen/toucanhinge/v1/toucanhingev1connect/replica.connect.go
@@ -42,9 +42,9 @@
 
 // ReplicaServiceClient is a client for the toucanhinge.v1.ReplicaService service.
 type ReplicaServiceClient interface {
-	// Step hands over consensus messages; answers travel as messages of their own.
+	// Step delivers consensus messages; replies are sent as separate Step calls.
 	Step(context.Context, *connect.Request[v1.StepRequest]) (*connect.Response[v1.StepResponse], error)
-	// InstallSnapshot streams a whole state to a replica that is too far behind.
+	// InstallSnapshot streams the full state to a replica that lags too far behind the log.
 	InstallSnapshot(context.Context) *connect.ClientStreamForClient[v1.SnapshotChunk, v1.InstallSnapshotResponse]
 }
 
@@ -92,9 +92,9 @@
 
 // ReplicaServiceHandler is an implementation of the toucanhinge.v1.ReplicaService service.
 type ReplicaServiceHandler interface {
-	// Step hands over consensus messages; answers travel as messages of their own.
+	// Step delivers consensus messages; replies are sent as separate Step calls.
 	Step(context.Context, *connect.Request[v1.StepRequest]) (*connect.Response[v1.StepResponse], error)
-	// InstallSnapshot streams a whole state to a replica that is too far behind.
+	// InstallSnapshot streams the full state to a replica that lags too far behind the log.
 	InstallSnapshot(context.Context, *connect.ClientStream[v1.SnapshotChunk]) (*connect.Response[v1.InstallSnapshotResponse], error)
 }
 
