--- a/lab/cmd/older/main.go
+++ b/lab/cmd/older/main.go
@@ -11,7 +11,7 @@
 	"toucanhinge.example/lab/pkg/serve"
 )
 
-// fleetSlots gives it the capacity of a small fleet of engines.
+// fleetSlots is the number of slots of a small fleet of engines.
 const fleetSlots = 64
 
 type arguments struct {
--- a/lab/cmd/regress/main.go
+++ b/lab/cmd/regress/main.go
@@ -91,23 +91,23 @@
 			return false, fmt.Errorf("resolve path of deployment %s: %w", d.File, err)
 		}
 	}
-	players := regress.Runner{Why: a.Why, Jobs: a.Jobs, OnResult: func(r regress.Result) {
+	runner := regress.Runner{Why: a.Why, Jobs: a.Jobs, OnResult: func(r regress.Result) {
 		if r.Err != nil {
 			fmt.Printf("%-60s %v\n", r.Pair, r.Err)
 			return
 		}
 		fmt.Printf("%-60s %.3f > %.3f  %+.3f %s%s\n", r.Pair, r.Before.Worth, r.After.Worth, r.After.Worth-r.Before.Worth, r.Before.BrokenRules, r.After.BrokenRules)
 	}}
-	if players.Bench, err = filepath.Abs(a.Bench); err != nil {
+	if runner.Bench, err = filepath.Abs(a.Bench); err != nil {
 		return false, fmt.Errorf("resolve path of bench program: %w", err)
 	}
-	if players.Before, err = checkout(ctx, a.Before, filepath.Join(a.Out, "before")); err != nil {
+	if runner.Before, err = checkout(ctx, a.Before, filepath.Join(a.Out, "before")); err != nil {
 		return false, err
 	}
-	if players.After, err = checkout(ctx, a.After, filepath.Join(a.Out, "after")); err != nil {
+	if runner.After, err = checkout(ctx, a.After, filepath.Join(a.Out, "after")); err != nil {
 		return false, err
 	}
-	results, err := players.Run(ctx, plan.Pairs())
+	results, err := runner.Run(ctx, plan.Pairs())
 	if err != nil {
 		return false, err
 	}
--- a/lab/pkg/bench/bench.go
+++ b/lab/pkg/bench/bench.go
@@ -53,8 +53,8 @@
 func Experiments() []Experiment {
 	return []Experiment{
 		overheadExperiment, processorExperiment, idleExperiment, itemsExperiment, failoverExperiment,
-		configExperiment, restartExperiment, largeJobExperiment, harmExperiment, yieldExperiment,
-		overloadExperiment, deathExperiment, daemonsExperiment, reportsExperiment,
+		configExperiment, restartExperiment, largeJobExperiment, interferenceExperiment, yieldExperiment,
+		overloadExperiment, endpointLossExperiment, daemonsExperiment, reportsExperiment,
 	}
 }
 
--- a/lab/pkg/bench/harm.go
+++ b/lab/pkg/bench/interference.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	harmEngines  = 4
-	harmSlots    = 16
-	harmDuration = 8 * time.Second
-	// harmLoadShare is the average online load as a share of the fleet's capacity.
-	harmLoadShare = 0.4
+	interferenceEngines  = 4
+	interferenceSlots    = 16
+	interferenceDuration = 8 * time.Second
+	// interferenceLoadShare is the average online load as a share of the fleet's capacity.
+	interferenceLoadShare = 0.4
 	// Batch items and online requests have the same size, so that their token rates
 	// are comparable.
-	harmTokensMin = 16
-	harmTokensMax = 80
-	harmItems     = 8_000
+	interferenceTokensMin = 16
+	interferenceTokensMax = 80
+	interferenceItems     = 8_000
 	// fillWarmup lets batch items fill the engines before the measurement starts.
 	fillWarmup   = 2 * time.Second
 	fillDuration = 4 * time.Second
 )
 
-var harmExperiment = Experiment{
+var interferenceExperiment = Experiment{
 	Name:        "harm",
 	Description: "online alone, with batch under our policy, with batch sent to the engines at once; spare capacity used by batch",
 	Figures: []string{
 		"harm.ttft", "harm.itl", "naive.harm.ttft", "naive.harm.itl", "batch.fill", "naive.batch.fill",
 	},
-	Run: runHarm,
+	Run: runInterference,
 }
 
-// harmArm holds the measurements of one policy.
-type harmArm struct {
+// interferenceArm holds the measurements of one policy.
+type interferenceArm struct {
 	alone, mixed *load.Report
 	// capacity is the token rate per second with batch alone.
 	capacity float64
@@ -48,13 +48,13 @@
 	spareRate float64
 }
 
-func runHarm(ctx context.Context, b *Bench) error {
+func runInterference(ctx context.Context, b *Bench) error {
 	for run := range b.Config.Runs {
-		ours, err := b.measureHarm(ctx, fmt.Sprintf("ours%d", run))
+		ours, err := b.measureInterference(ctx, fmt.Sprintf("ours%d", run))
 		if err != nil {
 			return err
 		}
-		naive, err := b.measureHarm(ctx, fmt.Sprintf("naive%d", run), fleet.NaivePolicy()...)
+		naive, err := b.measureInterference(ctx, fmt.Sprintf("naive%d", run), fleet.NaivePolicy()...)
 		if err != nil {
 			return err
 		}
@@ -80,11 +80,11 @@
 	return a / b
 }
 
-// measureHarm measures one policy on its own fleet: batch alone, online and batch
+// measureInterference measures one policy on its own fleet: batch alone, online and batch
 // together, and online alone. Both online measurements use the same arrivals.
-func (b *Bench) measureHarm(ctx context.Context, name string, settings ...fleet.Setting) (*harmArm, error) {
+func (b *Bench) measureInterference(ctx context.Context, name string, settings ...fleet.Setting) (*interferenceArm, error) {
 	f, err := b.startFleet(ctx, fleet.Config{
-		Controls: 1, Gateways: 2, Sidecars: harmEngines, Engine: fleet.Engine{Slots: harmSlots}, SidecarSettings: settings,
+		Controls: 1, Gateways: 2, Sidecars: interferenceEngines, Engine: fleet.Engine{Slots: interferenceSlots}, SidecarSettings: settings,
 	})
 	if err != nil {
 		return nil, err
@@ -95,11 +95,11 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &harmArm{}
+	a := &interferenceArm{}
 	if a.capacity, err = tokenRate(ctx, f, fillWarmup, fillDuration); err != nil {
 		return nil, err
 	}
-	rate := harmLoadShare * a.capacity / ((harmTokensMin + harmTokensMax) / 2)
+	rate := interferenceLoadShare * a.capacity / ((interferenceTokensMin + interferenceTokensMax) / 2)
 	a.mixed, a.batchRate, err = b.measureOnline(ctx, f, name+"m", rate)
 	if err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 func (b *Bench) measureOnline(ctx context.Context, f *fleet.Fleet, name string, rate float64) (*load.Report, float64, error) {
 	mix := load.Mix{
 		Model: fleet.Model, Prefixes: 8, PrefixBytes: 512, UniqueBytes: 200,
-		MinTokens: harmTokensMin, MaxTokens: harmTokensMax, Name: name, Seed: b.Config.Seed,
+		MinTokens: interferenceTokensMin, MaxTokens: interferenceTokensMax, Name: name, Seed: b.Config.Seed,
 	}
 	before, err := engineTokens(ctx, f)
 	if err != nil {
@@ -134,7 +134,7 @@
 	start := time.Now()
 	report := load.Run(ctx, load.Config{
 		Target: f.Target, Make: mix.Make, Deadline: time.Minute,
-		Schedule: load.FrequentBursts.WithMean(rate).Schedule(harmDuration, b.Config.Seed),
+		Schedule: load.FrequentBursts.WithMean(rate).Schedule(interferenceDuration, b.Config.Seed),
 	})
 	after, err := engineTokens(ctx, f)
 	if err != nil {
@@ -149,8 +149,8 @@
 // uploadBackgroundJob uploads a job that is too large to finish within a run.
 func uploadBackgroundJob(ctx context.Context, batch *caller.Caller, name string) (id string, err error) {
 	var lines strings.Builder
-	for n := range harmItems {
-		tokens := harmTokensMin + n%(harmTokensMax-harmTokensMin+1)
+	for n := range interferenceItems {
+		tokens := interferenceTokensMin + n%(interferenceTokensMax-interferenceTokensMin+1)
 		lines.WriteString(caller.ItemLine(fmt.Sprintf("%s-%d", name, n), fleet.Model,
 			strings.Repeat("summary of an agreement ", 10)+fmt.Sprint(n), tokens))
 	}
--- a/lab/pkg/bench/overload.go
+++ b/lab/pkg/bench/overload.go
@@ -37,7 +37,7 @@
 }
 
 func measureOverload(ctx context.Context, b *Bench, run int) error {
-	f, err := b.startFleet(ctx, fleet.Config{Controls: 1, Gateways: 2, Sidecars: harmEngines, Engine: fleet.Engine{Slots: harmSlots}})
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 1, Gateways: 2, Sidecars: interferenceEngines, Engine: fleet.Engine{Slots: interferenceSlots}})
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 }
 
 func overloadMix(name string) load.Mix {
-	return load.Mix{Model: fleet.Model, UniqueBytes: 200, MinTokens: harmTokensMin, MaxTokens: harmTokensMax, Name: name}
+	return load.Mix{Model: fleet.Model, UniqueBytes: 200, MinTokens: interferenceTokensMin, MaxTokens: interferenceTokensMax, Name: name}
 }
 
 // runAtRate runs calls at the given rate. It also returns the goodput: the calls per
--- a/lab/pkg/bench/yield.go
+++ b/lab/pkg/bench/yield.go
@@ -28,7 +28,7 @@
 }
 
 func runYield(ctx context.Context, b *Bench) error {
-	f, err := b.startFleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, Engine: fleet.Engine{Slots: harmSlots}})
+	f, err := b.startFleet(ctx, fleet.Config{Controls: 1, Gateways: 1, Sidecars: 1, Engine: fleet.Engine{Slots: interferenceSlots}})
 	if err != nil {
 		return err
 	}
--- a/lab/pkg/leadload/fleet.go
+++ b/lab/pkg/leadload/fleet.go
@@ -19,8 +19,8 @@
 	dataCentres = 5
 )
 
-// Fleet is the size and the load of a fleet. The defaults are those of the large deployment on
-// the users' sheets.
+// Fleet is the size and the load of a fleet. The defaults are those of the users' large
+// deployment.
 type Fleet struct {
 	Gateways int `arg:"--gateways" default:"89" help:"gateways"`
 	Runners  int `arg:"--runners" default:"144" help:"runners"`
@@ -34,7 +34,7 @@
 	Events int `arg:"--events" default:"93" help:"events of an item"`
 }
 
-// Times on the sheet of the large deployment.
+// Times of the large deployment.
 const (
 	// onlineDuration is how long an online request holds its slot.
 	onlineDuration clock.Millis = 790
--- a/lab/pkg/leadload/gateways.go
+++ b/lab/pkg/leadload/gateways.go
@@ -76,14 +76,14 @@
 	mux := http.NewServeMux()
 	server, err := web.Listen("127.0.0.1:0", mux)
 	if err != nil {
-		return nil, fmt.Errorf("serve: %w", err)
+		return nil, fmt.Errorf("listen for calls to the gateway: %w", err)
 	}
 	x, err := digest.Listen(digest.Config{
 		Address: server.Address(), Source: fmt.Sprintf("gateway-%d", i), DataCentre: dataCentre(i), Clock: clock.System(), Logger: log.NewNopLogger(),
 		Version: func() uint64 { return 1 },
 	})
 	if err != nil {
-		return nil, fmt.Errorf("exchange: %w", err)
+		return nil, fmt.Errorf("start digest exchange: %w", err)
 	}
 	proxy := callproxy.New(callproxy.Config{
 		Client: runner.Client{Open: g.openCall}, Exchange: x, Unresponsive: x.Overdue, Clock: clock.System(), Logger: log.NewNopLogger(),
@@ -145,14 +145,14 @@
 	}
 }
 
-// postTable requests a member to put the routing table in force; only the leader accepts it.
+// postTable requests a member to apply the routing table; only the leader accepts it.
 func (g *Gateways) postTable(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	body := bytes.NewReader(nil)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+TablePath, body)
 	if err != nil {
-		return fmt.Errorf("make request: %w", err)
+		return fmt.Errorf("create request: %w", err)
 	}
 	response, err := web.NewClient().Do(request)
 	if err != nil {
--- a/lab/pkg/leadload/member.go
+++ b/lab/pkg/leadload/member.go
@@ -44,11 +44,11 @@
 func (m Member) Run(ctx context.Context) error {
 	profile, err := os.Create(m.Profile)
 	if err != nil {
-		return fmt.Errorf("profile: %w", err)
+		return fmt.Errorf("create CPU profile: %w", err)
 	}
 	defer func() { _ = profile.Close() }()
 	if err := pprof.StartCPUProfile(profile); err != nil {
-		return fmt.Errorf("profile: %w", err)
+		return fmt.Errorf("start CPU profile: %w", err)
 	}
 	defer pprof.StopCPUProfile()
 	var vm *core.Core
@@ -57,7 +57,7 @@
 		Version: func() uint64 { return 1 }, OnDigest: func(version uint64) { vm.DigestReceived(version) },
 	})
 	if err != nil {
-		return fmt.Errorf("exchange: %w", err)
+		return fmt.Errorf("start digest exchange: %w", err)
 	}
 	vm, err = core.Open(core.Config{
 		Name: m.Address, Address: m.Address, DataCentre: dataCentre(0), Folder: filepath.Join(m.Folder, m.Address),
@@ -69,7 +69,7 @@
 		Fatal: func(err error) { fmt.Fprintln(os.Stderr, err) },
 	})
 	if err != nil {
-		return fmt.Errorf("core: %w", err)
+		return fmt.Errorf("open core: %w", err)
 	}
 	mux := http.NewServeMux()
 	mux.Handle(toucanhingev1connect.NewReplicaServiceHandler(vm.ReplicaServer()))
@@ -77,7 +77,7 @@
 	mux.Handle(TablePath, m.tableHandler(vm))
 	server, err := web.Listen(m.Address, mux)
 	if err != nil {
-		return fmt.Errorf("serve: %w", err)
+		return fmt.Errorf("listen for internal calls: %w", err)
 	}
 	go func() { _ = server.Serve() }()
 	go exchange.Run(ctx)
@@ -90,11 +90,11 @@
 func (m Member) writeHeap() error {
 	file, err := os.Create(m.Profile + ".heap")
 	if err != nil {
-		return fmt.Errorf("heap profile: %w", err)
+		return fmt.Errorf("create heap profile: %w", err)
 	}
 	defer func() { _ = file.Close() }()
 	if err := pprof.WriteHeapProfile(file); err != nil {
-		return fmt.Errorf("heap profile: %w", err)
+		return fmt.Errorf("write heap profile: %w", err)
 	}
 	return nil
 }
@@ -112,7 +112,7 @@
 	return control.New(control.Config{Addresses: addresses, NewHTTP: web.NewClient, FindLeader: control.QueryLeader})
 }
 
-// TablePath is the HTTP path on which a member puts the fleet's routing table in force.
+// TablePath is the HTTP path on which a member receives the request to apply the fleet's routing table.
 const TablePath = "/table"
 
 func (m Member) tableHandler(vm *core.Core) http.HandlerFunc {
--- a/lab/pkg/newsfleet/failover_test.go
+++ b/lab/pkg/newsfleet/failover_test.go
@@ -52,7 +52,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := startSettledFleet(t)
+			f := startSyncedFleet(t)
 			failed := c.fail(f)
 			requireUpdates(t, f, without(f.Gateways, failed...), maxFailoverTime)
 			// The same holds once all gateways have detected the failure.
@@ -64,7 +64,7 @@
 // The root receives no updates any more but still responds: its subscribers must detect that its
 // state is outdated and switch to another source.
 func TestUpdatesBypassRootWithoutSubscription(t *testing.T) {
-	f := startSettledFleet(t)
+	f := startSyncedFleet(t)
 	root, _ := rootAndHubs(f, dataCentreName(0))
 	root.StopSubscriber()
 	time.Sleep(2 * time.Second)
@@ -72,9 +72,9 @@
 }
 
 // The leader is killed. All gateways requesting the whole fleet view from the next leader at once
-// would overload it in turn.
+// would overload it.
 func TestNextLeaderIsNotOverloaded(t *testing.T) {
-	f := startSettledFleet(t)
+	f := startSyncedFleet(t)
 	f.Leader().Kill()
 	before := f.SubscribeCalls()
 	requireUpdates(t, f, f.Gateways, maxFailoverTime)
@@ -87,7 +87,7 @@
 // All gateways restart at once after all were killed. The leader serves the first gateway of each
 // data centre and redirects the others to it.
 func TestAllGatewaysRestartAtOnce(t *testing.T) {
-	f := startSettledFleet(t)
+	f := startSyncedFleet(t)
 	for _, g := range f.Gateways {
 		g.Kill()
 	}
--- a/lab/pkg/newsfleet/fleet.go
+++ b/lab/pkg/newsfleet/fleet.go
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// ReplaceTable puts the next routing table in force and returns its version once the core has
+// ReplaceTable applies the next routing table and returns its version once the core has
 // acknowledged it.
 func (f *Fleet) ReplaceTable(ctx context.Context) (uint64, error) {
 	f.mu.Lock()
--- a/lab/pkg/newsfleet/fleet_test.go
+++ b/lab/pkg/newsfleet/fleet_test.go
@@ -20,9 +20,9 @@
 	maxFailoverTime = time.Second
 )
 
-// startSettledFleet starts a fleet and waits until all gateways have the first table and know all
+// startSyncedFleet starts a fleet and waits until all gateways have the first table and know all
 // other daemons.
-func startSettledFleet(t *testing.T) *Fleet {
+func startSyncedFleet(t *testing.T) *Fleet {
 	t.Helper()
 	f, err := Start(Config{Folder: t.TempDir(), Gateways: gatewayCount, DataCentres: dataCentreCount, Runners: runnerCount})
 	require.NoError(t, err)
@@ -82,7 +82,7 @@
 	return remaining
 }
 
-// requireUpdates puts a table in force and removes a runner. It requires that the gateways receive
+// requireUpdates applies a table and removes a runner. It requires that the gateways receive
 // the table within a bound after its acknowledgement, and the list of runners within testTimeout.
 func requireUpdates(t *testing.T, f *Fleet, at []*Gateway, maxDelay time.Duration) {
 	t.Helper()
@@ -92,5 +92,5 @@
 	remaining := f.RemoveRunner()
 	_, err = Await(at, testTimeout, func(g *Gateway) bool { return g.Runners() == remaining })
 	require.NoError(t, err, "the list of runners")
-	t.Logf("in force at %d gateways after %s", len(at), elapsed)
+	t.Logf("applied by %d gateways after %s", len(at), elapsed)
 }
--- a/lab/pkg/newsfleet/steady_state_test.go
+++ b/lab/pkg/newsfleet/steady_state_test.go
@@ -11,7 +11,7 @@
 // and twice the changes saturated the leader's processor without any failure. The leader must
 // serve only one gateway per data centre, regardless of their number.
 func TestLeaderServesOneGatewayPerDataCentre(t *testing.T) {
-	f := startSettledFleet(t)
+	f := startSyncedFleet(t)
 	before := f.SubscribeCalls()
 	const interval = 2 * time.Second
 	time.Sleep(interval)
@@ -27,6 +27,6 @@
 
 // Acknowledged changes reach all gateways through both levels of the tree within 200 ms.
 func TestUpdatesReachAllGateways(t *testing.T) {
-	f := startSettledFleet(t)
+	f := startSyncedFleet(t)
 	requireUpdates(t, f, f.Gateways, 200*time.Millisecond)
 }
--- a/lab/pkg/regress/plan.go
+++ b/lab/pkg/regress/plan.go
@@ -17,7 +17,7 @@
 	Deployments []Deployment
 	// FirstSeed is the seed of each day's first pair.
 	FirstSeed int
-	// MaxDrop is how far a deployment may fall on the mean, in worth.
+	// MaxDrop is the largest allowed decrease of a deployment's mean worth.
 	MaxDrop float64
 }
 
--- a/lab/pkg/regress/runner.go
+++ b/lab/pkg/regress/runner.go
@@ -35,7 +35,7 @@
 	Err           error
 }
 
-var errNoResult = errors.New("the bench printed no worth")
+var errNoResult = errors.New("no worth in the output of the bench")
 
 var (
 	worthLine = regexp.MustCompile(`(?m)^worth ([\d.-]+) = whole day ([\d.]+)`)
--- a/lab/pkg/relay/relay.go
+++ b/lab/pkg/relay/relay.go
@@ -135,7 +135,7 @@
 	r.goroutines.Wait()
 }
 
-// faultsFor returns the faults in force for a link and a channel that is closed when faults
+// faultsFor returns the current faults of a link and a channel that is closed when faults
 // change.
 func (r *Relay) faultsFor(l *link) (Faults, chan struct{}) {
 	r.mu.Lock()
--- a/lab/pkg/replay/config.go
+++ b/lab/pkg/replay/config.go
@@ -100,8 +100,8 @@
 	Pauses    int
 }
 
-// lateAnswerWorth is the value of a late answer relative to one in time, as the users' sheets
-// give it.
+// lateAnswerWorth is the value of a late answer relative to one in time, as stated in
+// the users' requirements.
 const lateAnswerWorth = 0.15
 
 // MeanWorth returns the mean worth over all requests.
@@ -157,7 +157,7 @@
 	return times
 }
 
-// Bursts returns the load on the users' sheets: bursts of 2.8 s with 1.84 times the
+// Bursts returns the load of the users' deployments: bursts of 2.8 s with 1.84 times the
 // mean rate every 6.6 s, and 0.377 times the mean rate in between.
 func Bursts(mean float64, until clock.Millis) []Step {
 	var steps []Step
--- a/lab/pkg/replay/decisions.go
+++ b/lab/pkg/replay/decisions.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// jobItems is the number of items in a job on the users' sheets.
+	// jobItems is the number of items in a job of the users' deployments.
 	jobItems = 10
-	// lengthSpread is the sigma of the log-normal distribution of item lengths on these sheets.
+	// lengthSpread is the sigma of the log-normal distribution of item lengths in these deployments.
 	lengthSpread = 0.4
 )
 
@@ -210,7 +210,7 @@
 }
 
 // MixedItems draws items like SteadyItems, but in jobs of ten and with differing running times,
-// between a third and twice the given one, like the lengths on the users' sheets.
+// between a third and twice the given one, like the lengths in the users' deployments.
 func MixedItems(seed uint64, until clock.Millis, rate float64, run, timeLimit clock.Millis) []Item {
 	random := rand.New(rand.NewPCG(seed, 3))
 	var items []Item
--- a/lab/pkg/replay/replay_test.go
+++ b/lab/pkg/replay/replay_test.go
@@ -8,7 +8,7 @@
 	"toucanhinge.example/common/pkg/clock"
 )
 
-// smallFleet is the smaller deployment on the users' sheets: 12 runners with 8 slots,
+// smallFleet is the smaller of the users' deployments: 12 runners with 8 slots,
 // 8 gateways, 56 requests per second that hold a slot for 0.83 s, items of 5.7 s.
 func smallFleet(seed uint64) Config {
 	const until = 33_000
