--- a/lab/pkg/bench/yield.go
+++ b/lab/pkg/bench/yield.go
@@ -36,7 +36,7 @@
 	batch := caller.New(caller.Config{URL: f.Gateways[0].URL(), Key: fleet.OtherTeamKey})
 	for run := range b.Config.Runs {
 		name := fmt.Sprintf("yield%d", run)
-		alone := runLoneCalls(ctx, f, name+"a")
+		alone := runSingleCalls(ctx, f, name+"a")
 		job, err := uploadBackgroundJob(ctx, batch, name)
 		if err != nil {
 			return err
@@ -47,7 +47,7 @@
 			return err
 		}
 		start := time.Now()
-		full := runLoneCalls(ctx, f, name+"f")
+		full := runSingleCalls(ctx, f, name+"f")
 		after, err := f.EngineTotals(ctx, f.Engines[0])
 		if err != nil {
 			return err
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// runLoneCalls sends single calls at an interval that shares no period with the steps.
-func runLoneCalls(ctx context.Context, f *fleet.Fleet, name string) *load.Report {
+// runSingleCalls sends single calls at an interval that shares no period with the steps.
+func runSingleCalls(ctx context.Context, f *fleet.Fleet, name string) *load.Report {
 	mix := load.Mix{Model: fleet.Model, UniqueBytes: 60, MinTokens: yieldTokens, Name: name}
 	schedule := make([]time.Duration, yieldCalls)
 	for i := range schedule {
--- a/lab/pkg/fleet/observe.go
+++ b/lab/pkg/fleet/observe.go
@@ -134,7 +134,7 @@
 	}
 	response, err := f.http.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("get: %w", err)
+		return nil, fmt.Errorf("send request: %w", err)
 	}
 	if response.StatusCode != http.StatusOK {
 		_ = response.Body.Close()
--- a/lab/pkg/replay/decisions.go
+++ b/lab/pkg/replay/decisions.go
@@ -78,7 +78,7 @@
 	slices.SortFunc(s.retries, func(a, b *request) int { return cmp.Compare(a.arrived, b.arrived) })
 }
 
-func (s *simulation) routeDueRetries() {
+func (s *simulation) routeRetries() {
 	for len(s.retries) > 0 && s.retries[0].arrived <= s.now {
 		r := s.retries[0]
 		s.retries = s.retries[1:]
@@ -88,7 +88,7 @@
 
 func (s *simulation) selectRunner(r *request) (placement.Choice, admission.Request) {
 	g := s.gateways[r.gateway]
-	choice, _ := g.place.Select(s.now, placement.Request{
+	choice, _ := g.placer.Select(s.now, placement.Request{
 		Service: service, TieBreak: s.random.Float64(), Draw: s.random.Float64(), Age: s.config.DigestDelay + publishInterval,
 	}, s.loadView(g))
 	return choice, admission.Request{
--- a/lab/pkg/replay/replay_test.go
+++ b/lab/pkg/replay/replay_test.go
@@ -111,9 +111,9 @@
 // arrival.
 func TestDispatchByUrgencyBeatsFIFO(t *testing.T) {
 	t.Parallel()
-	flood := func(firstCome bool) func(*Config) {
+	overload := func(fifo bool) func(*Config) {
 		return func(c *Config) {
-			c.FIFO = firstCome
+			c.FIFO = fifo
 			c.Arrivals = c.Arrivals[:1]
 			for i := range 400 {
 				deadline := clock.Millis(30_000)
@@ -125,9 +125,9 @@
 		}
 	}
 	inTime := func(r Result) float64 { return float64(r.ItemsInTime) }
-	urgent, first := mean(flood(false), inTime), mean(flood(true), inTime)
-	t.Logf("items in time: %.0f by urgency, %.0f first come", urgent, first)
-	require.Greater(t, urgent, 1.1*first)
+	urgent, fifo := mean(overload(false), inTime), mean(overload(true), inTime)
+	t.Logf("items in time: %.0f by urgency, %.0f in the order of arrival", urgent, fifo)
+	require.Greater(t, urgent, 1.1*fifo)
 }
 
 // coreLossInBurst adds items and a failure of the core at the start of a burst.
--- a/lab/pkg/replay/simulation.go
+++ b/lab/pkg/replay/simulation.go
@@ -31,7 +31,7 @@
 	retried      bool
 	// retryCount is the number of retries so far.
 	retryCount int
-	// hitOutage reports that the first attempt fell into an outage: the answer is late in any case.
+	// hitOutage reports that the first attempt came during an outage, so the answer counts as late.
 	hitOutage bool
 	gateway   int
 }
@@ -54,7 +54,7 @@
 // gateway is a simulated gateway with its own view of the load.
 type gateway struct {
 	table     *occupancy.Table
-	place     *placement.Machine
+	placer    *placement.Machine
 	waitQueue []*request
 	// overloads tracks the overload periods seen by this gateway.
 	overloads admission.OverloadTracker
@@ -117,7 +117,7 @@
 			s.addItem(uint32(len(config.Items)-len(items)), items[0])
 			items = items[1:]
 		}
-		s.routeDueRetries()
+		s.routeRetries()
 		if s.now%queueCheckInterval == 0 {
 			s.processWaitQueues()
 		}
@@ -163,10 +163,10 @@
 		s.states[id] = &runnerState{}
 	}
 	for range config.Gateways {
-		g := &gateway{table: occupancy.New(), place: placement.New(placement.Config{})}
-		g.place.SetRunners(s.runners)
+		g := &gateway{table: occupancy.New(), placer: placement.New(placement.Config{})}
+		g.placer.SetRunners(s.runners)
 		for range 100 {
-			g.place.RecordHold(service, config.Hold)
+			g.placer.RecordHold(service, config.Hold)
 		}
 		s.gateways = append(s.gateways, g)
 	}
