--- a/lab/pkg/fleet/fleet.go
+++ b/lab/pkg/fleet/fleet.go
@@ -206,7 +206,7 @@
 	defer stop()
 	for !f.versionApplied(ctx, version) {
 		if ctx.Err() != nil {
-			return fmt.Errorf("configuration %d: %w", version, ErrNotReady)
+			return fmt.Errorf("wait for configuration version %d: %w", version, ErrNotReady)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/lab/pkg/fleet/node.go
+++ b/lab/pkg/fleet/node.go
@@ -64,7 +64,7 @@
 func (n *Node) Start() error {
 	program, err := process.Start(n.config)
 	if err != nil {
-		return fmt.Errorf("node %s: %w", n.Name, err)
+		return fmt.Errorf("start node %s: %w", n.Name, err)
 	}
 	n.mu.Lock()
 	n.program = program
--- a/lab/pkg/fleet/observe.go
+++ b/lab/pkg/fleet/observe.go
@@ -105,7 +105,7 @@
 		}
 		value, err := strconv.ParseFloat(rest[strings.LastIndexByte(rest, ' ')+1:], 64)
 		if err != nil {
-			return 0, fmt.Errorf("metric %s: %w", name, err)
+			return 0, fmt.Errorf("parse metric %s: %w", name, err)
 		}
 		total += value
 	}
--- a/lab/pkg/newsfleet/gateway.go
+++ b/lab/pkg/newsfleet/gateway.go
@@ -69,14 +69,14 @@
 	mux := http.NewServeMux()
 	server, err := web.Listen("127.0.0.1:0", mux)
 	if err != nil {
-		return fmt.Errorf("serve: %w", err)
+		return fmt.Errorf("listen for calls to the gateway: %w", err)
 	}
 	listen := g.address
 	if listen == "" {
 		listen = "127.0.0.1:0"
 	}
 	if g.link, err = relay.New(relay.Config{Listen: listen, Target: server.Address()}); err != nil {
-		return fmt.Errorf("link: %w", err)
+		return fmt.Errorf("start relay to the gateway: %w", err)
 	}
 	g.address, g.server, g.registry = g.link.Address(), server, prometheus.NewRegistry()
 	g.table.Store(nil)
--- a/lab/pkg/newsfleet/vm.go
+++ b/lab/pkg/newsfleet/vm.go
@@ -54,7 +54,7 @@
 		Version: func() uint64 { return 0 },
 	})
 	if err != nil {
-		return fmt.Errorf("exchange: %w", err)
+		return fmt.Errorf("start digest exchange: %w", err)
 	}
 	v.registry = prometheus.NewRegistry()
 	v.core, err = core.Open(core.Config{
@@ -66,13 +66,13 @@
 		Fatal: func(error) {},
 	})
 	if err != nil {
-		return fmt.Errorf("core: %w", err)
+		return fmt.Errorf("open core: %w", err)
 	}
 	mux := http.NewServeMux()
 	mux.Handle(toucanhingev1connect.NewReplicaServiceHandler(v.core.ReplicaServer()))
 	mux.Handle(toucanhingev1connect.NewCoreServiceHandler(v.core))
 	if v.server, err = web.Listen(v.address, mux); err != nil {
-		return fmt.Errorf("serve: %w", err)
+		return fmt.Errorf("listen for internal calls: %w", err)
 	}
 	go func() { _ = v.server.Serve() }()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/lab/pkg/regress/runner.go
+++ b/lab/pkg/regress/runner.go
@@ -125,10 +125,10 @@
 	both.Go(func() { result.After, after = r.runBench(ctx, r.After, pair, "after") })
 	both.Wait()
 	if before != nil {
-		result.Err = fmt.Errorf("before: %w", before)
+		result.Err = fmt.Errorf("run the version before: %w", before)
 	}
 	if after != nil {
-		result.Err = fmt.Errorf("after: %w", after)
+		result.Err = fmt.Errorf("run the version after: %w", after)
 	}
 	return result
 }
--- a/lab/pkg/relay/relay.go
+++ b/lab/pkg/relay/relay.go
@@ -68,7 +68,7 @@
 func New(config Config) (*Relay, error) {
 	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+		return nil, fmt.Errorf("listen for relayed connections: %w", err)
 	}
 	r := &Relay{
 		config: config, listener: listener, changed: make(chan struct{}),
