--- a/common/pkg/logs/logs.go
+++ b/common/pkg/logs/logs.go
@@ -27,7 +27,7 @@
 // their lines.
 const (
 	EventRequestEnded     = "request-ended"
-	EventRequestElsewhere = "request-goes-elsewhere"
+	EventRequestRetried = "request-goes-elsewhere"
 	EventRunnerCrashed    = "runner-crashed"
 	EventItemPaused       = "item-paused"
 	EventItemEnded        = "item-call-ended"
--- a/control/pkg/app/components.go
+++ b/control/pkg/app/components.go
@@ -72,11 +72,11 @@
 ) http.Handler {
 	refuser := group.Refuser{Refused: set.Refused}
 	jobs := entry.New(entry.Config{
-		Groups: gs.jobs, GroupCount: settings.Groups, Fleet: gs.fleet, Book: book, Refuser: refuser,
+		Groups: gs.jobs, GroupCount: settings.Groups, Fleet: gs.fleet, Log: book, Refuser: refuser,
 		MaxItems: settings.Jobs.MaxItems, ItemBytes: settings.Jobs.ItemBytes,
 	})
 	items := work.New(work.Config{
-		Groups: gs.jobs, Fleet: gs.fleet, Leases: c.leases, Clock: now, Book: book, Refuser: refuser,
+		Groups: gs.jobs, Fleet: gs.fleet, Leases: c.leases, Clock: now, Log: book, Refuser: refuser,
 		Lease: clock.Millis(settings.Jobs.LeaseMS), ResultBytes: settings.Jobs.ResultBytes,
 	})
 	members := fleet.New(fleet.Config{
--- a/control/pkg/batchrun/driver.go
+++ b/control/pkg/batchrun/driver.go
@@ -289,7 +289,7 @@
 }
 
 func (d *Driver) execute(ctx context.Context, actions dispatch.Actions) {
-	for _, key := range actions.GiveUp {
+	for _, key := range actions.Expired {
 		if r := d.runs[key]; r != nil {
 			r.halt()
 		}
--- a/control/pkg/consensus/actions.go
+++ b/control/pkg/consensus/actions.go
@@ -35,8 +35,8 @@
 	// ReasonChangePending means that an earlier change isn't committed, or that the
 	// leader hasn't committed an entry of its own term yet.
 	ReasonChangePending Reason = "change_pending"
-	// ReasonLearnerBehind means that the learner lacks committed entries.
-	ReasonLearnerBehind Reason = "learner_behind"
+	// ReasonLearnerLagging means that the learner lacks committed entries.
+	ReasonLearnerLagging Reason = "learner_behind"
 	// ReasonMemberExists means that the name is already in use.
 	ReasonMemberExists Reason = "member_exists"
 	// ReasonMemberUnknown means that no such member, or no such learner, exists.
--- a/control/pkg/consensus/change.go
+++ b/control/pkg/consensus/change.go
@@ -48,7 +48,7 @@
 		// A learner that lacks entries would count towards a majority as a voter. The
 		// loss of one more replica could then lose these entries.
 		if m.leaderState.progress[found.Name].match < m.commit {
-			return nil, ReasonLearnerBehind
+			return nil, ReasonLearnerLagging
 		}
 		found.Voter = true
 		return append(rest, found), ""
--- a/control/pkg/consensus/machine_test.go
+++ b/control/pkg/consensus/machine_test.go
@@ -256,7 +256,7 @@
 				s.step(s.leader(), ChangeMembers{ID: s.id(), Kind: AddLearner, Member: Member{Name: "n9", Identity: "n9-disk0"}})
 				s.network = withoutPacketsTo(s.network, "n9")
 				s.deliverAll()
-			}, reason: ReasonLearnerBehind,
+			}, reason: ReasonLearnerLagging,
 		},
 	}
 	for _, sc := range scenarios {
--- a/control/pkg/core/cluster_test.go
+++ b/control/pkg/core/cluster_test.go
@@ -86,7 +86,7 @@
 	})
 	require.NoError(v.t, err)
 	v.core, err = Open(Config{
-		Name: v.name, Address: v.address, DataCentre: "here", Folder: v.folder, FoundingMembers: v.foundingMembers, Losses: 1,
+		Name: v.name, Address: v.address, DataCentre: "here", Folder: v.folder, FoundingMembers: v.foundingMembers, ToleratedLosses: 1,
 		Clock: clock.System(), Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry(), Exchange: exchange,
 		Quota: quota.NewCounter(quota.Config{}), Boot: clock.Boot(),
 		Runners: runner.Client{Open: func(context.Context, runner.Call) (*runner.Answer, error) { return nil, errNoRunners }},
--- a/control/pkg/core/core.go
+++ b/control/pkg/core/core.go
@@ -64,8 +64,8 @@
 	// FoundingMembers are the addresses of the VMs that form the group when the system
 	// starts for the first time; empty at every other start.
 	FoundingMembers []string
-	// Losses is the number of VMs whose simultaneous loss the group tolerates.
-	Losses int
+	// ToleratedLosses is the number of VMs whose simultaneous loss the group tolerates.
+	ToleratedLosses int
 	// DrainNoticeLimit is how long requests may still be sent to a runner after the directory
 	// shows that it is leaving; 0 if unknown.
 	DrainNoticeLimit clock.Millis
--- a/control/pkg/core/leader.go
+++ b/control/pkg/core/leader.go
@@ -106,7 +106,7 @@
 
 func (c *Core) repairOnce(ctx context.Context, leaderSince clock.Millis) {
 	c.registerVMs(ctx)
-	planner := repair.Config{Self: c.config.Address, ToleratedLosses: c.config.Losses, UnresponsiveAfter: unresponsiveAfter}
+	planner := repair.Config{Self: c.config.Address, ToleratedLosses: c.config.ToleratedLosses, UnresponsiveAfter: unresponsiveAfter}
 	members := c.members()
 	step := planner.Next(c.config.Clock.Now(), members, c.vms(leaderSince, members))
 	if step.Kind == repair.NoStep {
--- a/control/pkg/core/operator.go
+++ b/control/pkg/core/operator.go
@@ -65,7 +65,7 @@
 		return nil
 	}
 	now := c.config.Clock.Now()
-	planner := repair.Config{Self: c.config.Address, ToleratedLosses: c.config.Losses, UnresponsiveAfter: unresponsiveAfter}
+	planner := repair.Config{Self: c.config.Address, ToleratedLosses: c.config.ToleratedLosses, UnresponsiveAfter: unresponsiveAfter}
 	if !planner.MayRetire(now, vm.Address, c.vms(now, c.members())) {
 		return ErrTooFewVMs
 	}
--- a/control/pkg/dispatch/machine.go
+++ b/control/pkg/dispatch/machine.go
@@ -77,8 +77,8 @@
 	Start []Start
 	// Pause lists the items whose calls have to be stopped, to be resumed later.
 	Pause []Key
-	// GiveUp lists the items that have expired.
-	GiveUp []Key
+	// Expired lists the items that have expired.
+	Expired []Key
 }
 
 // item is an item that waits or runs.
@@ -292,7 +292,7 @@
 			m.nextExpiry = min(m.nextExpiry, i.Expires)
 			continue
 		}
-		actions.GiveUp = append(actions.GiveUp, key)
+		actions.Expired = append(actions.Expired, key)
 		m.remove(i)
 	}
 }
--- a/control/pkg/dispatch/machine_test.go
+++ b/control/pkg/dispatch/machine_test.go
@@ -151,8 +151,8 @@
 	m := New()
 	m.Add(Item{Key: Key{Job: "j"}, Deadline: 10, Expires: 1_000})
 	m.Step(0, testEnvironment(nil, testRunner("a", 1)))
-	require.Empty(t, m.Step(999, testEnvironment(nil, testRunner("a", 1))).GiveUp)
-	require.Equal(t, []Key{{Job: "j"}}, m.Step(1_000, testEnvironment(nil, testRunner("a", 1))).GiveUp)
+	require.Empty(t, m.Step(999, testEnvironment(nil, testRunner("a", 1))).Expired)
+	require.Equal(t, []Key{{Job: "j"}}, m.Step(1_000, testEnvironment(nil, testRunner("a", 1))).Expired)
 	require.False(t, m.Has(Key{Job: "j"}))
 }
 
@@ -191,7 +191,7 @@
 				require.False(t, s.Runner.GetLeaving())
 				at[s.Key] = s.Runner.GetId()
 			}
-			for _, key := range actions.GiveUp {
+			for _, key := range actions.Expired {
 				delete(at, key)
 				delete(unfinished, key)
 			}
--- a/control/pkg/entry/handler.go
+++ b/control/pkg/entry/handler.go
@@ -46,7 +46,7 @@
 	// GroupCount is the number of consensus groups, including the configuration group.
 	GroupCount uint32
 	Fleet      *group.Fleet
-	Book       *record.Log
+	Log       *record.Log
 	Refuser    group.Refuser
 	// MaxItems is the maximum number of items of a job, ItemBytes the maximum size of
 	// each item's body.
@@ -165,13 +165,13 @@
 		return nil, err
 	}
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: request.Msg}}
-	answer, err := group.Do[jobstate.CancelAnswer](ctx, g.Steps, step, stepOverheadBytes)
+	answer, err := group.Do[jobstate.CancelResult](ctx, g.Steps, step, stepOverheadBytes)
 	if err != nil {
 		return nil, h.config.Refuser.Refuse(callCancel, err)
 	}
 	if errors.Is(answer.Err, jobstate.ErrNoJob) {
 		return nil, h.noJobError(callCancel, request.Msg.GetId(), answer.Err)
 	}
-	h.config.Book.Add(request.Msg.GetId(), "cancelled", answer.Status.GetState().String())
+	h.config.Log.Add(request.Msg.GetId(), "cancelled", answer.Status.GetState().String())
 	return connect.NewResponse(&toucanhingev1.CancelJobResponse{Job: answer.Status}), nil
 }
--- a/control/pkg/entry/upload.go
+++ b/control/pkg/entry/upload.go
@@ -217,7 +217,7 @@
 func (u *uploadSession) propose(step *toucanhingev1.JobStep, size int) error {
 	var err error
 	for range stageAttempts {
-		_, err = group.Do[jobstate.StageAnswer](u.ctx, u.group.Steps, step, size)
+		_, err = group.Do[jobstate.StageResult](u.ctx, u.group.Steps, step, size)
 		if err == nil || !errors.Is(err, replica.ErrUnknown) {
 			return err
 		}
@@ -263,14 +263,14 @@
 		Upload: u.upload, Id: u.id, Header: u.header, Count: count, Digest: u.digest.Sum(nil),
 		Attempts: u.permission.service.GetItemAttempts(), Weight: u.permission.weight,
 	}}}
-	answer, err := group.Do[jobstate.AcceptAnswer](u.ctx, u.group.Steps, step, stepOverheadBytes)
+	answer, err := group.Do[jobstate.AcceptResult](u.ctx, u.group.Steps, step, stepOverheadBytes)
 	if err != nil {
 		return nil, u.handler.config.Refuser.Refuse(callUpload, err)
 	}
 	return u.response(answer)
 }
 
-func (u *uploadSession) response(answer jobstate.AcceptAnswer) (*connect.Response[toucanhingev1.UploadResponse], error) {
+func (u *uploadSession) response(answer jobstate.AcceptResult) (*connect.Response[toucanhingev1.UploadResponse], error) {
 	refuser := u.handler.config.Refuser
 	switch {
 	case errors.Is(answer.Err, jobstate.ErrConflict):
@@ -282,7 +282,7 @@
 	if answer.Resend {
 		event = "resent"
 	}
-	u.handler.config.Book.Add(u.id, event, fmt.Sprintf("%d items, gateway %s", u.count, u.header.GetGateway()))
+	u.handler.config.Log.Add(u.id, event, fmt.Sprintf("%d items, gateway %s", u.count, u.header.GetGateway()))
 	return connect.NewResponse(&toucanhingev1.UploadResponse{Job: answer.Status, Resend: answer.Resend}), nil
 }
 
--- a/control/pkg/jobstate/bench_test.go
+++ b/control/pkg/jobstate/bench_test.go
@@ -44,7 +44,7 @@
 		for len(leased) < benchJob {
 			answer := apply(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
 				Request: &toucanhingev1.LeaseRequest{Sidecar: fmt.Sprint(len(leased) % 600), Service: testService, Most: benchBatch},
-			}}}).(LeaseAnswer)
+			}}}).(LeaseResult)
 			leased = append(leased, answer.Items...)
 		}
 		perItem("lease", start)
@@ -83,7 +83,7 @@
 	}
 	answer := apply(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Accept{Accept: &toucanhingev1.AcceptStep{
 		Upload: "u", Id: "j1-a", Count: benchJob, Header: &toucanhingev1.UploadHeader{Team: "agence", Service: testService},
-	}}}).(AcceptAnswer)
+	}}}).(AcceptResult)
 	require.NoError(b, answer.Err)
 }
 
@@ -95,7 +95,7 @@
 				Job: l.Job, Index: uint64(l.Index), Lease: l.Lease, Outcome: toucanhingev1.Outcome_OUTCOME_DONE, Body: make([]byte, benchBody),
 			})
 		}
-		answer := apply(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: request}}).(CompleteAnswer)
+		answer := apply(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: request}}).(CompleteResult)
 		require.Equal(b, toucanhingev1.Verdict_VERDICT_ACCEPTED, answer.Verdicts[0])
 	}
 }
--- a/control/pkg/jobstate/complete.go
+++ b/control/pkg/jobstate/complete.go
@@ -9,13 +9,13 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// CompleteAnswer holds one verdict per completion, in request order.
-type CompleteAnswer struct {
+// CompleteResult holds one verdict per completion, in request order.
+type CompleteResult struct {
 	Verdicts []toucanhingev1.Verdict
 }
 
 func (s *State) complete(request *toucanhingev1.CompleteRequest) any {
-	answer := CompleteAnswer{Verdicts: make([]toucanhingev1.Verdict, 0, len(request.GetCompletions()))}
+	answer := CompleteResult{Verdicts: make([]toucanhingev1.Verdict, 0, len(request.GetCompletions()))}
 	for _, c := range request.GetCompletions() {
 		verdict := s.completeItem(c)
 		s.countVerdict(verdict)
--- a/control/pkg/jobstate/fuzz_test.go
+++ b/control/pkg/jobstate/fuzz_test.go
@@ -66,7 +66,7 @@
 }
 
 func openMachine(t require.TestingT, folder string, manifest []byte) *Machine {
-	m := NewMachine(MachineConfig{Folder: folder, Roll: 2_000, Fatal: func(err error) { require.NoError(t, err) }})
+	m := NewMachine(MachineConfig{Folder: folder, MaxFileBytes: 2_000, Fatal: func(err error) { require.NoError(t, err) }})
 	require.NoError(t, m.Load(manifest))
 	return m
 }
@@ -108,7 +108,7 @@
 	answer := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Accept{Accept: &toucanhingev1.AcceptStep{
 		Upload: upload, Id: id, Count: count, Digest: []byte(content), Attempts: 2,
 		Header: &toucanhingev1.UploadHeader{Team: team, Key: id, Service: testService, DeadlineMs: m.now + int64(len(id))},
-	}}}).(AcceptAnswer)
+	}}}).(AcceptResult)
 	known := m.jobs[id]
 	switch {
 	case known != nil && known.content != content:
@@ -150,7 +150,7 @@
 			Sidecar: sidecar, Incarnation: 1, Service: testService, Most: uint32(rapid.IntRange(1, 5).Draw(t, "most")),
 		},
 		Excluded: excluded,
-	}}}).(LeaseAnswer)
+	}}}).(LeaseResult)
 	known := m.highestLease
 	for _, l := range answer.Items {
 		j := m.jobs[l.Job]
@@ -193,7 +193,7 @@
 		Completions: []*toucanhingev1.Completion{{
 			Job: li.job, Index: li.index, Lease: li.lease, Outcome: outcome, Body: []byte(body), Reason: "a reason",
 		}},
-	}}}).(CompleteAnswer)
+	}}}).(CompleteResult)
 	require.Equal(t, []toucanhingev1.Verdict{want}, answer.Verdicts)
 	if want != toucanhingev1.Verdict_VERDICT_ACCEPTED {
 		return
@@ -289,7 +289,7 @@
 	if rapid.IntRange(0, 3).Draw(t, "really") != 0 {
 		t.Skip("jobs are cancelled rarely, so that some make progress")
 	}
-	answer := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: &toucanhingev1.CancelJobRequest{Id: id}}}).(CancelAnswer)
+	answer := m.step(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Cancel{Cancel: &toucanhingev1.CancelJobRequest{Id: id}}}).(CancelResult)
 	j := m.jobs[id]
 	if j == nil {
 		require.ErrorIs(t, answer.Err, ErrNoJob)
--- a/control/pkg/jobstate/lease.go
+++ b/control/pkg/jobstate/lease.go
@@ -21,15 +21,15 @@
 	Alone    bool
 }
 
-// LeaseAnswer holds the items leased to a sidecar.
-type LeaseAnswer struct {
+// LeaseResult holds the items leased to a sidecar.
+type LeaseResult struct {
 	Items []Leased
 	// Waiting reports that items wait, but that this sidecar can't have them now.
 	Waiting bool
 }
 
-// ExpireAnswer holds the number of leases that the step ended.
-type ExpireAnswer struct {
+// ExpireResult holds the number of leases that the step ended.
+type ExpireResult struct {
 	Ended int
 }
 
@@ -38,15 +38,15 @@
 	request := step.GetRequest()
 	v := s.services[request.GetService()]
 	if v == nil {
-		return LeaseAnswer{}
+		return LeaseResult{}
 	}
 	switch s.chooseGrant(v, request.GetSidecar(), step.GetExcluded()) {
 	case grantNothing:
-		return LeaseAnswer{Waiting: true}
+		return LeaseResult{Waiting: true}
 	case grantAlone:
-		return LeaseAnswer{Items: s.leaseSuspect(v, request, step.GetExcluded())}
+		return LeaseResult{Items: s.leaseSuspect(v, request, step.GetExcluded())}
 	default:
-		return LeaseAnswer{Items: s.leaseShared(v, request, step.GetExcluded())}
+		return LeaseResult{Items: s.leaseShared(v, request, step.GetExcluded())}
 	}
 }
 
@@ -155,7 +155,7 @@
 		s.counts.LeasesLost++
 		s.dropLease(l, step.GetCause())
 	}
-	return ExpireAnswer{Ended: ended}
+	return ExpireResult{Ended: ended}
 }
 
 func (s *State) dropLease(l *lease, cause toucanhingev1.ExpiryCause) {
--- a/control/pkg/jobstate/machine.go
+++ b/control/pkg/jobstate/machine.go
@@ -25,8 +25,8 @@
 	// Fatal is called when a write to a segment fails. The state in memory then
 	// stays ahead of the disk, so the process has to stop.
 	Fatal func(error)
-	// Roll is the length at which a new segment file is started; 0 means the default.
-	Roll int64
+	// MaxFileBytes is the length at which a new segment file is started; 0 means the default.
+	MaxFileBytes int64
 }
 
 // Machine combines the state of a consensus group with its segments and a lock.
@@ -155,8 +155,8 @@
 
 func (m *Machine) newStores(folder string) (items, results *segment.Store) {
 	path := filepath.Join(m.config.Folder, folder)
-	return segment.New(segment.Config{Folder: path, Name: itemsName, MaxFileBytes: m.config.Roll}),
-		segment.New(segment.Config{Folder: path, Name: resultsName, MaxFileBytes: m.config.Roll})
+	return segment.New(segment.Config{Folder: path, Name: itemsName, MaxFileBytes: m.config.MaxFileBytes}),
+		segment.New(segment.Config{Folder: path, Name: resultsName, MaxFileBytes: m.config.MaxFileBytes})
 }
 
 func (m *Machine) closeStores() {
--- a/control/pkg/jobstate/poison_test.go
+++ b/control/pkg/jobstate/poison_test.go
@@ -49,13 +49,13 @@
 func leaseFor(s *State, sidecar string, limit int) []Leased {
 	return s.Step(s.now, &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
 		Request: &toucanhingev1.LeaseRequest{Sidecar: sidecar, Service: testService, Most: uint32(limit)},
-	}}}).(LeaseAnswer).Items
+	}}}).(LeaseResult).Items
 }
 
 func reportOutcome(s *State, l Leased, outcome toucanhingev1.Outcome, reason string) toucanhingev1.Verdict {
 	return s.Step(s.now, &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: &toucanhingev1.CompleteRequest{
 		Completions: []*toucanhingev1.Completion{{Job: l.Job, Index: uint64(l.Index), Lease: l.Lease, Outcome: outcome, Reason: reason}},
-	}}}).(CompleteAnswer).Verdicts[0]
+	}}}).(CompleteResult).Verdicts[0]
 }
 
 func expireLeases(s *State, leases ...uint64) {
--- a/control/pkg/jobstate/sweep.go
+++ b/control/pkg/jobstate/sweep.go
@@ -8,14 +8,14 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// SweepAnswer holds the numbers of dropped uploads and jobs.
-type SweepAnswer struct {
+// SweepResult holds the numbers of dropped uploads and jobs.
+type SweepResult struct {
 	Uploads, Jobs int
 }
 
 // sweep drops abandoned uploads and jobs that ended before the retention time.
 func (s *State) sweep(step *toucanhingev1.JobSweepStep) any {
-	var answer SweepAnswer
+	var answer SweepResult
 	for _, id := range sortedKeys(s.uploads) {
 		if s.uploads[id].lastChunk < clock.Millis(step.GetUploadsBeforeMs()) {
 			s.dropUpload(id)
--- a/control/pkg/jobstate/upload.go
+++ b/control/pkg/jobstate/upload.go
@@ -21,18 +21,18 @@
 	ErrNoJob = errors.New("no such job")
 )
 
-// StageAnswer confirms that a chunk is stored.
-type StageAnswer struct{}
+// StageResult confirms that a chunk is stored.
+type StageResult struct{}
 
-// AcceptAnswer holds a job's state after its accept step.
-type AcceptAnswer struct {
+// AcceptResult holds a job's state after its accept step.
+type AcceptResult struct {
 	Status *toucanhingev1.JobStatus
 	Resend bool
 	Err    error
 }
 
-// CancelAnswer holds a job's state after its cancellation.
-type CancelAnswer struct {
+// CancelResult holds a job's state after its cancellation.
+type CancelResult struct {
 	Status *toucanhingev1.JobStatus
 	Err    error
 }
@@ -47,14 +47,14 @@
 	}
 	u.lastChunk = s.now
 	if _, known := u.chunks[step.GetFirst()]; known {
-		return StageAnswer{}
+		return StageResult{}
 	}
 	refs := make([]segment.Ref, 0, len(step.GetItems()))
 	for _, payload := range step.GetItems() {
 		refs = append(refs, s.config.AppendItem(payload))
 	}
 	u.chunks[step.GetFirst()] = refs
-	return StageAnswer{}
+	return StageResult{}
 }
 
 // accept creates a job from an upload. A key names one job for as long as the job
@@ -65,18 +65,18 @@
 		s.dropUpload(step.GetUpload())
 		if !bytes.Equal(j.digest, step.GetDigest()) {
 			s.counts.Conflicting++
-			return AcceptAnswer{Status: j.status(), Err: ErrConflict}
+			return AcceptResult{Status: j.status(), Err: ErrConflict}
 		}
 		s.counts.Resent++
-		return AcceptAnswer{Status: j.status(), Resend: true}
+		return AcceptResult{Status: j.status(), Resend: true}
 	}
 	u := s.uploads[step.GetUpload()]
 	if u == nil {
-		return AcceptAnswer{Err: ErrIncomplete}
+		return AcceptResult{Err: ErrIncomplete}
 	}
 	items, complete := u.assemble(step.GetCount())
 	if !complete {
-		return AcceptAnswer{Err: ErrIncomplete}
+		return AcceptResult{Err: ErrIncomplete}
 	}
 	delete(s.uploads, step.GetUpload())
 	j := &job{
@@ -88,7 +88,7 @@
 	s.counts.Accepted++
 	s.service(j.header.GetService()).team(j.header.GetTeam()).weight = max(step.GetWeight(), 1)
 	s.enqueueJob(j)
-	return AcceptAnswer{Status: j.status()}
+	return AcceptResult{Status: j.status()}
 }
 
 func attemptLimit(requested uint32) uint8 {
@@ -139,10 +139,10 @@
 func (s *State) cancel(request *toucanhingev1.CancelJobRequest) any {
 	j := s.jobs[request.GetId()]
 	if j == nil || (request.GetTeam() != "" && request.GetTeam() != j.header.GetTeam()) {
-		return CancelAnswer{Err: ErrNoJob}
+		return CancelResult{Err: ErrNoJob}
 	}
 	if !j.running() {
-		return CancelAnswer{Status: j.status()}
+		return CancelResult{Status: j.status()}
 	}
 	j.state = toucanhingev1.JobState_JOB_STATE_CANCELLED
 	j.ended = s.now
@@ -154,7 +154,7 @@
 		}
 	}
 	s.service(j.header.GetService()).removeSuspects(j)
-	return CancelAnswer{Status: j.status()}
+	return CancelResult{Status: j.status()}
 }
 
 func (s *State) leaseNumbers() []uint64 {
--- a/control/pkg/replica/api.go
+++ b/control/pkg/replica/api.go
@@ -107,7 +107,7 @@
 	for {
 		err := g.change(ctx, consensus.Promote, consensus.Member{Name: name})
 		var refused *RefusedError
-		if !errors.As(err, &refused) || refused.Reason != consensus.ReasonLearnerBehind {
+		if !errors.As(err, &refused) || refused.Reason != consensus.ReasonLearnerLagging {
 			return err
 		}
 		select {
--- a/control/pkg/work/handler.go
+++ b/control/pkg/work/handler.go
@@ -51,7 +51,7 @@
 	Fleet  *group.Fleet
 	Leases *LeaseTracker
 	Clock  clock.Clock
-	Book   *record.Log
+	Log   *record.Log
 	// Lease is the time after which a lease expires without a renewal.
 	Lease   clock.Millis
 	Refuser group.Refuser
@@ -106,7 +106,7 @@
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
 		Request: msg, Excluded: h.excludedTeams(msg.GetService(), msg.GetSidecar()),
 	}}}
-	answer, err := group.Do[jobstate.LeaseAnswer](ctx, g.Steps, step, stepOverheadBytes)
+	answer, err := group.Do[jobstate.LeaseResult](ctx, g.Steps, step, stepOverheadBytes)
 	if err != nil {
 		return nil, h.config.Refuser.Refuse(callLease, err)
 	}
@@ -114,7 +114,7 @@
 }
 
 func (h *Handler) leaseResponse(
-	g *group.Jobs, msg *toucanhingev1.LeaseRequest, answer jobstate.LeaseAnswer,
+	g *group.Jobs, msg *toucanhingev1.LeaseRequest, answer jobstate.LeaseResult,
 ) (*connect.Response[toucanhingev1.LeaseResponse], error) {
 	response := &toucanhingev1.LeaseResponse{LeaseMs: int64(h.config.Lease)}
 	if len(answer.Items) == 0 {
@@ -132,7 +132,7 @@
 		h.config.Leases.Granted(g.Number, l.GetLease())
 	}
 	response.Items = items
-	h.config.Book.Add(items[0].GetJob(), "leased", msg.GetSidecar())
+	h.config.Log.Add(items[0].GetJob(), "leased", msg.GetSidecar())
 	return connect.NewResponse(response), nil
 }
 
@@ -197,7 +197,7 @@
 		return nil, err
 	}
 	step := &toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Complete{Complete: request.Msg}}
-	answer, err := group.Do[jobstate.CompleteAnswer](ctx, g.Steps, step, size)
+	answer, err := group.Do[jobstate.CompleteResult](ctx, g.Steps, step, size)
 	if err != nil {
 		return nil, h.config.Refuser.Refuse(callComplete, err)
 	}
--- a/control/pkg/work/lease_tracker_test.go
+++ b/control/pkg/work/lease_tracker_test.go
@@ -75,7 +75,7 @@
 	for range items {
 		answer := tt.do(&toucanhingev1.JobStep{Step: &toucanhingev1.JobStep_Lease{Lease: &toucanhingev1.LeaseStep{
 			Request: &toucanhingev1.LeaseRequest{Sidecar: "s1", Incarnation: 5, Service: "svc", Most: 1},
-		}}}).(jobstate.LeaseAnswer)
+		}}}).(jobstate.LeaseResult)
 		leases = append(leases, answer.Items[0].Lease)
 		tt.tracker.Granted(1, answer.Items[0].Lease)
 	}
--- a/gateway/pkg/app/components.go
+++ b/gateway/pkg/app/components.go
@@ -51,7 +51,7 @@
 			Gateway: settings.Name, Limits: settings.Limits, PrefixBytes: settings.Route.PrefixBytes,
 			Clock: now, Fleet: watcher.Fleet, Ready: func() bool { return watcherStarted(watcher) },
 			Directory:   directory,
-			Runner:      newRunner(settings, now, logger, directory, decisionLog, onlineMetrics),
+			Executor:      newRunner(settings, now, logger, directory, decisionLog, onlineMetrics),
 			Legacy:      legacy.New(legacy.Config{Clock: now}),
 			Claims:      claims,
 			Jobs:        control.NewJobs(control.JobsConfig{Gateway: settings.Name, Client: client, Groups: watcher.Groups}),
@@ -95,7 +95,7 @@
 ) *online.Executor {
 	r := settings.Retry
 	return online.New(online.Config{
-		Gateway: settings.Name, Clock: now, Directory: directory, Log: decisionLog, Metrics: m, Logger: logger,
+		Gateway: settings.Name, Clock: now, Directory: directory, DecisionLog: decisionLog, Metrics: m, Logger: logger,
 		Budget: attempt.NewBudget(attempt.BudgetConfig{
 			Ratio: r.Ratio, Burst: float64(r.Burst), RefusedBurst: float64(r.RefusedBurst),
 		}),
--- a/gateway/pkg/caller/serve.go
+++ b/gateway/pkg/caller/serve.go
@@ -41,7 +41,7 @@
 		s.config.DecisionLog.Add(request.ID, "chosen", "older system at "+service.GetOlderUrl())
 		return s.config.Legacy.Forward(c.Request.Context(), service.GetOlderUrl(), request, resp.rawSink())
 	}
-	return s.config.Runner.Run(c.Request.Context(), request, resp.sink())
+	return s.config.Executor.Run(c.Request.Context(), request, resp.sink())
 }
 
 // usesLegacy reports whether the request goes to the legacy system, which gets the given percentage. The choice
--- a/gateway/pkg/caller/server.go
+++ b/gateway/pkg/caller/server.go
@@ -32,7 +32,7 @@
 	Fleet       func() *fleetconfig.Fleet
 	Ready       func() bool
 	Directory   *endpoint.Directory
-	Runner      *online.Executor
+	Executor      *online.Executor
 	Legacy      *legacy.Forwarder
 	Claims      *control.Claims
 	Jobs        *control.Jobs
--- a/gateway/pkg/forward/exchange.go
+++ b/gateway/pkg/forward/exchange.go
@@ -252,7 +252,7 @@
 func (e *exchange) recordRetry(r *toucanhingev1.Runner, reason string, err error) bool {
 	e.err = err
 	e.server.metrics.retried.WithLabelValues(reason).Inc()
-	level.Info(e.server.config.Logger).Log(logs.KeyEvent, logs.EventRequestElsewhere, logs.KeyRequest, e.request.ID,
+	level.Info(e.server.config.Logger).Log(logs.KeyEvent, logs.EventRequestRetried, logs.KeyRequest, e.request.ID,
 		"runner", r.GetId(), "reason", reason, "ran", e.runs, logs.KeyError, err)
 	return true
 }
--- a/gateway/pkg/online/exchange.go
+++ b/gateway/pkg/online/exchange.go
@@ -149,7 +149,7 @@
 }
 
 func (e *exchange) record(event, detail string) {
-	e.executor.config.Log.Add(e.request.ID, event, detail)
+	e.executor.config.DecisionLog.Add(e.request.ID, event, detail)
 }
 
 func (e *exchange) choose() attempt.Event {
--- a/gateway/pkg/online/executor.go
+++ b/gateway/pkg/online/executor.go
@@ -17,7 +17,7 @@
 	Gateway   string
 	Clock     clock.Clock
 	Directory *endpoint.Directory
-	Log       *record.Log
+	DecisionLog       *record.Log
 	Metrics   *Metrics
 	Logger    log.Logger
 	Budget    *attempt.Budget
--- a/lab/pkg/leadload/member.go
+++ b/lab/pkg/leadload/member.go
@@ -61,7 +61,7 @@
 	}
 	vm, err = core.Open(core.Config{
 		Name: m.Address, Address: m.Address, DataCentre: dataCentre(0), Folder: filepath.Join(m.Folder, m.Address),
-		FoundingMembers: m.foundingMembers(), Losses: toleratedLosses, Clock: clock.System(), Logger: log.NewJSONLogger(os.Stdout),
+		FoundingMembers: m.foundingMembers(), ToleratedLosses: toleratedLosses, Clock: clock.System(), Logger: log.NewJSONLogger(os.Stdout),
 		Registerer: prometheus.NewRegistry(), Exchange: exchange,
 		Runners:   runner.Client{Open: func(context.Context, runner.Call) (*runner.Answer, error) { return nil, errNoGateway }},
 		Directory: func(context.Context) ([]*toucanhingev1.Runner, error) { return m.Fleet.runnerList(), nil },
--- a/lab/pkg/newsfleet/vm.go
+++ b/lab/pkg/newsfleet/vm.go
@@ -58,7 +58,7 @@
 	}
 	v.registry = prometheus.NewRegistry()
 	v.core, err = core.Open(core.Config{
-		Name: v.name, Address: v.address, DataCentre: dataCentreName(0), Folder: v.folder, FoundingMembers: v.foundingMembers, Losses: 1,
+		Name: v.name, Address: v.address, DataCentre: dataCentreName(0), Folder: v.folder, FoundingMembers: v.foundingMembers, ToleratedLosses: 1,
 		Clock: clock.System(), Boot: clock.Boot(), Logger: log.NewNopLogger(), Registerer: v.registry, Exchange: x,
 		Runners:   runner.Client{Open: func(context.Context, runner.Call) (*runner.Answer, error) { return nil, errNoRunner }},
 		Directory: func(context.Context) ([]*toucanhingev1.Runner, error) { return v.runners(), nil },
--- a/sidecar/pkg/admit/foreign.go
+++ b/sidecar/pkg/admit/foreign.go
@@ -30,8 +30,8 @@
 	count int
 }
 
-// RecordOwn records the number of own requests at the engine from now on.
-func (f *ForeignEstimator) RecordOwn(now clock.Millis, count int) {
+// RecordOwnCount records the number of own requests at the engine from now on.
+func (f *ForeignEstimator) RecordOwnCount(now clock.Millis, count int) {
 	if n := len(f.ownCounts); n > 0 && f.ownCounts[n-1].count == count {
 		return
 	}
--- a/sidecar/pkg/admit/machine_test.go
+++ b/sidecar/pkg/admit/machine_test.go
@@ -239,7 +239,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			var f ForeignEstimator
 			for _, o := range s.own {
-				f.RecordOwn(o.at, o.count)
+				f.RecordOwnCount(o.at, o.count)
 			}
 			require.Equal(t, s.want, f.Estimate(s.now, s.asOf, s.inFlight))
 		})
--- a/sidecar/pkg/app/providers.go
+++ b/sidecar/pkg/app/providers.go
@@ -97,7 +97,7 @@
 		OnForeignSlots: func(slots int) { d.Submit(admit.ForeignLoad{Slots: slots}) },
 		OnHealth:       g.setHealthy,
 	})
-	d.ObserveRunning(p.RecordOwn)
+	d.ObserveRunning(p.RecordOwnCount)
 	return p
 }
 
@@ -106,8 +106,8 @@
 ) *entry.Handler {
 	return entry.New(entry.Config{
 		Clock: c, Dispatcher: d, Engine: e, Endpoint: s.Name, Incarnation: uint64(i), Model: s.Kind == config.KindModel,
-		MaxAnswerBytes: s.Online.KeepBytes, MaxRetainedBytes: s.Online.KeepTotalBytes, Retention: clock.Millis(s.Online.KeepMS),
-		Dedup:      plain.Config{MaxRequests: s.Online.OnceRequests, Retention: clock.Millis(s.Online.OnceKeepMS)},
+		MaxAnswerBytes: s.Online.MaxAnswerBytes, MaxRetainedBytes: s.Online.MaxRetainedBytes, Retention: clock.Millis(s.Online.RetentionMS),
+		Dedup:      plain.Config{MaxRequests: s.Online.MaxDedupRequests, Retention: clock.Millis(s.Online.DedupRetentionMS)},
 		Load:       func() *toucanhingev1.Load { return newLoad(d.Snapshot(), s.Engine.Slots) },
 		TeamWeight: w.teamWeight,
 		OnRefused: func(requestID string, reason admit.Reason, ran toucanhingev1.Ran) {
--- a/sidecar/pkg/config/config.go
+++ b/sidecar/pkg/config/config.go
@@ -49,11 +49,11 @@
 type Online struct {
 	QueueLimit     int   `toml:"queue" doc:"most online requests that wait for a slot"`
 	RingSize       int   `toml:"ring" doc:"most events that wait for the admission machine"`
-	KeepMS         int64 `toml:"keep_ms" doc:"how long an answer waits for a gateway whose connection broke"`
-	KeepBytes      int   `toml:"keep_bytes" doc:"bytes of one answer kept for that, and the most a slow reader may fall behind"`
-	KeepTotalBytes int   `toml:"keep_total_bytes" doc:"bytes kept of all ended answers"`
-	OnceRequests   int   `toml:"once_requests" doc:"most non-idempotent requests remembered as started; above it new ones are refused"`
-	OnceKeepMS     int64 `toml:"once_keep_ms" doc:"how long each of them is remembered"`
+	RetentionMS         int64 `toml:"keep_ms" doc:"how long an answer waits for a gateway whose connection broke"`
+	MaxAnswerBytes      int   `toml:"keep_bytes" doc:"bytes of one answer kept for that, and the most a slow reader may fall behind"`
+	MaxRetainedBytes int   `toml:"keep_total_bytes" doc:"bytes kept of all ended answers"`
+	MaxDedupRequests   int   `toml:"once_requests" doc:"most non-idempotent requests remembered as started; above it new ones are refused"`
+	DedupRetentionMS     int64 `toml:"once_keep_ms" doc:"how long each of them is remembered"`
 }
 
 // Batch configures how batch work shares the engine.
@@ -87,8 +87,8 @@
 		Records:     10_000,
 		Engine:      Engine{Slots: 16, MinSlots: 1, PollMS: 50, FailedPolls: 4, RecheckMS: 5_000, Orders: true},
 		Online: Online{
-			QueueLimit: 256, RingSize: 4_096, KeepMS: 3_000, KeepBytes: 256 << 10, KeepTotalBytes: 8 << 20,
-			OnceRequests: 100_000, OnceKeepMS: toMillis(10 * time.Minute),
+			QueueLimit: 256, RingSize: 4_096, RetentionMS: 3_000, MaxAnswerBytes: 256 << 10, MaxRetainedBytes: 8 << 20,
+			MaxDedupRequests: 100_000, DedupRetentionMS: toMillis(10 * time.Minute),
 		},
 		Batch: Batch{
 			Policy: "yield", Slots: 16, LocalItems: 8, MaxPerLease: 16, PrefillTokens: 512, Weight: 50,
--- a/sidecar/pkg/probe/probe.go
+++ b/sidecar/pkg/probe/probe.go
@@ -54,11 +54,11 @@
 	return &Probe{config: config, unreachable: make(chan struct{}, 1)}
 }
 
-// RecordOwn records how many of this sidecar's requests are at the engine.
-func (p *Probe) RecordOwn(now clock.Millis, count int) {
+// RecordOwnCount records how many of this sidecar's requests are at the engine.
+func (p *Probe) RecordOwnCount(now clock.Millis, count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.estimator.RecordOwn(now, count)
+	p.estimator.RecordOwnCount(now, count)
 }
 
 // ReportUnreachable reports that a call could not reach the engine. The engine then counts
--- a/sidecar/pkg/probe/probe_test.go
+++ b/sidecar/pkg/probe/probe_test.go
@@ -113,7 +113,7 @@
 		OnForeignSlots: func(slots int) { foreign <- slots },
 		OnHealth:       func(bool) {},
 	})
-	p.RecordOwn(9_000, 3)
+	p.RecordOwnCount(9_000, 3)
 	p.poll(context.Background())
 	require.Equal(t, 2, <-foreign)
 }
--- a/toucanctl/pkg/app/arguments.go
+++ b/toucanctl/pkg/app/arguments.go
@@ -68,8 +68,8 @@
 	Name         string `arg:"positional,required"`
 	Plain        bool   `arg:"--plain" help:"a plain service, not a model"`
 	Model        string `arg:"--model" help:"model name that callers use in requests"`
-	OlderPercent uint32 `arg:"--older-percent" help:"percentage of requests sent to the legacy serving system"`
-	OlderURL     string `arg:"--older-url" help:"base URL of the legacy serving system"`
+	LegacyPercent uint32 `arg:"--older-percent" help:"percentage of requests sent to the legacy serving system"`
+	LegacyURL     string `arg:"--older-url" help:"base URL of the legacy serving system"`
 	Attempts     uint32 `arg:"--attempts" help:"maximum attempts of a batch item; 0 means the default"`
 	BatchWeight  uint32 `arg:"--batch-weight" default:"50" help:"0 favours online latency, 100 batch throughput"`
 	DeadlineMS   uint32 `arg:"--deadline-ms" help:"deadline of a request that sets none; 0 means the default"`
--- a/toucanctl/pkg/app/dispatch.go
+++ b/toucanctl/pkg/app/dispatch.go
@@ -61,7 +61,7 @@
 	}
 	response, err := c.Apply(ctx, operator.Change{Entry: entry, RequestID: options.RequestID, Base: options.Base})
 	if response != nil {
-		if printErr := p.Applied(response); printErr != nil {
+		if printErr := p.ApplyResult(response); printErr != nil {
 			return printErr
 		}
 	}
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	return p.Explained(e.ID, responses, unreachable)
+	return p.Explanation(e.ID, responses, unreachable)
 }
 
 // explainLogs prints the log lines that concern an id.
@@ -141,5 +141,5 @@
 	if err != nil {
 		return err
 	}
-	return p.Traced(e.ID, trace)
+	return p.Trace(e.ID, trace)
 }
--- a/toucanctl/pkg/app/entry.go
+++ b/toucanctl/pkg/app/entry.go
@@ -103,7 +103,7 @@
 	return &toucanhingev1.Entry{
 		Kind: toucanhingev1.Kind_KIND_SERVICE, Name: s.Name,
 		Body: &toucanhingev1.Entry_Service{Service: &toucanhingev1.Service{
-			Kind: kind, Model: s.Model, OlderPercent: s.OlderPercent, OlderUrl: s.OlderURL,
+			Kind: kind, Model: s.Model, OlderPercent: s.LegacyPercent, OlderUrl: s.LegacyURL,
 			ItemAttempts: s.Attempts, BatchWeight: s.BatchWeight, DeadlineMs: s.DeadlineMS,
 		}},
 	}
--- a/toucanctl/pkg/output/printer.go
+++ b/toucanctl/pkg/output/printer.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// Applied prints the outcome of a change.
-func (p Printer) Applied(response *toucanhingev1.ApplyResponse) error {
+// ApplyResult prints the outcome of a change.
+func (p Printer) ApplyResult(response *toucanhingev1.ApplyResponse) error {
 	verdict := "accepted"
 	if !response.GetAccepted() {
 		verdict = "refused; in force is"
@@ -204,9 +204,9 @@
 	return p.print(response, row{"GROUPS MOVED"}, []row{{fmt.Sprint(response.GetGroupsMoved())}})
 }
 
-// Explained prints the records of all processes about an id, ordered by time, and the
+// Explanation prints the records of all processes about an id, ordered by time, and the
 // addresses of processes that did not respond.
-func (p Printer) Explained(id string, responses []*toucanhingev1.ExplainResponse, unreachable []string) error {
+func (p Printer) Explanation(id string, responses []*toucanhingev1.ExplainResponse, unreachable []string) error {
 	if p.JSON {
 		for _, a := range responses {
 			if err := p.json(a); err != nil {
--- a/toucanctl/pkg/output/trace.go
+++ b/toucanctl/pkg/output/trace.go
@@ -10,8 +10,8 @@
 
 const timeFormat = "15:04:05.000"
 
-// Traced prints the log lines that concern an id and the last failure among them.
-func (p Printer) Traced(id string, trace loglines.Trace) error {
+// Trace prints the log lines that concern an id and the last failure among them.
+func (p Printer) Trace(id string, trace loglines.Trace) error {
 	if len(trace.Lines) == 0 {
 		return fmt.Errorf("%s: %w", id, operator.ErrNotFound)
 	}
