--- a/lab/pkg/fleet/observe.go
+++ b/lab/pkg/fleet/observe.go
@@ -105,7 +105,7 @@
 		}
 		value, err := strconv.ParseFloat(rest[strings.LastIndexByte(rest, ' ')+1:], 64)
 		if err != nil {
-			return 0, fmt.Errorf("metric %s: %w", name, err)
+			return 0, fmt.Errorf("parse metric %s: %w", name, err)
 		}
 		total += value
 	}
@@ -134,7 +134,7 @@
 	}
 	response, err := f.http.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("get: %w", err)
+		return nil, fmt.Errorf("send request: %w", err)
 	}
 	if response.StatusCode != http.StatusOK {
 		_ = response.Body.Close()
--- a/lab/pkg/relay/relay.go
+++ b/lab/pkg/relay/relay.go
@@ -68,7 +68,7 @@
 func New(config Config) (*Relay, error) {
 	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+		return nil, fmt.Errorf("listen for relayed connections: %w", err)
 	}
 	r := &Relay{
 		config: config, listener: listener, changed: make(chan struct{}),
@@ -135,7 +135,7 @@
 	r.goroutines.Wait()
 }
 
-// faultsFor returns the faults in force for a link and a channel that is closed when faults
+// faultsFor returns the current faults of a link and a channel that is closed when faults
 // change.
 func (r *Relay) faultsFor(l *link) (Faults, chan struct{}) {
 	r.mu.Lock()
--- a/lab/pkg/replay/decisions.go
+++ b/lab/pkg/replay/decisions.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// jobItems is the number of items in a job on the users' sheets.
+	// jobItems is the number of items in a job of the users' deployments.
 	jobItems = 10
-	// lengthSpread is the sigma of the log-normal distribution of item lengths on these sheets.
+	// lengthSpread is the sigma of the log-normal distribution of item lengths in these deployments.
 	lengthSpread = 0.4
 )
 
@@ -78,7 +78,7 @@
 	slices.SortFunc(s.retries, func(a, b *request) int { return cmp.Compare(a.arrived, b.arrived) })
 }
 
-func (s *simulation) routeDueRetries() {
+func (s *simulation) routeRetries() {
 	for len(s.retries) > 0 && s.retries[0].arrived <= s.now {
 		r := s.retries[0]
 		s.retries = s.retries[1:]
@@ -88,7 +88,7 @@
 
 func (s *simulation) selectRunner(r *request) (placement.Choice, admission.Request) {
 	g := s.gateways[r.gateway]
-	choice, _ := g.place.Select(s.now, placement.Request{
+	choice, _ := g.placer.Select(s.now, placement.Request{
 		Service: service, TieBreak: s.random.Float64(), Draw: s.random.Float64(), Age: s.config.DigestDelay + publishInterval,
 	}, s.loadView(g))
 	return choice, admission.Request{
@@ -210,7 +210,7 @@
 }
 
 // MixedItems draws items like SteadyItems, but in jobs of ten and with differing running times,
-// between a third and twice the given one, like the lengths on the users' sheets.
+// between a third and twice the given one, like the lengths in the users' deployments.
 func MixedItems(seed uint64, until clock.Millis, rate float64, run, timeLimit clock.Millis) []Item {
 	random := rand.New(rand.NewPCG(seed, 3))
 	var items []Item
