--- a/lab/pkg/newsfleet/fleet.go
+++ b/lab/pkg/updatefleet/fleet.go
@@ -1,7 +1,7 @@
-// Package newsfleet runs a fleet of gateways and real VMs of the core in one process, with real
+// Package updatefleet runs a fleet of gateways and real VMs of the core in one process, with real
 // connections, to test how state updates of the core reach the gateways while some of them fail.
 // The gateways only subscribe to the core and forward its updates; they serve no callers.
-package newsfleet
+package updatefleet
 
 import (
 	"context"
--- a/lab/pkg/newsfleet/steady_state_test.go
+++ b/lab/pkg/updatefleet/steady_state_test.go
@@ -1,4 +1,4 @@
-package newsfleet
+package updatefleet
 
 import (
 	"testing"
