--- a/common/pkg/digest/exchange.go
+++ b/common/pkg/digest/exchange.go
@@ -40,7 +40,7 @@
 	maxDatagramSize = 64 << 10
 )
 
-// Config describes an exchange.
+// Config holds the settings and dependencies of an Exchange.
 type Config struct {
 	// Address to listen on, IP:port.
 	Address string
--- a/control/pkg/batchrun/driver.go
+++ b/control/pkg/batchrun/driver.go
@@ -25,8 +25,8 @@
 	// stepInterval is the longest time between two steps. A change of the load triggers a step at once.
 	stepInterval = 50 * time.Millisecond
 	// minStepGap is the shortest time between two steps. With 89 gateways the load changes hundreds of
-	// times a second, and a decision among 3,000 waiting items takes 0.15 ms (BenchmarkStep). The gap
-	// makes an online request wait 2 ms longer for an item's slot.
+	// times a second, and each decision among 3,000 waiting items costs 0.15 ms. The gap makes an
+	// online request wait 2 ms longer for an item's slot.
 	minStepGap = 5 * time.Millisecond
 	// refusedBackoff is how long a runner that refused an item for lack of slots is blocked. One of its
 	// slots becomes free within about that time.
--- a/control/pkg/fleet/handler.go
+++ b/control/pkg/fleet/handler.go
@@ -31,7 +31,7 @@
 	approxStepBytes = 256
 )
 
-// Config describes the handler.
+// Config holds the settings and dependencies of a Handler.
 type Config struct {
 	Fleet   *group.Fleet
 	Leases  *LeaseTracker
--- a/control/pkg/operator/handler.go
+++ b/control/pkg/operator/handler.go
@@ -46,7 +46,7 @@
 	TransferLeadership func(ctx context.Context) (moved int, err error)
 }
 
-// Config describes the handler.
+// Config holds the settings and dependencies of a Handler.
 type Config struct {
 	Fleet    *group.Fleet
 	Jobs     map[uint32]*group.Jobs
--- a/control/pkg/platform/poller.go
+++ b/control/pkg/platform/poller.go
@@ -37,7 +37,7 @@
 
 var errInvalidList = errors.New("invalid VM list: want a JSON list of VMs with a name and a state")
 
-// Config describes a poller.
+// Config holds the settings and dependencies of a Poller.
 type Config struct {
 	// URL returns, for a GET request, a JSON list of {"name", "state": "live"|"leaving"}.
 	URL      string
--- a/control/pkg/segment/store.go
+++ b/control/pkg/segment/store.go
@@ -49,7 +49,7 @@
 	return Ref(file)<<32 | Ref(uint32(offset))
 }
 
-// Config describes a store.
+// Config holds the location and the file sizes of a Store.
 type Config struct {
 	Folder string
 	// Name is the prefix of the file names.
--- a/gateway/pkg/core/subscriber.go
+++ b/gateway/pkg/core/subscriber.go
@@ -44,7 +44,7 @@
 	findLeaderTimeout = 4 * time.Second
 )
 
-// Config describes a subscriber.
+// Config holds the settings, dependencies and callbacks of a Subscriber.
 type Config struct {
 	Name          string
 	DigestAddress string
--- a/gateway/pkg/forward/server.go
+++ b/gateway/pkg/forward/server.go
@@ -26,7 +26,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Config describes a server.
+// Config holds the settings and dependencies of a Server.
 type Config struct {
 	Client     runner.Client
 	Exchange   *digest.Exchange
--- a/gateway/pkg/jobs/service.go
+++ b/gateway/pkg/jobs/service.go
@@ -42,7 +42,7 @@
 	ReasonOutcomeUnknown = "outcome-unknown"
 )
 
-// Config describes the service.
+// Config holds the dependencies of a Service.
 type Config struct {
 	Core   *control.Client
 	Logger log.Logger
--- a/gateway/pkg/route/router.go
+++ b/gateway/pkg/route/router.go
@@ -25,7 +25,7 @@
 	PolicyAffinity    Policy = "affinity"
 )
 
-// Config describes a router.
+// Config holds the policy and the limits of a Router.
 type Config struct {
 	Gateway string
 	Policy  Policy
--- a/gateway/pkg/updates/publisher.go
+++ b/gateway/pkg/updates/publisher.go
@@ -19,7 +19,7 @@
 	toucanhingev1 "toucanhinge.example/schema/gen/toucanhinge/v1"
 )
 
-// Config describes a publisher.
+// Config holds the settings and dependencies of a Publisher.
 type Config struct {
 	// Boot is a clock that continues while the machine is suspended.
 	Boot clock.Clock
--- a/lab/pkg/updatefleet/fleet.go
+++ b/lab/pkg/updatefleet/fleet.go
@@ -26,7 +26,7 @@
 // ErrTimeout reports that a condition did not hold in time.
 var ErrTimeout = errors.New("timed out waiting for a condition")
 
-// Config describes a fleet.
+// Config sets the size of a Fleet.
 type Config struct {
 	// Folder holds the data folders of the VMs of the core.
 	Folder   string
